--- a/ejection.go
+++ b/internal/policy/ejection.go
@@ -1,4 +1,4 @@
-package bellwood
+package policy
 
 // Outlier ejection: servers that are silent or broken, trials of them, and their return.
 
@@ -21,11 +21,11 @@
 // answers take while nothing was heard. It covers hung, cut off and stopped machines. If fewer than a quarter
 // of the servers answer, it is not this server's fault. It could harm a server that got several costly
 // requests in a row; the first late answer brings such a one back.
-func (d *Door) detectSilence(s *server) {
+func (d *Engine) detectSilence(s *backend) {
 	if s.ejected {
-		if s.listed && d.set.MayProbe && d.now >= s.trialAt && !s.trying {
+		if s.listed && d.set.AllowHealthChecks && d.now >= s.trialAt && !s.trying {
 			s.trying = true
-			d.act(Probe{s.name})
+			d.act(HealthCheck{s.name})
 		}
 		return
 	}
@@ -38,7 +38,7 @@
 		return
 	}
 	live := 0
-	for i, all := range [2][]*server{d.subset, d.watched} {
+	for i, all := range [2][]*backend{d.subset, d.watched} {
 		for _, o := range all {
 			if (i == 0 || !o.inSubset) && o.usable() && o.heard > s.heard && d.now-o.heard < 500*time.Millisecond {
 				live++
@@ -51,7 +51,7 @@
 }
 
 // eject stops new work to a server, moves its queue on and calls back what could still be served elsewhere.
-func (d *Door) eject(s *server) {
+func (d *Engine) eject(s *backend) {
 	s.ejected, s.trying = true, false
 	s.trialPause = max(trialFirst, time.Duration(d.rng.Int64N(int64(d.doorsPerServer*float64(trialEach)))))
 	s.trialAt = d.now + s.trialPause
@@ -59,26 +59,26 @@
 	d.watch(s)
 	d.act(Log{"no longer used: " + s.name})
 	d.moveQueue(s)
-	if !d.set.MayCancel {
+	if !d.set.AllowCancel {
 		return
 	}
 	for _, a := range s.outs {
 		if !a.r.ended && !a.r.stream && (d.now-a.r.at).Seconds()+d.latency(a.r, nil) < a.r.tau.Seconds() {
-			d.act(Cancel{a.r.id, a.no})
+			d.act(CancelAttempt{a.r.id, a.no})
 		}
 	}
 }
 
-func (d *Door) nextTrial(s *server) {
+func (d *Engine) nextTrial(s *backend) {
 	s.trying = false
 	s.trialPause = min(max(trialMost, time.Duration(d.doorsPerServer*float64(trialEach))), s.trialPause*3/2)
 	s.trialAt = d.now + s.trialPause
 }
 
 // trialServer gives an ejected server one safe request with time for another attempt, without probes.
-func (d *Door) trialServer(r *request) *server {
-	if d.set.MayProbe || d.set.Classes[r.class].Effect != Safe || len(r.attempts) > 0 || d.set.MaxAttempts < 2 ||
-		r.tau.Seconds() < trialRoom*d.base[r.class] {
+func (d *Engine) trialServer(r *request) *backend {
+	if d.set.AllowHealthChecks || d.set.Classes[r.class].Idempotency != Idempotent ||
+		len(r.attempts) > 0 || d.set.MaxAttempts < 2 || r.tau.Seconds() < trialRoom*d.base[r.class] {
 		return nil
 	}
 	for _, s := range d.watched {
@@ -89,8 +89,8 @@
 	return nil
 }
 
-func (d *Door) probed(ev Probed) {
-	s := d.servers[ev.Backend]
+func (d *Engine) probed(ev HealthCheckResult) {
+	s := d.backends[ev.Backend]
 	if s == nil || !s.ejected {
 		return
 	}
@@ -101,7 +101,7 @@
 }
 
 // restore takes a server back. One that comes back from silence may have started anew: it counts as cold.
-func (d *Door) restore(s *server, fresh bool) {
+func (d *Engine) restore(s *backend, fresh bool) {
 	fresh = fresh && d.now-s.heard > restartTime
 	s.ejected, s.trying, s.fails, s.lost, s.heard = false, false, 0, 0, d.now
 	d.act(Log{"used again: " + s.name})
--- a/fleet_test.go
+++ b/internal/policy/fleet_test.go
@@ -1,4 +1,4 @@
-package bellwood
+package policy
 
 import (
 	"fmt"
@@ -19,7 +19,7 @@
 
 // shares gives by backend the part of a door's traffic that it gets from all doors, were each to share its traffic
 // out evenly, and the fewest servers left of a subset when a zone is lost.
-func shares(all []*Door, lost int) (load map[string]float64, fewest int) {
+func shares(all []*Engine, lost int) (load map[string]float64, fewest int) {
 	load, fewest = map[string]float64{}, 1<<30
 	for _, d := range all {
 		left := 0
@@ -45,10 +45,10 @@
 func TestSubsetsOfManyDoors(t *testing.T) {
 	for _, servers := range []int{200, 600} {
 		list := grand(servers)
-		all := make([]*Door, grandDoors)
+		all := make([]*Engine, grandDoors)
 		for i := range all {
 			set := crowd(grandDoors)
-			set.Rank = i
+			set.GatewayIndex = i
 			all[i] = open(t, set, list...)
 		}
 		load, fewest := shares(all, 3)
@@ -58,21 +58,21 @@
 		if fewest < subsetLeast/2 {
 			t.Errorf("%d servers: a door has %d left when a zone is lost", servers, fewest)
 		}
-		before := make([]map[*server]bool, len(all))
+		before := make([]map[*backend]bool, len(all))
 		changed := 0
 		for step := range 10 {
 			for i, d := range all {
-				before[i] = map[*server]bool{}
+				before[i] = map[*backend]bool{}
 				for _, s := range d.subset {
 					before[i][s] = true
 				}
 				now := time.Duration(step+1) * time.Second
 				if b := list[step]; step%2 == 0 {
 					b.State = Terminated
-					d.Step(now, []Event{List{Entries: []Backend{b}}})
+					d.Step(now, []Event{EndpointUpdate{Backends: []Backend{b}}})
 				} else {
 					b.Name = fmt.Sprint("new", step)
-					d.Step(now, []Event{List{Entries: []Backend{b}}})
+					d.Step(now, []Event{EndpointUpdate{Backends: []Backend{b}}})
 				}
 				same := len(d.subset) == len(before[i])
 				for _, s := range d.subset {
@@ -101,13 +101,13 @@
 func TestSubsetAfterAReplacement(t *testing.T) {
 	list := grand(600)
 	set := crowd(100)
-	set.Rank = 42
+	set.GatewayIndex = 42
 	old := open(t, set, list[:500]...)
 	now := time.Second
 	for i := range 100 {
 		gone := list[i]
 		gone.State = Terminated
-		old.Step(now, []Event{List{Entries: []Backend{gone}}, List{Entries: list[500+i : 501+i]}})
+		old.Step(now, []Event{EndpointUpdate{Backends: []Backend{gone}}, EndpointUpdate{Backends: list[500+i : 501+i]}})
 		now += ms
 	}
 	fresh := open(t, set, list[100:]...)
@@ -115,7 +115,7 @@
 		t.Fatalf("subsets of %d and %d, %d known", len(old.subset), len(fresh.subset), len(old.ring))
 	}
 	for _, s := range fresh.subset {
-		if !old.servers[s.name].inSubset {
+		if !old.backends[s.name].inSubset {
 			t.Errorf("%s is in a fresh door's subset only", s.name)
 		}
 	}
@@ -128,12 +128,12 @@
 	for i := range list[:20] {
 		list[i].State = Terminated
 	}
-	d.Step(time.Second, []Event{List{Entries: list[:20]}})
+	d.Step(time.Second, []Event{EndpointUpdate{Backends: list[:20]}})
 	if len(d.subset)+len(d.ring)+d.inService+d.warm != 0 {
 		t.Fatalf("%d in the subset, %d known, %d in service, %d warm", len(d.subset), len(d.ring), d.inService, d.warm)
 	}
-	d.Step(2*time.Second, []Event{List{Entries: list[20:]}})
-	if sends := only[Send](d.Step(3*time.Second, []Event{ask(1, 0, 2), Timer{0}})); len(sends) != 1 {
+	d.Step(2*time.Second, []Event{EndpointUpdate{Backends: list[20:]}})
+	if sends := only[SendAttempt](d.Step(3*time.Second, []Event{ask(1, 0, 2), Timer{0}})); len(sends) != 1 {
 		t.Errorf("%d sends", len(sends))
 	}
 }
@@ -141,11 +141,11 @@
 // Where every server of the subset is ejected, requests go to others, in a list of any length.
 func TestOthersServeWhereNoNearOneCan(t *testing.T) {
 	d := open(t, crowd(grandDoors), grand(2000)...)
-	for _, s := range append([]*server(nil), d.subset...) {
+	for _, s := range append([]*backend(nil), d.subset...) {
 		d.eject(s)
 	}
 	acts := d.Step(10*ms, []Event{ask(1, 0, 2)}) // before any trial is due
-	if sends := only[Send](acts); len(sends) != 1 || d.servers[sends[0].Backend].inSubset {
+	if sends := only[SendAttempt](acts); len(sends) != 1 || d.backends[sends[0].Backend].inSubset {
 		t.Errorf("actions: %v", acts)
 	}
 }
@@ -187,18 +187,18 @@
 		case 1:
 			b.Started = now
 		case 2:
-			b.State = Terminating
+			b.State = Draining
 		case 3:
-			d.eject(d.servers[d.subset[step%len(d.subset)].name])
+			d.eject(d.backends[d.subset[step%len(d.subset)].name])
 		}
 		evs := []Event{ask(uint64(step), 0, 2), Timer{0}}
 		if step%5 < 3 || step%3 == 0 {
-			evs = append(evs, List{Entries: []Backend{b}})
+			evs = append(evs, EndpointUpdate{Backends: []Backend{b}})
 		}
 		if step%50 == 49 {
-			evs = append(evs, List{Scope: Whole, Entries: list[step/50:]})
+			evs = append(evs, EndpointUpdate{Kind: Snapshot, Backends: list[step/50:]})
 		}
-		for i, s := range only[Send](d.Step(now, evs)) {
+		for i, s := range only[SendAttempt](d.Step(now, evs)) {
 			if i%2 == 0 {
 				d.Step(now+20*ms, []Event{served(s, 0, 20*ms)})
 			}
@@ -220,15 +220,15 @@
 				load, meets, changed, fewest := map[string]float64{}, map[string]float64{}, 0, 1<<30
 				for i := range grandDoors { // one by one: not all fit
 					set := crowd(grandDoors)
-					set.Rank = i
+					set.GatewayIndex = i
 					d := open(b, set, list...)
-					one, left := shares([]*Door{d}, 3)
+					one, left := shares([]*Engine{d}, 3)
 					fewest = min(fewest, left)
 					for name, v := range one {
 						load[name] += v
 						meets[name]++
 					}
-					d.Step(ms, []Event{List{Entries: []Backend{gone}}})
+					d.Step(ms, []Event{EndpointUpdate{Backends: []Backend{gone}}})
 					same := len(one) == len(d.subset)
 					for _, s := range d.subset {
 						same = same && one[s.name] > 0
@@ -258,19 +258,19 @@
 func BenchmarkDoor(b *testing.B) {
 	for _, servers := range []int{14, 200, 1000, 3000, 11000} {
 		list := grand(servers)
-		fresh := func() *Door {
+		fresh := func() *Engine {
 			set := crowd(grandDoors)
-			set.Counter = false
-			set.Rank = 17
+			set.SharedCounter = false
+			set.GatewayIndex = 17
 			d, _ := New(set, 1)
-			d.Step(0, []Event{List{Scope: Cached, Entries: list}})
+			d.Step(0, []Event{EndpointUpdate{Kind: CachedSnapshot, Backends: list}})
 			return d
 		}
 		b.Run(fmt.Sprintf("request/%d", servers), func(b *testing.B) {
 			d, now := fresh(), time.Duration(0)
 			for i := 0; b.Loop(); i++ {
 				now += 8 * ms
-				for _, s := range only[Send](d.Step(now, []Event{ask(uint64(i), 0, 2)})) {
+				for _, s := range only[SendAttempt](d.Step(now, []Event{ask(uint64(i), 0, 2)})) {
 					d.Step(now+5*ms, []Event{served(s, 0, 50*ms)})
 				}
 			}
@@ -290,14 +290,14 @@
 				if i%2 == 0 {
 					e.State = Terminated
 				}
-				d.Step(now, []Event{List{Entries: []Backend{e}}})
+				d.Step(now, []Event{EndpointUpdate{Backends: []Backend{e}}})
 			}
 		})
 		b.Run(fmt.Sprintf("again/%d", servers), func(b *testing.B) {
 			d, now := fresh(), time.Duration(0)
 			for b.Loop() {
 				now += ms
-				d.Step(now, []Event{List{Scope: Whole, Entries: list}})
+				d.Step(now, []Event{EndpointUpdate{Kind: Snapshot, Backends: list}})
 			}
 		})
 		b.Run(fmt.Sprintf("first/%d", servers), func(b *testing.B) {
@@ -312,26 +312,26 @@
 // one that is to have it is still being picked: the slot goes to one of them.
 func TestOneSlotIsGivenOnce(t *testing.T) {
 	set := basic()
-	set.Counter, set.Doors, set.Plans[3].AtOnce = false, 1, 1
+	set.SharedCounter, set.Gateways, set.Plans[3].MaxConcurrent = false, 1, 1
 	d := open(t, set, backends(1)...)
-	s := d.servers["b0"]
+	s := d.backends["b0"]
 	s.slots = 1
 	of := func(id uint64, customer string) Request {
 		r := ask(id, 2, 3)
-		r.Customer = customer
+		r.Tenant = customer
 		return r
 	}
-	first := only[Send](d.Step(0, []Event{of(1, "x")}))
+	first := only[SendAttempt](d.Step(0, []Event{of(1, "x")}))
 	d.Step(ms, []Event{of(2, "a"), of(3, "b")}) // queued, and too old when the slot is free
 	acts := d.Step(400*ms, []Event{of(4, "a"), of(5, "b")})
 	if len(first) != 1 || len(acts) != 2 || s.queued != 2 || len(s.outs) != 1 { // only their timers are set
 		t.Fatalf("%d sent, %d queued, then %v", len(first), s.queued, acts)
 	}
-	acts = d.Step(490*ms, []Event{Outcome{ID: 1, Backend: "b0", Status: Failed, Latency: 490 * ms}})
-	if n := len(only[Refuse](acts)); n != 2 {
+	acts = d.Step(490*ms, []Event{AttemptResult{ID: 1, Backend: "b0", Status: Failed, Latency: 490 * ms}})
+	if n := len(only[Reject](acts)); n != 2 {
 		t.Errorf("%d refused: %v", n, acts)
 	}
-	if sends := only[Send](acts); len(sends) != 1 || len(s.outs) != 1 || s.queued != 1 {
+	if sends := only[SendAttempt](acts); len(sends) != 1 || len(s.outs) != 1 || s.queued != 1 {
 		t.Errorf("%d sends for one slot, %d left in the queue: %v", len(sends), s.queued, acts)
 	}
 }
@@ -341,12 +341,12 @@
 func TestFailedListIsAskedForAgainSoon(t *testing.T) {
 	const most = 750 * time.Millisecond
 	set := basic()
-	set.OnRequest = true
+	set.PollEndpoints = true
 	d := open(t, set, backends(2)...)
 	now := time.Second
 	for i := range 20 {
 		at := time.Duration(0)
-		for _, s := range only[SetTimer](d.Step(now, []Event{List{Scope: ListFailed}})) {
+		for _, s := range only[SetTimer](d.Step(now, []Event{EndpointUpdate{Kind: UpdateFailed}})) {
 			if s.Cookie == 2 {
 				at = s.At
 			}
@@ -355,7 +355,7 @@
 			t.Fatalf("after failure %d it is asked for again after %v", i+1, at-now)
 		}
 		now = at + 2*time.Second
-		if acts := d.Step(at, []Event{Timer{2}}); len(only[Watch](acts)) != 1 {
+		if acts := d.Step(at, []Event{Timer{2}}); len(only[WatchEndpoints](acts)) != 1 {
 			t.Fatalf("after failure %d it is not asked for: %v", i+1, acts)
 		}
 	}
--- a/membership.go
+++ b/internal/policy/membership.go
@@ -1,4 +1,4 @@
-package bellwood
+package policy
 
 // News of the list of servers.
 
@@ -13,8 +13,8 @@
 )
 
 // list takes news of the backends.
-func (d *Door) list(ev List) {
-	if ev.Scope == ListFailed {
+func (d *Engine) list(ev EndpointUpdate) {
+	if ev.Kind == UpdateFailed {
 		if !d.listAsked {
 			d.listAsked = true
 			d.listWait = min(listMost, max(listFirst, 2*d.listWait))
@@ -25,10 +25,10 @@
 	}
 	d.listAt, d.listWait = d.now, 0
 	d.lists++
-	for _, b := range ev.Entries {
+	for _, b := range ev.Backends {
 		d.entry(b)
 	}
-	if ev.Scope != Delta {
+	if ev.Kind != Delta {
 		d.retireMissing()
 	}
 	d.prune()
@@ -37,15 +37,15 @@
 }
 
 // entry takes what the list says of one backend. One that was started lately is cold.
-func (d *Door) entry(b Backend) {
-	s := d.servers[b.Name]
+func (d *Engine) entry(b Backend) {
+	s := d.backends[b.Name]
 	if s == nil {
 		if b.State != InService {
 			return
 		}
-		s = &server{name: b.Name, started: -1, slots: -1}
+		s = &backend{name: b.Name, started: -1, slots: -1}
 		s.member.Value = s
-		d.servers[b.Name] = s
+		d.backends[b.Name] = s
 		s.ringAt = len(d.ring)
 		d.ring = append(d.ring, s)
 	}
@@ -53,7 +53,7 @@
 	if b.Started != s.started {
 		s.started, s.heard, s.slow = b.Started, d.now, 1
 		s.ejected, s.trying, s.fails, s.lost = false, false, 0, 0
-		if b.Started > 0 && d.now-b.Started < d.set.WarmWithin {
+		if b.Started > 0 && d.now-b.Started < d.set.SlowStartDuration {
 			s.slots = 1
 			d.markCold(s, b.Started)
 		}
@@ -69,7 +69,7 @@
 	d.countWarm(s)
 }
 
-func (d *Door) retire(s *server) {
+func (d *Engine) retire(s *backend) {
 	if s.listed {
 		s.listed = false
 		d.inService--
@@ -84,7 +84,7 @@
 }
 
 // retireMissing takes servers that a whole list leaves out as gone.
-func (d *Door) retireMissing() {
+func (d *Engine) retireMissing() {
 	for _, s := range d.ring {
 		if s.named != d.lists {
 			d.retire(s)
--- a/queue.go
+++ b/internal/policy/queue.go
@@ -1,4 +1,4 @@
-package bellwood
+package policy
 
 // Queues by level of worth at each server, and what is released from them.
 
@@ -16,7 +16,7 @@
 )
 
 // place queues a request at a server and releases what may go.
-func (d *Door) place(r *request) {
+func (d *Engine) place(r *request) {
 	if t := d.trialServer(r); t != nil {
 		d.send(r, t, true)
 		return
@@ -37,7 +37,7 @@
 // rejectEarly is EQ 4 seen from the back of the queue: what would come to wait for most of its time is
 // refused while the client can still try again in time (a departure: the paper lets it wait until it is
 // stale; under overload every answer then comes at the last moment, and each client's next try too late).
-func (d *Door) rejectEarly(r *request, s *server) bool {
+func (d *Engine) rejectEarly(r *request, s *backend) bool {
 	if d.free(s) { // with many doors the queue is inside the servers, and latency tells of it (a departure)
 		lat := d.base[r.class] * max(1, d.fleet)
 		idle := cmp.Or(d.floor[r.class], lat)
@@ -59,12 +59,12 @@
 
 // free says whether a server has a free slot. Less than one slot means a pause between sends: with many doors
 // even one request each can be too much, and what a server turns away costs it work as well.
-func (d *Door) free(s *server) bool {
+func (d *Engine) free(s *backend) bool {
 	return len(s.outs) < max(1, int(s.slots)) && d.now >= s.restUntil
 }
 
 // fill releases requests to a server while it has a slot. With nothing queued it helps the longest queue.
-func (d *Door) fill(s *server) {
+func (d *Engine) fill(s *backend) {
 	for s.usable() && d.free(s) && !d.coldBudgetSpent(s) {
 		from := s
 		if s.queued == 0 && (d.queued == 0 || !s.inSubset) {
@@ -95,7 +95,7 @@
 // stale, in the promoted levels too (a departure: what no longer can be in time only delays the rest). EQ 4
 // goes down the levels while their summed counts, times the latency and over the slots, stay under tau*f; the
 // first level with a request is always open. The oldest request of the open levels goes.
-func (d *Door) pick(from, to *server) *request {
+func (d *Engine) pick(from, to *backend) *request {
 	var best *request
 	sum := 0
 	for l := range from.queue {
@@ -123,8 +123,8 @@
 }
 
 // fillAll releases what is queued: first each server its own, then those with nothing queued help.
-func (d *Door) fillAll() {
-	for _, all := range [2][]*server{d.backlogged, d.subset} {
+func (d *Engine) fillAll() {
+	for _, all := range [2][]*backend{d.backlogged, d.subset} {
 		for _, s := range all {
 			if d.queued == 0 {
 				break
@@ -137,7 +137,7 @@
 
 // moveQueue places anew what is queued at a server that is no longer usable. All is taken out first: placing
 // one request may release others.
-func (d *Door) moveQueue(s *server) {
+func (d *Engine) moveQueue(s *backend) {
 	if s.queued == 0 {
 		return
 	}
--- a/queues.go
+++ b/internal/policy/queues.go
@@ -1,4 +1,4 @@
-package bellwood
+package policy
 
 // How queues are kept. Nothing in this file decides.
 
@@ -10,7 +10,7 @@
 
 type entry struct{ r *request }
 
-func (d *Door) push(r *request, s *server) {
+func (d *Engine) push(r *request, s *backend) {
 	r.queueEntry, r.queuedAt = &entry{r}, s
 	if s.levels == nil {
 		s.levels = &levels{}
@@ -32,7 +32,7 @@
 }
 
 // unqueue takes a request out of its queue; the empty place is passed over later.
-func (d *Door) unqueue(r *request) {
+func (d *Engine) unqueue(r *request) {
 	if r.queueEntry == nil {
 		return
 	}
@@ -45,7 +45,7 @@
 	r.queueEntry, r.queuedAt = nil, nil
 }
 
-func (s *server) head(l int) *request {
+func (s *backend) head(l int) *request {
 	q := s.queue[l]
 	for q[0].r == nil {
 		q = q[1:]
@@ -55,7 +55,7 @@
 }
 
 // pruneBacklogged drops servers with nothing queued.
-func (d *Door) pruneBacklogged() {
+func (d *Engine) pruneBacklogged() {
 	kept := d.backlogged[:0]
 	for _, s := range d.backlogged {
 		if s.inBacklog = s.queued > 0; s.inBacklog {
@@ -67,7 +67,7 @@
 }
 
 // release gives back what a request holds while it is queued.
-func (d *Door) release(r *request) {
+func (d *Engine) release(r *request) {
 	if r.holdsCeiling {
 		r.holdsCeiling = false
 		r.c.ceilingQueued -= r.units
@@ -75,7 +75,7 @@
 }
 
 // hold keeps units of the ceiling's share for a queued request; release gives them back.
-func (d *Door) hold(r *request) {
+func (d *Engine) hold(r *request) {
 	r.holdsCeiling = true
 	r.c.ceilingQueued += r.units
 }
--- a/quota.go
+++ b/internal/policy/quota.go
@@ -1,4 +1,4 @@
-package bellwood
+package policy
 
 // Quotas: leases of a customer's tokens from the counter, and what goes on without them.
 
@@ -43,7 +43,7 @@
 // counter can serve; each such call stands for the others too, and these go by the door's share, into debt by
 // one request (a departure: at many doors a share is less than one). What was just seen empty is not asked
 // again until the customer's doors, taken together, would find it filled.
-func (d *Door) spend(r *request, p *Plan) verdict {
+func (d *Engine) spend(r *request, p *Plan) verdict {
 	c := r.c
 	if c.tokens > 0 && d.now-c.grantAt > leaseLife && !c.asking {
 		c.owed -= c.tokens // what the store holds now may differ from what it held then
@@ -55,10 +55,10 @@
 	}
 	c.spare, c.spareAt = min(max(c.spare, p.Burst/c.doors), c.spare+fill), d.now
 	least := 0.0
-	if d.set.Counter && d.callShare > callsFew {
+	if d.set.SharedCounter && d.callShare > callsFew {
 		least = min(0, r.units-p.Burst*min(creditPart, creditAll/c.doors))
 	}
-	calls := d.set.Counter && !r.asked && d.now >= c.emptyUntil && d.mayCall()
+	calls := d.set.SharedCounter && !r.asked && d.now >= c.emptyUntil && d.mayCall()
 	switch {
 	case c.tokens >= r.units:
 		c.tokens -= r.units
@@ -78,7 +78,7 @@
 		r.asked = true
 		d.ask(c, p, r.units)
 		return wait
-	case d.now >= c.emptyUntil && c.spare > least && (!r.retry || !d.set.Counter) && d.onCredit(r.plan):
+	case d.now >= c.emptyUntil && c.spare > least && (!r.retry || !d.set.SharedCounter) && d.onCredit(r.plan):
 		c.spare -= r.units
 		r.unsure = true
 		return paid
@@ -89,19 +89,19 @@
 // onCredit decides whether a request may go on unasked. What the calls for its plan find tells how many of
 // those are beyond their quota: the more these cost for what the others earn, the fewer go on. A counter that
 // is silent tells nothing.
-func (d *Door) onCredit(plan int) bool {
-	if !d.set.Counter || d.callShare <= callsFew {
+func (d *Engine) onCredit(plan int) bool {
+	if !d.set.SharedCounter || d.callShare <= callsFew {
 		return true
 	}
 	p, over := &d.set.Plans[plan], d.denied[plan]
-	cost, earned := over*p.OverCost, 1-over+over*p.OverWorth
+	cost, earned := over*p.OverQuotaPenalty, 1-over+over*p.OverQuotaValue
 	return cost <= 0 || d.rng.Float64()*earned*creditPrice >= cost
 }
 
 // callProbability is the chance that a request calls the counter. Where not all can, the calls go where they
 // save most: to requests that cost much beyond their quota, of customers whose store holds few and is thus
 // often empty.
-func (d *Door) callProbability(r *request) float64 {
+func (d *Engine) callProbability(r *request) float64 {
 	rank := 1.0
 	if d.mostCallSavings > 0 {
 		rank += min(rankMost, math.Log2(d.mostCallSavings/d.callSavings(r.class, r.plan)))
@@ -115,19 +115,19 @@
 }
 
 // callSavings is what a call saves, by the settings alone.
-func (d *Door) callSavings(class, plan int) float64 {
+func (d *Engine) callSavings(class, plan int) float64 {
 	p := &d.set.Plans[plan]
-	return d.set.Classes[class].Worth * p.Factor * p.OverCost / max(1, p.Burst)
+	return d.set.Classes[class].PriorityWeight * p.WeightFactor * p.OverQuotaPenalty / max(1, p.Burst)
 }
 
 // mayCall says that the counter can be asked: it answers, or this door's turn to test it has come.
-func (d *Door) mayCall() bool {
-	pause := max(counterTry, time.Duration(d.set.Doors)*counterEach)
+func (d *Engine) mayCall() bool {
+	pause := max(counterTry, time.Duration(d.set.Gateways)*counterEach)
 	return len(d.pendingCalls) < mostAsks && (d.callShare > callsFew || d.now-d.counterAt >= pause)
 }
 
 // ask adds a block on the counter: the units, or what this door's demand will use.
-func (d *Door) ask(c *customer, p *Plan, units float64) {
+func (d *Engine) ask(c *tenant, p *Plan, units float64) {
 	block := max(units, math.Floor(min(c.demand*leaseAhead.Seconds(), d.level(c, p)/c.doors)))
 	c.asking, d.counterAt = true, d.now
 	d.call(c, units, block, block/max(d.callShare, 1/standsFor)+c.owed, c.owed)
@@ -136,7 +136,7 @@
 
 // counted settles a call. The counter's state shows in its answers alone: each in time lets a larger part of
 // the requests call, each late or failed one a smaller.
-func (d *Door) counted(ev Counted) {
+func (d *Engine) counted(ev CounterResult) {
 	k := d.takeCall(ev.Name)
 	if k == nil {
 		return
@@ -153,7 +153,7 @@
 		k.c.asking = false
 		if ev.Status == OK {
 			d.grant(k, ev.Total)
-		} else if ev.Status != Timeout {
+		} else if ev.Status != TimedOut {
 			k.c.owed += k.owed
 		}
 	}
@@ -163,7 +163,7 @@
 // grant turns a total into tokens. What the store held over its burst has overflowed, and what it seems to
 // have gained over its rate since the last look the counter has lost: both are added, if worth a call. What
 // the store did not hold is given back.
-func (d *Door) grant(k *call, total float64) {
+func (d *Engine) grant(k *call, total float64) {
 	c := k.c
 	p := &d.set.Plans[c.plan]
 	held := p.Burst + p.Rate*(d.now-time.Duration(k.window)*windowLen).Seconds() - total + k.amount
--- a/rounds.go
+++ b/internal/policy/rounds.go
@@ -1,4 +1,4 @@
-package bellwood
+package policy
 
 // How the list is dealt out over a round of doors. Nothing in this file decides.
 
@@ -11,16 +11,16 @@
 )
 
 // newRound deals all servers out anew over so many seats.
-func (d *Door) newRound(seats int) {
+func (d *Engine) newRound(seats int) {
 	for _, s := range d.ring {
 		if s.member.Seated() {
-			s.member = subset.Member[*server]{Value: s}
+			s.member = subset.Member[*backend]{Value: s}
 			if s.inSubset && !s.extra {
 				d.setInSubset(s, false)
 			}
 		}
 	}
-	d.round = subset.New(uint64(d.set.Rank/seats), seats, d.set.Rank%seats, subsetSlack, func(s *server, in bool) {
+	d.round = subset.New(uint64(d.set.GatewayIndex/seats), seats, d.set.GatewayIndex%seats, subsetSlack, func(s *backend, in bool) {
 		if !s.extra {
 			d.setInSubset(s, in)
 		}
@@ -34,7 +34,7 @@
 }
 
 // setInSubset puts a server into this door's subset or takes it out.
-func (d *Door) setInSubset(s *server, in bool) {
+func (d *Engine) setInSubset(s *backend, in bool) {
 	if s.inSubset == in {
 		return
 	}
@@ -50,8 +50,8 @@
 }
 
 // ownOrder is a server's place in this door's own order.
-func (d *Door) ownOrder(s *server) uint64 {
-	return subset.Mix(xxhash.Sum64String(s.name), uint64(d.set.Rank)<<32)
+func (d *Engine) ownOrder(s *backend) uint64 {
+	return subset.Mix(xxhash.Sum64String(s.name), uint64(d.set.GatewayIndex)<<32)
 }
 
 // coarseSeats rounds a number of seats down to three binary digits: a list that grows then changes it seldom, and
--- a/selection.go
+++ b/internal/policy/selection.go
@@ -1,4 +1,4 @@
-package bellwood
+package policy
 
 // The choice of a server for a request.
 
@@ -14,7 +14,7 @@
 
 // choose picks a server: round robin, passing over one on which more work waits for its weight and speed, and
 // one in its pause. It looks at a bounded part of the fleet, however large that is.
-func (d *Door) choose(r *request) *server {
+func (d *Engine) choose(r *request) *backend {
 	d.turn++
 	best, low := d.cheapest(r, d.subset, lookInside, true)
 	if low >= costOutside {
@@ -29,7 +29,7 @@
 // and found one that is free, those outside until it has looked at so many. Where a door sends to each so
 // rarely that what it knows is old or luck, chance has a part (a departure: then all doors together give each
 // server by its weight and speed; none is found by all).
-func (d *Door) cheapest(r *request, all []*server, most int, inside bool) (best *server, low float64) {
+func (d *Engine) cheapest(r *request, all []*backend, most int, inside bool) (best *backend, low float64) {
 	low = math.Inf(1)
 	chance := d.sparseness()
 	for i := range all {
--- a/server.go
+++ b/internal/policy/server.go
@@ -1,4 +1,4 @@
-package bellwood
+package policy
 
 // What a door knows of one server, and its bookkeeping. Nothing in this file decides.
 
@@ -14,9 +14,9 @@
 	rateOver = 3.0 // seconds over which the sends to a warm server are averaged
 )
 
-// server is what a door knows of one backend. What choose looks at stands first and together: in a large fleet
+// backend is what a door knows of one backend. What choose looks at stands first and together: in a large fleet
 // looking at each server costs more than reckoning with what is found there.
-type server struct {
+type backend struct {
 	inSubset            bool // one of those that this door uses while it can: see assignSubset
 	listed              bool // in service, by the list
 	cold, ejected       bool
@@ -38,7 +38,7 @@
 	trialPause          time.Duration
 	fails, lost         int           // broken connections in a row; time-outs since heard
 	heard               time.Duration // last sign of life, or the moment it got work after having none
-	member              subset.Member[*server]
+	member              subset.Member[*backend]
 	ringAt, subsetAt    int     // places in Door.ring and Door.subset
 	extra               bool    // in the subset by fillSubset
 	watched, inBacklog  bool    // in Door.watched; in Door.backlogged
@@ -49,17 +49,17 @@
 type attempt struct {
 	r     *request
 	no    int
-	s     *server
+	s     *backend
 	at    time.Duration
 	trial bool
 	open  bool
 }
 
 // usable says whether new work may go to a server on the ordinary path. One new in the list has no slots yet.
-func (s *server) usable() bool { return s.listed && !s.ejected && s.slots > 0 }
+func (s *backend) usable() bool { return s.listed && !s.ejected && s.slots > 0 }
 
 // watch has the check look at a server.
-func (d *Door) watch(s *server) {
+func (d *Engine) watch(s *backend) {
 	if !s.watched {
 		s.watched = true
 		d.watched = append(d.watched, s)
@@ -67,7 +67,7 @@
 }
 
 // pruneWatched drops those that need no look any more.
-func (d *Door) pruneWatched() {
+func (d *Engine) pruneWatched() {
 	kept := d.watched[:0]
 	for _, s := range d.watched {
 		if s.watched = len(s.outs) > 0 || s.ejected && s.listed; s.watched {
@@ -79,32 +79,32 @@
 }
 
 // markCold counts a server as cold since a time.
-func (d *Door) markCold(s *server, since time.Duration) {
+func (d *Engine) markCold(s *backend, since time.Duration) {
 	s.cold, s.coldAt = true, since
-	d.coldServers = append(d.coldServers, s)
+	d.slowStarting = append(d.slowStarting, s)
 	d.countWarm(s)
 }
 
 // capacityShare is the share of its capacity that a server has at least.
-func (d *Door) capacityShare(s *server) float64 {
+func (d *Engine) capacityShare(s *backend) float64 {
 	age := float64(d.now - s.coldAt)
-	if !s.cold || age >= float64(d.set.WarmWithin) {
+	if !s.cold || age >= float64(d.set.SlowStartDuration) {
 		s.cold, s.recent, s.coldSendAt = false, nil, 0
 		d.countWarm(s)
 		return 1
 	}
-	return d.set.ColdFrom + (1-d.set.ColdFrom)*max(0, age)/float64(d.set.WarmWithin)
+	return d.set.SlowStartMinShare + (1-d.set.SlowStartMinShare)*max(0, age)/float64(d.set.SlowStartDuration)
 }
 
 // endColdStarts counts as warm those whose time to warm up is over, the oldest first.
-func (d *Door) endColdStarts() {
-	for len(d.coldServers) > 0 && d.capacityShare(d.coldServers[0]) >= 1 {
-		d.coldServers = d.coldServers[1:]
+func (d *Engine) endColdStarts() {
+	for len(d.slowStarting) > 0 && d.capacityShare(d.slowStarting[0]) >= 1 {
+		d.slowStarting = d.slowStarting[1:]
 	}
 }
 
 // countWarm keeps the number of warm servers and the sum of their weights.
-func (d *Door) countWarm(s *server) {
+func (d *Engine) countWarm(s *backend) {
 	if s.counted {
 		d.warm--
 		d.warmWeight -= s.countedAs
@@ -120,7 +120,7 @@
 }
 
 // recordAnswer keeps the mean rate of what a warm server carries: answers, as under overload more is sent.
-func (d *Door) recordAnswer() {
+func (d *Engine) recordAnswer() {
 	if d.warm > 0 {
 		d.weight = d.warmWeight / float64(d.warm)
 	}
@@ -131,19 +131,19 @@
 
 // observedRate is this door's part, in answers a second, of what a warm server carries for the doors that have it.
 // While there is no warm one to tell, the last figure stands.
-func (d *Door) observedRate() float64 {
+func (d *Engine) observedRate() float64 {
 	if d.warm == 0 {
 		d.rateAt = d.now
 	}
 	gap := (d.now - d.rateAt).Seconds() / rateOver
-	return d.rate * math.Exp(-gap) * float64(d.set.Doors) / d.doorsPerServer
+	return d.rate * math.Exp(-gap) * float64(d.set.Gateways) / d.doorsPerServer
 }
 
 // sparseness says from 0 to 1 how little a door learns of one server by its own sends.
-func (d *Door) sparseness() float64 { return 1 - min(1, d.observedRate()/evidence) }
+func (d *Engine) sparseness() float64 { return 1 - min(1, d.observedRate()/evidence) }
 
 // latency is the time an answer takes, by recent ones: the class's mean times the server's slowness.
-func (d *Door) latency(r *request, s *server) float64 {
+func (d *Engine) latency(r *request, s *backend) float64 {
 	if s != nil {
 		return d.base[r.class] * s.slow
 	}
@@ -151,7 +151,7 @@
 }
 
 // mostRefuse says whether half of the subset's servers have turned the last request away.
-func (d *Door) mostRefuse() bool {
+func (d *Engine) mostRefuse() bool {
 	turned := 0
 	for _, s := range d.subset {
 		if s.refusedLast {
@@ -162,7 +162,7 @@
 }
 
 // prune forgets servers that are gone and owe no outcome.
-func (d *Door) prune() {
+func (d *Engine) prune() {
 	kept := d.leaving[:0]
 	for _, s := range d.leaving {
 		switch {
@@ -175,7 +175,7 @@
 			d.ring[s.ringAt], d.ring[last].ringAt = d.ring[last], s.ringAt
 			d.ring[last] = nil
 			d.ring = d.ring[:last]
-			delete(d.servers, s.name)
+			delete(d.backends, s.name)
 		}
 	}
 	clear(d.leaving[len(kept):])
--- a/size_test.go
+++ b/internal/policy/size_test.go
@@ -1,4 +1,4 @@
-package bellwood
+package policy
 
 import (
 	"fmt"
@@ -10,7 +10,7 @@
 // crowd is a deployment with more doors than a customer's burst has units.
 func crowd(doors int) Settings {
 	set := basic()
-	set.Doors = doors
+	set.Gateways = doors
 	return set
 }
 
@@ -18,13 +18,13 @@
 func TestManyDoorsKeepAColdBackendStanding(t *testing.T) {
 	const doors, warm = 100, 9
 	set := crowd(doors)
-	set.Counter = false
+	set.SharedCounter = false
 	list := backends(warm + 1)
-	all := make([]*Door, doors)
+	all := make([]*Engine, doors)
 	for i := range all {
-		set.Rank = i
+		set.GatewayIndex = i
 		all[i], _ = New(set, uint64(i))
-		all[i].Step(0, []Event{List{Scope: Cached, Entries: list[:warm]}})
+		all[i].Step(0, []Event{EndpointUpdate{Kind: CachedSnapshot, Backends: list[:warm]}})
 	}
 	start, carried := 60*time.Second, 0
 	var cold []time.Duration
@@ -34,16 +34,16 @@
 			evs := []Event{}
 			if now == start {
 				list[warm].Started = start
-				evs = append(evs, List{Scope: Delta, Entries: list[warm:]})
+				evs = append(evs, EndpointUpdate{Kind: Delta, Backends: list[warm:]})
 			} else if now == start+2*time.Second { // the worst case: it is all that is left
 				for j := range list[:warm] {
-					list[j].State = Terminating
+					list[j].State = Draining
 				}
-				evs = append(evs, List{Scope: Delta, Entries: list[:warm]})
+				evs = append(evs, EndpointUpdate{Kind: Delta, Backends: list[:warm]})
 			}
 			id := uint64(tick*doors + i)
-			for _, s := range only[Send](d.Step(now, append(evs, ask(id, 0, 2), Timer{0}))) {
-				if s.Backend == list[warm].Name && now < start+set.WarmWithin {
+			for _, s := range only[SendAttempt](d.Step(now, append(evs, ask(id, 0, 2), Timer{0}))) {
+				if s.Backend == list[warm].Name && now < start+set.SlowStartDuration {
 					cold = append(cold, now)
 				} else if now < start {
 					carried++
@@ -54,14 +54,14 @@
 	}
 	rate := float64(carried) / warm / start.Seconds() // what a warm backend carries: its capacity is no less
 	for i, from := range cold {
-		share := set.ColdFrom + (1-set.ColdFrom)*float64(from-start)/float64(set.WarmWithin)
+		share := set.SlowStartMinShare + (1-set.SlowStartMinShare)*float64(from-start)/float64(set.SlowStartDuration)
 		n := 0
 		for _, at := range cold[i:] {
-			if at < from+set.FallWindow {
+			if at < from+set.OverloadWindow {
 				n++
 			}
 		}
-		if most := set.FallMultiple * share * rate * set.FallWindow.Seconds(); float64(n) > most {
+		if most := set.OverloadMultiple * share * rate * set.OverloadWindow.Seconds(); float64(n) > most {
 			t.Fatalf("%d sends within a window %v after the start; its budget is %.0f", n, from-start, most)
 		}
 	}
@@ -71,19 +71,19 @@
 func TestThinCustomerAsksTheCounter(t *testing.T) {
 	for total, want := range map[float64]int{1: 1, 30: 0} {
 		d := open(t, crowd(100), backends(8)...)
-		calls := only[Count](d.Step(ms, []Event{ask(1, 0, 0)}))
+		calls := only[AddToCounter](d.Step(ms, []Event{ask(1, 0, 0)}))
 		if len(calls) != 1 || calls[0].Amount != 1 {
 			t.Fatalf("calls: %v, want one of a unit", calls)
 		}
-		acts := d.Step(3*ms, []Event{Counted{calls[0].Name, OK, total}})
-		if n := len(only[Send](acts)); n != want {
+		acts := d.Step(3*ms, []Event{CounterResult{calls[0].Name, OK, total}})
+		if n := len(only[SendAttempt](acts)); n != want {
 			t.Errorf("total %v: %d sent, want %d", total, n, want)
 		}
 		if want == 0 {
-			if back := only[Count](acts); len(back) != 1 || back[0].Amount != -1 {
+			if back := only[AddToCounter](acts); len(back) != 1 || back[0].Amount != -1 {
 				t.Errorf("what the store did not hold was not given back: %v", acts)
 			}
-			if more := only[Count](d.Step(4*ms, []Event{ask(2, 0, 0)})); len(more) != 0 {
+			if more := only[AddToCounter](d.Step(4*ms, []Event{ask(2, 0, 0)})); len(more) != 0 {
 				t.Errorf("a store just seen empty was asked again: %v", more)
 			}
 		}
@@ -96,13 +96,13 @@
 	late := 0
 	for i := range 2000 {
 		r := ask(uint64(i), 0, 0)
-		r.Customer = fmt.Sprint("c", i)
+		r.Tenant = fmt.Sprint("c", i)
 		now := time.Duration(i+1) * 10 * ms
-		for _, c := range only[Count](d.Step(now, []Event{r, Timer{0}})) {
+		for _, c := range only[AddToCounter](d.Step(now, []Event{r, Timer{0}})) {
 			if i > 1000 {
 				late++
 			}
-			d.Step(now+5*ms, []Event{Counted{Name: c.Name, Status: Full}})
+			d.Step(now+5*ms, []Event{CounterResult{Name: c.Name, Status: Rejected}})
 		}
 	}
 	if late > 10 {
@@ -114,10 +114,10 @@
 func TestOverflowIsAddedToTheCounter(t *testing.T) {
 	d := open(t, crowd(100), backends(8)...)
 	now := 20 * time.Second
-	calls := only[Count](d.Step(now, []Event{ask(1, 0, 0)}))
-	acts := d.Step(now+2*ms, []Event{Counted{calls[0].Name, OK, 1}})
-	fixes := only[Count](acts)
-	if len(fixes) != 1 || fixes[0].Amount < 30 || len(only[Send](acts)) != 1 {
+	calls := only[AddToCounter](d.Step(now, []Event{ask(1, 0, 0)}))
+	acts := d.Step(now+2*ms, []Event{CounterResult{calls[0].Name, OK, 1}})
+	fixes := only[AddToCounter](acts)
+	if len(fixes) != 1 || fixes[0].Amount < 30 || len(only[SendAttempt](acts)) != 1 {
 		t.Errorf("20 s of overflow at 2 a second: %v", acts)
 	}
 }
@@ -125,11 +125,11 @@
 // A door that stood still finds time-outs of its own making; no backend is left for it.
 func TestOwnStallIsNoSilence(t *testing.T) {
 	d := open(t, basic(), backends(4)...)
-	var sends []Send
+	var sends []SendAttempt
 	now := ms
 	for i := range 40 {
 		now += 20 * ms
-		sends = append(sends, only[Send](d.Step(now, []Event{ask(uint64(i), 0, 2), Timer{0}}))...)
+		sends = append(sends, only[SendAttempt](d.Step(now, []Event{ask(uint64(i), 0, 2), Timer{0}}))...)
 		if len(sends) > 14 {
 			d.Step(now, []Event{served(sends[0], 0, 40*ms)})
 			sends = sends[1:]
@@ -150,8 +150,8 @@
 	d := open(t, basic(), backends(4)...)
 	d.Step(ms, []Event{ask(1, 0, 2)})
 	old := ask(2, 0, 2)
-	old.Left = 2*time.Second - 490*ms
-	if acts := d.Step(time.Second, []Event{old}); len(only[Send](acts)) != 0 || len(only[Refuse](acts)) != 1 {
+	old.TimeLeft = 2*time.Second - 490*ms
+	if acts := d.Step(time.Second, []Event{old}); len(only[SendAttempt](acts)) != 0 || len(only[Reject](acts)) != 1 {
 		t.Errorf("a request that has waited for 490 of its 500 ms: %v", acts)
 	}
 }
@@ -162,17 +162,17 @@
 	sent, attempts := 0, map[uint64]int{}
 	for i := range 3000 {
 		now := time.Duration(i+1) * 200 * ms
-		todo := only[Send](d.Step(now, []Event{ask(uint64(i), 0, 2), Timer{0}}))
+		todo := only[SendAttempt](d.Step(now, []Event{ask(uint64(i), 0, 2), Timer{0}}))
 		for len(todo) > 0 { // ends: a request has three attempts at most
 			s := todo[0]
-			st := Outcome{ID: s.ID, Attempt: attempts[s.ID], Backend: s.Backend, Status: Full, Latency: ms}
+			st := AttemptResult{ID: s.ID, Attempt: attempts[s.ID], Backend: s.Backend, Status: Rejected, Latency: ms}
 			if i < 100 {
 				st = served(s, attempts[s.ID], 40*ms)
 			} else if i > 1500 {
 				sent++
 			}
 			attempts[s.ID]++
-			todo = append(todo[1:], only[Send](d.Step(now+ms, []Event{st}))...)
+			todo = append(todo[1:], only[SendAttempt](d.Step(now+ms, []Event{st}))...)
 		}
 	}
 	if sent == 0 || sent > 300 {
@@ -184,11 +184,11 @@
 func TestManyDoorsShareOutTheBackends(t *testing.T) {
 	const doors, servers = 80, 60
 	set := crowd(doors)
-	set.Counter = false
+	set.SharedCounter = false
 	list := backends(servers)
-	all := make([]*Door, doors)
+	all := make([]*Engine, doors)
 	for i := range all {
-		set.Rank = i
+		set.GatewayIndex = i
 		all[i] = open(t, set, list...)
 	}
 	used := make([]map[string]bool, doors)
@@ -198,7 +198,7 @@
 			used[i] = map[string]bool{}
 			for n := range 200 {
 				now := from + time.Duration(n)*200*ms
-				for _, s := range only[Send](d.Step(now, []Event{ask(uint64(from)+uint64(n), 0, 2), Timer{0}})) {
+				for _, s := range only[SendAttempt](d.Step(now, []Event{ask(uint64(from)+uint64(n), 0, 2), Timer{0}})) {
 					used[i][s.Backend] = true
 					d.Step(now+50*ms, []Event{served(s, 0, 50*ms)})
 				}
@@ -218,7 +218,7 @@
 	used = make([]map[string]bool, doors)
 	for _, d := range all {
 		list[7].State = Terminated
-		d.Step(50*time.Second, []Event{List{Scope: Delta, Entries: list[7:8]}})
+		d.Step(50*time.Second, []Event{EndpointUpdate{Kind: Delta, Backends: list[7:8]}})
 	}
 	if meets := run(60 * time.Second); len(meets) != servers-1 || meets[list[7].Name] != 0 {
 		t.Errorf("%d backends in use after one of %d has gone", len(meets), servers)
@@ -247,15 +247,15 @@
 }
 
 // call takes a call and tells when its answer comes and what it is.
-func (b *busyCounter) call(now, timeout time.Duration, c Count) (time.Duration, Counted) {
+func (b *busyCounter) call(now, timeout time.Duration, c AddToCounter) (time.Duration, CounterResult) {
 	b.free = max(b.free, now) + b.each
 	b.totals[c.Name] += c.Amount
 	b.calls++
 	if b.free > now+timeout {
 		b.failed++
-		return now + timeout, Counted{Name: c.Name, Status: Timeout}
+		return now + timeout, CounterResult{Name: c.Name, Status: TimedOut}
 	}
-	return b.free, Counted{c.Name, OK, b.totals[c.Name]}
+	return b.free, CounterResult{c.Name, OK, b.totals[c.Name]}
 }
 
 // Many doors whose counter can't bear a call for each request: they call it as much as it bears, and customers
@@ -264,9 +264,9 @@
 	const doors, customers, step = 60, 240, 5 * ms
 	set := crowd(doors)
 	counter := &busyCounter{each: 10 * ms, totals: map[uint64]float64{}}
-	all, answers := make([]*Door, doors), make([]map[time.Duration][]Event, doors)
+	all, answers := make([]*Engine, doors), make([]map[time.Duration][]Event, doors)
 	for i := range all {
-		set.Rank = i
+		set.GatewayIndex = i
 		all[i], answers[i] = open(t, set, backends(30)...), map[time.Duration][]Event{}
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -278,7 +278,7 @@
 		due := map[int][]Event{}
 		if rng.Float64() < 0.9 { // 180 a second from all, 0.75 from each customer, whose rate is 2
 			r := ask(uint64(now), 0, 0)
-			r.Customer = fmt.Sprint("c", rng.IntN(customers))
+			r.Tenant = fmt.Sprint("c", rng.IntN(customers))
 			due[rng.IntN(doors)] = []Event{r}
 			asked++
 		}
@@ -290,11 +290,11 @@
 			}
 			for _, a := range d.Step(now, append(evs, Timer{0})) {
 				switch a := a.(type) {
-				case Send:
+				case SendAttempt:
 					sent++
 					at := now + 50*ms
 					answers[i][at] = append(answers[i][at], served(a, 0, 50*ms))
-				case Count:
+				case AddToCounter:
 					at, ev := counter.call(now, set.CounterTimeout, a)
 					at = max(now+step, at.Truncate(step))
 					answers[i][at] = append(answers[i][at], ev)
@@ -318,16 +318,16 @@
 // returns how many went on and how far the ceiling's store fell at least.
 func ceilingDay(t *testing.T, set Settings, gap time.Duration) (sent int, least float64) {
 	const doors, step = 13, ms
-	set.Doors = doors
+	set.Gateways = doors
 	counter := &busyCounter{each: ms, totals: map[uint64]float64{}}
-	all, answers := make([]*Door, doors), make([]map[time.Duration][]Event, doors)
+	all, answers := make([]*Engine, doors), make([]map[time.Duration][]Event, doors)
 	for i := range all {
-		set.Rank = i
+		set.GatewayIndex = i
 		all[i], answers[i] = open(t, set, backends(30)...), map[time.Duration][]Event{}
 	}
 	rng := rand.New(rand.NewPCG(3, 4))
 	p := set.Plans[1]
-	store, at := p.CeilingDepth, time.Duration(0)
+	store, at := p.HardLimitBurst, time.Duration(0)
 	least = store
 	for now := step; now < 20*time.Second; now += step {
 		due := -1
@@ -348,12 +348,12 @@
 			}
 			for _, a := range d.Step(now, evs) {
 				switch a := a.(type) {
-				case Send:
-					store = min(p.CeilingDepth, store+p.CeilingRate*(now-at).Seconds()) - 1
+				case SendAttempt:
+					store = min(p.HardLimitBurst, store+p.HardLimitRate*(now-at).Seconds()) - 1
 					at, least = now, min(least, store)
 					sent++
 					answers[i][now+50*ms] = append(answers[i][now+50*ms], served(a, 0, 50*ms))
-				case Count:
+				case AddToCounter:
 					done, ev := counter.call(now, set.CounterTimeout, a)
 					done = max(now+step, done.Truncate(step))
 					answers[i][done] = append(answers[i][done], ev)
@@ -368,8 +368,8 @@
 // customer who stays under it is served though one door has a third of the traffic.
 func TestThinCeilingIsKeptInCommon(t *testing.T) {
 	set := crowd(13)
-	set.MaxUnits = 1
-	set.Plans[1] = Plan{Rate: 8, Burst: 20, Factor: 1, OverWorth: 1, CeilingRate: 11, CeilingDepth: 27}
+	set.MaxRequestCost = 1
+	set.Plans[1] = Plan{Rate: 8, Burst: 20, WeightFactor: 1, OverQuotaValue: 1, HardLimitRate: 11, HardLimitBurst: 27}
 	if sent, least := ceilingDay(t, set, 10*ms); least < 0 {
 		t.Errorf("at 100 requests a second, %d went on and the ceiling's store fell to %.1f", sent, least)
 	}
@@ -381,11 +381,11 @@
 // A ceiling so low that three quarters of an even share hold no request is divided as a whole.
 func TestLowCeilingIsDivided(t *testing.T) {
 	set := crowd(13)
-	set.MaxUnits = 1
-	set.Plans[1] = Plan{Rate: 100, Burst: 100, Factor: 1, OverCost: 0.5, CeilingRate: 13, CeilingDepth: 13}
+	set.MaxRequestCost = 1
+	set.Plans[1] = Plan{Rate: 100, Burst: 100, WeightFactor: 1, OverQuotaPenalty: 0.5, HardLimitRate: 13, HardLimitBurst: 13}
 	d := open(t, set, backends(30)...)
 	acts := d.Step(2*time.Second, []Event{ask(1, 0, 1)})
-	if len(only[Send](acts)) != 1 || len(only[Count](acts)) != 0 {
+	if len(only[SendAttempt](acts)) != 1 || len(only[AddToCounter](acts)) != 0 {
 		t.Errorf("with a share of one unit, long filled: %v", acts)
 	}
 }
@@ -393,20 +393,20 @@
 // Where nothing is lost beyond a quota, no call saves more than another: each has the same chance.
 func TestCallsThatSaveNothing(t *testing.T) {
 	set := crowd(80)
-	set.Plans[0].OverCost, set.Plans[1].OverCost, set.Plans[3].OverCost = 0, 0, 0
+	set.Plans[0].OverQuotaPenalty, set.Plans[1].OverQuotaPenalty, set.Plans[3].OverQuotaPenalty = 0, 0, 0
 	d := open(t, set, backends(30)...)
 	for i := range 8 { // a few calls fail, so not all requests call from then on
 		r := ask(uint64(i), 0, 0)
-		r.Customer = fmt.Sprint("c", i)
-		for _, c := range only[Count](d.Step(time.Duration(i+1)*ms, []Event{r})) {
-			d.Step(time.Duration(i+1)*ms, []Event{Counted{Name: c.Name, Status: Full}})
+		r.Tenant = fmt.Sprint("c", i)
+		for _, c := range only[AddToCounter](d.Step(time.Duration(i+1)*ms, []Event{r})) {
+			d.Step(time.Duration(i+1)*ms, []Event{CounterResult{Name: c.Name, Status: Rejected}})
 		}
 	}
 	calls := 0
 	for i := range 25 {
 		r := ask(uint64(100+i), 0, 0)
-		r.Customer = fmt.Sprint("d", i)
-		calls += len(only[Count](d.Step(time.Second+time.Duration(i)*ms, []Event{r})))
+		r.Tenant = fmt.Sprint("d", i)
+		calls += len(only[AddToCounter](d.Step(time.Second+time.Duration(i)*ms, []Event{r})))
 	}
 	if calls == 0 || calls > 15 {
 		t.Errorf("%d calls for 25 requests at a counter that bears a part of them", calls)
@@ -416,8 +416,8 @@
 // What the store holds under a request's units stays there: at many doors such parts would add up.
 func TestNoPartOfAUnitIsLeased(t *testing.T) {
 	d := open(t, crowd(100), backends(8)...)
-	c := only[Count](d.Step(ms, []Event{ask(1, 0, 0)}))[0]
-	back := only[Count](d.Step(3*ms, []Event{Counted{c.Name, OK, 8.4}})) // of a burst of 8, 0.6 was left
+	c := only[AddToCounter](d.Step(ms, []Event{ask(1, 0, 0)}))[0]
+	back := only[AddToCounter](d.Step(3*ms, []Event{CounterResult{c.Name, OK, 8.4}})) // of a burst of 8, 0.6 was left
 	if len(back) != 1 || back[0].Amount != -1 {
 		t.Errorf("given back: %v, want the whole unit", back)
 	}
@@ -443,13 +443,13 @@
 			continue
 		}
 		acts := d.Step(now, evs)
-		refused += len(only[Refuse](acts))
-		for _, s := range only[Send](acts) {
+		refused += len(only[Reject](acts))
+		for _, s := range only[SendAttempt](acts) {
 			took := max(ms, time.Duration(rng.ExpFloat64()*60)*ms)
 			ev := served(s, tries[s.ID], took)
 			if turns(s.Backend) {
 				took = ms
-				ev = Outcome{ID: s.ID, Attempt: tries[s.ID], Backend: s.Backend, Status: Full, Latency: ms}
+				ev = AttemptResult{ID: s.ID, Attempt: tries[s.ID], Backend: s.Backend, Status: Rejected, Latency: ms}
 			}
 			tries[s.ID]++
 			due[now+took] = append(due[now+took], ev)
@@ -474,13 +474,13 @@
 // beyond costs, all where it costs nothing or where the counter is silent.
 func TestCreditFollowsTheCalls(t *testing.T) {
 	set := basic()
-	set.Plans[2] = Plan{Rate: 2, Burst: 8, Factor: 1, OverWorth: 0.1}
+	set.Plans[2] = Plan{Rate: 2, Burst: 8, WeightFactor: 1, OverQuotaValue: 0.1}
 	let := func(plan int, found float64, share float64) int {
 		d := open(t, set, backends(8)...)
 		for i := range 60 {
-			c := &customer{holder: holder{fmt.Sprint(i), plan}, doors: 2}
+			c := &tenant{holder: holder{fmt.Sprint(i), plan}, doors: 2}
 			d.pendingCalls[1] = append(d.pendingCalls[1], &call{c: c, units: 1, block: 1, amount: 1})
-			d.Step(ms, []Event{Counted{Name: 1, Status: OK, Total: 1 + set.Plans[plan].Burst - found}})
+			d.Step(ms, []Event{CounterResult{Name: 1, Status: OK, Total: 1 + set.Plans[plan].Burst - found}})
 		}
 		d.callShare = share
 		n := 0
@@ -523,11 +523,11 @@
 	c := drain(t, d, ms)
 	other := ask(50, 0, 1)
 	d.Step(2*ms, []Event{other})
-	mine, its := d.customers[holder{"c", 0}], d.customers[holder{"c", 1}]
+	mine, its := d.tenants[holder{"c", 0}], d.tenants[holder{"c", 1}]
 	if mine == nil || its == nil || mine.plan != 0 || its.plan != 1 {
 		t.Fatalf("%+v, %+v", mine, its)
 	}
-	d.Step(3*ms, []Event{Counted{c.Name, OK, c.Amount}})
+	d.Step(3*ms, []Event{CounterResult{c.Name, OK, c.Amount}})
 	if most := basic().Plans[0].Burst; !mine.known || mine.store > most || its.known {
 		t.Errorf("%+v, %+v", mine, its)
 	}
--- a/subset.go
+++ b/internal/policy/subset.go
@@ -1,4 +1,4 @@
-package bellwood
+package policy
 
 // The servers that a door uses while it can.
 
@@ -16,15 +16,15 @@
 // each to use all, a server's connections and handshakes would grow with the doors, and each door would meet
 // it too seldom to know it). The doors of one round share out the whole list, so every server is in as many
 // subsets. They do so by consistent hashing with bounded loads: a change of the list moves few.
-func (d *Door) assignSubset() {
-	seats := max(1, int(math.Round(float64(d.set.Doors)/doorsPerServerMost)))
+func (d *Engine) assignSubset() {
+	seats := max(1, int(math.Round(float64(d.set.Gateways)/doorsPerServerMost)))
 	fits := max(1, coarseSeats((d.inService+subsetLeast/2)/subsetLeast))
 	if d.round != nil && float64(d.inService) >= roundStays*subsetLeast*float64(d.round.Seats()) {
 		fits = max(fits, d.round.Seats())
 	}
 	seats = min(seats, fits)
 	each := max(float64(d.inService)/float64(seats), float64(min(subsetLeast, d.inService)))
-	d.doorsPerServer = max(1, float64(d.set.Doors)*each/float64(max(1, d.inService)))
+	d.doorsPerServer = max(1, float64(d.set.Gateways)*each/float64(max(1, d.inService)))
 	for _, s := range d.relisted {
 		if !s.listed && s.member.Seated() {
 			d.round.Remove(&s.member)
@@ -48,7 +48,7 @@
 
 // fillSubset gives a door that was dealt too few servers some more, by an order of its own: too few in all,
 // or too few outside some zone, which may be lost.
-func (d *Door) fillSubset() {
+func (d *Engine) fillSubset() {
 	for _, s := range d.extra {
 		if s.extra {
 			s.extra = false
@@ -57,7 +57,7 @@
 	}
 	d.extra = d.extra[:0]
 	for zone, short := d.subsetShortage(); short; zone, short = d.subsetShortage() {
-		var best *server
+		var best *backend
 		first := uint64(math.MaxUint64)
 		for _, s := range d.ring {
 			if s.listed && !s.inSubset && s.zone != zone {
@@ -76,7 +76,7 @@
 }
 
 // subsetShortage says whether a subset has too few servers: outside of a zone, or (-1) in all.
-func (d *Door) subsetShortage() (zone int, short bool) {
+func (d *Engine) subsetShortage() (zone int, short bool) {
 	if len(d.subset) < min(subsetLeast, d.inService) {
 		return -1, true
 	}
--- a/internal/wire/settings.go
+++ b/internal/simprotocol/settings.go
@@ -1,4 +1,4 @@
-package wire
+package simprotocol
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"strings"
 	"time"
 
-	"bellwood"
+	"bellwood/internal/policy"
 )
 
 // pairs holds the path=value settings and the first error met in reading them.
@@ -95,20 +95,20 @@
 	return v
 }
 
-var effects = map[string]bellwood.Effect{"safe": bellwood.Safe, "keyed": bellwood.Keyed, "unsafe": bellwood.Unsafe}
+var effects = map[string]policy.Idempotency{"safe": policy.Idempotent, "keyed": policy.IdempotentWithKey, "unsafe": policy.NonIdempotent}
 
-var groups = map[string]bellwood.Group{"all": bellwood.GroupAll, "zone": bellwood.GroupZone,
-	"cell": bellwood.GroupCell, "": bellwood.GroupAll, "none": bellwood.GroupAll, "-": bellwood.GroupAll}
+var groups = map[string]policy.DedupScope{"all": policy.DedupAllBackends, "zone": policy.DedupZone,
+	"cell": policy.DedupCell, "": policy.DedupAllBackends, "none": policy.DedupAllBackends, "-": policy.DedupAllBackends}
 
 var discoveries = map[string]bool{"pushed": false, "on_request": true}
 
 // settings reads the path=value pairs of a PROVISION line.
-func settings(parts []string) (bellwood.Settings, error) {
+func settings(parts []string) (policy.Settings, error) {
 	m := make(map[string]string, len(parts))
 	for _, s := range parts {
 		k, v, ok := strings.Cut(s, "=")
 		if !ok {
-			return bellwood.Settings{}, fmt.Errorf("setting %.40q is no pair", s)
+			return policy.Settings{}, fmt.Errorf("setting %.40q is no pair", s)
 		}
 		m[k] = v
 	}
@@ -116,41 +116,41 @@
 }
 
 // Settings maps settings, by their paths, to those of the module. Unknown paths are passed over.
-func Settings(m map[string]string) (bellwood.Settings, error) {
+func Settings(m map[string]string) (policy.Settings, error) {
 	p := &pairs{m: m}
-	set := bellwood.Settings{
-		Doors: p.int("peers-total"), Rank: p.int("rank"), Zone: p.int("locality"),
-		Resolution: p.micros("resolution-us"), MaxAttempts: p.int("limits.max-attempts"),
-		SecondCopies: p.bool("limits.second-copies"), MayCancel: p.bool("limits.cancel"),
-		MayProbe: p.bool("limits.may-probe"), RetryAfter: p.bool("limits.retry-after"),
-		MaxRetryAfter: p.micros("limits.max-retry-after-us"), OnRequest: word(p, "discovery", discoveries),
-		AskEvery: p.micros("obligations.ask-every-us"), AnswerSlack: p.micros("obligations.answer-slack-us"),
-		StopSendingWithin: p.micros("obligations.stop-sending-within-us"),
-		FallMultiple:      p.float("obligations.fall-multiple"), FallWindow: p.micros("obligations.fall-us"),
-		ColdFrom: p.float("obligations.cold-from"), WarmWithin: p.micros("obligations.warm-within-us"),
-		Counter:        p.bool("specifics.shared-counter"),
+	set := policy.Settings{
+		Gateways: p.int("peers-total"), GatewayIndex: p.int("rank"), Zone: p.int("locality"),
+		TimerResolution: p.micros("resolution-us"), MaxAttempts: p.int("limits.max-attempts"),
+		AllowHedging: p.bool("limits.second-copies"), AllowCancel: p.bool("limits.cancel"),
+		AllowHealthChecks: p.bool("limits.may-probe"), SendRetryAfter: p.bool("limits.retry-after"),
+		MaxRetryAfter: p.micros("limits.max-retry-after-us"), PollEndpoints: word(p, "discovery", discoveries),
+		PollInterval: p.micros("obligations.ask-every-us"), ResponseGrace: p.micros("obligations.answer-slack-us"),
+		DrainGrace:       p.micros("obligations.stop-sending-within-us"),
+		OverloadMultiple: p.float("obligations.fall-multiple"), OverloadWindow: p.micros("obligations.fall-us"),
+		SlowStartMinShare: p.float("obligations.cold-from"), SlowStartDuration: p.micros("obligations.warm-within-us"),
+		SharedCounter:  p.bool("specifics.shared-counter"),
 		CounterTimeout: p.micros("specifics.counter-timeout-us"),
-		MaxUnits:       p.float("specifics.max-units"), TruedUp: p.bool("specifics.trued-up"),
+		MaxRequestCost: p.float("specifics.max-units"), CostSettledOnResponse: p.bool("specifics.trued-up"),
 	}
-	if set.Doors < 1 {
+	if set.Gateways < 1 {
 		p.fail("peers-total", "under 1")
 	}
-	if set.Rank >= max(1, set.Doors) {
+	if set.GatewayIndex >= max(1, set.Gateways) {
 		p.fail("rank", "not under peers-total")
 	}
 	if set.MaxAttempts < 1 {
 		p.fail("limits.max-attempts", "under 1")
 	}
-	if set.ColdFrom > 1 {
+	if set.SlowStartMinShare > 1 {
 		p.fail("obligations.cold-from", "over 1")
 	}
-	p.needs(!set.Counter || set.CounterTimeout > 0, "specifics.counter-timeout-us", "specifics.shared-counter")
+	p.needs(!set.SharedCounter || set.CounterTimeout > 0, "specifics.counter-timeout-us", "specifics.shared-counter")
 	for i := range p.count("classes") {
 		k := fmt.Sprintf("classes.%d.", i)
-		set.Classes = append(set.Classes, bellwood.Class{
-			Worth: p.float(k + "worth"), LateWorth: p.float(k + "late-worth"), Aim: p.micros(k + "target-us"),
-			GiveUp: p.micros(k + "give-up-us"), Effect: word(p, k+"effect", effects),
-			Group: word(p, k+"group", groups), Window: p.micros(k + "window-us"), Stream: p.bool(k + "stream"),
+		set.Classes = append(set.Classes, policy.Class{
+			PriorityWeight: p.float(k + "worth"), LateWeightShare: p.float(k + "late-worth"), LatencyObjective: p.micros(k + "target-us"),
+			ClientTimeout: p.micros(k + "give-up-us"), Idempotency: word(p, k+"effect", effects),
+			DedupScope: word(p, k+"group", groups), DedupWindow: p.micros(k + "window-us"), Streaming: p.bool(k + "stream"),
 		})
 		if m[k+"effect"] == "" { // to take it for safe would be to run it twice
 			p.fail(k+"effect", "missing")
@@ -158,15 +158,15 @@
 	}
 	for i := range p.count("tiers-of-service") {
 		k := fmt.Sprintf("tiers-of-service.%d.", i)
-		set.Plans = append(set.Plans, bellwood.Plan{
-			Rate: p.float(k + "units-per-s"), Burst: p.float(k + "most-at-once"), AtOnce: p.int(k + "at-once"),
-			Factor: p.float(k + "value-factor"), OverWorth: p.float(k + "extra-worth"),
-			OverCost: p.float(k + "over-cost"), CeilingRate: p.float(k + "never-over-rate"),
-			CeilingDepth: p.float(k + "cap-depth"),
+		set.Plans = append(set.Plans, policy.Plan{
+			Rate: p.float(k + "units-per-s"), Burst: p.float(k + "most-at-once"), MaxConcurrent: p.int(k + "at-once"),
+			WeightFactor: p.float(k + "value-factor"), OverQuotaValue: p.float(k + "extra-worth"),
+			OverQuotaPenalty: p.float(k + "over-cost"), HardLimitRate: p.float(k + "never-over-rate"),
+			HardLimitBurst: p.float(k + "cap-depth"),
 		})
 		plan := &set.Plans[i]
 		p.needs(plan.Rate == 0 || plan.Burst > 0, k+"most-at-once", "units-per-s")
-		p.needs(plan.CeilingRate == 0 || plan.CeilingDepth > 0, k+"cap-depth", "never-over-rate")
+		p.needs(plan.HardLimitRate == 0 || plan.HardLimitBurst > 0, k+"cap-depth", "never-over-rate")
 	}
 	return set, p.err
 }
--- a/internal/wire/settings_test.go
+++ b/internal/simprotocol/settings_test.go
@@ -1,11 +1,11 @@
-package wire
+package simprotocol
 
 import (
 	"maps"
 	"strings"
 	"testing"
 
-	"bellwood"
+	"bellwood/internal/policy"
 )
 
 // usable is the least that a deployment can tell.
@@ -69,13 +69,13 @@
 	m := usable()
 	m["load-info.how"], m["something.new"] = "none", "7"
 	set, err := Settings(m)
-	if err != nil || set.Doors != 3 || set.Rank != 2 || set.Classes[0].Effect != bellwood.Unsafe || len(set.Plans) != 1 {
+	if err != nil || set.Gateways != 3 || set.GatewayIndex != 2 || set.Classes[0].Idempotency != policy.NonIdempotent || len(set.Plans) != 1 {
 		t.Errorf("%+v, %v", set, err)
 	}
 	if tr, err := ReadTransport(m); err != nil || tr.Classes[0] != "scan" || tr.Plans[0] != "only" {
 		t.Errorf("%+v, %v", tr, err)
 	}
-	if _, err := bellwood.New(set, 1); err != nil {
+	if _, err := policy.New(set, 1); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/wire/wire.go
+++ b/internal/simprotocol/wire.go
@@ -1,5 +1,5 @@
-// Package wire reads and prints the simulator's line protocol. It makes no choices.
-package wire
+// Package simprotocol reads and prints the simulator's line protocol. It makes no choices.
+package simprotocol
 
 import (
 	"bufio"
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"bellwood"
+	"bellwood/internal/policy"
 )
 
 // Item is one thing of a batch that concerns an instance.
@@ -18,8 +18,8 @@
 	Start    bool // an instance starts, with Seed and Settings
 	Stop     bool // the instance is killed
 	Seed     uint64
-	Settings bellwood.Settings
-	Event    bellwood.Event // otherwise
+	Settings policy.Settings
+	Event    policy.Event // otherwise
 }
 
 // Batch is what happened at one time, in order.
@@ -32,8 +32,8 @@
 // Reader reads batches.
 type Reader struct {
 	in    *bufio.Reader
-	lists map[int][]bellwood.Backend
-	fill  []bellwood.Backend // entries still to come belong to slot
+	lists map[int][]policy.Backend
+	fill  []policy.Backend // entries still to come belong to slot
 	slot  int
 	need  int
 	line  int
@@ -41,7 +41,7 @@
 
 // NewReader reads batches from r.
 func NewReader(r io.Reader) *Reader {
-	return &Reader{in: bufio.NewReaderSize(r, 1<<20), lists: map[int][]bellwood.Backend{}}
+	return &Reader{in: bufio.NewReaderSize(r, 1<<20), lists: map[int][]policy.Backend{}}
 }
 
 // Next returns the next batch; io.EOF at the end of input between two batches.
@@ -93,7 +93,7 @@
 		if r.need < 0 {
 			return false, fmt.Errorf("negative number of entries")
 		}
-		r.fill = make([]bellwood.Backend, 0, min(r.need, 1<<16))
+		r.fill = make([]policy.Backend, 0, min(r.need, 1<<16))
 		r.closeList()
 	case "BACKEND":
 		r.fill = append(r.fill, f.backend())
@@ -133,59 +133,59 @@
 		if !ok {
 			return it, fmt.Errorf("unknown scope")
 		}
-		ev := bellwood.List{Scope: scope}
+		ev := policy.EndpointUpdate{Kind: scope}
 		f.text()
-		if scope != bellwood.ListFailed {
-			if ev.Entries, ok = r.lists[f.int()]; !ok && f.err == nil {
+		if scope != policy.UpdateFailed {
+			if ev.Backends, ok = r.lists[f.int()]; !ok && f.err == nil {
 				return it, fmt.Errorf("unknown list")
 			}
 		}
 		it.Event = ev
 	case "ACCEPT":
-		ev := bellwood.Request{ID: f.uint(), Class: f.int(), Plan: f.int(), Customer: f.text(), Left: f.micros()}
-		ev.Units = f.optFloat(1)
-		ev.Doors = int(f.optUint(0))
+		ev := policy.Request{ID: f.uint(), Class: f.int(), Plan: f.int(), Tenant: f.text(), TimeLeft: f.micros()}
+		ev.Cost = f.optFloat(1)
+		ev.Gateways = int(f.optUint(0))
 		f.optUint(0)
-		ev.Retry = f.optUint(0)&2 != 0
+		ev.ClientRetry = f.optUint(0)&2 != 0
 		it.Event = ev
 	case "VERDICT":
-		ev := bellwood.Outcome{ID: f.uint(), Attempt: f.int(), Backend: f.text(), Status: f.status()}
-		ev.Latency, ev.Closed = f.micros(), f.bool()
-		ev.Used, ev.Units = int(f.optUint(0)), f.optFloat(0)
+		ev := policy.AttemptResult{ID: f.uint(), Attempt: f.int(), Backend: f.text(), Status: f.status()}
+		ev.Latency, ev.RequestClosed = f.micros(), f.bool()
+		ev.QuotaUsage, ev.Cost = int(f.optUint(0)), f.optFloat(0)
 		it.Event = ev
 	case "COUNT_RESULT":
-		ev := bellwood.Counted{Name: f.uint(), Status: f.status()}
-		if ev.Status == bellwood.OK {
+		ev := policy.CounterResult{Name: f.uint(), Status: f.status()}
+		if ev.Status == policy.OK {
 			ev.Total = f.float()
 		} else {
 			f.optFloat(0)
 		}
 		it.Event = ev
 	case "REMINDER":
-		it.Event = bellwood.Timer{Cookie: f.uint()}
+		it.Event = policy.Timer{Cookie: f.uint()}
 	case "ABORTED":
-		it.Event = bellwood.Gone{ID: f.uint()}
+		it.Event = policy.ClientGone{ID: f.uint()}
 	case "FIRST_BYTE":
 		id := f.uint()
 		f.text()
-		it.Event = bellwood.FirstByte{ID: id, Attempt: f.int()}
+		it.Event = policy.FirstByte{ID: id, Attempt: f.int()}
 	case "CHECKED":
 		f.micros()
 		st := f.status()
-		it.Event = bellwood.Probed{Status: st, Backend: f.text()}
+		it.Event = policy.HealthCheckResult{Status: st, Backend: f.text()}
 	case "FROM_PEER":
-		it.Event = bellwood.Message{From: f.int()}
+		it.Event = policy.PeerMessage{From: f.int()}
 	default:
 		return it, fmt.Errorf("unknown message")
 	}
 	return it, f.err
 }
 
-var scopes = map[string]bellwood.Scope{"delta": bellwood.Delta, "full": bellwood.Whole,
-	"cached": bellwood.Cached, "failed": bellwood.ListFailed}
+var scopes = map[string]policy.UpdateKind{"delta": policy.Delta, "full": policy.Snapshot,
+	"cached": policy.CachedSnapshot, "failed": policy.UpdateFailed}
 
-var states = map[string]bellwood.State{"in_service": bellwood.InService, "terminating": bellwood.Terminating,
-	"terminated": bellwood.Terminated}
+var states = map[string]policy.BackendState{"in_service": policy.InService, "terminating": policy.Draining,
+	"terminated": policy.Terminated}
 
 // fields reads a line's parts in order and keeps the first error.
 type fields struct {
@@ -280,16 +280,16 @@
 	return f.float()
 }
 
-func (f *fields) status() bellwood.Status {
+func (f *fields) status() policy.Status {
 	v := f.int()
-	if v < int(bellwood.Failed) || v > int(bellwood.Moot) {
+	if v < int(policy.Failed) || v > int(policy.NotSent) {
 		f.fail("an outcome", strconv.Itoa(v))
 	}
-	return bellwood.Status(v)
+	return policy.Status(v)
 }
 
-func (f *fields) backend() bellwood.Backend {
-	b := bellwood.Backend{Name: f.text(), Zone: f.int(), Kind: f.int(), Cell: f.int()}
+func (f *fields) backend() policy.Backend {
+	b := policy.Backend{Name: f.text(), Zone: f.int(), Kind: f.int(), Cell: f.int()}
 	s := f.text()
 	st, ok := states[s]
 	if !ok {
--- a/internal/wire/wire_test.go
+++ b/internal/simprotocol/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simprotocol
 
 import (
 	"errors"
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"bellwood"
+	"bellwood/internal/policy"
 )
 
 const provision = "PROVISION door/3 51 peers-total=2 rank=0 resolution-us=2000 discovery=pushed new.key=x " +
@@ -46,19 +46,19 @@
 	}
 	it := got[0].Items
 	set := it[0].Settings
-	if set.Doors != 2 || set.Classes[0].Effect != bellwood.Keyed || set.Classes[0].Group != bellwood.GroupCell ||
-		set.Classes[0].Aim != 500*time.Millisecond || set.Plans[0].Rate != 1.9 || !set.MayCancel {
+	if set.Gateways != 2 || set.Classes[0].Idempotency != policy.IdempotentWithKey || set.Classes[0].DedupScope != policy.DedupCell ||
+		set.Classes[0].LatencyObjective != 500*time.Millisecond || set.Plans[0].Rate != 1.9 || !set.AllowCancel {
 		t.Errorf("settings: %+v", set)
 	}
-	list := it[1].Event.(bellwood.List)
-	if len(list.Entries) != 2 || list.Entries[1].State != bellwood.Terminating ||
-		list.Entries[1].Started != 6100*time.Millisecond {
+	list := it[1].Event.(policy.EndpointUpdate)
+	if len(list.Backends) != 2 || list.Backends[1].State != policy.Draining ||
+		list.Backends[1].Started != 6100*time.Millisecond {
 		t.Errorf("list: %+v", list)
 	}
-	if r := it[3].Event.(bellwood.Request); r.Units != 1 || r.Doors != 0 {
+	if r := it[3].Event.(policy.Request); r.Cost != 1 || r.Gateways != 0 {
 		t.Errorf("left out fields: %+v", r)
 	}
-	if o := it[4].Event.(bellwood.Outcome); o.Status != bellwood.OK || !o.Closed || o.Used != 86 || o.Units != 3 {
+	if o := it[4].Event.(policy.AttemptResult); o.Status != policy.OK || !o.RequestClosed || o.QuotaUsage != 86 || o.Cost != 3 {
 		t.Errorf("outcome: %+v", o)
 	}
 }
@@ -87,17 +87,17 @@
 }
 
 func TestAppend(t *testing.T) {
-	for want, a := range map[string]bellwood.Action{
-		"HAND_OFF d 7 80000 b:1\n":      bellwood.Send{ID: 7, Backend: "b:1", Timeout: 80 * time.Millisecond},
-		"TURN_AWAY d 7 5000\n":          bellwood.Refuse{ID: 7, Pause: 5 * time.Millisecond},
-		"SURRENDER d 7\n":               bellwood.Fail{ID: 7},
-		"WITHDRAW d 7 1\n":              bellwood.Cancel{ID: 7, Attempt: 1},
-		"SAMPLE d b:1\n":                bellwood.Probe{Backend: "b:1"},
-		"CHARGE_COUNTER d 9 2.5 1000\n": bellwood.Count{Name: 9, Amount: 2.5, Keep: time.Millisecond},
-		"REMIND d 3000 5\n":             bellwood.SetTimer{At: 3 * time.Millisecond, Cookie: 5},
-		"OBSERVE d 1\n":                 bellwood.Watch{},
-		"PULL d\n":                      bellwood.Fetch{},
-		"JOURNAL_LINE d hi you\n":       bellwood.Log{Text: "hi you"},
+	for want, a := range map[string]policy.Action{
+		"HAND_OFF d 7 80000 b:1\n":      policy.SendAttempt{ID: 7, Backend: "b:1", Timeout: 80 * time.Millisecond},
+		"TURN_AWAY d 7 5000\n":          policy.Reject{ID: 7, RetryAfter: 5 * time.Millisecond},
+		"SURRENDER d 7\n":               policy.Fail{ID: 7},
+		"WITHDRAW d 7 1\n":              policy.CancelAttempt{ID: 7, Attempt: 1},
+		"SAMPLE d b:1\n":                policy.HealthCheck{Backend: "b:1"},
+		"CHARGE_COUNTER d 9 2.5 1000\n": policy.AddToCounter{Name: 9, Amount: 2.5, TTL: time.Millisecond},
+		"REMIND d 3000 5\n":             policy.SetTimer{At: 3 * time.Millisecond, Cookie: 5},
+		"OBSERVE d 1\n":                 policy.WatchEndpoints{},
+		"PULL d\n":                      policy.FetchEndpoints{},
+		"JOURNAL_LINE d hi you\n":       policy.Log{Text: "hi you"},
 	} {
 		if got := string(Append(nil, "d", a)); got != want {
 			t.Errorf("got %q, want %q", got, want)
