--- a/internal/gateway/backends.go
+++ b/internal/gateway/backends.go
@@ -14,6 +14,7 @@
 	"github.com/tidwall/redcon"
 
 	"bellwood/internal/policy"
+	"bellwood/internal/resp"
 	"bellwood/internal/timerqueue"
 )
 
@@ -64,7 +65,7 @@
 	broken  atomic.Bool  // its reader has ended
 	spoilt  atomic.Bool  // ... since what came is no answer
 	asked   atomic.Int32 // commands given to it
-	in      *respReader  // the reader's
+	in      *resp.Reader // the reader's
 	got     int32        // the reader's: answers read
 	timed   bool         // the reader's: a read deadline is set
 }
@@ -347,11 +348,11 @@
 			c.start()
 		}
 	})
-	c.in = &respReader{from: reader{c, nc}}
+	c.in = resp.NewReader(reader{c, nc}, nil)
 	for {
-		m, err := c.in.next()
+		m, err := c.in.Next()
 		if err != nil {
-			c.spoilt.Store(errors.Is(err, errMalformed) || errors.Is(err, errUnasked) ||
+			c.spoilt.Store(errors.Is(err, resp.ErrMalformed) || errors.Is(err, errUnasked) ||
 				errors.Is(err, os.ErrDeadlineExceeded))
 			nc.Close()
 			if c.broken.Store(true); c.sent.Load() != sending { // else write posts it, knowing how far it got
@@ -361,14 +362,14 @@
 		}
 		r := readReply(m)
 		c.got++
-		r.surplus = c.in.partial()
+		r.surplus = c.in.Partial()
 		c.f.post(func() { c.f.backends.answered(c, r) })
 	}
 }
 
 var errUnasked = errors.New("an answer to no command")
 
-// reader reads from a backend's socket for the respReader. It takes nothing while no answer is owed: that would be
+// reader reads from a backend's socket for the resp.Reader. It takes nothing while no answer is owed: that would be
 // found in front of the next answer. And an answer that has begun must go on.
 type reader struct {
 	c  *conn
@@ -377,7 +378,7 @@
 
 func (r reader) Read(b []byte) (int, error) {
 	c := r.c
-	if c.in.partial() {
+	if c.in.Partial() {
 		r.nc.SetReadDeadline(time.Now().Add(stalledAfter))
 		c.timed = true
 	} else if c.timed {
--- a/internal/gateway/budget.go
+++ b/internal/gateway/budget.go
@@ -10,8 +10,8 @@
 
 func newBudget(most int64) *budget { return &budget{most: most} }
 
-// take holds so many more bytes if that stays within the bound.
-func (b *budget) take(n int64) bool {
+// Reserve holds so many more bytes if that stays within the bound.
+func (b *budget) Reserve(n int64) bool {
 	if b.held.Add(n) > b.most {
 		b.held.Add(-n)
 		return false
@@ -22,6 +22,6 @@
 // force holds more or fewer bytes, whatever the bound.
 func (b *budget) force(n int64) { b.held.Add(n) }
 
-func (b *budget) give(n int64) { b.held.Add(-n) }
+func (b *budget) Release(n int64) { b.held.Add(-n) }
 
 func (b *budget) over() bool { return b.held.Load() > b.most }
--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -13,6 +13,8 @@
 	"time"
 
 	"github.com/tidwall/redcon"
+
+	"bellwood/internal/resp"
 )
 
 const (
@@ -43,7 +45,7 @@
 	cs    *clients
 	nc    net.Conn
 	raw   syscall.RawConn // nil where the connection has none
-	in    respReader
+	in    *resp.Reader
 	due   time.Time // of the command that is being read; zero: none has begun
 	ahead bool      // no further command may be taken, but it is read on to see the connection's end
 	timed bool      // a read deadline is set
@@ -73,7 +75,7 @@
 		}
 	}
 	c.room = sync.NewCond(&c.mu)
-	c.in = respReader{from: c, memory: cs.memory}
+	c.in = resp.NewReader(c, cs.memory)
 	c.idle.Store(int64(cs.f.now()))
 	return c
 }
@@ -82,15 +84,15 @@
 func (c *clientConn) read() {
 	defer c.end()
 	for {
-		m, err := c.in.next()
+		m, err := c.in.Next()
 		switch {
-		case errors.Is(err, errMalformed):
+		case errors.Is(err, resp.ErrMalformed):
 			c.turnAway("-ERR Protocol error\r\n")
 			return
-		case errors.Is(err, errNoMemory):
+		case errors.Is(err, resp.ErrNoMemory):
 			c.turnAway("-ERR no memory for a command as long as this\r\n")
 			return
-		case errors.Is(err, os.ErrDeadlineExceeded) && c.in.partial(): // else no line: it would cross a request
+		case errors.Is(err, os.ErrDeadlineExceeded) && c.in.Partial(): // else no line: it would cross a request
 			c.turnAway("-ERR the command has not come in time\r\n")
 			return
 		case errors.Is(err, os.ErrDeadlineExceeded) && !c.closeNow(): // its first command has come just now
@@ -106,13 +108,13 @@
 	}
 }
 
-// Read reads from the socket for the respReader. A command has one deadline, however its bytes drip in, and so
+// Read reads from the socket for the resp.Reader. A command has one deadline, however its bytes drip in, and so
 // has a new client's first.
 func (c *clientConn) Read(b []byte) (int, error) {
 	if c.ahead {
 		return c.receive(b)
 	}
-	if c.due.IsZero() && c.in.partial() {
+	if c.due.IsZero() && c.in.Partial() {
 		c.due = time.Now().Add(commandWithin)
 	}
 	if !c.due.IsZero() {
@@ -123,7 +125,7 @@
 		c.timed = false
 	}
 	c.mu.Lock()
-	c.begun = c.in.partial()
+	c.begun = c.in.Partial()
 	c.closeIfIdle()
 	c.mu.Unlock()
 	return c.receive(b)
@@ -196,7 +198,7 @@
 		}
 		a.conn = c
 		cost := int64(len(m.Raw)) + askCost
-		if !c.cs.memory.take(cost) {
+		if !c.cs.memory.Reserve(cost) {
 			return c.reply(string(busyAnswer(comeBack)))
 		}
 		if a.slot = c.take(a, cost); a.slot == nil {
@@ -228,8 +230,8 @@
 	c.nc.SetReadDeadline(end)
 	c.ahead, c.timed = true, true
 	defer func() { c.ahead = false }()
-	for c.in.room() > mostMessage-usualBuffer {
-		if err := c.in.fill(); err != nil {
+	for c.in.ReadAheadLeft() > resp.MaxMessageBytes-resp.BufferBytes {
+		if err := c.in.Fill(); err != nil {
 			return errors.Is(err, os.ErrDeadlineExceeded)
 		}
 	}
@@ -252,7 +254,7 @@
 		c.await()
 	}
 	if c.closed {
-		c.cs.memory.give(cost)
+		c.cs.memory.Release(cost)
 		return nil
 	}
 	return c.keep(a, cost)
@@ -269,18 +271,18 @@
 // await waits for room. As far as the buffer may grow it reads on meanwhile: a client that leaves is to be seen, as
 // nothing may then be sent on for it. The caller holds mu.
 func (c *clientConn) await() {
-	if c.in.room() <= 0 {
+	if c.in.ReadAheadLeft() <= 0 {
 		c.room.Wait()
 		return
 	}
 	c.nc.SetReadDeadline(time.Time{}) // under mu: roomMade sets another
 	c.parked, c.ahead, c.timed = true, true, true
 	c.mu.Unlock()
-	err := c.in.fill()
+	err := c.in.Fill()
 	c.mu.Lock()
 	c.parked, c.ahead = false, false
 	switch {
-	case errors.Is(err, errNoMemory):
+	case errors.Is(err, resp.ErrNoMemory):
 		c.room.Wait()
 	case err != nil && !errors.Is(err, os.ErrDeadlineExceeded):
 		c.close()
@@ -318,7 +320,7 @@
 	if len(c.slots) == 0 {
 		c.idle.Store(int64(c.cs.f.now()))
 	}
-	if len(c.out) > mostUnwritten || len(c.out) > mostValue && c.cs.memory.over() {
+	if len(c.out) > mostUnwritten || len(c.out) > resp.MaxValueBytes && c.cs.memory.over() {
 		c.close()
 	} else if len(c.out) > 0 && !c.writing && !c.closed {
 		c.writeSome()
@@ -328,7 +330,7 @@
 // writeSome writes what the socket takes at once. The caller holds mu.
 func (c *clientConn) writeSome() {
 	n, err := writeNow(c.nc, c.out)
-	c.cs.memory.give(int64(n))
+	c.cs.memory.Release(int64(n))
 	if c.out = c.out[n:]; len(c.out) == 0 {
 		c.out = nil
 	}
@@ -355,7 +357,7 @@
 		c.nc.SetWriteDeadline(time.Now().Add(writeWithin))
 		_, err := c.nc.Write(out)
 		c.mu.Lock()
-		c.cs.memory.give(int64(len(out)))
+		c.cs.memory.Release(int64(len(out)))
 		if err != nil {
 			c.close()
 		}
@@ -374,7 +376,7 @@
 	c.refused = true
 	s := c.keep(nil, 0)
 	c.mu.Unlock()
-	c.in.release()
+	c.in.Release()
 	c.answer(s, []byte(line))
 	b := make([]byte, 32<<10)
 	for left := lingerBytes; left > 0; {
@@ -474,15 +476,15 @@
 		if s.ask != nil {
 			left = append(left, s.ask)
 		}
-		c.cs.memory.give(s.cost)
+		c.cs.memory.Release(s.cost)
 	}
-	c.cs.memory.give(int64(len(c.out)))
+	c.cs.memory.Release(int64(len(c.out)))
 	c.slots, c.out = nil, nil
 	if c.lingers {
 		c.cs.lingering.Add(-1)
 	}
 	c.mu.Unlock()
-	c.in.release()
+	c.in.Release()
 	c.cs.mu.Lock()
 	delete(c.cs.all, c)
 	c.cs.mu.Unlock()
--- a/internal/gateway/clients_test.go
+++ b/internal/gateway/clients_test.go
@@ -6,6 +6,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"bellwood/internal/resp"
 )
 
 // A value goes to the client alone and whole, a command to the backend unchanged but for d, and a warm connection
@@ -16,7 +18,7 @@
 	c := w.dial()
 	c.command("PING")
 	c.wants("+PONG")
-	value, body := strings.Repeat("v\r\n-", mostValue/4), strings.Repeat("b", mostValue)
+	value, body := strings.Repeat("v\r\n-", resp.MaxValueBytes/4), strings.Repeat("b", resp.MaxValueBytes)
 	var b *peer
 	for range 2 {
 		c.command("q.do", customer, "9b1f03aa5c7e2d41", keyed, body)
@@ -130,14 +132,14 @@
 	ln := listen(t)
 	w := start(t, []string{ln.Addr().String()})
 	slow := w.dial()
-	value := bulk(strings.Repeat("v", mostValue))
+	value := bulk(strings.Repeat("v", resp.MaxValueBytes))
 	go func() {
 		nc, err := ln.Accept()
 		for err == nil { // a backend that serves all that comes
 			go func(nc net.Conn) {
-				in := &respReader{from: nc}
+				in := resp.NewReader(nc, nil)
 				for {
-					if _, err := in.next(); err != nil {
+					if _, err := in.Next(); err != nil {
 						return
 					}
 					if _, err := nc.Write([]byte("*3\r\n" + value + "$-1\r\n$-1\r\n")); err != nil {
@@ -154,7 +156,7 @@
 	c := w.dial()
 	for served := false; !served; { // the module may refuse some meanwhile
 		c.command("Q.ASK", customer, "2", list)
-		served = len(c.message()[0]) == mostValue
+		served = len(c.message()[0]) == resp.MaxValueBytes
 	}
 }
 
@@ -276,7 +278,7 @@
 // All clients together can't make the front door hold more than its share of memory.
 func TestClientMemoryIsBounded(t *testing.T) {
 	w := start(t, nil, func(c *Config, t *testing.T) { c.MemoryMB = 1 })
-	body := strings.Repeat("b", mostValue)
+	body := strings.Repeat("b", resp.MaxValueBytes)
 	var last *peer
 	for i := range 8 { // none of these requests ends soon, as no backend is known
 		last = w.dial()
--- a/internal/gateway/closing_test.go
+++ b/internal/gateway/closing_test.go
@@ -232,7 +232,7 @@
 	if c.pause(time.Hour) {
 		t.Error("the end is not seen")
 	}
-	if got := string(c.in.buf[c.in.start:]); got != "*1\r\n$4\r\nPI" {
+	if got := string(c.in.Buffered()); got != "*1\r\n$4\r\nPI" {
 		t.Errorf("kept %q", got)
 	}
 }
--- a/internal/gateway/gone_test.go
+++ b/internal/gateway/gone_test.go
@@ -12,6 +12,7 @@
 	"time"
 
 	"bellwood/internal/policy"
+	"bellwood/internal/resp"
 )
 
 // ended waits until the end of a connection has come to this side, whatever lies before it.
@@ -28,7 +29,7 @@
 func (p *peer) ask(f *Server, c *clientConn, id string) *request {
 	p.t.Helper()
 	p.command("Q.ASK", customer, id, list)
-	m, err := c.in.next()
+	m, err := c.in.Next()
 	if err != nil || !c.command(m) {
 		p.t.Fatal("the request is not taken: ", err)
 	}
@@ -142,7 +143,7 @@
 	for i := range mostPipelined {
 		many += command("Q.ASK", customer, fmt.Sprint("r", i), list)
 	}
-	for len(many) < mostPipelined*len(command("Q.ASK", customer, "r", list))+mostMessage+(32<<10) {
+	for len(many) < mostPipelined*len(command("Q.ASK", customer, "r", list))+resp.MaxMessageBytes+(32<<10) {
 		many += command("Q.ASK", customer, fmt.Sprint("s", len(many)), list)
 	}
 	for how, end := range map[string]func(p *peer){"closes": func(p *peer) { p.nc.Close() }, "resets": (*peer).reset} {
@@ -407,7 +408,7 @@
 	pool.conns[conn], pool.idle = true, append(pool.idle, conn)
 	c, p := pair(t, f)
 	go c.read()
-	p.command("Q.DO", customer, "1", keyed, strings.Repeat("b", mostValue))
+	p.command("Q.DO", customer, "1", keyed, strings.Repeat("b", resp.MaxValueBytes))
 	pump(t, f, func() bool { return len(f.requests) == 1 })
 	f.events = nil
 	for _, r := range f.requests {
