--- a/internal/gateway/audit.go
+++ b/internal/gateway/audit.go
@@ -75,9 +75,9 @@
 	a.read = a.read[:0]
 }
 
-func (a *auditor) decided(r *request) {
+func (a *auditor) decided(r *openRequest) {
 	if a != nil {
-		a.tell(audit.Decided{RequestID: string(r.ask.args[2])})
+		a.tell(audit.Decided{RequestID: string(r.received.args[2])})
 	}
 }
 
@@ -155,7 +155,7 @@
 	case audit.Suspend:
 		a.f.suspended.Store(true)
 		a.f.tell(policy.Suspend{On: true})
-		a.f.backends.dropAllDialled()
+		a.f.upstream.takeBackAllDialing()
 	case audit.Resume:
 		a.f.suspended.Store(false)
 		a.f.tell(policy.Suspend{On: false})
--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -18,91 +18,91 @@
 )
 
 const (
-	mostPipelined = 256                     // commands of one connection that may wait for their answers
-	mostUnread    = 256 << 10               // bytes of answers left unread at which no further command is read ...
-	mostUnwritten = 1 << 20                 // ... and at which the client is given up
-	writeWithin   = 5 * time.Second         // a client that takes nothing for so long has gone
-	firstWithin   = 2500 * time.Millisecond // from connecting, for the first command
-	commandWithin = 2500 * time.Millisecond // from its first bytes, for any later one
-	askCost       = 1 << 10                 // bytes of a request beside its text
-	lingerWithin  = 1500 * time.Millisecond // for the rest of what was refused
-	lingerBytes   = 64 << 20
-	mostLingering = 16
-	badPause      = 50 * time.Millisecond // before the next command is taken, from the second bad one in a row on
-	badMost       = 16                    // bad commands in a row at which the connection is closed
+	maxPipelined         = 256                     // commands of one connection that may wait for their answers
+	maxUnreadBytes       = 256 << 10               // bytes of answers left unread at which no further command is read ...
+	maxUnwrittenBytes    = 1 << 20                 // ... and at which the client is given up
+	writeTimeout         = 5 * time.Second         // a client that takes nothing for so long has gone
+	firstCommandTimeout  = 2500 * time.Millisecond // from connecting, for the first command
+	commandTimeout       = 2500 * time.Millisecond // from its first bytes, for any later one
+	requestOverheadBytes = 1 << 10                 // bytes of a request beside its text
+	lingerTimeout        = 1500 * time.Millisecond // for the rest of what was refused
+	maxLingerBytes       = 64 << 20
+	maxLingering         = 16
+	unusablePause        = 50 * time.Millisecond // before the next command is taken, from the second bad one in a row on
+	maxUnusableInRow     = 16                    // bad commands in a row at which the connection is closed
 )
 
-// slot keeps the place of a command's answer.
-type slot struct {
-	answer []byte
-	ready  bool
-	ask    *ask  // nil for what the front door answers by itself
-	cost   int64 // taken from the budget until it is answered
+// pendingReply keeps the place of a command's answer.
+type pendingReply struct {
+	text    []byte
+	ready   bool
+	request *clientRequest // nil for what the front door answers by itself
+	memory  int64          // taken from the budget until it is answered
 }
 
 // clientConn is one connection of a client.
 type clientConn struct {
-	cs    *clients
-	nc    net.Conn
-	raw   syscall.RawConn // nil where the connection has none
-	in    *resp.Reader
-	due   time.Time // of the command that is being read; zero: none has begun
-	ahead bool      // no further command may be taken, but it is read on to see the connection's end
-	timed bool      // a read deadline is set
-	bad   int       // commands in a row that could not be used
-
-	spoken atomic.Bool  // it has asked something
-	idle   atomic.Int64 // since when no request is open, on the loop's clock; 0: one is
-
-	mu      sync.Mutex
-	room    *sync.Cond // slots have become free, or the connection has ended
-	slots   []*slot    // in the order of the commands
-	out     []byte     // answers to be written
-	writing bool       // a goroutine writes
-	begun   bool       // bytes were read that are not yet a command
-	parked  bool       // the reader reads ahead until there is room
-	last    bool       // to be closed once all is answered: no more is sent on
-	refused bool       // what still comes is thrown away ...
-	lingers bool       // ... and all is answered
-	closed  bool
+	downstream      *downstream
+	socket          net.Conn
+	rawSocket       syscall.RawConn // nil where the connection has none
+	commands        *resp.Reader
+	commandDeadline time.Time // of the command that is being read; zero: none has begun
+	readingAhead    bool      // no further command may be taken, but it is read on to see the connection's end
+	deadlineSet     bool      // a read deadline is set
+	unusableInRow   int       // commands in a row that could not be used
+
+	commandSeen atomic.Bool  // it has asked something
+	idleSince   atomic.Int64 // since when no request is open, on the loop's clock; 0: one is
+
+	mu           sync.Mutex
+	roomOrClosed *sync.Cond      // slots have become free, or the connection has ended
+	pending      []*pendingReply // in the order of the commands
+	unwritten    []byte          // answers to be written
+	writing      bool            // a goroutine writes
+	commandBegun bool            // bytes were read that are not yet a command
+	readerParked bool            // the reader reads ahead until there is room
+	finishing    bool            // to be closed once all is answered: no more is sent on
+	discarding   bool            // what still comes is thrown away ...
+	lingering    bool            // ... and all is answered
+	closed       bool
 }
 
-func newClientConn(cs *clients, nc net.Conn) *clientConn {
-	c := &clientConn{cs: cs, nc: nc, due: time.Now().Add(firstWithin)}
+func newClientConn(clients *downstream, nc net.Conn) *clientConn {
+	conn := &clientConn{downstream: clients, socket: nc, commandDeadline: time.Now().Add(firstCommandTimeout)}
 	if sc, ok := nc.(syscall.Conn); ok {
 		if raw, err := sc.SyscallConn(); err == nil {
-			c.raw = raw
+			conn.rawSocket = raw
 		}
 	}
-	c.room = sync.NewCond(&c.mu)
-	c.in = resp.NewReader(c, cs.memory)
-	c.idle.Store(int64(cs.f.now()))
-	return c
+	conn.roomOrClosed = sync.NewCond(&conn.mu)
+	conn.commands = resp.NewReader(conn, clients.memory)
+	conn.idleSince.Store(int64(clients.server.now()))
+	return conn
 }
 
-// read takes commands until the connection ends.
-func (c *clientConn) read() {
-	defer c.end()
+// serve takes commands until the connection ends.
+func (conn *clientConn) serve() {
+	defer conn.cleanUp()
 	for {
-		m, err := c.in.Next()
+		m, err := conn.commands.Next()
 		switch {
 		case errors.Is(err, resp.ErrMalformed):
-			c.turnAway("-ERR Protocol error\r\n")
+			conn.rejectAndDiscard("-ERR Protocol error\r\n")
 			return
 		case errors.Is(err, resp.ErrNoMemory):
-			c.turnAway("-ERR no memory for a command as long as this\r\n")
+			conn.rejectAndDiscard("-ERR no memory for a command as long as this\r\n")
 			return
-		case errors.Is(err, os.ErrDeadlineExceeded) && c.in.Partial(): // else no line: it would cross a request
-			c.turnAway("-ERR the command has not come in time\r\n")
+		case errors.Is(err, os.ErrDeadlineExceeded) && conn.commands.Partial(): // else no line: it would cross a request
+			conn.rejectAndDiscard("-ERR the command has not come in time\r\n")
 			return
-		case errors.Is(err, os.ErrDeadlineExceeded) && !c.closeNow(): // its first command has come just now
-			c.due = time.Now().Add(commandWithin)
+		case errors.Is(err, os.ErrDeadlineExceeded) && !conn.closeIfBetweenRequests(): // its first command has come just now
+			conn.commandDeadline = time.Now().Add(commandTimeout)
 			continue
 		case err != nil:
 			return
 		}
-		c.due = time.Time{}
-		if !c.command(m) {
+		conn.commandDeadline = time.Time{}
+		if !conn.handleCommand(m) {
 			return
 		}
 	}
@@ -110,55 +110,55 @@
 
 // Read reads from the socket for the resp.Reader. A command has one deadline, however its bytes drip in, and so
 // has a new client's first.
-func (c *clientConn) Read(b []byte) (int, error) {
-	if c.ahead {
-		return c.receive(b)
-	}
-	if c.due.IsZero() && c.in.Partial() {
-		c.due = time.Now().Add(commandWithin)
-	}
-	if !c.due.IsZero() {
-		c.nc.SetReadDeadline(c.due)
-		c.timed = true
-	} else if c.timed {
-		c.nc.SetReadDeadline(time.Time{})
-		c.timed = false
-	}
-	c.mu.Lock()
-	c.begun = c.in.Partial()
-	c.closeIfIdle()
-	c.mu.Unlock()
-	return c.receive(b)
+func (conn *clientConn) Read(b []byte) (int, error) {
+	if conn.readingAhead {
+		return conn.receive(b)
+	}
+	if conn.commandDeadline.IsZero() && conn.commands.Partial() {
+		conn.commandDeadline = time.Now().Add(commandTimeout)
+	}
+	if !conn.commandDeadline.IsZero() {
+		conn.socket.SetReadDeadline(conn.commandDeadline)
+		conn.deadlineSet = true
+	} else if conn.deadlineSet {
+		conn.socket.SetReadDeadline(time.Time{})
+		conn.deadlineSet = false
+	}
+	conn.mu.Lock()
+	conn.commandBegun = conn.commands.Partial()
+	conn.closeIfDone()
+	conn.mu.Unlock()
+	return conn.receive(b)
 }
 
 // receive reads what has come. It takes the bytes and notes them under the lock, so that nobody who holds it takes
 // the connection for one that stands between two requests. A close waits until nobody is within a read of the socket,
 // and whoever closes holds the lock: so within a read the lock is only tried for, and waited for outside.
-func (c *clientConn) receive(b []byte) (int, error) {
-	if c.raw == nil {
-		return c.nc.Read(b)
+func (conn *clientConn) receive(b []byte) (int, error) {
+	if conn.rawSocket == nil {
+		return conn.socket.Read(b)
 	}
 	for {
 		n, held := 0, false
 		var failed error
-		err := c.raw.Read(func(fd uintptr) bool {
-			if held = !c.mu.TryLock(); held {
+		err := conn.rawSocket.Read(func(fd uintptr) bool {
+			if held = !conn.mu.TryLock(); held {
 				return true
 			}
-			defer c.mu.Unlock()
+			defer conn.mu.Unlock()
 			n, failed = syscall.Read(int(fd), b)
 			for failed == syscall.EINTR {
 				n, failed = syscall.Read(int(fd), b)
 			}
-			c.begun = c.begun || n > 0
+			conn.commandBegun = conn.commandBegun || n > 0
 			return failed != syscall.EAGAIN
 		})
 		switch {
 		case err != nil:
 			return 0, err
 		case held:
-			c.mu.Lock()
-			c.mu.Unlock() // whoever held it is done
+			conn.mu.Lock()
+			conn.mu.Unlock() // whoever held it is done
 		case failed != nil:
 			return 0, failed
 		case n == 0:
@@ -169,69 +169,69 @@
 	}
 }
 
-// command handles one command and says whether to go on.
-func (c *clientConn) command(m redcon.RESP) bool {
+// handleCommand handles one command and says whether to go on.
+func (conn *clientConn) handleCommand(m redcon.RESP) bool {
 	args, ok := arguments(m)
 	if !ok {
-		c.turnAway("-ERR Protocol error: expected an array of bulk strings\r\n")
+		conn.rejectAndDiscard("-ERR Protocol error: expected an array of bulk strings\r\n")
 		return false
 	}
-	c.spoken.Store(true)
+	conn.commandSeen.Store(true)
 	name := strings.ToUpper(string(args[0]))
 	switch name {
 	case "PING":
 		switch {
-		case !c.cs.f.ready.Load():
-			return c.reply("-LOADING no backend is known yet\r\n")
-		case c.cs.f.suspended.Load():
-			return c.reply("-LOADING out of service\r\n")
+		case !conn.downstream.server.ready.Load():
+			return conn.replyNow("-LOADING no backend is known yet\r\n")
+		case conn.downstream.server.suspended.Load():
+			return conn.replyNow("-LOADING out of service\r\n")
 		}
-		return c.reply("+PONG\r\n")
+		return conn.replyNow("+PONG\r\n")
 	case "Q.ASK", "Q.DO":
-		a, err := c.cs.f.parse(name, args)
+		request, err := conn.downstream.server.parse(name, args)
 		if err != nil {
-			return c.unusable("-ERR " + err.Error() + "\r\n")
+			return conn.rejectUnusable("-ERR " + err.Error() + "\r\n")
 		}
-		c.bad = 0
-		if c.leaving() { // it has been taken, so it is answered; the client can turn to another front door
-			return c.reply(string(busyAnswer(0)))
+		conn.unusableInRow = 0
+		if conn.isFinishing() { // it has been taken, so it is answered; the client can turn to another front door
+			return conn.replyNow(string(busyReply(0)))
 		}
-		a.conn = c
-		cost := int64(len(m.Raw)) + askCost
-		if !c.cs.memory.Reserve(cost) {
-			return c.reply(string(busyAnswer(comeBack)))
+		request.conn = conn
+		cost := int64(len(m.Raw)) + requestOverheadBytes
+		if !conn.downstream.memory.Reserve(cost) {
+			return conn.replyNow(string(busyReply(fullRetryAfter)))
 		}
-		if a.slot = c.take(a, cost); a.slot == nil {
+		if request.reply = conn.reserveReply(request, cost); request.reply == nil {
 			return false
 		}
-		c.cs.f.post(func() { c.cs.f.arrived(a) })
+		conn.downstream.server.post(func() { conn.downstream.server.requestArrived(request) })
 		return true
 	}
-	return c.unusable(fmt.Sprintf("-ERR unknown command '%.40s'\r\n", printable(args[0])))
+	return conn.rejectUnusable(fmt.Sprintf("-ERR unknown command '%.40s'\r\n", printable(args[0])))
 }
 
-// unusable answers a command that can't be used. The next one is read after a pause, as a client that sends the
+// rejectUnusable answers a command that can't be used. The next one is read after a pause, as a client that sends the
 // same again and again would else take the core from the others.
-func (c *clientConn) unusable(line string) bool {
-	if c.bad++; c.bad >= badMost {
-		c.turnAway(line)
+func (conn *clientConn) rejectUnusable(line string) bool {
+	if conn.unusableInRow++; conn.unusableInRow >= maxUnusableInRow {
+		conn.rejectAndDiscard(line)
 		return false
 	}
-	ok := c.reply(line)
-	if c.bad > 1 && ok {
-		ok = c.pause(badPause)
+	ok := conn.replyNow(line)
+	if conn.unusableInRow > 1 && ok {
+		ok = conn.pause(unusablePause)
 	}
 	return ok
 }
 
 // pause waits, and says whether the connection stands.
-func (c *clientConn) pause(d time.Duration) bool {
+func (conn *clientConn) pause(d time.Duration) bool {
 	end := time.Now().Add(d)
-	c.nc.SetReadDeadline(end)
-	c.ahead, c.timed = true, true
-	defer func() { c.ahead = false }()
-	for c.in.ReadAheadLeft() > resp.MaxMessageBytes-resp.BufferBytes {
-		if err := c.in.Fill(); err != nil {
+	conn.socket.SetReadDeadline(end)
+	conn.readingAhead, conn.deadlineSet = true, true
+	defer func() { conn.readingAhead = false }()
+	for conn.commands.ReadAheadLeft() > resp.MaxMessageBytes-resp.BufferBytes {
+		if err := conn.commands.Fill(); err != nil {
 			return errors.Is(err, os.ErrDeadlineExceeded)
 		}
 	}
@@ -239,258 +239,260 @@
 	return true
 }
 
-func (c *clientConn) reply(line string) bool {
-	s := c.take(nil, 0)
-	c.answer(s, []byte(line))
-	return s != nil
+func (conn *clientConn) replyNow(line string) bool {
+	reply := conn.reserveReply(nil, 0)
+	conn.answer(reply, []byte(line))
+	return reply != nil
 }
 
-// take keeps a place for the next answer. It waits while too many are kept already, or the answers before are not
+// reserveReply keeps a place for the next answer. It waits while too many are kept already, or the answers before are not
 // read; nil: the connection ended. What it costs has been taken from the budget.
-func (c *clientConn) take(a *ask, cost int64) *slot {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for (len(c.slots) >= mostPipelined || len(c.out) > mostUnread) && !c.closed {
-		c.await()
-	}
-	if c.closed {
-		c.cs.memory.Release(cost)
+func (conn *clientConn) reserveReply(request *clientRequest, cost int64) *pendingReply {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	for (len(conn.pending) >= maxPipelined || len(conn.unwritten) > maxUnreadBytes) && !conn.closed {
+		conn.waitForRoom()
+	}
+	if conn.closed {
+		conn.downstream.memory.Release(cost)
 		return nil
 	}
-	return c.keep(a, cost)
+	return conn.appendReply(request, cost)
 }
 
-// keep keeps a place. The caller holds mu.
-func (c *clientConn) keep(a *ask, cost int64) *slot {
-	s := &slot{ask: a, cost: cost}
-	c.slots = append(c.slots, s)
-	c.idle.Store(0)
-	return s
+// appendReply keeps a place. The caller holds mu.
+func (conn *clientConn) appendReply(request *clientRequest, cost int64) *pendingReply {
+	reply := &pendingReply{request: request, memory: cost}
+	conn.pending = append(conn.pending, reply)
+	conn.idleSince.Store(0)
+	return reply
 }
 
-// await waits for room. As far as the buffer may grow it reads on meanwhile: a client that leaves is to be seen, as
+// waitForRoom waits for room. As far as the buffer may grow it reads on meanwhile: a client that leaves is to be seen, as
 // nothing may then be sent on for it. The caller holds mu.
-func (c *clientConn) await() {
-	if c.in.ReadAheadLeft() <= 0 {
-		c.room.Wait()
+func (conn *clientConn) waitForRoom() {
+	if conn.commands.ReadAheadLeft() <= 0 {
+		conn.roomOrClosed.Wait()
 		return
 	}
-	c.nc.SetReadDeadline(time.Time{}) // under mu: roomMade sets another
-	c.parked, c.ahead, c.timed = true, true, true
-	c.mu.Unlock()
-	err := c.in.Fill()
-	c.mu.Lock()
-	c.parked, c.ahead = false, false
+	conn.socket.SetReadDeadline(time.Time{}) // under mu: signalRoom sets another
+	conn.readerParked, conn.readingAhead, conn.deadlineSet = true, true, true
+	conn.mu.Unlock()
+	err := conn.commands.Fill()
+	conn.mu.Lock()
+	conn.readerParked, conn.readingAhead = false, false
 	switch {
 	case errors.Is(err, resp.ErrNoMemory):
-		c.room.Wait()
+		conn.roomOrClosed.Wait()
 	case err != nil && !errors.Is(err, os.ErrDeadlineExceeded):
-		c.close()
+		conn.closeLocked()
 	}
 }
 
-// roomMade wakes whoever waits for room. The caller holds mu.
-func (c *clientConn) roomMade() {
-	c.room.Broadcast()
-	if c.parked {
-		c.nc.SetReadDeadline(time.Unix(1, 0))
+// signalRoom wakes whoever waits for room. The caller holds mu.
+func (conn *clientConn) signalRoom() {
+	conn.roomOrClosed.Broadcast()
+	if conn.readerParked {
+		conn.socket.SetReadDeadline(time.Unix(1, 0))
 	}
 }
 
 // answer fills a slot, once. What then stands at the head is written as far as the socket takes it, and the rest by
 // a goroutine of its own: a slow client must not hold up the caller.
-func (c *clientConn) answer(s *slot, line []byte) {
-	if s == nil {
+func (conn *clientConn) answer(reply *pendingReply, line []byte) {
+	if reply == nil {
 		return
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if s.ready {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	if reply.ready {
 		return
 	}
-	s.answer, s.ready, s.ask = line, true, nil
-	for len(c.slots) > 0 && c.slots[0].ready {
-		first := c.slots[0]
-		c.out = append(c.out, first.answer...)
-		c.cs.memory.force(int64(len(first.answer)) - first.cost)
-		c.slots[0] = nil
-		c.slots = c.slots[1:]
-		c.roomMade()
+	reply.text, reply.ready, reply.request = line, true, nil
+	for len(conn.pending) > 0 && conn.pending[0].ready {
+		first := conn.pending[0]
+		conn.unwritten = append(conn.unwritten, first.text...)
+		conn.downstream.memory.adjust(int64(len(first.text)) - first.memory)
+		conn.pending[0] = nil
+		conn.pending = conn.pending[1:]
+		conn.signalRoom()
 	}
-	if len(c.slots) == 0 {
-		c.idle.Store(int64(c.cs.f.now()))
+	if len(conn.pending) == 0 {
+		conn.idleSince.Store(int64(conn.downstream.server.now()))
 	}
-	if len(c.out) > mostUnwritten || len(c.out) > resp.MaxValueBytes && c.cs.memory.over() {
-		c.close()
-	} else if len(c.out) > 0 && !c.writing && !c.closed {
-		c.writeSome()
+	if len(conn.unwritten) > maxUnwrittenBytes || len(conn.unwritten) > resp.MaxValueBytes && conn.downstream.memory.exceeded() {
+		conn.closeLocked()
+	} else if len(conn.unwritten) > 0 && !conn.writing && !conn.closed {
+		conn.writeSome()
 	}
 }
 
 // writeSome writes what the socket takes at once. The caller holds mu.
-func (c *clientConn) writeSome() {
-	n, err := writeNow(c.nc, c.out)
-	c.cs.memory.Release(int64(n))
-	if c.out = c.out[n:]; len(c.out) == 0 {
-		c.out = nil
+func (conn *clientConn) writeSome() {
+	n, err := writeNow(conn.socket, conn.unwritten)
+	conn.downstream.memory.Release(int64(n))
+	if conn.unwritten = conn.unwritten[n:]; len(conn.unwritten) == 0 {
+		conn.unwritten = nil
 	}
 	switch {
 	case err != nil:
-		c.close()
-	case c.out != nil:
-		c.writing = true
-		go c.write()
+		conn.closeLocked()
+	case conn.unwritten != nil:
+		conn.writing = true
+		go conn.writeRest()
 	default:
-		c.closeIfIdle()
+		conn.closeIfDone()
 	}
 }
 
-// write writes what is there.
-func (c *clientConn) write() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for len(c.out) > 0 && !c.closed {
-		out := c.out
-		c.out = nil
-		c.roomMade()
-		c.mu.Unlock()
-		c.nc.SetWriteDeadline(time.Now().Add(writeWithin))
-		_, err := c.nc.Write(out)
-		c.mu.Lock()
-		c.cs.memory.Release(int64(len(out)))
+// writeRest writes what is there.
+func (conn *clientConn) writeRest() {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	for len(conn.unwritten) > 0 && !conn.closed {
+		out := conn.unwritten
+		conn.unwritten = nil
+		conn.signalRoom()
+		conn.mu.Unlock()
+		conn.socket.SetWriteDeadline(time.Now().Add(writeTimeout))
+		_, err := conn.socket.Write(out)
+		conn.mu.Lock()
+		conn.downstream.memory.Release(int64(len(out)))
 		if err != nil {
-			c.close()
+			conn.closeLocked()
 		}
 	}
-	c.writing = false
-	c.nc.SetWriteDeadline(time.Time{})
-	c.closeIfIdle()
+	conn.writing = false
+	conn.socket.SetWriteDeadline(time.Time{})
+	conn.closeIfDone()
 }
 
-// turnAway answers what can't be read and ends the connection. Closing it while the client still sends would
+// rejectAndDiscard answers what can't be read and ends the connection. Closing it while the client still sends would
 // throw the error line away, so what comes is read for a while, and from the start, so that a client that leaves
 // is seen though answers before this one are still owed.
-func (c *clientConn) turnAway(line string) {
-	c.nc.SetReadDeadline(time.Time{})
-	c.mu.Lock()
-	c.refused = true
-	s := c.keep(nil, 0)
-	c.mu.Unlock()
-	c.in.Release()
-	c.answer(s, []byte(line))
+func (conn *clientConn) rejectAndDiscard(line string) {
+	conn.socket.SetReadDeadline(time.Time{})
+	conn.mu.Lock()
+	conn.discarding = true
+	reply := conn.appendReply(nil, 0)
+	conn.mu.Unlock()
+	conn.commands.Release()
+	conn.answer(reply, []byte(line))
 	b := make([]byte, 32<<10)
-	for left := lingerBytes; left > 0; {
-		n, err := c.nc.Read(b)
+	for left := maxLingerBytes; left > 0; {
+		n, err := conn.socket.Read(b)
 		if err != nil {
 			return
 		}
 		left -= n
 	}
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for !c.lingers && !c.closed {
-		c.room.Wait()
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	for !conn.lingering && !conn.closed {
+		conn.roomOrClosed.Wait()
 	}
 }
 
-// linger closes the sending side once all is answered. The caller holds mu.
-func (c *clientConn) linger() {
-	half, ok := c.nc.(interface{ CloseWrite() error })
-	if c.lingers = true; c.cs.lingering.Add(1) > mostLingering || !ok || half.CloseWrite() != nil {
-		c.close()
+// startLinger closes the sending side once all is answered. The caller holds mu.
+func (conn *clientConn) startLinger() {
+	half, ok := conn.socket.(interface{ CloseWrite() error })
+	if conn.lingering = true; conn.downstream.lingering.Add(1) > maxLingering || !ok || half.CloseWrite() != nil {
+		conn.closeLocked()
 		return
 	}
-	c.nc.SetReadDeadline(time.Now().Add(lingerWithin))
-	c.room.Broadcast()
+	conn.socket.SetReadDeadline(time.Now().Add(lingerTimeout))
+	conn.roomOrClosed.Broadcast()
 }
 
-// left says whether the client has ended its connection, which its reader may not know yet: it may wait for room, or
+// closeIfClientLeft says whether the client has ended its connection, which its reader may not know yet: it may wait for room, or
 // have more to read before the end. The connection is then closed here too, and all its requests end.
-func (c *clientConn) left() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if !c.closed && hungUp(c.nc) {
-		c.close()
+func (conn *clientConn) closeIfClientLeft() bool {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	if !conn.closed && hungUp(conn.socket) {
+		conn.closeLocked()
 	}
-	return c.closed
+	return conn.closed
 }
 
-// leaving says that nothing more is sent on for the connection.
-func (c *clientConn) leaving() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.last
+// isFinishing says that nothing more is sent on for the connection.
+func (conn *clientConn) isFinishing() bool {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	return conn.finishing
 }
 
 // finish makes what comes from now on be refused, and the connection end once it owes no answer.
-func (c *clientConn) finish() {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.last = true
-	c.closeIfIdle()
+func (conn *clientConn) finish() {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	conn.finishing = true
+	conn.closeIfDone()
 }
 
-// closeIfIdle closes a connection that is to go when nothing is owed on it. The caller holds mu.
-func (c *clientConn) closeIfIdle() {
+// closeIfDone closes a connection that is to go when nothing is owed on it. The caller holds mu.
+func (conn *clientConn) closeIfDone() {
 	switch {
-	case c.closed || c.owes():
-	case c.refused && !c.lingers:
-		c.linger()
-	case c.last && !c.refused && c.between():
-		c.close()
+	case conn.closed || conn.owesReply():
+	case conn.discarding && !conn.lingering:
+		conn.startLinger()
+	case conn.finishing && !conn.discarding && conn.betweenRequests():
+		conn.closeLocked()
 	}
 }
 
-// closeNow closes a connection that stands between two requests, and says whether it has ended.
-func (c *clientConn) closeNow() bool {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if !c.closed && !c.refused && !c.owes() && c.between() {
-		c.close()
+// closeIfBetweenRequests closes a connection that stands between two requests, and says whether it has ended.
+func (conn *clientConn) closeIfBetweenRequests() bool {
+	conn.mu.Lock()
+	defer conn.mu.Unlock()
+	if !conn.closed && !conn.discarding && !conn.owesReply() && conn.betweenRequests() {
+		conn.closeLocked()
 	}
-	return c.closed
+	return conn.closed
 }
 
-// owes says whether an answer is still to be given or written. The caller holds mu.
-func (c *clientConn) owes() bool { return len(c.slots) > 0 || len(c.out) > 0 || c.writing }
+// owesReply says whether an answer is still to be given or written. The caller holds mu.
+func (conn *clientConn) owesReply() bool {
+	return len(conn.pending) > 0 || len(conn.unwritten) > 0 || conn.writing
+}
 
-// between says whether no part of a command has come. Else closing would not only cross that command: what lies
+// betweenRequests says whether no part of a command has come. Else closing would not only cross that command: what lies
 // unread makes the kernel reset the connection, and answers on their way may be lost. The caller holds mu.
-func (c *clientConn) between() bool { return !c.begun && quiet(c.nc) }
+func (conn *clientConn) betweenRequests() bool { return !conn.commandBegun && quiet(conn.socket) }
 
-// close ends the connection. The caller holds mu.
-func (c *clientConn) close() {
-	if !c.closed {
-		c.closed = true
-		c.nc.Close()
-		c.room.Broadcast()
+// closeLocked ends the connection. The caller holds mu.
+func (conn *clientConn) closeLocked() {
+	if !conn.closed {
+		conn.closed = true
+		conn.socket.Close()
+		conn.roomOrClosed.Broadcast()
 	}
 }
 
-// end tells the loop of the requests whose client has left.
-func (c *clientConn) end() {
-	c.mu.Lock()
-	c.close()
-	var left []*ask // gathered under the lock, as the loop may be answering
-	for _, s := range c.slots {
-		if s.ask != nil {
-			left = append(left, s.ask)
+// cleanUp tells the loop of the requests whose client has left.
+func (conn *clientConn) cleanUp() {
+	conn.mu.Lock()
+	conn.closeLocked()
+	var left []*clientRequest // gathered under the lock, as the loop may be answering
+	for _, reply := range conn.pending {
+		if reply.request != nil {
+			left = append(left, reply.request)
 		}
-		c.cs.memory.Release(s.cost)
-	}
-	c.cs.memory.Release(int64(len(c.out)))
-	c.slots, c.out = nil, nil
-	if c.lingers {
-		c.cs.lingering.Add(-1)
-	}
-	c.mu.Unlock()
-	c.in.Release()
-	c.cs.mu.Lock()
-	delete(c.cs.all, c)
-	c.cs.mu.Unlock()
-	c.cs.count.Add(-1)
-	f := c.cs.f
-	for _, a := range left {
-		f.post(func() { f.gone(a) })
+		conn.downstream.memory.Release(reply.memory)
+	}
+	conn.downstream.memory.Release(int64(len(conn.unwritten)))
+	conn.pending, conn.unwritten = nil, nil
+	if conn.lingering {
+		conn.downstream.lingering.Add(-1)
+	}
+	conn.mu.Unlock()
+	conn.commands.Release()
+	conn.downstream.mu.Lock()
+	delete(conn.downstream.conns, conn)
+	conn.downstream.mu.Unlock()
+	conn.downstream.connCount.Add(-1)
+	server := conn.downstream.server
+	for _, request := range left {
+		server.post(func() { server.clientGone(request) })
 	}
 }
--- a/internal/gateway/counter.go
+++ b/internal/gateway/counter.go
@@ -124,7 +124,7 @@
 	l.flush()
 }
 
-// giveUp ends a call with no answer. One that has not been written is taken out, as it must not be written
+// abandonAll ends a call with no answer. One that has not been written is taken out, as it must not be written
 // any more; for the others the place among the answers is kept.
 func (l *line) giveUp(k *call) {
 	if k.written {
--- a/internal/gateway/crowd_test.go
+++ b/internal/gateway/descriptorlimit_test.go
@@ -51,7 +51,7 @@
 		return err
 	}
 	runtime.GOMAXPROCS(1)
-	f, err := New(cfg, slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug})))
+	server, err := New(cfg, slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug})))
 	if err != nil {
 		return err
 	}
@@ -68,10 +68,10 @@
 			if _, err := fmt.Fscanln(in, &discovery, &counter); err != nil {
 				return
 			}
-			f.Reload(discovery, counter, "")
+			server.Reload(discovery, counter, "")
 		}
 	}()
-	f.Run(ctx, ln)
+	server.Run(ctx, ln)
 	return nil
 }
 
@@ -135,7 +135,7 @@
 	t.Helper()
 	select {
 	case <-event:
-	case <-time.After(patient):
+	case <-time.After(testTimeout):
 		t.Fatal(what)
 	}
 }
@@ -242,7 +242,7 @@
 			}
 		})
 	}
-	for end := time.Now().Add(patient); resting.Load() < sockets/2; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); resting.Load() < sockets/2; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("only %d rest", resting.Load())
 		}
@@ -251,8 +251,8 @@
 	await(t, "discovery is back, and no watch is opened", watches[0])
 
 	// One client of the usual kind finds a place and asks for more than the backends' share holds.
-	var c *peer
-	for end := time.Now().Add(patient); c == nil; {
+	var client *peer
+	for end := time.Now().Add(testTimeout); client == nil; {
 		if time.Now().After(end) {
 			t.Fatal("no place is found")
 		}
@@ -262,22 +262,22 @@
 		}
 		p := newPeer(t, nc)
 		p.command("PING")
-		if m, err := p.try(); err == nil && m[0] == "+PONG" {
-			c = p
+		if m, err := p.tryMessage(); err == nil && m[0] == "+PONG" {
+			client = p
 		}
 	}
 	id := 0
 	ask := func(plan string) {
 		id++
-		c.command("Q.ASK", customer, fmt.Sprint(id), strings.Replace(list, "t=open", "t="+plan, 1))
+		client.command("Q.ASK", customer, fmt.Sprint(id), strings.Replace(list, "t=open", "t="+plan, 1))
 	}
 	fill := func() (held []*peer) {
-		for end := time.After(patient); len(held) < share; {
+		for end := time.After(testTimeout); len(held) < share; {
 			ask("open")
 			for waited := false; !waited && len(held) < share; {
 				select {
-				case b := <-reached:
-					held = append(held, b)
+				case backend := <-reached:
+					held = append(held, backend)
 				case <-time.After(20 * time.Millisecond):
 					waited = true
 				case <-end:
@@ -305,8 +305,8 @@
 	fmt.Fprintln(in, second.Addr(), counters[1].Addr())
 	await(t, "the second watch is not opened", watches[1])
 	calls(called[1])
-	for _, b := range held {
-		b.nc.Close()
+	for _, backend := range held {
+		backend.socket.Close()
 	}
 	if all := log.String(); strings.Contains(all, "too many open files") {
 		t.Errorf("descriptors are wanting:\n%s", all)
@@ -366,8 +366,8 @@
 // A crowd that stands in the listener's line takes no more descriptors than the clients' share: one connection for
 // which there is no place is closed before the next is accepted, but for the few whose request is read.
 func TestCrowdInTheLineTakesNoDescriptors(t *testing.T) {
-	f := idle(t, freeAddr(t))
-	f.clients.most = 2 * noPlaceMost
+	server := newIdleServer(t, freeAddr(t))
+	server.downstream.maxConns = 2 * connsPerRejectedLinger
 	ln := &countingListener{Listener: listen(t)}
 	const crowd = 500
 	for range crowd {
@@ -377,27 +377,27 @@
 		}
 		t.Cleanup(func() { nc.Close() })
 	}
-	go f.clients.accept(ln)
-	for end := time.Now().Add(patient); ln.all.Load() < crowd; time.Sleep(time.Millisecond) {
+	go server.downstream.accept(ln)
+	for end := time.Now().Add(testTimeout); ln.all.Load() < crowd; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("%d of %d were accepted", ln.all.Load(), crowd)
 		}
 	}
-	if bound := f.clients.most + f.clients.most/noPlaceMost + 1; ln.most.Load() > bound {
+	if bound := server.downstream.maxConns + server.downstream.maxConns/connsPerRejectedLinger + 1; ln.most.Load() > bound {
 		t.Errorf("%d connections were held at once, over %d", ln.most.Load(), bound)
 	}
 }
 
 // A connection that gives way makes room for one other, also while its reader has not ended yet.
 func TestOneThatGivesWayMakesRoomOnce(t *testing.T) {
-	f := idle(t, freeAddr(t))
-	c, p := pair(t, f) // nobody reads
-	c.idle.Store(int64(f.now() - time.Hour))
-	if !f.clients.makeRoom(true) {
+	server := newIdleServer(t, freeAddr(t))
+	conn, p := newClientPair(t, server) // nobody reads
+	conn.idleSince.Store(int64(server.now() - time.Hour))
+	if !server.downstream.closeLongestIdle(true) {
 		t.Fatal("it does not give way")
 	}
 	p.wantsEnd()
-	if f.clients.makeRoom(true) {
+	if server.downstream.closeLongestIdle(true) {
 		t.Error("it makes room twice")
 	}
 }
@@ -408,19 +408,19 @@
 	for sockets := 256; sockets <= 1024; sockets += 3 {
 		cfg := config(t, true, 5_000_000)
 		cfg.Sockets = sockets
-		f, err := New(cfg, discard)
+		server, err := New(cfg, discardLog)
 		if err != nil {
 			t.Fatal(err)
 		}
-		clients := f.clients.most + f.clients.most/noPlaceMost + 1 // one more is being accepted
-		watch := 2 * int64(f.discovery.http.Transport.(*http.Transport).MaxConnsPerHost)
+		clients := server.downstream.maxConns + server.downstream.maxConns/connsPerRejectedLinger + 1 // one more is being accepted
+		watch := 2 * int64(server.discovery.http.Transport.(*http.Transport).MaxConnsPerHost)
 		const runtime, configuration = 8, 1 // standard files 3, poller 2, cgroup 2, listener
-		sum := clients + int64(f.backends.most) + watch + 2*counterConns + runtime + configuration
+		sum := clients + int64(server.upstream.maxConns) + watch + 2*counterConns + runtime + configuration
 		if sum > int64(sockets) {
 			t.Errorf("of %d descriptors %d may be taken", sockets, sum)
 		}
-		if float64(f.clients.most) < float64(sockets)/2 {
-			t.Errorf("of %d descriptors only %d are for clients", sockets, f.clients.most)
+		if float64(server.downstream.maxConns) < float64(sockets)/2 {
+			t.Errorf("of %d descriptors only %d are for clients", sockets, server.downstream.maxConns)
 		}
 	}
 }
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -14,19 +14,19 @@
 // Changes reach the pools and the Door, and a watch that ends is taken up from the last index.
 func TestWatch(t *testing.T) {
 	first, second := listen(t), listen(t)
-	w := start(t, []string{first.Addr().String()})
-	if from := <-w.watches; from != "1" {
+	gateway := startGateway(t, []string{first.Addr().String()})
+	if from := <-gateway.watches; from != "1" {
 		t.Errorf("the watch begins at %s", from)
 	}
 	m := members(7, first.Addr().String(), second.Addr().String())
 	m.Snapshot = false
 	m.Endpoints[0].Status = "DRAINING"
-	w.news <- m
-	w.news <- Members{Index: -1}
-	if from := <-w.watches; from != "7" {
+	gateway.listUpdates <- m
+	gateway.listUpdates <- Members{Index: -1}
+	if from := <-gateway.watches; from != "7" {
 		t.Errorf("the watch goes on at %s", from)
 	}
-	c := w.dial()
+	c := gateway.dial()
 	c.command("Q.ASK", customer, "1", list)
 	b := accept(t, second)
 	b.message()
@@ -37,18 +37,18 @@
 // What makes no sense in a list is passed over; a line that is no list ends the watch only.
 func TestOddLists(t *testing.T) {
 	ln := listen(t)
-	w := start(t, nil)
-	c := w.dial()
+	gateway := startGateway(t, nil)
+	c := gateway.dial()
 	c.command("PING") // it can't serve yet
 	c.wantsPrefix("-LOADING")
 	m := members(3, ln.Addr().String())
 	odd := m.Endpoints[0]
 	odd.Status = "ASLEEP"
 	m.Endpoints = append(m.Endpoints, odd, Endpoint{})
-	w.news <- m
-	w.news <- Members{Index: -1}
-	<-w.watches
-	<-w.watches
+	gateway.listUpdates <- m
+	gateway.listUpdates <- Members{Index: -1}
+	<-gateway.watches
+	<-gateway.watches
 	c.command("PING")
 	c.wants("+PONG")
 	c.command("Q.ASK", customer, "1", list)
@@ -62,23 +62,23 @@
 // longer taken.
 func TestWatchMoves(t *testing.T) {
 	ln := listen(t)
-	w := start(t, nil)
-	<-w.watches
-	w.news <- members(5)
-	next := &world{t: t, news: make(chan Members), watches: make(chan string, 16)}
+	gateway := startGateway(t, nil)
+	<-gateway.watches
+	gateway.listUpdates <- members(5)
+	next := &testGateway{t: t, listUpdates: make(chan Members), watches: make(chan string, 16)}
 	agent := httptest.NewServer(http.HandlerFunc(next.serveWatch))
 	defer agent.Close()
 	defer agent.CloseClientConnections()
-	w.news <- Members{Index: -1} // the list was read before the watch ended, and the next begins
-	if from := <-w.watches; from != "5" {
+	gateway.listUpdates <- Members{Index: -1} // the list was read before the watch ended, and the next begins
+	if from := <-gateway.watches; from != "5" {
 		t.Errorf("the watch goes on at %s", from)
 	}
-	w.f.Reload(strings.TrimPrefix(agent.URL, "http://"), w.f.cfg.Counter, "")
+	gateway.server.Reload(strings.TrimPrefix(agent.URL, "http://"), gateway.server.cfg.Counter, "")
 	if from := <-next.watches; from != "5" {
 		t.Errorf("the watch begins at %s", from)
 	}
-	next.news <- members(6, ln.Addr().String())
-	c := w.dial()
+	next.listUpdates <- members(6, ln.Addr().String())
+	c := gateway.dial()
 	c.command("Q.ASK", customer, "1", list)
 	b := accept(t, ln)
 	b.message()
@@ -96,7 +96,7 @@
 func (a *agent) watched() (*peer, string) {
 	a.t.Helper()
 	p := accept(a.t, a.ln)
-	req, err := http.ReadRequest(p.in)
+	req, err := http.ReadRequest(p.reader)
 	if err != nil {
 		a.t.Fatal(err)
 	}
@@ -110,38 +110,38 @@
 }
 
 // watching runs a front door that follows an agent and takes a watch for dead after so long a silence.
-func watching(t *testing.T, silence time.Duration) (*world, *agent) {
+func watching(t *testing.T, silence time.Duration) (*testGateway, *agent) {
 	t.Helper()
 	ln := listen(t)
-	w := start(t, nil, func(c *Config, t *testing.T) { c.Discovery = ln.Addr().String() },
+	gateway := startGateway(t, nil, func(c *Config, t *testing.T) { c.Discovery = ln.Addr().String() },
 		func(c *Config, t *testing.T) { c.watchSilence = silence })
-	return w, &agent{t, ln}
+	return gateway, &agent{t, ln}
 }
 
 // served says that a request reaches the backend and its value comes back.
-func (w *world) served(ln net.Listener, id string) {
-	w.t.Helper()
-	c := w.dial()
+func (gateway *testGateway) served(ln net.Listener, id string) {
+	gateway.t.Helper()
+	c := gateway.dial()
 	c.command("Q.ASK", customer, id, list)
-	b := accept(w.t, ln)
+	b := accept(gateway.t, ln)
 	b.message()
 	b.write("*1\r\n" + bulk("value"))
 	c.wants("value")
-	c.nc.Close()
-	b.nc.Close()
+	c.socket.Close()
+	b.socket.Close()
 }
 
 // listed waits until the loop has taken a list or change whole: a request that crosses it may go by the one before.
-func (w *world) listed(index int64) {
-	w.t.Helper()
-	for end := time.Now().Add(patient); ; time.Sleep(time.Millisecond) {
+func (gateway *testGateway) listed(index int64) {
+	gateway.t.Helper()
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		now := make(chan int64, 1)
-		w.f.post(func() { now <- w.f.discovery.index })
+		gateway.server.post(func() { now <- gateway.server.discovery.index })
 		if <-now == index {
 			return
 		}
 		if time.Now().After(end) {
-			w.t.Fatalf("list %d has not been taken", index)
+			gateway.t.Fatalf("list %d has not been taken", index)
 		}
 	}
 }
@@ -149,7 +149,7 @@
 // A list may come indented, on many lines and in any pieces, with the signs of life between two lists.
 func TestIndentedLists(t *testing.T) {
 	first, second := listen(t), listen(t)
-	w, a := watching(t, patient)
+	gateway, a := watching(t, testTimeout)
 	watch, _ := a.watched()
 	text, err := json.MarshalIndent(lower(members(7, first.Addr().String())), "", "  ")
 	if err != nil {
@@ -166,8 +166,8 @@
 	half := len(text) / 2
 	watch.chunk(string(text[:half]))
 	watch.chunk(string(text[half:]) + "\n\r\n\r\n")
-	w.listed(7)
-	w.served(first, "1")
+	gateway.listed(7)
+	gateway.served(first, "1")
 	m := members(8, first.Addr().String(), second.Addr().String())
 	m.Snapshot, m.Endpoints[0].Status = false, "DRAINING"
 	text, err = json.MarshalIndent(lower(m), "", "\t")
@@ -175,14 +175,14 @@
 		t.Fatal(err)
 	}
 	watch.chunk(string(text) + "\n")
-	w.listed(8)
-	w.served(second, "2") // no other watch was opened for it
+	gateway.listed(8)
+	gateway.served(second, "2") // no other watch was opened for it
 }
 
 // A watch that falls silent, at once, after a sign of life or within a list, is opened anew from the last index.
 func TestSilentWatchIsOpenedAnew(t *testing.T) {
 	ln := listen(t)
-	w, a := watching(t, 50*time.Millisecond)
+	gateway, a := watching(t, 50*time.Millisecond)
 	text, err := json.Marshal(lower(members(7, ln.Addr().String())))
 	if err != nil {
 		t.Fatal(err)
@@ -199,7 +199,7 @@
 	}
 	watch, _ := a.watched()
 	watch.chunk(string(text) + "\n")
-	w.served(ln, "1")
+	gateway.served(ln, "1")
 	if _, from := a.watched(); from != "7" {
 		t.Errorf("the watch goes on at %s", from)
 	}
@@ -208,7 +208,7 @@
 // A watch that is reset, within a list too, is opened anew, and what it had begun to say is not kept.
 func TestResetWatchIsOpenedAnew(t *testing.T) {
 	ln := listen(t)
-	w, a := watching(t, patient)
+	gateway, a := watching(t, testTimeout)
 	text, err := json.Marshal(lower(members(7, ln.Addr().String())))
 	if err != nil {
 		t.Fatal(err)
@@ -223,17 +223,17 @@
 		t.Errorf("the watch begins at %s", from)
 	}
 	watch.chunk(string(text) + "\n")
-	w.served(ln, "1")
+	gateway.served(ln, "1")
 }
 
 // A list without end is not gathered.
 func TestEndlessListEndsTheWatch(t *testing.T) {
-	_, a := watching(t, patient)
+	_, a := watching(t, testTimeout)
 	watch, _ := a.watched()
 	watch.chunk(`{"index":9,"snapshot":true,"endpoints":[`)
 	entry := strings.Repeat(`{"name":"s-0","status":"ASLEEP"},`, 1<<10)
 	for sent := 0; sent < 64<<20; sent += len(entry) {
-		if _, err := fmt.Fprintf(watch.nc, "%x\r\n%s\r\n", len(entry), entry); err != nil {
+		if _, err := fmt.Fprintf(watch.socket, "%x\r\n%s\r\n", len(entry), entry); err != nil {
 			a.watched()
 			return
 		}
--- a/internal/gateway/clients_test.go
+++ b/internal/gateway/downstream_test.go
@@ -14,18 +14,18 @@
 // is used again.
 func TestPassesCommandAndValueOn(t *testing.T) {
 	ln := listen(t)
-	w := start(t, []string{ln.Addr().String()}, unsettled)
-	c := w.dial()
-	c.command("PING")
-	c.wants("+PONG")
+	gateway := startGateway(t, []string{ln.Addr().String()}, withoutSettleTime)
+	client := gateway.dial()
+	client.command("PING")
+	client.wants("+PONG")
 	value, body := strings.Repeat("v\r\n-", resp.MaxValueBytes/4), strings.Repeat("b", resp.MaxValueBytes)
-	var b *peer
+	var backend *peer
 	for range 2 {
-		c.command("q.do", customer, "9b1f03aa5c7e2d41", keyed, body)
-		if b == nil {
-			b = accept(t, ln)
+		client.command("q.do", customer, "9b1f03aa5c7e2d41", keyed, body)
+		if backend == nil {
+			backend = accept(t, ln)
 		}
-		m := b.message()
+		m := backend.message()
 		if len(m) != 5 || m[0] != "q.do" || m[1] != customer || m[2] != "9b1f03aa5c7e2d41" || m[4] != body {
 			t.Fatalf("the backend got %.100q", m)
 		}
@@ -42,8 +42,8 @@
 		if d < 1 || d > 6000 { // the module waits no longer than the aim
 			t.Errorf("d=%d", d)
 		}
-		b.write("*3\r\n" + bulk(value) + bulk("used=37,cost=4") + "$-1\r\n")
-		if m := c.message(); len(m) != 1 || m[0] != value {
+		backend.write("*3\r\n" + bulk(value) + bulk("used=37,cost=4") + "$-1\r\n")
+		if m := client.message(); len(m) != 1 || m[0] != value {
 			t.Fatalf("the client got %.60q", m)
 		}
 	}
@@ -51,25 +51,25 @@
 
 func TestAnswersInCommandOrder(t *testing.T) {
 	ln := listen(t)
-	w := start(t, []string{ln.Addr().String()})
-	c := w.dial()
-	c.command("Q.ASK", customer, "1", list)
+	gateway := startGateway(t, []string{ln.Addr().String()})
+	client := gateway.dial()
+	client.command("Q.ASK", customer, "1", list)
 	first := accept(t, ln)
 	first.message()
-	c.command("Q.ASK", customer, "2", list)
-	c.command("PING")
+	client.command("Q.ASK", customer, "2", list)
+	client.command("PING")
 	second := accept(t, ln) // not queued behind the first
 	second.message()
 	second.write("*3\r\n" + bulk("two") + "$-1\r\n$-1\r\n")
 	first.write("*3\r\n" + bulk("one") + "$-1\r\n$-1\r\n")
-	c.wants("one")
-	c.wants("two")
-	c.wants("+PONG")
+	client.wants("one")
+	client.wants("two")
+	client.wants("+PONG")
 }
 
 func TestBadInput(t *testing.T) {
 	ln := listen(t)
-	w := start(t, []string{ln.Addr().String()})
+	gateway := startGateway(t, []string{ln.Addr().String()})
 	for _, bad := range [][]string{
 		{"Q.ASK"}, {"Q.ASK", customer, "1"}, {"Q.ASK", customer, "1", list, "body", "more"},
 		{"Q.ASK", "b4d65521", "1", list}, {"Q.ASK", "zzzzzzzzzzzzzzzz", "1", list}, {"Q.ASK", "ffffffffffffffff", "1", list},
@@ -95,18 +95,18 @@
 		{"Q.ASK", customer, "1", strings.Replace(list, "d=20000", "d=90000000", 1)},
 		{"Q.ASK", customer, "1", list + ",units=1"}, {"Q.ASK", customer, "1", list + ",t=open"},
 	} {
-		c := w.dial()
-		c.command(bad...)
-		c.wantsPrefix("-ERR ")
-		c.command("PING") // the connection is kept
-		c.wants("+PONG")
+		client := gateway.dial()
+		client.command(bad...)
+		client.wantsPrefix("-ERR ")
+		client.command("PING") // the connection is kept
+		client.wants("+PONG")
 	}
 	for _, bad := range []string{"PING\r\n", "*1\r\n:1\r\n", "*1\r\n$-1\r\n", "*999999999\r\n", "*1\r\n$70000\r\n", "*x\r\n",
 		"*0\r\n", "*2\r\n$4\r\nPING\r\n*1\r\n$1\r\nx\r\n", "*1\r\n$4\r\nPINGxx"} {
-		c := w.dial()
-		c.write(bad)
-		c.wantsPrefix("-ERR ")
-		c.wantsEnd()
+		client := gateway.dial()
+		client.write(bad)
+		client.wantsPrefix("-ERR ")
+		client.wantsEnd()
 	}
 	ln.Close()
 	if nc, err := ln.Accept(); err == nil {
@@ -118,20 +118,20 @@
 // A client that leaves takes its request along: the backend's connection is closed and nothing more goes out.
 func TestClientGone(t *testing.T) {
 	ln := listen(t)
-	w := start(t, []string{ln.Addr().String()})
-	c := w.dial()
-	c.command("Q.ASK", customer, "1", list)
-	b := accept(t, ln)
-	b.message()
-	c.nc.Close()
-	b.wantsEnd()
+	gateway := startGateway(t, []string{ln.Addr().String()})
+	client := gateway.dial()
+	client.command("Q.ASK", customer, "1", list)
+	backend := accept(t, ln)
+	backend.message()
+	client.socket.Close()
+	backend.wantsEnd()
 }
 
 // A client that takes no answers must not hold up the others.
 func TestSlowClientHoldsNobodyUp(t *testing.T) {
 	ln := listen(t)
-	w := start(t, []string{ln.Addr().String()})
-	slow := w.dial()
+	gateway := startGateway(t, []string{ln.Addr().String()})
+	slow := gateway.dial()
 	value := bulk(strings.Repeat("v", resp.MaxValueBytes))
 	go func() {
 		nc, err := ln.Accept()
@@ -153,16 +153,16 @@
 	for range 200 {
 		slow.command("Q.ASK", customer, "1", list)
 	}
-	c := w.dial()
+	client := gateway.dial()
 	for served := false; !served; { // the module may refuse some meanwhile
-		c.command("Q.ASK", customer, "2", list)
-		served = len(c.message()[0]) == resp.MaxValueBytes
+		client.command("Q.ASK", customer, "2", list)
+		served = len(client.message()[0]) == resp.MaxValueBytes
 	}
 }
 
 func TestBusyAnswer(t *testing.T) {
 	for pause, want := range map[time.Duration]string{0: "-BUSY\r\n", 1: "-BUSY 1\r\n", 250 * time.Millisecond: "-BUSY 250\r\n"} {
-		if got := string(busyAnswer(pause)); got != want {
+		if got := string(busyReply(pause)); got != want {
 			t.Errorf("%v: %q", pause, got)
 		}
 	}
@@ -171,18 +171,18 @@
 // Nobody to serve by: the request is held and refused when its time is up, here by the loop for a Door that
 // would forget it.
 func TestOverdueRequestIsAnswered(t *testing.T) {
-	w := start(t, nil)
-	c := w.dial()
-	c.command("Q.ASK", customer, "1", strings.Replace(list, "d=20000", "d=60", 1))
-	if m := c.message(); !strings.HasPrefix(m[0], "-") {
+	gateway := startGateway(t, nil)
+	client := gateway.dial()
+	client.command("Q.ASK", customer, "1", strings.Replace(list, "d=20000", "d=60", 1))
+	if m := client.message(); !strings.HasPrefix(m[0], "-") {
 		t.Errorf("got %q", m)
 	}
 }
 
 // A client that says nothing, or drips a command, must not hold a connection: one deadline holds for all of it.
 func TestSlowCommandsEnd(t *testing.T) {
-	w := start(t, nil)
-	silent, dripping, later := w.dial(), w.dial(), w.dial()
+	gateway := startGateway(t, nil)
+	silent, dripping, later := gateway.dial(), gateway.dial(), gateway.dial()
 	later.command("PING")
 	later.wantsPrefix("-LOADING")
 	stop := make(chan struct{})
@@ -192,9 +192,9 @@
 			select {
 			case <-stop:
 				return
-			case <-time.After(commandWithin / 20):
-				dripping.nc.Write([]byte(command("PING", strings.Repeat("x", 1000))[i : i+1]))
-				later.nc.Write([]byte(command("PING", strings.Repeat("x", 1000))[i : i+1]))
+			case <-time.After(commandTimeout / 20):
+				dripping.socket.Write([]byte(command("PING", strings.Repeat("x", 1000))[i : i+1]))
+				later.socket.Write([]byte(command("PING", strings.Repeat("x", 1000))[i : i+1]))
 			}
 		}
 	}()
@@ -205,71 +205,71 @@
 
 // A client that is turned away while it still sends must be able to read why.
 func TestErrorOutlivesWhatIsSent(t *testing.T) {
-	w := start(t, nil)
-	c := w.dial()
-	c.write("*2\r\n$4\r\nPING\r\n$60000000\r\n")
-	c.write(strings.Repeat("x", 8<<20))
-	c.wantsPrefix("-ERR ")
-	c.wantsEnd()
+	gateway := startGateway(t, nil)
+	client := gateway.dial()
+	client.write("*2\r\n$4\r\nPING\r\n$60000000\r\n")
+	client.write(strings.Repeat("x", 8<<20))
+	client.wantsPrefix("-ERR ")
+	client.wantsEnd()
 }
 
 // The id of a request that is open belongs to that request: another one gets an error and not its value.
 func TestOpenIDIsRefused(t *testing.T) {
 	ln := listen(t)
-	w := start(t, []string{ln.Addr().String()}, unsettled)
-	c, other := w.dial(), w.dial()
-	c.command("Q.ASK", customer, "1", list)
-	b := accept(t, ln)
-	b.message()
+	gateway := startGateway(t, []string{ln.Addr().String()}, withoutSettleTime)
+	client, other := gateway.dial(), gateway.dial()
+	client.command("Q.ASK", customer, "1", list)
+	backend := accept(t, ln)
+	backend.message()
 	other.command("Q.ASK", customer, "1", list)
 	other.wantsPrefix("-ERR ")
-	b.write("*1\r\n" + bulk("value"))
-	c.wants("value")
+	backend.write("*1\r\n" + bulk("value"))
+	client.wants("value")
 	other.command("Q.ASK", customer, "1", list) // it is over, so the id is free
-	b.message()
-	b.write("*1\r\n" + bulk("again"))
+	backend.message()
+	backend.write("*1\r\n" + bulk("again"))
 	other.wants("again")
 }
 
 // Connections that are kept for nothing give way to new clients, those that are idle longest first.
 func TestIdleClientsGiveWay(t *testing.T) {
-	w := start(t, nil, func(c *Config, t *testing.T) { c.Sockets = 8 }) // 4 of them for clients
+	gateway := startGateway(t, nil, func(c *Config, t *testing.T) { c.Sockets = 8 }) // 4 of them for clients
 	var all []*peer
 	for range 4 {
-		c := w.dial()
-		c.command("PING")
-		c.wantsPrefix("-LOADING")
-		all = append(all, c)
+		client := gateway.dial()
+		client.command("PING")
+		client.wantsPrefix("-LOADING")
+		all = append(all, client)
 	}
 	// since sets for how long a client's connection has been idle; below 0 it is never long enough. Until its reader
 	// waits for the next command, it stands within the one before.
 	since := func(ages map[int]time.Duration) {
 		found := map[*clientConn]time.Duration{}
-		w.f.clients.mu.Lock()
-		for c := range w.f.clients.all {
+		gateway.server.downstream.mu.Lock()
+		for conn := range gateway.server.downstream.conns {
 			for i, age := range ages {
-				if c.nc.RemoteAddr().String() == all[i].nc.LocalAddr().String() {
-					found[c] = age
+				if conn.socket.RemoteAddr().String() == all[i].socket.LocalAddr().String() {
+					found[conn] = age
 				}
 			}
 		}
-		w.f.clients.mu.Unlock()
-		for c, age := range found {
-			readerWaits(t, c, "IO wait")
-			c.idle.Store(int64(w.f.now() - age))
+		gateway.server.downstream.mu.Unlock()
+		for conn, age := range found {
+			readerWaits(t, conn, "IO wait")
+			conn.idleSince.Store(int64(gateway.server.now() - age))
 		}
 	}
 	since(map[int]time.Duration{0: -time.Hour, 1: -time.Hour, 2: -time.Hour, 3: -time.Hour})
-	refused := w.dial()
+	refused := gateway.dial()
 	refused.wantsPrefix("-BUSY")
-	since(map[int]time.Duration{1: idleAfter, 2: 2 * idleAfter})
-	c := w.dial()
-	c.command("PING")
-	c.wantsPrefix("-LOADING")
+	since(map[int]time.Duration{1: minIdleToClose, 2: 2 * minIdleToClose})
+	client := gateway.dial()
+	client.command("PING")
+	client.wantsPrefix("-LOADING")
 	all[2].wantsEnd()
-	all[2] = c
-	since(map[int]time.Duration{0: crowdAfter, 1: -time.Hour, 2: -time.Hour})
-	w.dial().command("PING") // with no place left the threshold is lower
+	all[2] = client
+	since(map[int]time.Duration{0: minIdleWhenFull, 1: -time.Hour, 2: -time.Hour})
+	gateway.dial().command("PING") // with no place left the threshold is lower
 	all[0].wantsEnd()
 	all[1].command("PING")
 	all[1].wantsPrefix("-LOADING")
@@ -277,20 +277,20 @@
 
 // All clients together can't make the front door hold more than its share of memory.
 func TestClientMemoryIsBounded(t *testing.T) {
-	w := start(t, nil, func(c *Config, t *testing.T) { c.MemoryMB = 1 })
+	gateway := startGateway(t, nil, func(c *Config, t *testing.T) { c.MemoryMB = 1 })
 	body := strings.Repeat("b", resp.MaxValueBytes)
 	var last *peer
 	for i := range 8 { // none of these requests ends soon, as no backend is known
-		last = w.dial()
+		last = gateway.dial()
 		last.command("Q.DO", customer, fmt.Sprint(i), keyed, body)
-		p := w.dial()
+		p := gateway.dial()
 		p.command("PING") // it is read meanwhile
 		p.wantsPrefix("-LOADING")
 	}
-	if m := last.message(); m[0] != strings.TrimSpace(string(busyAnswer(comeBack))) && !strings.HasPrefix(m[0], "-ERR no memory") {
+	if m := last.message(); m[0] != strings.TrimSpace(string(busyReply(fullRetryAfter))) && !strings.HasPrefix(m[0], "-ERR no memory") {
 		t.Errorf("got %q", m)
 	}
-	if held := w.f.clients.memory.held.Load(); held > 1<<18 {
+	if held := gateway.server.downstream.memory.held.Load(); held > 1<<18 {
 		t.Errorf("%d bytes are held", held)
 	}
 }
--- a/internal/gateway/list.go
+++ b/internal/gateway/list.go
@@ -283,24 +283,24 @@
 
 // note takes entries of a list to the pools, and returns what the Door has to hear: changes.
 func (d *discovery) note(t *taking, entries []Endpoint) (news []policy.Backend) {
-	f, odd := d.f, 0
+	server, odd := d.f, 0
 	for _, e := range entries {
 		state, ok := statuses[e.Status]
 		if !ok || e.Name == "" {
 			if odd++; odd == 1 {
-				f.log.Warn("an entry of the list that makes no sense", "name", e.Name, "status", e.Status)
+				server.log.Warn("an entry of the list that makes no sense", "name", e.Name, "status", e.Status)
 			}
 			continue
 		}
-		b := policy.Backend{Name: e.Name, Zone: max(0, index(f.cfg.Transport.Zones, e.Zone)),
-			Kind: max(0, index(f.cfg.Transport.Kinds, e.Type)), Cell: e.Group, State: state, Weight: e.Weight,
+		b := policy.Backend{Name: e.Name, Zone: max(0, index(server.cfg.Transport.Zones, e.Zone)),
+			Kind: max(0, index(server.cfg.Transport.Kinds, e.Type)), Cell: e.Group, State: state, Weight: e.Weight,
 			Started: time.Duration(e.SinceMS) * time.Millisecond}
 		if d.set(t, b, e.Address) {
 			news = append(news, b)
 		}
 	}
 	if odd > 1 {
-		f.log.Warn("more entries that make no sense", "count", odd-1)
+		server.log.Warn("more entries that make no sense", "count", odd-1)
 	}
 	return news
 }
@@ -326,7 +326,7 @@
 	case policy.Terminated:
 		d.gone = append(d.gone, k)
 	}
-	d.f.backends.listed(b, addr)
+	d.f.upstream.updateEndpoint(b, addr)
 	return true
 }
 
@@ -358,8 +358,8 @@
 }
 
 // take takes a list or its changes all at once.
-func (f *Server) take(m Members, scope policy.UpdateKind) {
-	d := f.discovery
+func (server *Server) take(m Members, scope policy.UpdateKind) {
+	d := server.discovery
 	t := d.begin()
 	news := d.note(t, m.Endpoints)
 	for over := scope != policy.Snapshot; !over; {
@@ -371,13 +371,13 @@
 	if scope == policy.Snapshot {
 		scope = policy.Delta // the Door keeps what it is not told of
 	}
-	f.tell(policy.EndpointUpdate{Kind: scope, Backends: news})
-	f.reachable()
+	server.tell(policy.EndpointUpdate{Kind: scope, Backends: news})
+	server.reachable()
 }
 
 // reachable notes that requests can be served, once a list that says so has been taken whole.
-func (f *Server) reachable() {
-	if f.discovery.served {
-		f.ready.Store(true)
+func (server *Server) reachable() {
+	if server.discovery.served {
+		server.ready.Store(true)
 	}
 }
--- a/internal/gateway/list_test.go
+++ b/internal/gateway/list_test.go
@@ -57,18 +57,18 @@
 func TestWholeListIsTaken(t *testing.T) {
 	for name, form := range map[string]func(testing.TB, Members) string{"line": text, "indented": indented} {
 		t.Run(name, func(t *testing.T) {
-			f := idle(t)
-			f.discovery.silence = patient // nobody answers a second watch, should this one be slow
+			f := newIdleServer(t)
+			f.discovery.silence = testTimeout // nobody answers a second watch, should this one be slow
 			a := &agent{t, listen(t)}
 			f.discovery.follow(a.ln.Addr().String())
 			defer f.discovery.stop()
 			watch, _ := a.watched()
 			list := form(t, fleet(7, fleetSize))
 			t.Logf("%d bytes", len(list))
-			go fmt.Fprintf(watch.nc, "%x\r\n%s\r\n", len(list), list)
-			pump(t, f, func() bool { return f.discovery.index == 7 })
-			if len(f.backends.all) != fleetSize {
-				t.Errorf("%d are known", len(f.backends.all))
+			go fmt.Fprintf(watch.socket, "%x\r\n%s\r\n", len(list), list)
+			runTasksUntil(t, f, func() bool { return f.discovery.index == 7 })
+			if len(f.upstream.pools) != fleetSize {
+				t.Errorf("%d are known", len(f.upstream.pools))
 			}
 		})
 	}
@@ -79,7 +79,7 @@
 func says(t testing.TB, f *Server, text string, counts func() bool) (told [][]policy.Backend, err error) {
 	t.Helper()
 	d := f.discovery
-	dead := time.AfterFunc(patient, func() {})
+	dead := time.AfterFunc(testTimeout, func() {})
 	defer dead.Stop()
 	r := d.reader(strings.NewReader(text), dead)
 	r.ended = d.adopt
@@ -111,7 +111,7 @@
 				(<-f.tasks)()
 			}
 			return told, err
-		case <-time.After(patient):
+		case <-time.After(testTimeout):
 			t.Fatal("the list is not read to its end")
 		}
 	}
@@ -128,7 +128,7 @@
 // A long list comes in bounded parts, what it leaves out too; a short one in one piece; and of one that says what is
 // known already nothing is told but that it has come.
 func TestListComesInParts(t *testing.T) {
-	f := idle(t)
+	f := newIdleServer(t)
 	for _, c := range []struct {
 		list Members
 		want []int
@@ -150,16 +150,16 @@
 		for len(f.discovery.gone) > 0 {
 			f.discovery.forget()
 		}
-		if n := len(c.list.Endpoints); f.discovery.index != c.list.Index || len(f.discovery.known) != n || len(f.backends.all) != n {
+		if n := len(c.list.Endpoints); f.discovery.index != c.list.Index || len(f.discovery.known) != n || len(f.upstream.pools) != n {
 			t.Errorf("list %d: index %d, %d known, %d in the pools", c.list.Index, f.discovery.index,
-				len(f.discovery.known), len(f.backends.all))
+				len(f.discovery.known), len(f.upstream.pools))
 		}
 	}
 }
 
 // The Door hears the same of a whole list as from the list itself: of what is new, has changed, drains or is left out.
 func TestChangesOfAWholeList(t *testing.T) {
-	f := idle(t)
+	f := newIdleServer(t)
 	says(t, f, text(t, fleet(2, 6)), nil)
 	m := fleet(3, 6)
 	m.Endpoints[0].Status = "DRAINING"
@@ -187,7 +187,7 @@
 	for _, form := range []string{
 		`{"endpoints":%[3]s,"snapshot":%[2]v,"index":%[1]d}`, `{"Snapshot":%[2]v,"endpoints":%[3]s,"index":%[1]d}`,
 		"{\n\n \"more\" : {\"endpoints\":[1]},\r\n\"index\":%[1]d,\t\"endpoints\" :\n %[3]s , \"snapshot\":%[2]v,\"last\":[]}\n\n"} {
-		f := idle(t)
+		f := newIdleServer(t)
 		written := ""
 		for i, m := range []Members{fleet(2, 200), fleet(3, 150), {Index: 4, Endpoints: fleet(4, 1).Endpoints}} {
 			if m.Index == 4 {
@@ -203,7 +203,7 @@
 		if got := sizes(told); !slices.Equal(got, []int{200, 50, 1}) || f.discovery.index != 4 || !errors.Is(err, io.EOF) {
 			t.Errorf("told %d, index %d: %v", got, f.discovery.index, err)
 		}
-		if len(f.discovery.known) != 149 || len(f.backends.all) != 149 {
+		if len(f.discovery.known) != 149 || len(f.upstream.pools) != 149 {
 			t.Errorf("%d are known", len(f.discovery.known))
 		}
 	}
@@ -235,7 +235,7 @@
 			strings.Repeat(entry+",", mostEntries) + entry + "]}"},
 		"moved": {list: long, counts: moved, err: errMoved},
 	} {
-		f := idle(t)
+		f := newIdleServer(t)
 		says(t, f, text(t, fleet(2, 500)), nil)
 		told, err := says(t, f, c.list, c.counts)
 		for _, part := range told {
@@ -254,7 +254,7 @@
 
 // A list that was asked for before a change came by the watch and is read after it does not undo the change.
 func TestOlderListDoesNotUndoAChange(t *testing.T) {
-	f := idle(t)
+	f := newIdleServer(t)
 	d := f.discovery
 	says(t, f, text(t, fleet(2, 4)), nil)
 	asked := d.begin()
@@ -273,14 +273,14 @@
 // The index moves once the whole list has been taken, not before: a watch that is moved within a list asks from where the
 // last one ended, and neither the rest of that list nor its end counts any more. One opened anew costs the changes only.
 func TestIndexMovesWithTheWholeList(t *testing.T) {
-	f := idle(t, freeAddr(t))
-	f.discovery.silence = patient
+	f := newIdleServer(t, freeAddr(t))
+	f.discovery.silence = testTimeout
 	first, second := &agent{t, listen(t)}, &agent{t, listen(t)}
 	f.discovery.follow(first.ln.Addr().String())
 	watch, from := first.watched()
 	list := text(t, fleet(7, fleetSize))
-	go fmt.Fprintf(watch.nc, "%x\r\n%s\r\n", len(list), list)
-	pump(t, f, func() bool { return len(f.discovery.all) > fleetSize/2 })
+	go fmt.Fprintf(watch.socket, "%x\r\n%s\r\n", len(list), list)
+	runTasksUntil(t, f, func() bool { return len(f.discovery.all) > fleetSize/2 })
 	if f.discovery.index != 0 || from != "0" {
 		t.Fatalf("asked from %s; index %d within the list", from, f.discovery.index)
 	}
@@ -291,19 +291,19 @@
 		watch, from = second.watched()
 		f.post(func() { moved = true })
 	}()
-	pump(t, f, func() bool { return moved && f.discovery.open == 0 }) // the reader of the old list has given up
+	runTasksUntil(t, f, func() bool { return moved && f.discovery.open == 0 }) // the reader of the old list has given up
 	if from != "0" {
 		t.Errorf("the moved watch asks from %s", from)
 	}
 	if d := f.discovery; d.index != 0 || len(d.all) == fleetSize+1 || d.known["s-0"].b.State != policy.InService {
 		t.Errorf("the old watch's list was taken: index %d, %d known, %v", d.index, len(d.all), d.known["s-0"].b.State)
 	}
-	go fmt.Fprintf(watch.nc, "%x\r\n%s\r\n", len(list), list)
-	pump(t, f, func() bool { return f.discovery.index == 7 })
+	go fmt.Fprintf(watch.socket, "%x\r\n%s\r\n", len(list), list)
+	runTasksUntil(t, f, func() bool { return f.discovery.index == 7 })
 	if n := len(f.discovery.all); n != fleetSize {
 		t.Errorf("%d are known", n)
 	}
-	watch.nc.Close()
+	watch.socket.Close()
 	f.events = nil
 	var since string
 	go func() {
@@ -312,7 +312,7 @@
 		m.Snapshot, m.Endpoints[0].Status = false, "DRAINING"
 		watch.chunk(text(t, m))
 	}()
-	pump(t, f, func() bool { return f.discovery.index == 8 })
+	runTasksUntil(t, f, func() bool { return f.discovery.index == 8 })
 	if ev := f.events; since != "7" || len(ev) != 1 || len(ev[0].(policy.EndpointUpdate).Backends) != 1 {
 		t.Errorf("asked from %s, told %d events", since, len(ev))
 	}
@@ -320,21 +320,21 @@
 
 // A drain among many is told before the list has ended: no new work may go to that backend 250 ms after the agent has it.
 func TestDrainInALongListIsTold(t *testing.T) {
-	f := idle(t)
+	f := newIdleServer(t)
 	says(t, f, text(t, fleet(2, fleetSize)), nil)
 	m := fleet(3, fleetSize)
 	drains := m.Endpoints[300]
 	m.Endpoints[300].Status = "DRAINING"
 	a := &agent{t, listen(t)}
-	f.discovery.silence = patient
+	f.discovery.silence = testTimeout
 	f.discovery.follow(a.ln.Addr().String())
 	defer f.discovery.stop()
 	watch, _ := a.watched()
 	list := text(t, m)
 	watch.chunk(list[:strings.Index(list, m.Endpoints[300+2*partSize].Name)]) // and then nothing
-	pump(t, f, func() bool { return len(f.events) > 0 })
+	runTasksUntil(t, f, func() bool { return len(f.events) > 0 })
 	if told := f.events[0].(policy.EndpointUpdate).Backends; len(told) != 1 || told[0].Name != drains.Name ||
-		told[0].State != policy.Draining || f.backends.all[drains.Name] != nil || f.discovery.index != 2 {
+		told[0].State != policy.Draining || f.upstream.pools[drains.Name] != nil || f.discovery.index != 2 {
 		t.Errorf("told %+v, index %d", told, f.discovery.index)
 	}
 }
@@ -354,7 +354,7 @@
 		t.Fatal(err)
 	}
 	cfg.Discovery = discovery
-	f, err = New(cfg, discard)
+	f, err = New(cfg, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -373,7 +373,7 @@
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(6 * patient))
+	nc.SetDeadline(time.Now().Add(6 * testTimeout))
 	for in := bufio.NewReader(nc); ; time.Sleep(time.Millisecond) {
 		if _, err := io.WriteString(nc, command("PING")); err != nil {
 			t.Fatal(err)
@@ -409,7 +409,7 @@
 func TestReadyWithKnownFleet(t *testing.T) {
 	f, answers, end := ready(t, configured(t, fleet(5, fleetSize)), listen(t).Addr().String())
 	defer end()
-	(&world{t: t, f: f}).until(func() bool { return len(f.backends.all) == fleetSize && f.discovery.index == 5 })
+	(&testGateway{t: t, server: f}).until(func() bool { return len(f.upstream.pools) == fleetSize && f.discovery.index == 5 })
 	if len(answers) != 1 {
 		t.Errorf("%d answers, the first %q", len(answers), answers[0])
 	}
@@ -422,7 +422,7 @@
 	f, answers, end := ready(t, configured(t, Members{}), a.ln.Addr().String())
 	defer end()
 	n := 0
-	(&world{t: t, f: f}).until(func() bool { n = len(f.backends.all); return true })
+	(&testGateway{t: t, server: f}).until(func() bool { n = len(f.upstream.pools); return true })
 	if n != fleetSize || !strings.HasPrefix(answers[0], "-LOADING") {
 		t.Errorf("ready with %d backends; the first answer was %q", n, answers[0])
 	}
@@ -475,7 +475,7 @@
 			b.Fatal(err)
 		}
 		cfg.Discovery = ln.Addr().String()
-		f, err := New(cfg, discard)
+		f, err := New(cfg, discardLog)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -528,7 +528,7 @@
 				for range b.N {
 					b.StopTimer()
 					before := liveBytes()
-					f, err := New(config(b, false, 5_000_000), discard)
+					f, err := New(config(b, false, 5_000_000), discardLog)
 					if err != nil {
 						b.Fatal(err)
 					}
@@ -572,7 +572,7 @@
 
 // playList lets a front door that is not running read a list, and returns how long its longest task took.
 func playList(b *testing.B, f *Server, written string, step bool) (longest time.Duration) {
-	dead := time.AfterFunc(patient, func() {})
+	dead := time.AfterFunc(testTimeout, func() {})
 	defer dead.Stop()
 	r := f.discovery.reader(strings.NewReader(written), dead)
 	ended := make(chan error)
--- /dev/null
+++ b/internal/gateway/overduerequest_test.go
@@ -0,0 +1,45 @@
+package gateway
+
+import (
+	"fmt"
+	"log/slog"
+	"strings"
+	"testing"
+	"time"
+)
+
+// A loop that is late finds the module's timer and the client's deadline due together. The module answers, as only it
+// knows whether the request may be refused; the last resort is for what it has lost.
+func TestModuleAnswersThoughTheLoopIsLate(t *testing.T) {
+	const wait = 700 * time.Millisecond // under half a second the module would refuse it on its arrival
+	for name, late := range map[string]func(gateway *testGateway, ask func()){
+		"late at the deadline": func(gateway *testGateway, ask func()) {
+			ask()
+			gateway.until(func() bool { return len(gateway.server.requests) == 1 })
+			release := gateway.hold()
+			time.Sleep(wait + 50*time.Millisecond)
+			release()
+		},
+		"late between arrival and Step": func(gateway *testGateway, ask func()) {
+			release := gateway.hold()
+			ask()
+			gateway.posted(1)
+			gateway.server.post(func() { time.Sleep(50 * time.Millisecond) }) // in the same pass as the arrival
+			release()
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			var log lockedBuffer
+			gateway := startGateway(t, nil)
+			gateway.server.post(func() { gateway.server.log = slog.New(slog.NewTextHandler(&log, nil)) })
+			client := gateway.dial()
+			late(gateway, func() {
+				client.command("Q.ASK", customer, "1", strings.Replace(list, "d=20000", fmt.Sprint("d=", wait.Milliseconds()), 1))
+			})
+			client.wantsPrefix("-BUSY")
+			if strings.Contains(log.String(), "unanswered") {
+				t.Errorf("the last resort was used: %s", log.String())
+			}
+		})
+	}
+}
--- a/internal/gateway/reach_test.go
+++ b/internal/gateway/reach_test.go
@@ -140,7 +140,7 @@
 			for _, o := range options {
 				o(cfg, t)
 			}
-			f, err := New(cfg, discard)
+			f, err := New(cfg, discardLog)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -153,7 +153,7 @@
 				<-f.done
 			})
 			go c.serve()
-			(&world{t: t, f: f}).until(func() bool { return f.discovery.known["s-7"] != nil })
+			(&testGateway{t: t, server: f}).until(func() bool { return f.discovery.known["s-7"] != nil })
 			if n := max(c.bad.Load(), c.refused.Load()); n <= callsThatFail {
 				t.Errorf("only %d calls", n)
 			}
@@ -203,7 +203,7 @@
 	if watchSilence < sign+sign/5 {
 		t.Errorf("a watch that gives its signs counts as dead after %v", watchSilence)
 	}
-	f := idle(t)
+	f := newIdleServer(t)
 	for _, err := range []error{io.EOF, errNonsense, errMoved} {
 		pause := rewatchAfter
 		for range 20 {
--- a/internal/gateway/front_test.go
+++ b/internal/gateway/testgateway_test.go
@@ -16,9 +16,9 @@
 )
 
 // patient bounds every wait of these tests; none is expected to take a noticeable part of it.
-const patient = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-var discard = slog.New(slog.NewTextHandler(io.Discard, nil))
+var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
 const settingsJSON = `{"peers-total":1,"rank":0,"resolution-us":4000,"discovery":"pushed","areas":["dc1"],"kinds":["std"],
 "limits":{"max-attempts":3,"cancel":true,"may-probe":true,"retry-after":true,"max-retry-after-us":1000000,
@@ -31,48 +31,48 @@
 "tiers-of-service":[{"name":"open","value-factor":1.0},
  {"name":"starter","value-factor":1.0,"units-per-s":2.5,"most-at-once":10,"over-cost":1.2}]}`
 
-// world is a front door with what stands round it, all on loopback.
-type world struct {
-	t       *testing.T
-	f       *Server
-	addr    string
-	stop    context.CancelFunc
-	news    chan Members // to the watch
-	watches chan string  // index each watch asked for
+// testGateway is a front door with what stands round it, all on loopback.
+type testGateway struct {
+	t           *testing.T
+	server      *Server
+	addr        string
+	stop        context.CancelFunc
+	listUpdates chan Members // to the watch
+	watches     chan string  // index each watch asked for
 }
 
 type option func(*Config, *testing.T)
 
-// start runs a front door that knows the given backends.
-func start(t *testing.T, addrs []string, options ...option) *world {
+// startGateway runs a front door that knows the given backends.
+func startGateway(t *testing.T, addrs []string, options ...option) *testGateway {
 	t.Helper()
-	w := &world{t: t, news: make(chan Members), watches: make(chan string, 16)}
-	disco := httptest.NewServer(http.HandlerFunc(w.serveWatch))
+	gateway := &testGateway{t: t, listUpdates: make(chan Members), watches: make(chan string, 16)}
+	disco := httptest.NewServer(http.HandlerFunc(gateway.serveWatch))
 	cfg := config(t, false, 5_000_000)
 	cfg.Discovery = strings.TrimPrefix(disco.URL, "http://")
 	cfg.Known = members(1, addrs...)
 	for _, o := range options {
 		o(cfg, t)
 	}
-	f, err := New(cfg, discard)
+	server, err := New(cfg, discardLog)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	ln := listen(t)
-	w.f, w.addr, w.stop = f, ln.Addr().String(), stop
-	go f.Run(ctx, ln)
+	gateway.server, gateway.addr, gateway.stop = server, ln.Addr().String(), stop
+	go server.Run(ctx, ln)
 	t.Cleanup(func() {
 		stop()
-		<-f.done
+		<-server.done
 		disco.CloseClientConnections()
 		disco.Close()
 	})
-	return w
+	return gateway
 }
 
-// unsettled lets a connection be used again at once.
-func unsettled(c *Config, t *testing.T) { c.settleFor = 1 }
+// withoutSettleTime lets a connection be used again at once.
+func withoutSettleTime(c *Config, t *testing.T) { c.settleFor = 1 }
 
 func config(t testing.TB, counter bool, dialUS int) *Config {
 	t.Helper()
@@ -112,16 +112,16 @@
 	return m
 }
 
-func (w *world) serveWatch(rw http.ResponseWriter, r *http.Request) {
+func (gateway *testGateway) serveWatch(rw http.ResponseWriter, r *http.Request) {
 	select {
-	case w.watches <- r.URL.Query().Get("index"):
+	case gateway.watches <- r.URL.Query().Get("index"):
 	default:
 	}
 	rw.WriteHeader(http.StatusOK)
 	rw.(http.Flusher).Flush()
 	for {
 		select {
-		case m := <-w.news:
+		case m := <-gateway.listUpdates:
 			if m.Index < 0 { // the test ends this watch
 				return
 			}
@@ -145,36 +145,36 @@
 
 // peer is one end of a connection that speaks RESP, a client's or a backend's.
 type peer struct {
-	t  *testing.T
-	nc net.Conn
-	in *bufio.Reader
+	t      *testing.T
+	socket net.Conn
+	reader *bufio.Reader
 }
 
 func newPeer(t *testing.T, nc net.Conn) *peer {
-	nc.SetDeadline(time.Now().Add(patient))
+	nc.SetDeadline(time.Now().Add(testTimeout))
 	t.Cleanup(func() { nc.Close() })
 	return &peer{t, nc, bufio.NewReader(nc)}
 }
 
 // dial connects a client.
-func (w *world) dial() *peer {
-	w.t.Helper()
-	nc, err := net.Dial("tcp", w.addr)
+func (gateway *testGateway) dial() *peer {
+	gateway.t.Helper()
+	nc, err := net.Dial("tcp", gateway.addr)
 	if err != nil {
-		w.t.Fatal(err)
+		gateway.t.Fatal(err)
 	}
-	return newPeer(w.t, nc)
+	return newPeer(gateway.t, nc)
 }
 
 // reset ends the connection by a reset.
 func (p *peer) reset() {
-	p.nc.(*net.TCPConn).SetLinger(0)
-	p.nc.Close()
+	p.socket.(*net.TCPConn).SetLinger(0)
+	p.socket.Close()
 }
 
 func (p *peer) write(s string) {
 	p.t.Helper()
-	if _, err := io.WriteString(p.nc, s); err != nil {
+	if _, err := io.WriteString(p.socket, s); err != nil {
 		p.t.Fatal(err)
 	}
 }
@@ -195,15 +195,15 @@
 // message reads one RESP message: its parts, a line that is no length being one of its own.
 func (p *peer) message() []string {
 	p.t.Helper()
-	m, err := p.try()
+	m, err := p.tryMessage()
 	if err != nil {
 		p.t.Fatal(err)
 	}
 	return m
 }
 
-func (p *peer) try() ([]string, error) {
-	line, err := p.in.ReadString('\n')
+func (p *peer) tryMessage() ([]string, error) {
+	line, err := p.reader.ReadString('\n')
 	if err != nil {
 		return nil, err
 	}
@@ -214,7 +214,7 @@
 		fmt.Sscan(line[1:], &n)
 		var all []string
 		for range n {
-			m, err := p.try()
+			m, err := p.tryMessage()
 			if err != nil {
 				return nil, err
 			}
@@ -224,7 +224,7 @@
 	case '$':
 		fmt.Sscan(line[1:], &n)
 		b := make([]byte, n+2)
-		_, err := io.ReadFull(p.in, b)
+		_, err := io.ReadFull(p.reader, b)
 		return []string{string(b[:n])}, err
 	}
 	return []string{line}, nil
@@ -249,7 +249,7 @@
 // wantsEnd reads up to the end of the connection and fails if anything comes before it.
 func (p *peer) wantsEnd() {
 	p.t.Helper()
-	if m, err := p.try(); err == nil {
+	if m, err := p.tryMessage(); err == nil {
 		p.t.Fatalf("got %q, want the end of the connection", m)
 	} else if ne, ok := err.(net.Error); ok && ne.Timeout() {
 		p.t.Fatal("the connection stays open")
@@ -266,7 +266,7 @@
 // accept takes the next connection of a backend.
 func accept(t *testing.T, ln net.Listener) *peer {
 	t.Helper()
-	ln.(*net.TCPListener).SetDeadline(time.Now().Add(patient))
+	ln.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout))
 	nc, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/gateway/watchdog_test.go
+++ b/internal/gateway/watchdog_test.go
@@ -11,13 +11,13 @@
 // nothing to do is not.
 func TestWatchdogReportsALoopThatStandsStill(t *testing.T) {
 	var log lockedBuffer
-	w := start(t, nil)
+	gateway := startGateway(t, nil)
 	dog := make(chan struct{})
 	defer close(dog)
-	go w.f.watchdog.run(dog, 100*time.Millisecond, slog.New(slog.NewTextHandler(&log, nil)))
+	go gateway.server.watchdog.run(dog, 100*time.Millisecond, slog.New(slog.NewTextHandler(&log, nil)))
 	says := func(want string) {
 		t.Helper()
-		for end := time.Now().Add(patient); !strings.Contains(log.String(), want); time.Sleep(time.Millisecond) {
+		for end := time.Now().Add(testTimeout); !strings.Contains(log.String(), want); time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
 				t.Fatalf("no %q in the log: %.2000s", want, log.String())
 			}
@@ -27,9 +27,9 @@
 	if text := log.String(); strings.Contains(text, "stands still") {
 		t.Fatalf("reported with nothing to do: %.500s", text)
 	}
-	release := w.hold()
+	release := gateway.hold()
 	says("the loop stands still")
-	says("(*world).hold")
+	says("(*testGateway).hold")
 	time.Sleep(600 * time.Millisecond)
 	if n := strings.Count(log.String(), "the loop stands still"); n != 1 {
 		t.Errorf("reported %d times", n)
--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -8,25 +8,25 @@
 	"time"
 )
 
-// mostPending is how many bytes may wait for the reader of the log; further lines are dropped and counted.
-const mostPending = 1 << 20
+// maxPendingBytes is how many bytes may wait for the reader of the log; further lines are dropped and counted.
+const maxPendingBytes = 1 << 20
 
 // Writer hands lines to another writer from a goroutine of its own, so that Write never waits.
 type Writer struct {
 	to io.Writer
 
-	mu      sync.Mutex
-	work    *sync.Cond // there is something to write, or it is to end
-	pending []byte
-	dropped int
-	closing bool
-	done    chan struct{} // closed once all is written after Close
+	mu        sync.Mutex
+	workOrEnd *sync.Cond // there is something to write, or it is to end
+	pending   []byte
+	dropped   int
+	closing   bool
+	done      chan struct{} // closed once all is written after Close
 }
 
 // New returns a Writer to another writer.
 func New(to io.Writer) *Writer {
 	w := &Writer{to: to, done: make(chan struct{})}
-	w.work = sync.NewCond(&w.mu)
+	w.workOrEnd = sync.NewCond(&w.mu)
 	go w.run()
 	return w
 }
@@ -35,12 +35,12 @@
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if len(w.pending)+len(line) > mostPending {
+	if len(w.pending)+len(line) > maxPendingBytes {
 		w.dropped++
 		return len(line), nil
 	}
 	w.pending = append(w.pending, line...)
-	w.work.Signal()
+	w.workOrEnd.Signal()
 	return len(line), nil
 }
 
@@ -48,7 +48,7 @@
 func (w *Writer) Close(within time.Duration) {
 	w.mu.Lock()
 	w.closing = true
-	w.work.Signal()
+	w.workOrEnd.Signal()
 	w.mu.Unlock()
 	select {
 	case <-w.done:
@@ -73,7 +73,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for len(w.pending) == 0 && w.dropped == 0 && !w.closing {
-		w.work.Wait()
+		w.workOrEnd.Wait()
 	}
 	lines, w.pending = w.pending, nil
 	if w.dropped > 0 {
--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -15,12 +15,12 @@
 	reads, writes := io.Pipe()
 	w := New(writes)
 	line := []byte(strings.Repeat("x", 1023) + "\n")
-	const lines = 3 * mostPending / 1024
+	const lines = 3 * maxPendingBytes / 1024
 	for range lines {
 		w.Write(line)
 	}
 	w.mu.Lock()
-	if len(w.pending) > mostPending || w.dropped == 0 {
+	if len(w.pending) > maxPendingBytes || w.dropped == 0 {
 		t.Errorf("%d bytes wait, %d lines dropped", len(w.pending), w.dropped)
 	}
 	w.mu.Unlock()
--- a/internal/timerqueue/timerqueue.go
+++ b/internal/timerqueue/timerqueue.go
@@ -10,8 +10,8 @@
 type Timer struct {
 	at     time.Duration
 	number uint64 // in the order of Add
-	do     func()
-	spot   int // in the heap; -1: no longer there
+	task   func()
+	index  int // in the heap; -1: no longer there
 }
 
 // Queue holds timers, the first that is due on top. The zero value is empty. It is not safe for concurrent use.
@@ -23,15 +23,15 @@
 // Add adds a task that is due at a time.
 func (q *Queue) Add(at time.Duration, do func()) *Timer {
 	q.last++
-	t := &Timer{at: at, number: q.last, do: do}
+	t := &Timer{at: at, number: q.last, task: do}
 	heap.Push(&q.timers, t)
 	return t
 }
 
 // Stop takes a timer back; nil or one that has run is passed over.
 func (q *Queue) Stop(t *Timer) {
-	if t != nil && t.spot >= 0 {
-		heap.Remove(&q.timers, t.spot)
+	if t != nil && t.index >= 0 {
+		heap.Remove(&q.timers, t.index)
 	}
 }
 
@@ -60,7 +60,7 @@
 			return
 		}
 		heap.Pop(&q.timers)
-		first.do()
+		first.task()
 	}
 }
 
@@ -70,12 +70,12 @@
 func (h timerHeap) Less(i, j int) bool { return h[i].at < h[j].at }
 func (h timerHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].spot, h[j].spot = i, j
+	h[i].index, h[j].index = i, j
 }
 
 func (h *timerHeap) Push(timer any) {
 	t := timer.(*Timer)
-	t.spot = len(*h)
+	t.index = len(*h)
 	*h = append(*h, t)
 }
 
@@ -84,6 +84,6 @@
 	t := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	t.spot = -1
+	t.index = -1
 	return t
 }
