--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -14,19 +14,19 @@
 // Changes reach the pools and the Door, and a watch that ends is taken up from the last index.
 func TestWatch(t *testing.T) {
 	first, second := listen(t), listen(t)
-	gateway := startGateway(t, []string{first.Addr().String()})
-	if from := <-gateway.watches; from != "1" {
+	w := startGateway(t, []string{first.Addr().String()})
+	if from := <-w.watches; from != "1" {
 		t.Errorf("the watch begins at %s", from)
 	}
 	m := members(7, first.Addr().String(), second.Addr().String())
 	m.Snapshot = false
 	m.Endpoints[0].Status = "DRAINING"
-	gateway.listUpdates <- m
-	gateway.listUpdates <- Members{Index: -1}
-	if from := <-gateway.watches; from != "7" {
+	w.listUpdates <- m
+	w.listUpdates <- Members{Index: -1}
+	if from := <-w.watches; from != "7" {
 		t.Errorf("the watch goes on at %s", from)
 	}
-	c := gateway.dial()
+	c := w.dial()
 	c.command("Q.ASK", customer, "1", list)
 	b := accept(t, second)
 	b.message()
@@ -37,18 +37,18 @@
 // What makes no sense in a list is passed over; a line that is no list ends the watch only.
 func TestOddLists(t *testing.T) {
 	ln := listen(t)
-	gateway := startGateway(t, nil)
-	c := gateway.dial()
+	w := startGateway(t, nil)
+	c := w.dial()
 	c.command("PING") // it can't serve yet
 	c.wantsPrefix("-LOADING")
 	m := members(3, ln.Addr().String())
 	odd := m.Endpoints[0]
 	odd.Status = "ASLEEP"
 	m.Endpoints = append(m.Endpoints, odd, Endpoint{})
-	gateway.listUpdates <- m
-	gateway.listUpdates <- Members{Index: -1}
-	<-gateway.watches
-	<-gateway.watches
+	w.listUpdates <- m
+	w.listUpdates <- Members{Index: -1}
+	<-w.watches
+	<-w.watches
 	c.command("PING")
 	c.wants("+PONG")
 	c.command("Q.ASK", customer, "1", list)
@@ -62,23 +62,23 @@
 // longer taken.
 func TestWatchMoves(t *testing.T) {
 	ln := listen(t)
-	gateway := startGateway(t, nil)
-	<-gateway.watches
-	gateway.listUpdates <- members(5)
+	w := startGateway(t, nil)
+	<-w.watches
+	w.listUpdates <- members(5)
 	next := &testGateway{t: t, listUpdates: make(chan Members), watches: make(chan string, 16)}
 	agent := httptest.NewServer(http.HandlerFunc(next.serveWatch))
 	defer agent.Close()
 	defer agent.CloseClientConnections()
-	gateway.listUpdates <- Members{Index: -1} // the list was read before the watch ended, and the next begins
-	if from := <-gateway.watches; from != "5" {
+	w.listUpdates <- Members{Index: -1} // the list was read before the watch ended, and the next begins
+	if from := <-w.watches; from != "5" {
 		t.Errorf("the watch goes on at %s", from)
 	}
-	gateway.server.Reload(strings.TrimPrefix(agent.URL, "http://"), gateway.server.cfg.Counter, "")
+	w.server.Reload(strings.TrimPrefix(agent.URL, "http://"), w.server.cfg.Counter, "")
 	if from := <-next.watches; from != "5" {
 		t.Errorf("the watch begins at %s", from)
 	}
 	next.listUpdates <- members(6, ln.Addr().String())
-	c := gateway.dial()
+	c := w.dial()
 	c.command("Q.ASK", customer, "1", list)
 	b := accept(t, ln)
 	b.message()
@@ -113,9 +113,9 @@
 func watching(t *testing.T, silence time.Duration) (*testGateway, *agent) {
 	t.Helper()
 	ln := listen(t)
-	gateway := startGateway(t, nil, func(c *Config, t *testing.T) { c.Discovery = ln.Addr().String() },
+	w := startGateway(t, nil, func(c *Config, t *testing.T) { c.Discovery = ln.Addr().String() },
 		func(c *Config, t *testing.T) { c.watchSilence = silence })
-	return gateway, &agent{t, ln}
+	return w, &agent{t, ln}
 }
 
 // served says that a request reaches the backend and its value comes back.
@@ -149,7 +149,7 @@
 // A list may come indented, on many lines and in any pieces, with the signs of life between two lists.
 func TestIndentedLists(t *testing.T) {
 	first, second := listen(t), listen(t)
-	gateway, a := watching(t, testTimeout)
+	w, a := watching(t, testTimeout)
 	watch, _ := a.watched()
 	text, err := json.MarshalIndent(lower(members(7, first.Addr().String())), "", "  ")
 	if err != nil {
@@ -166,8 +166,8 @@
 	half := len(text) / 2
 	watch.chunk(string(text[:half]))
 	watch.chunk(string(text[half:]) + "\n\r\n\r\n")
-	gateway.listed(7)
-	gateway.served(first, "1")
+	w.listed(7)
+	w.served(first, "1")
 	m := members(8, first.Addr().String(), second.Addr().String())
 	m.Snapshot, m.Endpoints[0].Status = false, "DRAINING"
 	text, err = json.MarshalIndent(lower(m), "", "\t")
@@ -175,14 +175,14 @@
 		t.Fatal(err)
 	}
 	watch.chunk(string(text) + "\n")
-	gateway.listed(8)
-	gateway.served(second, "2") // no other watch was opened for it
+	w.listed(8)
+	w.served(second, "2") // no other watch was opened for it
 }
 
 // A watch that falls silent, at once, after a sign of life or within a list, is opened anew from the last index.
 func TestSilentWatchIsOpenedAnew(t *testing.T) {
 	ln := listen(t)
-	gateway, a := watching(t, 50*time.Millisecond)
+	w, a := watching(t, 50*time.Millisecond)
 	text, err := json.Marshal(lower(members(7, ln.Addr().String())))
 	if err != nil {
 		t.Fatal(err)
@@ -199,7 +199,7 @@
 	}
 	watch, _ := a.watched()
 	watch.chunk(string(text) + "\n")
-	gateway.served(ln, "1")
+	w.served(ln, "1")
 	if _, from := a.watched(); from != "7" {
 		t.Errorf("the watch goes on at %s", from)
 	}
@@ -208,7 +208,7 @@
 // A watch that is reset, within a list too, is opened anew, and what it had begun to say is not kept.
 func TestResetWatchIsOpenedAnew(t *testing.T) {
 	ln := listen(t)
-	gateway, a := watching(t, testTimeout)
+	w, a := watching(t, testTimeout)
 	text, err := json.Marshal(lower(members(7, ln.Addr().String())))
 	if err != nil {
 		t.Fatal(err)
@@ -223,7 +223,7 @@
 		t.Errorf("the watch begins at %s", from)
 	}
 	watch.chunk(string(text) + "\n")
-	gateway.served(ln, "1")
+	w.served(ln, "1")
 }
 
 // A list without end is not gathered.
