--- a/cmd/bellwood/main.go
+++ b/cmd/bellwood/main.go
@@ -80,7 +80,7 @@
 			err = cfg.Check()
 		}
 		if err != nil {
-			log.Error("the new configuration is not used", "error", err)
+			log.Error("configuration reload failed", slog.Any("error", err))
 			continue
 		}
 		f.Reload(cfg.Discovery, cfg.Counter, cfg.Audit.RevisionText())
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -55,7 +55,7 @@
 		}
 		backlog.emptied = false
 		if err != nil { // out of descriptors, say: what was taken goes on meanwhile
-			clients.log.Warn("accept", slog.Any("error", err))
+			clients.log.Warn("accepting a client connection failed", slog.Any("error", err))
 			time.Sleep(acceptRetryPause)
 			continue
 		}
--- a/internal/gateway/overduerequest_test.go
+++ b/internal/gateway/overduerequest_test.go
@@ -37,7 +37,7 @@
 				client.command("Q.ASK", customer, "1", strings.Replace(list, "d=20000", fmt.Sprint("d=", wait.Milliseconds()), 1))
 			})
 			client.wantsPrefix("-BUSY")
-			if strings.Contains(log.String(), "unanswered") {
+			if strings.Contains(log.String(), "deadline exceeded") {
 				t.Errorf("the last resort was used: %s", log.String())
 			}
 		})
--- a/internal/gateway/requesttable.go
+++ b/internal/gateway/requesttable.go
@@ -100,7 +100,7 @@
 	}
 	for _, request := range table.overdue {
 		if !request.ended {
-			table.log.Error("the module left a request unanswered", slog.Uint64("id", request.id))
+			table.log.Error("request deadline exceeded in the event loop", slog.Uint64("request_id", request.id))
 			table.abandon(request)
 		}
 	}
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -82,7 +82,7 @@
 	defer func() { server.discovery.stop() }()
 	go server.downstream.accept(ln)
 	go server.watchdog.Run(server.done, watchdog.Interval, server.log)
-	server.log.Info("serving", slog.String("listen", ln.Addr().String()),
+	server.log.Info("gateway started", slog.String("listen", ln.Addr().String()),
 		slog.Int("backends", len(server.cfg.Known.Endpoints)))
 	server.every(sweepInterval, func() {
 		server.upstream.closeExpiredIdle()
@@ -102,7 +102,7 @@
 		if counter != server.counter.addr {
 			server.counter.move(counter)
 		}
-		server.log.Info("configuration read again", slog.String("discovery", discovery), slog.String("counter", counter))
+		server.log.Info("configuration reloaded", slog.String("discovery", discovery), slog.String("counter", counter))
 		server.audit.configured(discovery, counter, revision)
 	})
 }
@@ -138,7 +138,7 @@
 		server.runPass(task)
 		if now := server.now(); ending.draining(now) {
 			if server.downstream.drain() || now >= ending.endAt {
-				server.log.Info("ended", slog.Int("unanswered", server.requests.len()))
+				server.log.Info("shutdown complete", slog.Int("unanswered", server.requests.len()))
 				return
 			}
 		}
@@ -157,7 +157,7 @@
 
 // beginShutdown sets the times of a shutdown.
 func (server *Server) beginShutdown(ln net.Listener) shutdown {
-	server.log.Info("ending")
+	server.log.Info("shutdown started")
 	ending := newShutdown(server.now(), server.maxClientTimeout())
 	server.addTimer(ending.drainFrom, func() { stopAccepting(ln) })
 	server.addTimer(ending.abandonAt, server.requests.abandonAll)
--- a/internal/gateway/watchdog/watchdog.go
+++ b/internal/gateway/watchdog/watchdog.go
@@ -48,13 +48,13 @@
 		pass := watchdog.passes.Load()
 		if pass != lastPass || pass%2 == 0 {
 			if sameChecks >= stuckChecks {
-				log.Warn("the loop goes on", slog.Int("checks", sameChecks))
+				log.Warn("event loop running again", slog.Int("checks", sameChecks))
 			}
 			lastPass, sameChecks = pass, 0
 			continue
 		}
 		if sameChecks++; sameChecks == stuckChecks {
-			log.Error("the loop stands still", slog.Duration("for", stuckChecks*interval),
+			log.Error("event loop stuck", slog.Duration("duration", stuckChecks*interval),
 				slog.String("stacks", allStacks()))
 		}
 	}
--- a/internal/gateway/watchdog_test.go
+++ b/internal/gateway/watchdog_test.go
@@ -24,16 +24,16 @@
 		}
 	}
 	time.Sleep(600 * time.Millisecond) // many checks
-	if text := log.String(); strings.Contains(text, "stands still") {
+	if text := log.String(); strings.Contains(text, "stuck") {
 		t.Fatalf("reported with nothing to do: %.500s", text)
 	}
 	release := gateway.hold()
-	says("the loop stands still")
+	says("event loop stuck")
 	says("(*testGateway).hold")
 	time.Sleep(600 * time.Millisecond)
-	if n := strings.Count(log.String(), "the loop stands still"); n != 1 {
+	if n := strings.Count(log.String(), "event loop stuck"); n != 1 {
 		t.Errorf("reported %d times", n)
 	}
 	release()
-	says("the loop goes on")
+	says("event loop running again")
 }
--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -77,7 +77,7 @@
 	}
 	lines, w.pending = w.pending, nil
 	if w.dropped > 0 {
-		lines = fmt.Appendf(lines, "level=WARN msg=\"log lines were dropped\" count=%d\n", w.dropped)
+		lines = fmt.Appendf(lines, "level=WARN msg=\"log lines dropped\" count=%d\n", w.dropped)
 		w.dropped = 0
 	}
 	return lines, len(lines) > 0
--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -31,7 +31,7 @@
 	}()
 	w.Close(patient)
 	writes.Close()
-	if all := <-got; bytes.Count(all, line) == 0 || !bytes.Contains(all, []byte("log lines were dropped")) {
+	if all := <-got; bytes.Count(all, line) == 0 || !bytes.Contains(all, []byte("log lines dropped")) {
 		t.Errorf("%d bytes were written", len(all))
 	}
 }
