--- a/internal/policy/api.go
+++ b/internal/policy/api.go
@@ -35,7 +35,7 @@
 	ClientTimeout    time.Duration // how long a client waits in all
 	Idempotency      Idempotency
 	DedupScope       DedupScope    // for Keyed
-	DedupWindow      time.Duration // for Keyed: how long repeats are dropped, from the first send that may have run
+	DedupWindow      time.Duration // for Keyed: how long repeats are dropped, from the first that may have run
 	Streaming        bool          // the answer is a stream; see FirstByte
 }
 
@@ -184,8 +184,8 @@
 	Status  Status
 }
 
-// Suspend says that nothing more may be sent on, or that it may again. Requests that come meanwhile, and those with no
-// attempt out, are refused at once; attempts that are out go on.
+// Suspend says that nothing more may be sent on, or that it may again. Requests that come meanwhile, and
+// those with no attempt out, are refused at once; attempts that are out go on.
 type Suspend struct{ On bool }
 
 // PeerMessage is a message from another door. The module passes it over.
@@ -210,7 +210,7 @@
 	ID         uint64
 	Backend    string
 	Timeout    time.Duration // the attempt ends as Timeout after this
-	SendBefore time.Duration // on the caller's clock: if it could not go out by then it ends as Moot; 0: no bound
+	SendBefore time.Duration // on the caller's clock: not gone out by then, it ends as Moot; 0: no bound
 }
 
 // Reject is the final answer: turned away, trying again is harmless.
--- a/internal/policy/customer.go
+++ b/internal/policy/customer.go
@@ -13,7 +13,8 @@
 	forgetAfter = 60 * time.Second // an idle customer is forgotten
 )
 
-// holder names a quota: one customer's on one plan. A request that names another plan must not change its figures.
+// holder names a quota: one customer's on one plan. A request that names another plan must not change its
+// figures.
 type holder struct {
 	name string
 	plan int
@@ -79,8 +80,8 @@
 	return c.ceilingUnits
 }
 
-// ceilingRate is this door's own share of a ceiling's rate. Where an even share holds few requests, traffic is
-// never as even: then a part of the ceiling is kept in common (a departure: many doors).
+// ceilingRate is this door's own share of a ceiling's rate. Where an even share holds few requests, traffic
+// is never as even: then a part of the ceiling is kept in common (a departure: many doors).
 func (d *Engine) ceilingRate(c *tenant, p *Plan) float64 {
 	if d.ceilingIsShared(c, p) {
 		return p.HardLimitRate / c.doors * ceilingOwnPart
@@ -91,8 +92,8 @@
 // ceilingIsShared says whether a part of a ceiling is kept in common. Both parts must hold a request.
 func (d *Engine) ceilingIsShared(c *tenant, p *Plan) bool {
 	each, largest := p.HardLimitBurst/c.doors, max(1, d.set.MaxRequestCost)
-	return d.set.SharedCounter && p.HardLimitRate > 0 && each < ceilingFewRequests*largest && each*ceilingOwnPart >= largest &&
-		loanLimit(p) >= largest
+	return d.set.SharedCounter && p.HardLimitRate > 0 && each < ceilingFewRequests*largest &&
+		each*ceilingOwnPart >= largest && loanLimit(p) >= largest
 }
 
 // loanWindow is how long one number of the common part serves. What it lends may be sent on until loanLasts
@@ -108,8 +109,8 @@
 	return (1 - ceilingOwnPart) * p.HardLimitRate * loanWindow(p).Seconds()
 }
 
-// ceilingFillTime is the time in seconds until this door's share of the ceiling has room for a request that would
-// join its customer's line.
+// ceilingFillTime is the time in seconds until this door's share of the ceiling has room for a request that
+// would join its customer's line.
 func (d *Engine) ceilingFillTime(r *request) float64 {
 	p := &d.set.Plans[r.plan]
 	if p.HardLimitRate == 0 {
--- a/internal/policy/rounds.go
+++ b/internal/policy/rounds.go
@@ -20,12 +20,14 @@
 			}
 		}
 	}
-	d.round = subset.New(uint64(d.set.GatewayIndex/seats), seats, d.set.GatewayIndex%seats, subsetSlack, func(s *backend, in bool) {
+	moved := func(s *backend, in bool) {
 		if !s.extra {
 			d.setInSubset(s, in)
 		}
 		s.extra = false
-	})
+	}
+	number, mine := uint64(d.set.GatewayIndex/seats), d.set.GatewayIndex%seats
+	d.round = subset.New(number, seats, mine, subsetSlack, moved)
 	for _, s := range d.ring {
 		if s.listed {
 			d.round.Add(&s.member, s.name)
@@ -54,8 +56,8 @@
 	return subset.Mix(xxhash.Sum64String(s.name), uint64(d.set.GatewayIndex)<<32)
 }
 
-// coarseSeats rounds a number of seats down to three binary digits: a list that grows then changes it seldom, and
-// each change deals all servers out anew.
+// coarseSeats rounds a number of seats down to three binary digits: a list that grows then changes it seldom,
+// and each change deals all servers out anew.
 func coarseSeats(seats int) int {
 	drop := max(0, bits.Len(uint(seats))-3)
 	return seats >> drop << drop
--- a/internal/policy/server.go
+++ b/internal/policy/server.go
@@ -14,8 +14,8 @@
 	rateOver = 3.0 // seconds over which the sends to a warm server are averaged
 )
 
-// backend is what a door knows of one backend. What choose looks at stands first and together: in a large fleet
-// looking at each server costs more than reckoning with what is found there.
+// backend is what a door knows of one backend. What choose looks at stands first and together: in a large
+// fleet looking at each server costs more than reckoning with what is found there.
 type backend struct {
 	inSubset            bool // one of those that this door uses while it can: see assignSubset
 	listed              bool // in service, by the list
@@ -129,8 +129,8 @@
 	d.rateAt = d.now
 }
 
-// observedRate is this door's part, in answers a second, of what a warm server carries for the doors that have it.
-// While there is no warm one to tell, the last figure stands.
+// observedRate is this door's part, in answers a second, of what a warm server carries for the doors that
+// have it. While there is no warm one to tell, the last figure stands.
 func (d *Engine) observedRate() float64 {
 	if d.warm == 0 {
 		d.rateAt = d.now
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -1,9 +1,9 @@
-// Package subset deals the backends of a fleet out to doors: each backend has one seat in a round, and each door of the
-// round takes those of one seat. It is consistent hashing with bounded loads (V. Mirrokni, M. Thorup and
-// M. Zadimoghaddam, SODA 2018): a backend takes the first seat of its own order that has room or holds a backend of
-// lower priority, which then moves on. Who sits where follows from the backends that are there alone, not from the
-// order in which they came; so all doors that have the same list deal alike, and a backend that comes or goes moves
-// few others.
+// Package subset deals the backends of a fleet out to doors: each backend has one seat in a round, and each
+// door of the round takes those of one seat. It is consistent hashing with bounded loads (V. Mirrokni, M.
+// Thorup and M. Zadimoghaddam, SODA 2018): a backend takes the first seat of its own order that has room or
+// holds a backend of lower priority, which then moves on. Who sits where follows from the backends that are
+// there alone, not from the order in which they came; so all doors that have the same list deal alike, and
+// a backend that comes or goes moves few others.
 package subset
 
 import (
@@ -26,7 +26,8 @@
 // Seated says whether the member is in a Round.
 func (m *Member[T]) Seated() bool { return m.seated }
 
-// Round is one dealing out of the whole list. The zero value is not usable. A Round is not safe for concurrent use.
+// Round is one dealing out of the whole list. The zero value is not usable. A Round is not safe for
+// concurrent use.
 type Round[T any] struct {
 	number uint64
 	mine   int
@@ -44,9 +45,9 @@
 	m        *Member[T]
 }
 
-// New makes an empty round. Rounds of other numbers deal otherwise. No seat holds over 1+slack times the mean, rounded
-// up; a larger slack moves fewer members when one comes or goes, and deals less evenly. Moved is called with the value
-// of each member that comes to the seat mine (true) or leaves it (false).
+// New makes an empty round. Rounds of other numbers deal otherwise. No seat holds over 1+slack times the
+// mean, rounded up; a larger slack moves fewer members when one comes or goes, and deals less evenly. Moved
+// is called with the value of each member that comes to the seat mine (true) or leaves it (false).
 func New[T any](number uint64, seats, mine int, slack float64, moved func(T, bool)) *Round[T] {
 	return &Round[T]{number: number, mine: mine, slack: slack, moved: moved,
 		held: make([][]place[T], seats), turned: make([][]place[T], seats)}
@@ -132,7 +133,8 @@
 	m.try++
 }
 
-// fill gives room on a seat to the first of those that would rather sit there; so there is room where that one sat.
+// fill gives room on a seat to the first of those that would rather sit there; so there is room where that
+// one sat.
 func (r *Round[T]) fill(seat int) {
 	for len(r.held[seat]) < r.most && len(r.turned[seat]) > 0 {
 		best := 0
@@ -207,7 +209,8 @@
 	return a
 }
 
-// Mix gives of a hash and a number another hash (the finalizer of SplitMix64, G. Steele, D. Lea and C. Flood, 2014).
+// Mix gives of a hash and a number another hash (the finalizer of SplitMix64, G. Steele, D. Lea and C.
+// Flood, 2014).
 func Mix(h, n uint64) uint64 {
 	h += (n + 1) * 0x9e3779b97f4a7c15
 	h = (h ^ h>>30) * 0xbf58476d1ce4e5b9
