--- a/internal/policy/door.go
+++ b/internal/policy/engine.go
@@ -1,17 +1,14 @@
 package policy
 
-// What a door and a request are. Nothing in this file decides.
-
 import (
-	"errors"
-	"fmt"
+	"cmp"
 	"math/rand/v2"
 	"time"
 
 	"bellwood/internal/subset"
 )
 
-// Engine decides for one front door.
+// Engine decides for one gateway.
 type Engine struct {
 	set             Settings
 	floor           []float64 // latency of each class on an idle fleet
@@ -65,34 +62,14 @@
 	listAsked       bool
 }
 
-// New makes a door that knows nothing yet. The seed is for its random numbers.
+// New makes an engine that knows nothing yet. The seed is for its random numbers. An error names the field of
+// Settings that the engine can't work with.
 func New(set Settings, seed uint64) (*Engine, error) {
-	switch {
-	case set.Gateways < 1:
-		return nil, errors.New("bellwood: Doors is under 1")
-	case len(set.Classes) == 0:
-		return nil, errors.New("bellwood: Classes is empty")
-	case len(set.Plans) == 0:
-		return nil, errors.New("bellwood: Plans is empty")
-	case set.MaxAttempts < 1:
-		return nil, errors.New("bellwood: MaxAttempts is under 1")
-	case set.TimerResolution < 0 || set.OverloadWindow < 0 || set.SlowStartDuration < 0 || set.PollInterval < 0:
-		return nil, errors.New("bellwood: Resolution, FallWindow, WarmWithin or AskEvery is negative")
-	case set.OverloadMultiple < 0 || set.SlowStartMinShare < 0:
-		return nil, errors.New("bellwood: FallMultiple or ColdFrom is negative")
+	if err := set.check(); err != nil {
+		return nil, err
 	}
 	d := &Engine{set: set, rng: rand.New(rand.NewPCG(seed, 1)), backends: map[string]*backend{},
 		reqs: map[uint64]*request{}, tenants: map[holder]*tenant{}, pendingCalls: map[uint64][]*call{}}
-	for i, c := range set.Classes {
-		if c.PriorityWeight < 0 || c.LatencyObjective < 0 || c.ClientTimeout < 0 || c.DedupWindow < 0 {
-			return nil, fmt.Errorf("bellwood: Classes[%d] has a negative value", i)
-		}
-		for j, p := range set.Plans {
-			if p.Rate < 0 || p.Burst < 0 || p.MaxConcurrent < 0 || p.HardLimitRate < 0 || p.HardLimitBurst < 0 {
-				return nil, fmt.Errorf("bellwood: Plans[%d] has a negative value", j)
-			}
-		}
-	}
 	d.floor = make([]float64, len(set.Classes))
 	d.denied = make([]float64, len(set.Plans))
 	d.mostLeft = make([]time.Duration, len(set.Classes))
@@ -100,44 +77,74 @@
 	return d, nil
 }
 
-type request struct {
-	id           uint64
-	class, plan  int
-	c            *tenant
-	units        float64
-	at, tau      time.Duration // arrival; useful time left then
-	level        int
-	paid, live   bool          // paid by tokens; counted in customer.live
-	loanAsked    bool          // has asked for units of the ceiling's common part ...
-	loanPending  bool          // ... has no answer yet ...
-	loanUntil    time.Duration // ... and holds them until then
-	holdsCeiling bool          // holds units of the ceiling's share while queued
-	queueEntry   *entry        // place in a queue of on
-	queuedAt     *backend
-	attempts     []*attempt
-	out          int
-	ran, ended   bool
-	ranAt        time.Duration
-	ranOn        *backend
-	stream       bool
-	retry        bool // the client's repeat
-	unsure       bool // on credit: neither paid by the lease nor looked up
-	asked        bool // has called the counter
+// Step takes what happened at time now, in order, and returns what to do, in order. The slice is the caller's
+// until the next Step.
+func (d *Engine) Step(now time.Duration, events []Event) []Action {
+	d.acts = d.acts[:0]
+	d.lastAt, d.now = d.now, max(d.now, now)
+	if !d.running {
+		d.running, d.begun, d.rateAt, d.turn = true, d.now, d.now, d.rng.IntN(1<<16)
+		d.prime()
+	}
+	for _, ev := range events {
+		switch ev := ev.(type) {
+		case Request:
+			d.admit(ev)
+		case AttemptResult:
+			d.outcome(ev)
+		case CounterResult:
+			d.counted(ev)
+		case Timer:
+			d.timer(ev.Cookie)
+		case EndpointUpdate:
+			d.list(ev)
+		case HealthCheckResult:
+			d.probed(ev)
+		case ClientGone:
+			if r := d.reqs[ev.ID]; r != nil {
+				d.end(r)
+			}
+		case Suspend:
+			d.suspend(ev.On)
+		case FirstByte:
+			if r := d.reqs[ev.ID]; r != nil {
+				r.stream = true
+			}
+		}
+	}
+	return d.acts
 }
 
-func (d *Engine) act(a Action) { d.acts = append(d.acts, a) }
-
-func (d *Engine) forget(r *request) {
-	if r.ended && r.out == 0 {
-		delete(d.reqs, r.id)
+// timer takes the request's own timer, the periodic check and the list's.
+func (d *Engine) timer(cookie uint64) {
+	if cookie == 0 {
+		d.periodicCheck()
+	} else if cookie == 2 {
+		d.listAsked = false
+		d.act(WatchEndpoints{})
+	} else if r := d.reqs[cookie>>1]; r != nil && !r.stream {
+		d.refuse(r, 0)
 	}
 }
 
-// verdict says how a request stands with its quota.
-type verdict int
+// prime sets what a door takes for granted before it has seen anything.
+func (d *Engine) prime() {
+	d.fleet, d.doorsPerServer = 1, float64(d.set.Gateways)
+	if d.set.SharedCounter {
+		d.callShare = 1
+	}
+	for i, c := range d.set.Classes {
+		d.base[i] = max(0.001, cmp.Or(c.LatencyObjective, c.ClientTimeout).Seconds()*priorShare)
+		for j, p := range d.set.Plans {
+			d.bestWorth = max(d.bestWorth, c.PriorityWeight)
+			d.mostCallSavings = max(d.mostCallSavings, d.callSavings(i, j))
+			d.topWorth = max(d.topWorth, c.PriorityWeight*p.WeightFactor*max(1, d.set.MaxRequestCost))
+		}
+	}
+	d.act(SetTimer{d.now + checkInterval, 0})
+	if d.set.PollEndpoints {
+		d.act(WatchEndpoints{})
+	}
+}
 
-const (
-	paid verdict = iota
-	wait
-	beyond
-)
+func (d *Engine) act(a Action) { d.acts = append(d.acts, a) }
--- a/internal/policy/server.go
+++ b/internal/policy/server.go
@@ -46,15 +46,6 @@
 	countedAs           float64 // ... with this weight
 }
 
-type attempt struct {
-	r     *request
-	no    int
-	s     *backend
-	at    time.Duration
-	trial bool
-	open  bool
-}
-
 // usable says whether new work may go to a server on the ordinary path. One new in the list has no slots yet.
 func (s *backend) usable() bool { return s.listed && !s.ejected && s.slots > 0 }
 
