--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -83,15 +83,15 @@
 			c.waiting = c.waiting[1:]
 			continue
 		}
-		v, unpaid := d.pay(r)
-		if v == wait {
+		decision := d.decideQuota(r)
+		if decision == mustWait {
 			break
 		}
 		c.waiting = c.waiting[1:]
-		if v == beyond {
-			d.placeOverQuota(r, unpaid)
-		} else {
+		if decision == withinQuota {
 			d.place(r)
+		} else {
+			d.placeOverQuota(r, decision)
 		}
 	}
 	if len(c.waiting) > 0 && !c.listed {
@@ -100,50 +100,105 @@
 	}
 }
 
-// pay promotes a request whose units are in the local tokens (stage 2 of the paper). A request without quota
-// keeps its level by worth. Where it is beyond, the reason says beyond what.
-func (d *Engine) pay(r *request) (verdict, RejectReason) {
-	c, p := r.c, &d.set.Plans[r.plan]
-	late := (d.now-r.at).Seconds()+d.latency(r, nil) >= r.tau.Seconds()*margin
-	full := p.MaxConcurrent > 0 && c.live >= d.atOnce(r, p)
-	if short := r.units + c.ceilingQueued - d.ceiling(c, p); full || short > 0 && d.now >= r.loanUntil {
-		if !late && !full && d.mayBorrow(r) {
-			d.borrow(r)
-		}
-		if r.loanPending {
-			return wait, 0
-		}
-		fills := short / d.ceilingRate(c, p) // seconds
-		if late || !full && (p.OverQuotaValue > p.OverQuotaPenalty && fills > r.tau.Seconds()*ceilingWaitPart ||
-			r.loanAsked && fills > d.ceilingWaitMost(r)) {
-			if full {
-				return beyond, OverConcurrencyLimit
-			}
-			return beyond, OverHardLimit
-		}
-		return wait, 0
+// quotaDecision says how a request stands with its tenant's limits and its quota.
+type quotaDecision int
+
+const (
+	withinQuota          quotaDecision = iota // it may be queued at its priority level
+	mustWait                                  // for the counter, an attempt's end or the hard limit's share
+	overConcurrencyLimit                      // others in flight kept it waiting until it was too late
+	overHardLimit                             // the hard limit's share does not fill in time
+	overQuota                                 // neither the lease nor this gateway's own share pays for it
+)
+
+// rejectReason is the reason for a rejection that follows from the decision.
+func (q quotaDecision) rejectReason() RejectReason {
+	switch q {
+	case overConcurrencyLimit:
+		return OverConcurrencyLimit
+	case overHardLimit:
+		return OverHardLimit
+	}
+	return OverQuota
+}
+
+// decideQuota holds a request against its tenant's limits, then pays for it. What is within both gets its
+// priority level and counts as in flight from here on.
+func (d *Engine) decideQuota(r *request) quotaDecision {
+	if decision := d.checkLimits(r); decision != withinQuota {
+		return decision
 	}
-	worth := max(1e-9, d.set.Classes[r.class].PriorityWeight*p.WeightFactor*r.units)
-	band := min(bands-1, max(0, int(math.Log2(d.topWorth/worth))))
-	r.level = band
-	if p.Rate > 0 {
-		if v := d.spend(r, p); v != paid {
-			return v, OverQuota
-		} else if r.unsure {
-			r.level += bands
-		}
-	} else if p.MaxConcurrent == 0 {
-		r.level += bands
+	r.level = d.priorityBand(r)
+	if decision := d.payQuota(r); decision != withinQuota {
+		return decision
 	}
 	r.paid = r.level < bands
-	if p.MaxConcurrent > 0 {
+	if d.set.Plans[r.plan].MaxConcurrent > 0 {
 		r.live = true
-		c.live++
+		r.c.live++
 	}
 	if d.now >= r.loanUntil {
 		d.hold(r)
 	}
-	return paid, 0
+	return withinQuota
+}
+
+// checkLimits holds a request against the two limits of its plan that a queue can't bend: requests in flight
+// at once, and the hard limit's rate.
+func (d *Engine) checkLimits(r *request) quotaDecision {
+	full := d.concurrencyLimitReached(r)
+	short := r.units + r.c.ceilingQueued - d.ceiling(r.c, &d.set.Plans[r.plan])
+	if !full && (short <= 0 || d.now < r.loanUntil) {
+		return withinQuota
+	}
+	late := d.tooLateToWait(r)
+	if !full && !late && d.mayBorrow(r) {
+		d.borrow(r)
+	}
+	switch {
+	case r.loanPending:
+		return mustWait
+	case full && late:
+		return overConcurrencyLimit
+	case !full && (late || d.hardLimitFillsTooLate(r, short)):
+		return overHardLimit
+	}
+	return mustWait
+}
+
+// tooLateToWait says whether a usual answer's time no longer fits into the deadline budget.
+func (d *Engine) tooLateToWait(r *request) bool {
+	return (d.now-r.at).Seconds()+d.latency(r, nil) >= r.tau.Seconds()*margin
+}
+
+// priorityBand is the band of a request by its worth: each has half the worth of the one above it.
+func (d *Engine) priorityBand(r *request) int {
+	worth := max(1e-9, d.set.Classes[r.class].PriorityWeight*d.set.Plans[r.plan].WeightFactor*r.units)
+	return min(bands-1, max(0, int(math.Log2(d.topWorth/worth))))
+}
+
+// payQuota promotes a request whose cost is in the local tokens (stage 2 of the paper). A request that is not
+// promoted, as its plan guarantees nothing or nobody has looked whether the bucket holds its cost, goes to
+// the band of the same worth among the lower levels.
+func (d *Engine) payQuota(r *request) quotaDecision {
+	p := &d.set.Plans[r.plan]
+	if p.Rate > 0 {
+		if decision := d.spend(r, p); decision != withinQuota {
+			return decision
+		}
+		if r.unsure {
+			r.level += bands
+		}
+	} else if p.MaxConcurrent == 0 {
+		r.level += bands
+	}
+	return withinQuota
+}
+
+// concurrencyLimitReached says whether a tenant has as many requests in flight here as it may.
+func (d *Engine) concurrencyLimitReached(r *request) bool {
+	p := &d.set.Plans[r.plan]
+	return p.MaxConcurrent > 0 && r.c.live >= d.atOnce(r, p)
 }
 
 // atOnce is how many of a customer's requests may be under way here: this door's share of the cap, or, where
@@ -159,10 +214,10 @@
 
 // placeOverQuota queues a request that no tokens pay at the lowest level, if its plan earns something for it
 // there and its hard limit holds it. Else it is rejected: for what left it unpaid, or for the hard limit.
-func (d *Engine) placeOverQuota(r *request, unpaid RejectReason) {
+func (d *Engine) placeOverQuota(r *request, decision quotaDecision) {
 	p := &d.set.Plans[r.plan]
 	if p.OverQuotaValue <= p.OverQuotaPenalty {
-		d.reject(r, rejection{unpaid, d.refill(r.c, p, r.units)})
+		d.reject(r, rejection{decision.rejectReason(), d.refill(r.c, p, r.units)})
 		return
 	}
 	if d.ceiling(r.c, p)-r.c.ceilingQueued < r.units {
--- a/internal/policy/ceiling.go
+++ b/internal/policy/ceiling.go
@@ -17,6 +17,16 @@
 	return r.tau.Seconds() * ceilingWaitPart * d.set.Classes[r.class].PriorityWeight / d.bestWorth
 }
 
+// hardLimitFillsTooLate says whether the share of the hard limit, short of so many units, fills too late for
+// a request: for one whose plan earns something at the lowest level, or whose call for borrowed tokens came
+// to nothing.
+func (d *Engine) hardLimitFillsTooLate(r *request, short float64) bool {
+	p := &d.set.Plans[r.plan]
+	fills := short / d.ceilingRate(r.c, p) // seconds
+	return p.OverQuotaValue > p.OverQuotaPenalty && fills > r.tau.Seconds()*ceilingWaitPart ||
+		r.loanAsked && fills > d.ceilingWaitMost(r)
+}
+
 // mayBorrow says whether a request may ask for its units out of the common part of the ceiling.
 func (d *Engine) mayBorrow(r *request) bool {
 	p := &d.set.Plans[r.plan]
--- a/internal/policy/quota.go
+++ b/internal/policy/quota.go
@@ -43,7 +43,7 @@
 // counter can serve; each such call stands for the others too, and these go by the door's share, into debt by
 // one request (a departure: at many doors a share is less than one). What was just seen empty is not asked
 // again until the customer's doors, taken together, would find it filled.
-func (d *Engine) spend(r *request, p *Plan) verdict {
+func (d *Engine) spend(r *request, p *Plan) quotaDecision {
 	c := r.c
 	if c.tokens > 0 && d.now-c.grantAt > leaseLife && !c.asking {
 		c.owed -= c.tokens // what the store holds now may differ from what it held then
@@ -66,24 +66,24 @@
 			use >= aheadLeast*r.units {
 			d.ask(c, p, r.units)
 		}
-		return paid
+		return withinQuota
 	case c.spare+max(0, c.tokens) >= r.units:
 		c.spare -= r.units - max(0, c.tokens)
 		c.owed += r.units - max(0, c.tokens)
 		c.tokens = min(0, c.tokens)
-		return paid
+		return withinQuota
 	case c.asking:
-		return wait
+		return mustWait
 	case calls && d.rng.Float64() < d.callProbability(r):
 		r.asked = true
 		d.ask(c, p, r.units)
-		return wait
+		return mustWait
 	case d.now >= c.emptyUntil && c.spare > least && (!r.retry || !d.set.SharedCounter) && d.onCredit(r.plan):
 		c.spare -= r.units
 		r.unsure = true
-		return paid
+		return withinQuota
 	}
-	return beyond
+	return overQuota
 }
 
 // onCredit decides whether a request may go on unasked. What the calls for its plan find tells how many of
--- a/internal/policy/rejection.go
+++ b/internal/policy/rejection.go
@@ -23,10 +23,10 @@
 	// than its part of the deadline budget (admit).
 	HardLimitQueueTooLong
 	// OverConcurrencyLimit: the tenant's requests in flight kept this one waiting until it was too late, and its
-	// plan earns nothing beyond the quota (pay, placeOverQuota).
+	// plan earns nothing beyond the quota (checkLimits, placeOverQuota).
 	OverConcurrencyLimit
 	// OverHardLimit: this gateway's share of the tenant's hard limit does not hold the request's cost and does
-	// not fill in time (pay, placeOverQuota, send).
+	// not fill in time (checkLimits, placeOverQuota, send).
 	OverHardLimit
 	// OverQuota: neither the lease nor this gateway's own share pays for the request, and its plan earns nothing
 	// beyond the quota (spend, placeOverQuota).
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -41,12 +41,3 @@
 		delete(d.reqs, r.id)
 	}
 }
-
-// verdict says how a request stands with its quota.
-type verdict int
-
-const (
-	paid verdict = iota
-	wait
-	beyond
-)
