--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -24,6 +24,7 @@
 		return
 	}
 	if ev.Class < 0 || ev.Class >= len(d.set.Classes) || ev.Plan < 0 || ev.Plan >= len(d.set.Plans) {
+		d.rejections.add(UnknownClassOrPlan)
 		d.act(Reject{ID: ev.ID})
 		return
 	}
@@ -40,8 +41,12 @@
 	}
 	r.c = d.customer(ev)
 	d.reqs[r.id] = r
-	if d.suspended || r.tau.Seconds() <= d.latency(r, nil)/2 {
-		d.refuse(r, 0)
+	if d.suspended {
+		d.reject(r, rejection{reason: OutOfService})
+		return
+	}
+	if r.tau.Seconds() <= d.latency(r, nil)/2 {
+		d.reject(r, rejection{reason: DeadlineCannotBeMet})
 		return
 	}
 	d.act(SetTimer{d.now + r.tau - d.set.TimerResolution, r.id<<1 | 1})
@@ -52,7 +57,7 @@
 	// A line for the ceiling must stay short, or each that still goes out of it is nearly late; and what is
 	// worth less leaves the room to what is worth more.
 	if fills := d.ceilingFillTime(r); fills > d.ceilingWaitMost(r) && !d.mayBorrow(r) {
-		d.refuse(r, time.Duration(fills*float64(time.Second)))
+		d.reject(r, rejection{HardLimitQueueTooLong, time.Duration(fills * float64(time.Second))})
 		return
 	}
 	r.c.waiting = append(r.c.waiting, r)
@@ -64,7 +69,7 @@
 	d.suspended = on
 	for _, id := range slices.Sorted(maps.Keys(d.reqs)) {
 		if r := d.reqs[id]; on && r != nil && r.out == 0 {
-			d.refuse(r, 0)
+			d.reject(r, rejection{reason: OutOfService})
 		}
 	}
 }
@@ -78,15 +83,15 @@
 			c.waiting = c.waiting[1:]
 			continue
 		}
-		v := d.pay(r)
-		if v == wait {
+		decision := d.decideQuota(r)
+		if decision == mustWait {
 			break
 		}
 		c.waiting = c.waiting[1:]
-		if v == beyond {
-			d.beyond(r)
-		} else {
+		if decision == withinQuota {
 			d.place(r)
+		} else {
+			d.placeOverQuota(r, decision)
 		}
 	}
 	if len(c.waiting) > 0 && !c.listed {
@@ -95,47 +100,105 @@
 	}
 }
 
-// pay promotes a request whose units are in the local tokens (stage 2 of the paper). A request without quota
-// keeps its level by worth.
-func (d *Engine) pay(r *request) verdict {
-	c, p := r.c, &d.set.Plans[r.plan]
-	late := (d.now-r.at).Seconds()+d.latency(r, nil) >= r.tau.Seconds()*margin
-	full := p.MaxConcurrent > 0 && c.live >= d.atOnce(r, p)
-	if short := r.units + c.ceilingQueued - d.ceiling(c, p); full || short > 0 && d.now >= r.loanUntil {
-		if !late && !full && d.mayBorrow(r) {
-			d.borrow(r)
-		}
-		if r.loanPending {
-			return wait
-		}
-		fills := short / d.ceilingRate(c, p) // seconds
-		if late || !full && (p.OverQuotaValue > p.OverQuotaPenalty && fills > r.tau.Seconds()*ceilingWaitPart ||
-			r.loanAsked && fills > d.ceilingWaitMost(r)) {
-			return beyond
-		}
-		return wait
+// quotaDecision says how a request stands with its tenant's limits and its quota.
+type quotaDecision int
+
+const (
+	withinQuota          quotaDecision = iota // it may be queued at its priority level
+	mustWait                                  // for the counter, an attempt's end or the hard limit's share
+	overConcurrencyLimit                      // others in flight kept it waiting until it was too late
+	overHardLimit                             // the hard limit's share does not fill in time
+	overQuota                                 // neither the lease nor this gateway's own share pays for it
+)
+
+// rejectReason is the reason for a rejection that follows from the decision.
+func (q quotaDecision) rejectReason() RejectReason {
+	switch q {
+	case overConcurrencyLimit:
+		return OverConcurrencyLimit
+	case overHardLimit:
+		return OverHardLimit
+	}
+	return OverQuota
+}
+
+// decideQuota holds a request against its tenant's limits, then pays for it. What is within both gets its
+// priority level and counts as in flight from here on.
+func (d *Engine) decideQuota(r *request) quotaDecision {
+	if decision := d.checkLimits(r); decision != withinQuota {
+		return decision
 	}
-	worth := max(1e-9, d.set.Classes[r.class].PriorityWeight*p.WeightFactor*r.units)
-	band := min(bands-1, max(0, int(math.Log2(d.topWorth/worth))))
-	r.level = band
-	if p.Rate > 0 {
-		if v := d.spend(r, p); v != paid {
-			return v
-		} else if r.unsure {
-			r.level += bands
-		}
-	} else if p.MaxConcurrent == 0 {
-		r.level += bands
+	r.level = d.priorityBand(r)
+	if decision := d.payQuota(r); decision != withinQuota {
+		return decision
 	}
 	r.paid = r.level < bands
-	if p.MaxConcurrent > 0 {
+	if d.set.Plans[r.plan].MaxConcurrent > 0 {
 		r.live = true
-		c.live++
+		r.c.live++
 	}
 	if d.now >= r.loanUntil {
 		d.hold(r)
 	}
-	return paid
+	return withinQuota
+}
+
+// checkLimits holds a request against the two limits of its plan that a queue can't bend: requests in flight
+// at once, and the hard limit's rate.
+func (d *Engine) checkLimits(r *request) quotaDecision {
+	full := d.concurrencyLimitReached(r)
+	short := r.units + r.c.ceilingQueued - d.ceiling(r.c, &d.set.Plans[r.plan])
+	if !full && (short <= 0 || d.now < r.loanUntil) {
+		return withinQuota
+	}
+	late := d.tooLateToWait(r)
+	if !full && !late && d.mayBorrow(r) {
+		d.borrow(r)
+	}
+	switch {
+	case r.loanPending:
+		return mustWait
+	case full && late:
+		return overConcurrencyLimit
+	case !full && (late || d.hardLimitFillsTooLate(r, short)):
+		return overHardLimit
+	}
+	return mustWait
+}
+
+// tooLateToWait says whether a usual answer's time no longer fits into the deadline budget.
+func (d *Engine) tooLateToWait(r *request) bool {
+	return (d.now-r.at).Seconds()+d.latency(r, nil) >= r.tau.Seconds()*margin
+}
+
+// priorityBand is the band of a request by its worth: each has half the worth of the one above it.
+func (d *Engine) priorityBand(r *request) int {
+	worth := max(1e-9, d.set.Classes[r.class].PriorityWeight*d.set.Plans[r.plan].WeightFactor*r.units)
+	return min(bands-1, max(0, int(math.Log2(d.topWorth/worth))))
+}
+
+// payQuota promotes a request whose cost is in the local tokens (stage 2 of the paper). A request that is not
+// promoted, as its plan guarantees nothing or nobody has looked whether the bucket holds its cost, goes to
+// the band of the same worth among the lower levels.
+func (d *Engine) payQuota(r *request) quotaDecision {
+	p := &d.set.Plans[r.plan]
+	if p.Rate > 0 {
+		if decision := d.spend(r, p); decision != withinQuota {
+			return decision
+		}
+		if r.unsure {
+			r.level += bands
+		}
+	} else if p.MaxConcurrent == 0 {
+		r.level += bands
+	}
+	return withinQuota
+}
+
+// concurrencyLimitReached says whether a tenant has as many requests in flight here as it may.
+func (d *Engine) concurrencyLimitReached(r *request) bool {
+	p := &d.set.Plans[r.plan]
+	return p.MaxConcurrent > 0 && r.c.live >= d.atOnce(r, p)
 }
 
 // atOnce is how many of a customer's requests may be under way here: this door's share of the cap, or, where
@@ -149,11 +212,16 @@
 	return max(1, int(share))
 }
 
-// beyond decides for a request that no tokens pay.
-func (d *Engine) beyond(r *request) {
+// placeOverQuota queues a request that no tokens pay at the lowest level, if its plan earns something for it
+// there and its hard limit holds it. Else it is rejected: for what left it unpaid, or for the hard limit.
+func (d *Engine) placeOverQuota(r *request, decision quotaDecision) {
 	p := &d.set.Plans[r.plan]
-	if p.OverQuotaValue <= p.OverQuotaPenalty || d.ceiling(r.c, p)-r.c.ceilingQueued < r.units {
-		d.refuse(r, d.refill(r.c, p, r.units))
+	if p.OverQuotaValue <= p.OverQuotaPenalty {
+		d.reject(r, rejection{decision.rejectReason(), d.refill(r.c, p, r.units)})
+		return
+	}
+	if d.ceiling(r.c, p)-r.c.ceilingQueued < r.units {
+		d.reject(r, rejection{OverHardLimit, d.refill(r.c, p, r.units)})
 		return
 	}
 	r.level = lowest
@@ -161,26 +229,6 @@
 	d.place(r)
 }
 
-// refuse gives the final answer: a refusal where the rules let it be said, else a failure (rule 2).
-func (d *Engine) refuse(r *request, pause time.Duration) {
-	if r.ended {
-		return
-	}
-	cl := &d.set.Classes[r.class]
-	mayHaveRun := r.ran || r.out > 0
-	d.end(r)
-	if mayHaveRun && (cl.Idempotency == NonIdempotent ||
-		cl.Idempotency == IdempotentWithKey && cl.DedupScope != DedupAllBackends) {
-		d.act(Fail{r.id})
-	} else {
-		if !d.set.SendRetryAfter {
-			pause = 0
-		}
-		d.act(Reject{r.id, min(pause, d.set.MaxRetryAfter)})
-	}
-	d.forget(r)
-}
-
 // end marks a request as over and calls off what is still out.
 func (d *Engine) end(r *request) {
 	if r.ended {
