--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -85,15 +85,15 @@
 			c.waiting = c.waiting[1:]
 			continue
 		}
-		v, unpaid := e.pay(r)
-		if v == wait {
+		decision := e.decideQuota(r)
+		if decision == mustWait {
 			break
 		}
 		c.waiting = c.waiting[1:]
-		if v == beyond {
-			e.placeOverQuota(r, unpaid)
-		} else {
+		if decision == withinQuota {
 			e.dispatch(r)
+		} else {
+			e.placeOverQuota(r, decision)
 		}
 	}
 	if len(c.waiting) > 0 && !c.listed {
@@ -102,51 +102,105 @@
 	}
 }
 
-// pay promotes a request whose units are in the local tokens (stage 2 of the paper). A request without quota
-// keeps its level by worth. Where it is beyond, the reason says beyond what.
-func (e *Engine) pay(r *request) (verdict, RejectReason) {
-	c, p := r.tenant, &e.settings.Plans[r.plan]
-	late := (e.now-r.arrivedAt).Seconds()+e.latency(r, nil) >= r.deadlineBudget.Seconds()*deadlineMargin
-	full := p.MaxConcurrent > 0 && c.live >= e.atOnce(r, p)
-	if short := r.cost + c.ceilingQueued - e.ceiling(c, p); full || short > 0 && e.now >= r.loanUntil {
-		if !late && !full && e.mayBorrow(r) {
-			e.borrow(r)
-		}
-		if r.loanPending {
-			return wait, 0
-		}
-		fills := short / e.ceilingRate(c, p) // seconds
-		if late || !full && (p.OverQuotaValue > p.OverQuotaPenalty &&
-			fills > r.deadlineBudget.Seconds()*ceilingWaitPart ||
-			r.loanAsked && fills > e.ceilingWaitMost(r)) {
-			if full {
-				return beyond, OverConcurrencyLimit
-			}
-			return beyond, OverHardLimit
-		}
-		return wait, 0
+// quotaDecision says how a request stands with its tenant's limits and its quota.
+type quotaDecision int
+
+const (
+	withinQuota          quotaDecision = iota // it may be queued at its priority level
+	mustWait                                  // for the counter, an attempt's end or the hard limit's share
+	overConcurrencyLimit                      // others in flight kept it waiting until it was too late
+	overHardLimit                             // the hard limit's share does not fill in time
+	overQuota                                 // neither the lease nor this gateway's own share pays for it
+)
+
+// rejectReason is the reason for a rejection that follows from the decision.
+func (q quotaDecision) rejectReason() RejectReason {
+	switch q {
+	case overConcurrencyLimit:
+		return OverConcurrencyLimit
+	case overHardLimit:
+		return OverHardLimit
 	}
-	worth := max(1e-9, e.settings.Classes[r.class].PriorityWeight*p.WeightFactor*r.cost)
-	band := min(priorityBands-1, max(0, int(math.Log2(e.maxRequestWeight/worth))))
-	r.level = band
-	if p.Rate > 0 {
-		if v := e.spend(r, p); v != paid {
-			return v, OverQuota
-		} else if r.unsure {
-			r.level += priorityBands
-		}
-	} else if p.MaxConcurrent == 0 {
-		r.level += priorityBands
+	return OverQuota
+}
+
+// decideQuota holds a request against its tenant's limits, then pays for it. What is within both gets its
+// priority level and counts as in flight from here on.
+func (e *Engine) decideQuota(r *request) quotaDecision {
+	if decision := e.checkLimits(r); decision != withinQuota {
+		return decision
+	}
+	r.level = e.priorityBand(r)
+	if decision := e.payQuota(r); decision != withinQuota {
+		return decision
 	}
 	r.paid = r.level < priorityBands
-	if p.MaxConcurrent > 0 {
+	if e.settings.Plans[r.plan].MaxConcurrent > 0 {
 		r.live = true
-		c.live++
+		r.tenant.live++
 	}
 	if e.now >= r.loanUntil {
 		e.hold(r)
 	}
-	return paid, 0
+	return withinQuota
+}
+
+// checkLimits holds a request against the two limits of its plan that a queue can't bend: requests in flight
+// at once, and the hard limit's rate.
+func (e *Engine) checkLimits(r *request) quotaDecision {
+	full := e.concurrencyLimitReached(r)
+	short := r.cost + r.tenant.ceilingQueued - e.ceiling(r.tenant, &e.settings.Plans[r.plan])
+	if !full && (short <= 0 || e.now < r.loanUntil) {
+		return withinQuota
+	}
+	late := e.tooLateToWait(r)
+	if !full && !late && e.mayBorrow(r) {
+		e.borrow(r)
+	}
+	switch {
+	case r.loanPending:
+		return mustWait
+	case full && late:
+		return overConcurrencyLimit
+	case !full && (late || e.hardLimitFillsTooLate(r, short)):
+		return overHardLimit
+	}
+	return mustWait
+}
+
+// tooLateToWait says whether a usual answer's time no longer fits into the deadline budget.
+func (e *Engine) tooLateToWait(r *request) bool {
+	return (e.now-r.arrivedAt).Seconds()+e.latency(r, nil) >= r.deadlineBudget.Seconds()*deadlineMargin
+}
+
+// priorityBand is the band of a request by its worth: each has half the worth of the one above it.
+func (e *Engine) priorityBand(r *request) int {
+	worth := max(1e-9, e.settings.Classes[r.class].PriorityWeight*e.settings.Plans[r.plan].WeightFactor*r.cost)
+	return min(priorityBands-1, max(0, int(math.Log2(e.maxRequestWeight/worth))))
+}
+
+// payQuota promotes a request whose cost is in the local tokens (stage 2 of the paper). A request that is not
+// promoted, as its plan guarantees nothing or nobody has looked whether the bucket holds its cost, goes to
+// the band of the same worth among the lower levels.
+func (e *Engine) payQuota(r *request) quotaDecision {
+	p := &e.settings.Plans[r.plan]
+	if p.Rate > 0 {
+		if decision := e.spend(r, p); decision != withinQuota {
+			return decision
+		}
+		if r.unsure {
+			r.level += priorityBands
+		}
+	} else if p.MaxConcurrent == 0 {
+		r.level += priorityBands
+	}
+	return withinQuota
+}
+
+// concurrencyLimitReached says whether a tenant has as many requests in flight here as it may.
+func (e *Engine) concurrencyLimitReached(r *request) bool {
+	p := &e.settings.Plans[r.plan]
+	return p.MaxConcurrent > 0 && r.tenant.live >= e.atOnce(r, p)
 }
 
 // atOnce is how many of a customer's requests may be under way here: this door's share of the cap, or, where
@@ -162,10 +216,10 @@
 
 // placeOverQuota queues a request that no tokens pay at the lowest level, if its plan earns something for it
 // there and its hard limit holds it. Else it is rejected: for what left it unpaid, or for the hard limit.
-func (e *Engine) placeOverQuota(r *request, unpaid RejectReason) {
+func (e *Engine) placeOverQuota(r *request, decision quotaDecision) {
 	p := &e.settings.Plans[r.plan]
 	if p.OverQuotaValue <= p.OverQuotaPenalty {
-		e.reject(r, rejection{unpaid, e.refill(r.tenant, p, r.cost)})
+		e.reject(r, rejection{decision.rejectReason(), e.refill(r.tenant, p, r.cost)})
 		return
 	}
 	if e.ceiling(r.tenant, p)-r.tenant.ceilingQueued < r.cost {
--- a/internal/policy/ceiling.go
+++ b/internal/policy/ceiling.go
@@ -18,6 +18,16 @@
 	return r.deadlineBudget.Seconds() * ceilingWaitPart * weight / e.maxClassWeight
 }
 
+// hardLimitFillsTooLate says whether the share of the hard limit, short of so many units, fills too late for
+// a request: for one whose plan earns something at the lowest level, or whose call for borrowed tokens came
+// to nothing.
+func (e *Engine) hardLimitFillsTooLate(r *request, short float64) bool {
+	p := &e.settings.Plans[r.plan]
+	fills := short / e.ceilingRate(r.tenant, p) // seconds
+	return p.OverQuotaValue > p.OverQuotaPenalty && fills > r.deadlineBudget.Seconds()*ceilingWaitPart ||
+		r.loanAsked && fills > e.ceilingWaitMost(r)
+}
+
 // mayBorrow says whether a request may ask for its units out of the common part of the ceiling.
 func (e *Engine) mayBorrow(r *request) bool {
 	p := &e.settings.Plans[r.plan]
--- a/internal/policy/quota.go
+++ b/internal/policy/quota.go
@@ -43,7 +43,7 @@
 // counter can serve; each such call stands for the others too, and these go by the door's share, into debt by
 // one request (a departure: at many doors a share is less than one). What was just seen empty is not asked
 // again until the customer's doors, taken together, would find it filled.
-func (e *Engine) spend(r *request, p *Plan) verdict {
+func (e *Engine) spend(r *request, p *Plan) quotaDecision {
 	c := r.tenant
 	if c.tokens > 0 && e.now-c.grantAt > leaseLife && !c.asking {
 		c.owed -= c.tokens // what the store holds now may differ from what it held then
@@ -66,25 +66,25 @@
 			use >= aheadLeast*r.cost {
 			e.ask(c, p, r.cost)
 		}
-		return paid
+		return withinQuota
 	case c.spare+max(0, c.tokens) >= r.cost:
 		c.spare -= r.cost - max(0, c.tokens)
 		c.owed += r.cost - max(0, c.tokens)
 		c.tokens = min(0, c.tokens)
-		return paid
+		return withinQuota
 	case c.asking:
-		return wait
+		return mustWait
 	case calls && e.rng.Float64() < e.callProbability(r):
 		r.asked = true
 		e.ask(c, p, r.cost)
-		return wait
+		return mustWait
 	case e.now >= c.emptyUntil && c.spare > least && (!r.clientRetry || !e.settings.SharedCounter) &&
 		e.onCredit(r.plan):
 		c.spare -= r.cost
 		r.unsure = true
-		return paid
+		return withinQuota
 	}
-	return beyond
+	return overQuota
 }
 
 // onCredit decides whether a request may go on unasked. What the calls for its plan find tells how many of
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -41,12 +41,3 @@
 		delete(e.requests, r.id)
 	}
 }
-
-// verdict says how a request stands with its quota.
-type verdict int
-
-const (
-	paid verdict = iota
-	wait
-	beyond
-)
