--- /dev/null
+++ b/internal/policy/outlier/outlier.go
@@ -0,0 +1,156 @@
+// Package outlier finds backends that are silent or broken, and says when to look whether they are back.
+//
+// A [Detector] belongs to one backend of one engine and is not safe for concurrent use. Times are on the
+// engine's clock. Its states:
+//
+//	Serving --Eject--> Ejected --StartProbe--> Probing --ProbeFailed--> Ejected
+//	   ^                  |                        |
+//	   +-------Reset------+------------------------+
+//
+// The engine sends an ejected backend nothing but probes, and calls Reset when the backend has answered or
+// was started anew.
+package outlier
+
+import (
+	"iter"
+	"math/rand/v2"
+	"time"
+)
+
+// State says whether a backend is used.
+type State int
+
+// The states of a backend.
+const (
+	Serving State = iota // in use
+	Ejected              // left out until its next probe is due
+	Probing              // left out, and a probe is in flight
+)
+
+const (
+	// maxFailures is how many broken connections in a row get a backend ejected. One may be broken by chance.
+	maxFailures = 3
+
+	// silenceSum is how long attempts must have waited in sum, in latencies of their class, to be taken
+	// for silence ...
+	silenceSum = 12.0
+	// maxWait ... each attempt, and each time-out since the last response, counting for this at most: one
+	// may be costly.
+	maxWait = 5.0
+	// minSilence is the shortest silence that counts.
+	minSilence = 200 * time.Millisecond
+	// recentResponse is how old the response of a backend may be that proves that this gateway hears others.
+	recentResponse = 500 * time.Millisecond
+
+	// firstPause is the pause before the first probe, or more by chance, so that gateways don't probe at
+	// once ...
+	firstPause = 400 * time.Millisecond
+	// maxPause ... and the longest pause between later ones,
+	maxPause = 2 * time.Second
+	// pausePerGateway ... or this for each gateway that uses the backend, so that these don't probe it too
+	// often.
+	pausePerGateway = 50 * time.Millisecond
+
+	// restartTime is how long a backend takes to start: one that was silent for longer may have started anew.
+	restartTime = 2 * time.Second
+)
+
+// Detector watches one backend. Its zero value serves.
+type Detector struct {
+	state        State
+	failures     int           // broken connections in a row
+	timeouts     int           // time-outs since the last response
+	rejected     bool          // the last response was a rejection
+	lastResponse time.Duration // or when the backend got work after having none
+	probeAt      time.Duration // when the next probe is due
+	probePause   time.Duration // the last pause between probes
+}
+
+// Ejected says whether the backend is left out, be it probed or not.
+func (d *Detector) Ejected() bool { return d.state != Serving }
+
+// State is the state.
+func (d *Detector) State() State { return d.state }
+
+// LastRejected says whether the last response was a rejection.
+func (d *Detector) LastRejected() bool { return d.rejected }
+
+// RecordWork says that the backend gets an attempt and had none in flight: until now it had no reason to
+// respond.
+func (d *Detector) RecordWork(now time.Duration) { d.lastResponse = max(d.lastResponse, now) }
+
+// Response says what a backend responded.
+type Response int
+
+// The kinds of response.
+const (
+	Answer    Response = iota // a result, be it an error
+	Rejection                 // the request was rejected unseen
+)
+
+// RecordResponse takes a sign of life.
+func (d *Detector) RecordResponse(now time.Duration, response Response) {
+	d.lastResponse, d.timeouts, d.failures, d.rejected = now, 0, 0, response == Rejection
+}
+
+// RecordTimeout takes an attempt without an answer.
+func (d *Detector) RecordTimeout() { d.timeouts++ }
+
+// RecordFailure takes a broken connection, or one that could not be made, and returns how many came in a
+// row.
+func (d *Detector) RecordFailure() int {
+	d.failures++
+	return d.failures
+}
+
+// Broken says whether a backend in use has had so many broken connections in a row that it is to be
+// ejected.
+func (d *Detector) Broken() bool { return d.failures >= maxFailures && d.state == Serving }
+
+// Silent says whether a backend in use is silent: its attempts in flight have waited, summed up, far
+// longer than answers take while nothing was heard. That covers hung, cut off and stopped machines. It
+// could harm a backend that got several costly requests in a row; the first late answer brings such a one
+// back. The attempts are when each was sent, and how many seconds an answer to it takes.
+func (d *Detector) Silent(now time.Duration, attempts iter.Seq2[time.Duration, float64]) bool {
+	sum := maxWait * float64(d.timeouts)
+	for sentAt, latency := range attempts {
+		quiet := (now - max(sentAt, d.lastResponse)).Seconds()
+		sum += min(maxWait, quiet/latency)
+	}
+	return sum >= silenceSum && now-d.lastResponse >= minSilence
+}
+
+// RespondsWhileSilent says whether this backend has responded lately, and after another's last response:
+// so the other's silence is not this gateway's fault.
+func (d *Detector) RespondsWhileSilent(now time.Duration, other *Detector) bool {
+	return d.lastResponse > other.lastResponse && now-d.lastResponse < recentResponse
+}
+
+// Eject leaves the backend out. So many gateways use it; rng is drawn from once.
+func (d *Detector) Eject(now time.Duration, gateways float64, rng *rand.Rand) {
+	d.state = Ejected
+	d.probePause = max(firstPause, time.Duration(rng.Int64N(int64(gateways*float64(pausePerGateway)))))
+	d.probeAt = now + d.probePause
+}
+
+// ProbeDue says whether an ejected backend is to be probed.
+func (d *Detector) ProbeDue(now time.Duration) bool { return d.state == Ejected && now >= d.probeAt }
+
+// StartProbe says that a probe of an ejected backend is in flight.
+func (d *Detector) StartProbe() { d.state = Probing }
+
+// ProbeFailed says that a probe got no answer. The next is due after a longer pause.
+func (d *Detector) ProbeFailed(now time.Duration, gateways float64) {
+	d.state = Ejected
+	longest := max(maxPause, time.Duration(gateways*float64(pausePerGateway)))
+	d.probePause = min(longest, d.probePause*3/2)
+	d.probeAt = now + d.probePause
+}
+
+// MayHaveRestarted says whether the backend was silent for so long that it may have started anew.
+func (d *Detector) MayHaveRestarted(now time.Duration) bool { return now-d.lastResponse > restartTime }
+
+// Reset takes the backend into use and forgets what told against it.
+func (d *Detector) Reset(now time.Duration) {
+	d.state, d.failures, d.timeouts, d.lastResponse = Serving, 0, 0, now
+}
