--- a/cmd/bellwood/main.go
+++ b/cmd/bellwood/main.go
@@ -37,7 +37,7 @@
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP) // first of all: by default the signal ends the program
 	defer signal.Stop(hup)
-	cfg, err := readConfig()
+	cfg, err := readConfig(environment)
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
@@ -75,10 +75,7 @@
 		case <-ended:
 			return
 		}
-		cfg, err := readFile()
-		if err == nil {
-			err = cfg.Check()
-		}
+		cfg, err := readConfig(fileOnly)
 		if err != nil {
 			log.Error("the new configuration is not used", "error", err)
 			continue
@@ -87,27 +84,30 @@
 	}
 }
 
-// readConfig reads the configuration; the other variables go before what the file says.
-func readConfig() (*gateway.Config, error) {
-	cfg, err := readFile()
+// readConfig reads the file that NODE_CONFIG names, lets replace put other values in its place, and checks the result.
+func readConfig(replace func(*gateway.Config)) (*gateway.Config, error) {
+	file, err := os.Open(os.Getenv("NODE_CONFIG"))
+	if err != nil {
+		return nil, fmt.Errorf("NODE_CONFIG: %w", err)
+	}
+	defer file.Close()
+	cfg, err := gateway.ReadConfig(file)
 	if err != nil {
 		return nil, err
 	}
-	for name, to := range map[string]*string{"NODE_NAME": &cfg.Name, "NODE_LISTEN": &cfg.Listen,
+	replace(cfg)
+	return cfg, cfg.Check()
+}
+
+// environment puts the values of the environment in the place of those in the file (DEPLOY-bellwood).
+func environment(cfg *gateway.Config) {
+	for name, value := range map[string]*string{"NODE_NAME": &cfg.Name, "NODE_LISTEN": &cfg.Listen,
 		"NODE_DISCOVERY": &cfg.Discovery} {
 		if v := os.Getenv(name); v != "" {
-			*to = v
+			*value = v
 		}
 	}
-	return cfg, cfg.Check()
 }
 
-// readFile reads the file that NODE_CONFIG names.
-func readFile() (*gateway.Config, error) {
-	file, err := os.Open(os.Getenv("NODE_CONFIG"))
-	if err != nil {
-		return nil, fmt.Errorf("NODE_CONFIG: %w", err)
-	}
-	defer file.Close()
-	return gateway.ReadConfig(file)
-}
+// fileOnly leaves a configuration as the file has it.
+func fileOnly(*gateway.Config) {}
--- a/cmd/bellwood/main_test.go
+++ b/cmd/bellwood/main_test.go
@@ -46,7 +46,7 @@
 	t.Setenv("NODE_NAME", "n2")
 	t.Setenv("NODE_LISTEN", "127.0.0.1:3")
 	t.Setenv("NODE_DISCOVERY", "127.0.0.1:4")
-	c, err := readConfig()
+	c, err := readConfig(environment)
 	if err != nil || c.Name != "n2" || c.Listen != "127.0.0.1:3" || c.Discovery != "127.0.0.1:4" {
 		t.Errorf("%+v, %v", c, err)
 	}
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -1,7 +1,6 @@
 package gateway
 
 import (
-	"bytes"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -15,26 +14,62 @@
 	"bellwood/internal/simprotocol"
 )
 
-// Config is what a front door is told at its start.
+// Config is what a gateway is told at its start (DEPLOY-bellwood, "What a front door is told"). ReadConfig fills it from
+// the configuration file; the environment may replace Name, Listen and Discovery; Check then says whether it can be run
+// with. New takes it over: nobody may change it afterwards.
 type Config struct {
-	Name      string
-	Listen    string // where clients connect
+	// Name is the gateway's name in its log. It is the same after a restart. Default: empty.
+	Name string
+	// Listen is the IP address and port on which clients connect. Required.
+	Listen string
+	// Discovery is the IP address and port of the discovery agent. Required; Server.Reload replaces it.
 	Discovery string
-	Counter   string // empty where there is none
-	Seed      uint64
-	MemoryMB  int
-	Sockets   int
-	Settings  policy.Settings
+	// Counter is the IP address and port of the shared counter. Required where Settings.SharedCounter is set, else
+	// not used. Server.Reload replaces it.
+	Counter string
+	// Seed begins the random draws of the decision module; the file has it in hex. Required; new with each start.
+	Seed uint64
+	// MemoryMB is the memory limit of the process in MiB; over it the process is killed. Default 0: no limit is known.
+	MemoryMB int
+	// Sockets is the limit on the descriptors that the process may hold. Default 0: no limit is known.
+	Sockets int
+	// Settings are those of the decision module. Required; a restart alone changes them.
+	Settings policy.Settings
+	// Transport is the part of the settings that concerns sockets and names. Required as Settings are.
 	Transport simprotocol.Transport
-	Known     Members // the list of backends as last had, maybe old
-	Audit     *Audit  // nil: off
+	// Known is the endpoint list as last had; it may be old. Default: no endpoint, and index 0, from which discovery
+	// sends everything.
+	Known Members
+	// Audit turns the audit of the fleet on. Default nil: it is off.
+	Audit *Audit
 
-	watchSilence, settleFor time.Duration // 0: the usual
+	// watchSilence and settleFor take the place of the constants of their names in tests that can't wait so long or
+	// must not be disturbed by them; 0: the constant.
+	watchSilence, settleFor time.Duration
 }
 
-// ReadConfig reads the JSON form of a Config.
+// SettingError says which setting of the configuration can't be used. It unwraps to the reason, such as ErrNegative or
+// a *net.AddrError.
+type SettingError struct {
+	Setting string // its path in the file, with dots: settings.limits.dial-timeout-us
+	Err     error
+}
+
+func (e *SettingError) Error() string { return e.Setting + ": " + e.Err.Error() }
+
+func (e *SettingError) Unwrap() error { return e.Err }
+
+// Reasons of a SettingError.
+var (
+	ErrNegative    = errors.New("below 0")
+	ErrNotPositive = errors.New("not above 0")
+)
+
+// ReadConfig reads the JSON form of a Config. What it returns may still lack what Check asks for. An error is a
+// *SettingError, one of the section audit, or one of the decoder where the text is not the expected JSON; each fits on
+// one line.
 func ReadConfig(r io.Reader) (*Config, error) {
-	var raw struct {
+	var file struct {
 		Name, Listen, Discovery, Counter, Seed string
 		Limits                                 struct {
 			MemoryMB int `json:"memory_mb"`
@@ -44,91 +79,108 @@
 		Audit    json.RawMessage
 		Settings map[string]any
 	}
-	dec := json.NewDecoder(r)
-	dec.UseNumber()
-	if err := dec.Decode(&raw); err != nil {
+	decoder := json.NewDecoder(r)
+	decoder.UseNumber()
+	if err := decoder.Decode(&file); err != nil {
 		return nil, fmt.Errorf("not the expected JSON: %w", err)
 	}
-	c := &Config{Name: raw.Name, Listen: raw.Listen, Discovery: raw.Discovery, Counter: raw.Counter,
-		MemoryMB: raw.Limits.MemoryMB, Sockets: raw.Limits.Sockets, Known: raw.Known}
+	c := &Config{Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Counter: file.Counter,
+		MemoryMB: file.Limits.MemoryMB, Sockets: file.Limits.Sockets, Known: file.Known}
 	var err error
-	if c.Seed, err = strconv.ParseUint(raw.Seed, 16, 64); err != nil {
-		return nil, fmt.Errorf("seed: %w", err)
+	if c.Seed, err = strconv.ParseUint(file.Seed, 16, 64); err != nil {
+		return nil, &SettingError{"seed", err}
 	}
-	flat := map[string]string{}
-	flatten(flat, "", raw.Settings)
-	if c.Settings, err = simprotocol.Settings(flat); err != nil {
-		return nil, err
+	settings := map[string]string{}
+	flatten(settings, "", file.Settings)
+	if c.Settings, err = simprotocol.Settings(settings); err != nil {
+		return nil, &SettingError{"settings", err}
 	}
-	if c.Transport, err = simprotocol.ReadTransport(flat); err != nil {
-		return nil, err
+	if c.Transport, err = simprotocol.ReadTransport(settings); err != nil {
+		return nil, &SettingError{"settings", err}
 	}
-	if c.Audit, err = readAudit(raw.Audit, flat); err != nil {
+	if c.Audit, err = readAudit(file.Audit, settings); err != nil {
 		return nil, err
 	}
 	return c, nil
 }
 
-// Check says what a front door could not run with. It stands apart from ReadConfig because the environment may
-// name addresses too.
+// Check says what a gateway could not run with, by a *SettingError or one of the section audit. It stands apart from
+// ReadConfig because the environment may name addresses too.
 func (c *Config) Check() error {
-	for _, a := range []struct{ what, addr string }{{"listen", c.Listen}, {"discovery", c.Discovery},
-		{"counter", c.Counter}} {
-		if a.addr == "" && a.what == "counter" && !c.Settings.SharedCounter {
-			continue
-		}
-		if _, _, err := net.SplitHostPort(a.addr); err != nil {
-			return fmt.Errorf("%s: %w", a.what, err)
+	if err := checkAddress("listen", c.Listen); err != nil {
+		return err
+	}
+	if err := checkAddress("discovery", c.Discovery); err != nil {
+		return err
+	}
+	if c.Counter != "" || c.Settings.SharedCounter {
+		if err := checkAddress("counter", c.Counter); err != nil {
+			return err
 		}
 	}
-	if c.MemoryMB < 0 || c.Sockets < 0 {
-		return errors.New("limits: memory_mb or sockets is negative")
+	if c.MemoryMB < 0 {
+		return &SettingError{"limits.memory_mb", ErrNegative}
+	}
+	if c.Sockets < 0 {
+		return &SettingError{"limits.sockets", ErrNegative}
 	}
 	if err := c.checkAudit(); err != nil {
 		return err
 	}
 	if c.Transport.DialTimeout <= 0 {
-		return errors.New("settings: limits.dial-timeout-us is not above 0")
+		return &SettingError{"settings.limits.dial-timeout-us", ErrNotPositive}
+	}
+	return nil
+}
+
+// checkAddress says why an address is not one of host and port.
+func checkAddress(setting, address string) error {
+	if _, _, err := net.SplitHostPort(address); err != nil {
+		return &SettingError{setting, err}
 	}
 	return nil
 }
 
-// flatten turns nested settings into the paths of the simulator's wire: objects and lists of objects by dots,
-// a list of objects also with its length under .count, a list of plain values joined with commas.
-func flatten(out map[string]string, path string, v any) {
-	switch v := v.(type) {
+// flatten turns nested settings into the paths of the simulator's protocol (WIRE-bellwood): objects and lists of
+// objects by dots, a list of objects also with its length under .count, a list of plain values joined with commas.
+func flatten(settings map[string]string, path string, value any) {
+	switch value := value.(type) {
 	case map[string]any:
-		for k, e := range v {
-			flatten(out, strings.TrimPrefix(path+"."+k, "."), e)
+		for name, field := range value {
+			flatten(settings, strings.TrimPrefix(path+"."+name, "."), field)
 		}
 	case []any:
-		var plain []string
-		objects := 0
-		for _, e := range v {
-			if _, ok := e.(map[string]any); ok {
-				flatten(out, fmt.Sprintf("%s.%d", path, objects), e)
-				objects++
-			} else {
-				plain = append(plain, plainText(e))
-			}
-		}
-		if objects > 0 && len(plain) > 0 {
-			out[path+".count"] = "mixed" // which is no number
-		} else if objects > 0 {
-			out[path+".count"] = strconv.Itoa(objects)
+		flattenList(settings, path, value)
+	default:
+		settings[path] = plainText(value)
+	}
+}
+
+func flattenList(settings map[string]string, path string, list []any) {
+	var plain []string
+	objects := 0
+	for _, item := range list {
+		if _, ok := item.(map[string]any); ok {
+			flatten(settings, fmt.Sprintf("%s.%d", path, objects), item)
+			objects++
 		} else {
-			out[path] = strings.Join(plain, ",")
+			plain = append(plain, plainText(item))
 		}
+	}
+	switch {
+	case objects > 0 && len(plain) > 0:
+		settings[path+".count"] = "mixed" // no number, so whoever reads the list rejects it
+	case objects > 0:
+		settings[path+".count"] = strconv.Itoa(objects)
 	default:
-		out[path] = plainText(v)
+		settings[path] = strings.Join(plain, ",")
 	}
 }
 
-func plainText(v any) string {
-	if v == nil {
+// plainText is a value as the simulator's protocol writes it; one that is not given is "-".
+func plainText(value any) string {
+	if value == nil {
 		return "-"
 	}
-	var b bytes.Buffer
-	fmt.Fprint(&b, v)
-	return b.String()
+	return fmt.Sprint(value)
 }
--- a/internal/gateway/config_test.go
+++ b/internal/gateway/config_test.go
@@ -1,7 +1,9 @@
 package gateway
 
 import (
+	"errors"
 	"fmt"
+	"net"
 	"strings"
 	"testing"
 	"time"
@@ -11,36 +13,70 @@
 
 func TestReadConfig(t *testing.T) {
 	c := config(t, true, 250_000)
-	s, tr := c.Settings, c.Transport
+	settings, transport := c.Settings, c.Transport
 	if c.Name != "n1" || c.Seed != 0x8c1f30d27a5be964 || c.Sockets != 1024 || c.MemoryMB != 192 {
 		t.Errorf("%+v", c)
 	}
-	if len(s.Classes) != 3 || s.Classes[1].Idempotency != policy.IdempotentWithKey || s.Classes[1].DedupWindow != 12*time.Second ||
-		len(s.Plans) != 2 || s.Plans[1].Rate != 2.5 || !s.SharedCounter || s.DrainGrace != 250*time.Millisecond {
-		t.Errorf("settings %+v", s)
+	if len(settings.Classes) != 3 || settings.Classes[1].Idempotency != policy.IdempotentWithKey ||
+		settings.Classes[1].DedupWindow != 12*time.Second || len(settings.Plans) != 2 || settings.Plans[1].Rate != 2.5 ||
+		!settings.SharedCounter || settings.DrainGrace != 250*time.Millisecond {
+		t.Errorf("settings %+v", settings)
 	}
-	if fmt.Sprint(tr.Classes, tr.Plans, tr.Zones, tr.Kinds) != "[evaluate change once] [open starter] [dc1] [std]" ||
-		tr.DialTimeout != 250*time.Millisecond || tr.ConnIdle != 30*time.Second {
-		t.Errorf("transport %+v", tr)
+	if fmt.Sprint(transport.Classes, transport.Plans, transport.Zones, transport.Kinds) !=
+		"[evaluate change once] [open starter] [dc1] [std]" ||
+		transport.DialTimeout != 250*time.Millisecond || transport.ConnIdle != 30*time.Second {
+		t.Errorf("transport %+v", transport)
 	}
 	if err := c.Check(); err != nil {
 		t.Error(err)
 	}
-	for _, a := range []*string{&c.Listen, &c.Discovery, &c.Counter} {
-		was := *a
-		*a = "nowhere"
-		if c.Check() == nil {
-			t.Errorf("%s became nowhere, and that is no error", was)
-		}
-		*a = was
+}
+
+// What a gateway could not run with is named by its setting, with a reason that a caller can ask for.
+func TestCheckNamesTheSetting(t *testing.T) {
+	isAddressError := func(err error) bool {
+		var reason *net.AddrError
+		return errors.As(err, &reason)
+	}
+	is := func(reason error) func(error) bool {
+		return func(err error) bool { return errors.Is(err, reason) }
+	}
+	for setting, c := range map[string]struct {
+		spoil     func(*Config)
+		hasReason func(error) bool
+	}{
+		"listen":                          {func(c *Config) { c.Listen = "nowhere" }, isAddressError},
+		"discovery":                       {func(c *Config) { c.Discovery = "nowhere" }, isAddressError},
+		"counter":                         {func(c *Config) { c.Counter = "nowhere" }, isAddressError},
+		"limits.memory_mb":                {func(c *Config) { c.MemoryMB = -1 }, is(ErrNegative)},
+		"limits.sockets":                  {func(c *Config) { c.Sockets = -1 }, is(ErrNegative)},
+		"settings.limits.dial-timeout-us": {func(c *Config) { c.Transport.DialTimeout = 0 }, is(ErrNotPositive)},
+	} {
+		t.Run(setting, func(t *testing.T) {
+			cfg := config(t, true, 250_000)
+			c.spoil(cfg)
+			err := cfg.Check()
+			var named *SettingError
+			if !errors.As(err, &named) || named.Setting != setting || !c.hasReason(err) {
+				t.Errorf("error %v", err)
+			}
+		})
 	}
 }
 
-func TestBadConfig(t *testing.T) {
-	for _, bad := range []string{"", "[]", `{"seed":"x"}`, `{"seed":"1","settings":{"discovery":"carrier"}}`,
-		`{"seed":"1","settings":{"peers-total":"many"}}`, `{"seed":"1","limits":{"sockets":"x"}}`} {
-		if _, err := ReadConfig(strings.NewReader(bad)); err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: error %v", bad, err)
-		}
+func TestReadConfigRejectsWithOneLine(t *testing.T) {
+	for name, text := range map[string]string{
+		"empty":                   "",
+		"no object":               "[]",
+		"a seed that is not hex":  `{"seed":"x"}`,
+		"an unknown word":         `{"seed":"1","settings":{"discovery":"carrier"}}`,
+		"a number that is a word": `{"seed":"1","settings":{"peers-total":"many"}}`,
+		"a limit that is a word":  `{"seed":"1","limits":{"sockets":"x"}}`,
+	} {
+		t.Run(name, func(t *testing.T) {
+			if _, err := ReadConfig(strings.NewReader(text)); err == nil || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%q: error %v", text, err)
+			}
+		})
 	}
 }
