--- a/internal/audit/fleet_test.go
+++ b/internal/audit/fleet_test.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	tick       = TickEvery
+	tick       = TickInterval
 	callTime   = 50 * time.Millisecond
 	begin      = 1_800_000_000 * time.Second // all machines read one clock
 	faultsEnd  = 100 * time.Second
@@ -28,10 +28,10 @@
 
 func (n *numbers) empty() { n.totals, n.expires = map[uint64]float64{}, map[uint64]time.Duration{} }
 
-func (n *numbers) add(now time.Duration, c Count, times int) float64 {
+func (n *numbers) add(now time.Duration, c AddToCounter, times int) float64 {
 	n.calls++
 	if now >= n.expires[c.Name] {
-		n.totals[c.Name], n.expires[c.Name] = 0, now+min(c.Keep, time.Minute)
+		n.totals[c.Name], n.expires[c.Name] = 0, now+min(c.TTL, time.Minute)
 	}
 	n.totals[c.Name] += float64(times) * c.Amount
 	return n.totals[c.Name]
@@ -74,7 +74,7 @@
 
 func newFleet(t testing.TB, seed uint64, doors int) *fleet {
 	f := &fleet{t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: begin, history: []int64{1000},
-		highest: make([]int64, doors), set: Settings{Doors: doors, CallsPerSecond: 830, Share: 0.05, CounterTimeout: callTime}}
+		highest: make([]int64, doors), set: Settings{Gateways: doors, CallsPerSecond: 830, Share: 0.05, CounterTimeout: callTime}}
 	f.numbers.empty()
 	for rank := range doors {
 		f.doors = append(f.doors, &door{lag: time.Duration(f.rng.IntN(15)) * tick})
@@ -86,7 +86,7 @@
 // start starts a door's process anew, with the list that it had as known.
 func (f *fleet) start(rank int) {
 	set := f.set
-	set.Rank = rank
+	set.GatewayIndex = rank
 	m, err := New(set, f.rng.Uint64())
 	if err != nil {
 		f.t.Fatal(err)
@@ -96,7 +96,7 @@
 	if d.index == 0 {
 		d.index = f.history[0]
 	}
-	d.events = []Event{Configured{Revision: 7, Digest: uint64(rank)}, Adopted{Index: d.index, Source: FromKnown, Changes: 1}}
+	d.events = []Event{Configured{Revision: 7, Digest: uint64(rank)}, VersionAdopted{Index: d.index, Source: FromConfiguration, Changes: 1}}
 }
 
 // told is the index that a door's agent has.
@@ -120,12 +120,12 @@
 			continue
 		}
 		if d.stopped > 0 {
-			d.events = append([]Event{Woke{f.now - d.stoodAt}}, d.events...)
+			d.events = append([]Event{ResumedAfterPause{f.now - d.stoodAt}}, d.events...)
 			d.stopped = 0
 		}
 		if at := f.told(d); !d.agentLost && at != d.index {
 			d.index = at
-			d.events = append(d.events, Adopted{Index: at, Source: FromChange, ReadAt: f.now, Changes: 1})
+			d.events = append(d.events, VersionAdopted{Index: at, Source: FromDelta, ReadAt: f.now, Changes: 1})
 		}
 		f.stepDoor(rank, d)
 		for len(d.events) > 0 { // answers that came at once
@@ -139,7 +139,7 @@
 	events := d.events
 	d.events = nil
 	for _, event := range events {
-		if version, ok := event.(Adopted); ok {
+		if version, ok := event.(VersionAdopted); ok {
 			f.highest[rank] = max(f.highest[rank], version.Index)
 		}
 	}
@@ -150,13 +150,13 @@
 
 func (f *fleet) do(rank int, d *door, action Action) {
 	switch action := action.(type) {
-	case Count:
+	case AddToCounter:
 		f.call(d, action)
-	case FetchList:
-		f.late = append(f.late, reply{d, d.m, ListTaken{OK: !d.agentLost}})
-	case Suspend:
+	case FetchSnapshot:
+		f.late = append(f.late, reply{d, d.m, SnapshotFetched{OK: !d.agentLost}})
+	case LeaveService:
 		d.suspended = true
-	case Resume:
+	case ReturnToService:
 		d.suspended = false
 	case Log:
 		if step, ok := action.Record.(StepRecord); ok {
@@ -166,8 +166,8 @@
 }
 
 // call carries a call out, with the faults of the network.
-func (f *fleet) call(d *door, c Count) {
-	status, total := Unknown, 0.0
+func (f *fleet) call(d *door, c AddToCounter) {
+	status, total := MaybeAdded, 0.0
 	switch fault := f.rng.Float64(); {
 	case f.silent || d.cutOff || fault < f.faulty/3: // the call is lost
 	case fault < 2*f.faulty/3: // the answer is lost
@@ -178,10 +178,10 @@
 		status, total = Added, f.numbers.add(f.now, c, 1)
 	}
 	if status == Added { // an answer comes at once: a slow one would make the audit pause
-		d.events = append(d.events, Counted{c.Call, status, total})
+		d.events = append(d.events, CounterResult{c.Call, status, total})
 		return
 	}
-	f.late = append(f.late, reply{d, d.m, Counted{c.Call, status, total}})
+	f.late = append(f.late, reply{d, d.m, CounterResult{c.Call, status, total}})
 }
 
 // checkCap checks that no more doors are shut out than there are slots.
@@ -208,7 +208,7 @@
 			ahead++
 		}
 	}
-	if ahead < quorum(f.set.Doors) {
+	if ahead < quorum(f.set.Gateways) {
 		f.t.Fatalf("door %d is called behind version %d, on which %d doors have acted", rank, step.Target, ahead)
 	}
 }
@@ -287,7 +287,7 @@
 	f.faulty = 0.1
 	const liar = 3
 	f.doors[liar].agentLost, f.doors[liar].index = true, 1_000_000
-	f.doors[liar].events = append(f.doors[liar].events, Adopted{Index: 1_000_000, Changes: 1})
+	f.doors[liar].events = append(f.doors[liar].events, VersionAdopted{Index: 1_000_000, Changes: 1})
 	kinds := map[Kind]int{}
 	seen := map[StepRecord]bool{}
 	note := func() {
@@ -509,8 +509,8 @@
 	m := f.doors[0].m
 	lines, changes := 0, 0
 	for i := range 1000 {
-		version := Adopted{Index: int64(2000 + i), Source: FromChange, ReadAt: f.now, Changes: 1}
-		for _, action := range m.Step(f.now+time.Duration(i)*10*time.Millisecond, []Event{version, Decided{fmt.Sprint(i)}}) {
+		version := VersionAdopted{Index: int64(2000 + i), Source: FromDelta, ReadAt: f.now, Changes: 1}
+		for _, action := range m.Step(f.now+time.Duration(i)*10*time.Millisecond, []Event{version, RequestDecided{fmt.Sprint(i)}}) {
 			log, ok := action.(Log)
 			if !ok {
 				continue
@@ -532,14 +532,14 @@
 
 // Unusable settings are named.
 func TestUnusableSettings(t *testing.T) {
-	good := Settings{Doors: 300, Rank: 1, CallsPerSecond: 830, Share: 0.05, CounterTimeout: callTime}
+	good := Settings{Gateways: 300, GatewayIndex: 1, CallsPerSecond: 830, Share: 0.05, CounterTimeout: callTime}
 	if err := good.Check(); err != nil {
 		t.Error(err)
 	}
 	for name, spoil := range map[string]func(*Settings){
-		"doors": func(s *Settings) { s.Doors = 0 }, "rank": func(s *Settings) { s.Rank = 300 },
+		"doors": func(s *Settings) { s.Gateways = 0 }, "rank": func(s *Settings) { s.GatewayIndex = 300 },
 		"calls_per_second": func(s *Settings) { s.CallsPerSecond = -1 }, "share": func(s *Settings) { s.Share = 0.5 },
-		"time-out": func(s *Settings) { s.CounterTimeout = 0 }, "round": func(s *Settings) { s.Doors = 3000 },
+		"time-out": func(s *Settings) { s.CounterTimeout = 0 }, "round": func(s *Settings) { s.Gateways = 3000 },
 	} {
 		set := good
 		spoil(&set)
@@ -583,25 +583,25 @@
 func BenchmarkStep(b *testing.B) {
 	for _, doors := range []int{30, 810} {
 		b.Run(fmt.Sprint(doors), func(b *testing.B) {
-			m, err := New(Settings{Doors: doors, CallsPerSecond: 4150, Share: 0.05, CounterTimeout: callTime}, 1)
+			m, err := New(Settings{Gateways: doors, CallsPerSecond: 4150, Share: 0.05, CounterTimeout: callTime}, 1)
 			if err != nil {
 				b.Fatal(err)
 			}
 			now := time.Duration(begin)
-			m.Step(now, []Event{Configured{}, Adopted{Index: 1, Changes: 1}})
+			m.Step(now, []Event{Configured{}, VersionAdopted{Index: 1, Changes: 1}})
 			for b.Loop() {
 				for range time.Second / tick {
 					now += tick
 					var events []Event
 					for range 12 {
-						events = append(events, Decided{"0123456789abcdef"}, Attempted{})
+						events = append(events, RequestDecided{"0123456789abcdef"}, AttemptSent{})
 					}
 					for len(events) > 0 {
 						actions := m.Step(now, events)
 						events = events[:0]
 						for _, action := range actions {
-							if c, ok := action.(Count); ok {
-								events = append(events, Counted{c.Call, Added, 2})
+							if c, ok := action.(AddToCounter); ok {
+								events = append(events, CounterResult{c.Call, Added, 2})
 							}
 						}
 					}
--- a/internal/audit/lease.go
+++ b/internal/audit/lease.go
@@ -40,7 +40,7 @@
 // keepSlot is how long a slot's number lives: from its making to the end of that epoch.
 func (s *Settings) keepSlot() time.Duration { return s.epoch() * 11 / 10 }
 
-func (s *Settings) slots() int { return max(1, s.Doors/slotPart) }
+func (s *Settings) slots() int { return max(1, s.Gateways/slotPart) }
 
 func (m *Machine) epochAt(now time.Duration) int64 { return int64(now / m.set.epoch()) }
 
@@ -93,7 +93,7 @@
 func (m *Machine) slotName(epoch int64, slot int) uint64 { return name("slot %d %d", epoch, slot) }
 
 // mark is what a door adds to a slot's number.
-func (m *Machine) mark() float64 { return float64(m.set.Rank + 1) }
+func (m *Machine) mark() float64 { return float64(m.set.GatewayIndex + 1) }
 
 // claim asks for a slot in the next epoch. A holder claims the one it has, before others may; these look first whether
 // one by chance is free, as a second claim would spoil the first.
@@ -105,7 +105,7 @@
 	}
 	l.slot = m.rng.IntN(m.set.slots())
 	epoch := l.epoch
-	l.tried = m.count(m.slotName(epoch+1, l.slot), 0, m.set.keepSlot(), func(status Status, total float64) {
+	l.tried = m.count(m.slotName(epoch+1, l.slot), 0, m.set.keepSlot(), func(status CallStatus, total float64) {
 		if status == Added && total == 0 && l.epoch == epoch && m.mayClaim(epoch) {
 			m.addMark(epoch)
 		}
@@ -115,7 +115,7 @@
 // addMark claims the slot.
 func (m *Machine) addMark(epoch int64) bool {
 	l := &m.lease
-	return m.count(m.slotName(epoch+1, l.slot), m.mark(), m.set.keepSlot(), func(status Status, total float64) {
+	return m.count(m.slotName(epoch+1, l.slot), m.mark(), m.set.keepSlot(), func(status CallStatus, total float64) {
 		l.claimed = status == Added && total == m.mark() && l.epoch == epoch && m.mayClaim(epoch)
 	})
 }
@@ -131,7 +131,7 @@
 func (m *Machine) verify() {
 	l := &m.lease
 	epoch := l.epoch
-	l.asked = m.count(m.slotName(epoch+1, l.slot), 0, m.set.keepSlot(), func(status Status, total float64) {
+	l.asked = m.count(m.slotName(epoch+1, l.slot), 0, m.set.keepSlot(), func(status CallStatus, total float64) {
 		l.next = status == Added && math.Abs(total-m.mark()) < 0.5 && l.epoch == epoch
 	})
 }
--- a/internal/audit/machine.go
+++ b/internal/audit/machine.go
@@ -36,7 +36,7 @@
 // call is a Count that is out.
 type call struct {
 	at     time.Duration
-	answer func(status Status, total float64)
+	answer func(status CallStatus, total float64)
 }
 
 // New makes a machine that knows nothing yet. The seed is for its random numbers.
@@ -44,8 +44,8 @@
 	if err := set.Check(); err != nil {
 		return nil, err
 	}
-	return &Machine{set: set, tally: newTally(set.Doors), quorum: quorum(set.Doors), rng: rand.New(rand.NewPCG(seed, 2)),
-		calls: map[uint64]call{}, pace: pace{rate: set.Share * set.CallsPerSecond / float64(set.Doors)}}, nil
+	return &Machine{set: set, tally: newTally(set.Gateways), quorum: quorum(set.Gateways), rng: rand.New(rand.NewPCG(seed, 2)),
+		calls: map[uint64]call{}, pace: pace{rate: set.Share * set.CallsPerSecond / float64(set.Gateways)}}, nil
 }
 
 // Window is how long one round of the audit takes.
@@ -55,7 +55,7 @@
 func (m *Machine) Records() []Record { return m.ring.list() }
 
 // Step takes what happened at time now, in order, and returns what to do, in order. Time is Unix time, alike at all
-// doors, and does not go back. Step has to be called every TickEvery at least. The slice is the caller's until the next
+// doors, and does not go back. Step has to be called every TickInterval at least. The slice is the caller's until the next
 // Step.
 func (m *Machine) Step(now time.Duration, events []Event) []Action {
 	m.actions = m.actions[:0]
@@ -81,36 +81,36 @@
 	return m.actions
 }
 
-// TickEvery is how often Step has to be called though nothing happens.
-const TickEvery = 100 * time.Millisecond
+// TickInterval is how often Step has to be called though nothing happens.
+const TickInterval = 100 * time.Millisecond
 
 func (m *Machine) take(event Event) {
 	switch event := event.(type) {
-	case Adopted:
+	case VersionAdopted:
 		m.adopt(event)
 	case Configured:
 		m.history.revision, m.history.digest = event.Revision, event.Digest
 		if ended, ok := m.history.reconfigure(m.now); ok {
 			m.log(ended)
 		}
-	case Decided:
+	case RequestDecided:
 		m.history.decided(event.RequestID)
-	case Attempted:
+	case AttemptSent:
 		m.history.current.Attempts++
-	case Counted:
+	case CounterResult:
 		m.counted(event)
 	case QuotaCallFailed:
 		m.pace.quotaFailed(m.now)
-	case Woke:
+	case ResumedAfterPause:
 		m.woke(event)
-	case ListTaken:
+	case SnapshotFetched:
 		if m.wake != nil {
 			m.wake.listTaken = event.OK
 		}
 	}
 }
 
-func (m *Machine) adopt(version Adopted) {
+func (m *Machine) adopt(version VersionAdopted) {
 	if ended, ok := m.history.adopt(m.now, version); ok {
 		m.log(ended)
 	}
@@ -118,7 +118,7 @@
 }
 
 // counted settles a call. A failed or slow one makes the audit pause, as quotas need the counter more.
-func (m *Machine) counted(event Counted) {
+func (m *Machine) counted(event CounterResult) {
 	out, ok := m.calls[event.Call]
 	if !ok {
 		return
@@ -133,13 +133,13 @@
 }
 
 // count makes a call if it may, and says whether it did.
-func (m *Machine) count(name uint64, amount float64, keep time.Duration, answer func(Status, float64)) bool {
+func (m *Machine) count(name uint64, amount float64, keep time.Duration, answer func(CallStatus, float64)) bool {
 	if !m.pace.take(m.now) {
 		return false
 	}
 	m.lastCall++
 	m.calls[m.lastCall] = call{at: m.now, answer: answer}
-	m.actions = append(m.actions, Count{Call: m.lastCall, Name: name, Amount: amount, Keep: keep})
+	m.actions = append(m.actions, AddToCounter{Call: m.lastCall, Name: name, Amount: amount, TTL: keep})
 	return true
 }
 
@@ -160,10 +160,10 @@
 		return
 	}
 	if m.suspended = out; out {
-		m.actions = append(m.actions, Suspend{})
+		m.actions = append(m.actions, LeaveService{})
 		return
 	}
-	m.actions = append(m.actions, Resume{})
+	m.actions = append(m.actions, ReturnToService{})
 	m.step(BackInService, m.straggler.target, "nothing keeps it out")
 }
 
--- a/internal/audit/pace.go
+++ b/internal/audit/pace.go
@@ -12,7 +12,7 @@
 
 // window is how long one round takes, so that the calls of all doors stay within the share.
 func (s *Settings) window() time.Duration {
-	seconds := callsPerWindow * float64(s.Doors) / (s.Share * s.CallsPerSecond)
+	seconds := callsPerWindow * float64(s.Gateways) / (s.Share * s.CallsPerSecond)
 	return max(shortestWindow, time.Duration(seconds*float64(time.Second)).Round(time.Millisecond))
 }
 
--- a/internal/audit/record.go
+++ b/internal/audit/record.go
@@ -131,7 +131,7 @@
 
 // adopt starts a record for a version, or goes on with the one before where that was in force only shortly. It returns
 // the record that has ended, if one has.
-func (h *history) adopt(now time.Duration, version Adopted) (ended VersionRecord, ok bool) {
+func (h *history) adopt(now time.Duration, version VersionAdopted) (ended VersionRecord, ok bool) {
 	fold := h.begun && now-h.current.InForceAt < foldWithin
 	if fold {
 		h.current.After, h.current.Source, h.current.ReadAt = version.Index, version.Source, version.ReadAt
@@ -147,11 +147,11 @@
 	if !h.begun {
 		return ended, false
 	}
-	return h.start(now, Adopted{Index: h.current.After, Source: h.current.Source, ReadAt: h.current.ReadAt})
+	return h.start(now, VersionAdopted{Index: h.current.After, Source: h.current.Source, ReadAt: h.current.ReadAt})
 }
 
 // start starts a record and returns the one that has ended, if one has.
-func (h *history) start(now time.Duration, version Adopted) (ended VersionRecord, ok bool) {
+func (h *history) start(now time.Duration, version VersionAdopted) (ended VersionRecord, ok bool) {
 	ended, ok = h.current, h.begun
 	ended.Replaced, ended.ReplacedAt = true, now
 	h.current = VersionRecord{Before: ended.After, After: version.Index, Source: version.Source, Folded: version.Changes,
--- a/internal/audit/round.go
+++ b/internal/audit/round.go
@@ -41,7 +41,7 @@
 	mixed ^= mixed >> 29
 	mixed *= 0xbf58476d1ce4e5b9
 	mixed ^= mixed >> 32
-	return int(mixed % uint64(m.set.Doors))
+	return int(mixed % uint64(m.set.Gateways))
 }
 
 // takePart does what is due in the window that runs.
@@ -50,16 +50,16 @@
 	if window := m.windowAt(m.now); window != r.window {
 		*r = round{first: r.first, window: window, level: r.level}
 	}
-	if !m.known || r.window < r.first || m.set.Doors < quorumMin {
+	if !m.known || r.window < r.first || m.set.Gateways < quorumMin {
 		return
 	}
 	length := m.set.window()
 	part := float64(m.now%length) / float64(length)
-	if !r.proposed && m.proposer(r.window) == m.set.Rank && part < readFrom {
+	if !r.proposed && m.proposer(r.window) == m.set.GatewayIndex && part < readFrom {
 		r.proposed = m.count(m.proposalName(r.window), asTotal(m.subject(r.window)), keepWindows*length,
-			func(Status, float64) {})
+			func(CallStatus, float64) {})
 	}
-	turn := readFrom + (readTo-readFrom)*float64(m.set.Rank)/float64(m.set.Doors)
+	turn := readFrom + (readTo-readFrom)*float64(m.set.GatewayIndex)/float64(m.set.Gateways)
 	if !r.read && part >= turn {
 		r.read = m.readProposal(r.window)
 	}
@@ -96,7 +96,7 @@
 
 // readProposal reads what was proposed and answers it.
 func (m *Machine) readProposal(window int64) bool {
-	return m.count(m.proposalName(window), 0, keepWindows*m.set.window(), func(status Status, total float64) {
+	return m.count(m.proposalName(window), 0, keepWindows*m.set.window(), func(status CallStatus, total float64) {
 		proposal, ok := m.proposalOf(window, total)
 		if status != Added || !ok || window != m.round.window {
 			return
@@ -120,8 +120,8 @@
 
 // vote adds this door to the count of a proposal, once in a window: a call that ends unknown is not made again.
 func (m *Machine) vote(window, proposal int64) {
-	m.count(m.countName(window, proposal), m.tally.amount(m.set.Rank), keepWindows*m.set.window(),
-		func(status Status, total float64) {
+	m.count(m.countName(window, proposal), m.tally.amount(m.set.GatewayIndex), keepWindows*m.set.window(),
+		func(status CallStatus, total float64) {
 			switch {
 			case status != Added || window != m.round.window:
 			case isConfig(window):
@@ -139,7 +139,7 @@
 		m.round.level = 0
 		return true
 	}
-	return m.count(m.countName(window, proposal), 0, keepWindows*m.set.window(), func(status Status, total float64) {
+	return m.count(m.countName(window, proposal), 0, keepWindows*m.set.window(), func(status CallStatus, total float64) {
 		if status != Added || !m.isBehind(window, proposal) {
 			return
 		}
--- a/internal/audit/straggler.go
+++ b/internal/audit/straggler.go
@@ -14,8 +14,8 @@
 	wakeReads    = 2                // windows whose proposals it then reads
 )
 
-// StoodStill is how long a process has to stand still for a Woke: a change counts as told after as long.
-const StoodStill = 6 * time.Second
+// MinPause is how long a process has to stand still for a Woke: a change counts as told after as long.
+const MinPause = 6 * time.Second
 
 // stage says how far the bringing up of a straggler has come.
 type stage int
@@ -96,11 +96,11 @@
 	switch {
 	case s.stage == waits && spent >= behindFor:
 		m.step(Reopened, s.target, "still behind after %v", behindFor)
-		m.actions = append(m.actions, Rewatch{})
+		m.actions = append(m.actions, ReopenWatch{})
 		m.enter(reopened)
 	case s.stage == reopened && spent >= reopenFor:
 		m.step(AskedForList, s.target, "the new watch brought nothing in %v", reopenFor)
-		m.actions = append(m.actions, FetchList{})
+		m.actions = append(m.actions, FetchSnapshot{})
 		m.enter(askedList)
 	case s.stage == askedList && spent >= listFor:
 		s.tried = m.now
@@ -118,9 +118,9 @@
 	s := &m.straggler
 	s.tried = m.now
 	if s.turn = !s.turn; s.turn {
-		m.actions = append(m.actions, Rewatch{})
+		m.actions = append(m.actions, ReopenWatch{})
 	} else {
-		m.actions = append(m.actions, FetchList{})
+		m.actions = append(m.actions, FetchSnapshot{})
 	}
 }
 
@@ -134,13 +134,13 @@
 }
 
 // woke begins the check. It reads the proposals of this window and of the one before, as far as its pace allows.
-func (m *Machine) woke(event Woke) {
-	if event.StoodStill < StoodStill || !m.known {
+func (m *Machine) woke(event ResumedAfterPause) {
+	if event.Pause < MinPause || !m.known {
 		return
 	}
 	m.wake = &wakeCheck{since: m.now}
-	m.step(WokeUp, 0, "it stood still for %v", event.StoodStill.Round(time.Millisecond))
-	m.actions = append(m.actions, Rewatch{}, FetchList{})
+	m.step(WokeUp, 0, "it stood still for %v", event.Pause.Round(time.Millisecond))
+	m.actions = append(m.actions, ReopenWatch{}, FetchSnapshot{})
 	read := 0
 	for window := m.windowAt(m.now); read < wakeReads; window-- {
 		if !isConfig(window) {
@@ -167,7 +167,7 @@
 
 // wakeCall reads a number for the check, if the pace allows.
 func (m *Machine) wakeCall(check *wakeCheck, name uint64, read func(total float64)) {
-	if m.count(name, 0, keepWindows*m.set.window(), func(status Status, total float64) {
+	if m.count(name, 0, keepWindows*m.set.window(), func(status CallStatus, total float64) {
 		check.out--
 		if status == Added {
 			read(total)
--- a/internal/fleetsim/audit.go
+++ b/internal/fleetsim/audit.go
@@ -112,16 +112,16 @@
 func newAuditSim(seed uint64, doors int, changes Changes) (*auditSim, error) {
 	s := &auditSim{rng: rand.New(rand.NewPCG(seed, 3)), changes: changes, numbers: map[uint64]auditNumber{},
 		now: time.Duration(1_800_000_000)*time.Second + time.Duration(seed)*3*time.Second,
-		set: audit.Settings{Doors: doors, CallsPerSecond: AuditCounter(doors), Share: auditShare, CounterTimeout: 50 * ms}}
+		set: audit.Settings{Gateways: doors, CallsPerSecond: AuditCounter(doors), Share: auditShare, CounterTimeout: 50 * ms}}
 	for rank := range doors {
 		set := s.set
-		set.Rank = rank
+		set.GatewayIndex = rank
 		machine, err := audit.New(set, s.rng.Uint64())
 		if err != nil {
 			return nil, err
 		}
 		s.all = append(s.all, &auditDoor{machine: machine, told: 1, lag: time.Duration(s.rng.Int64N(int64(auditLag))),
-			events: []audit.Event{audit.Configured{}, audit.Adopted{Index: 1, Changes: 1}}})
+			events: []audit.Event{audit.Configured{}, audit.VersionAdopted{Index: 1, Changes: 1}}})
 	}
 	return s, nil
 }
@@ -182,8 +182,8 @@
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	s.now += audit.TickEvery
-	if s.now%time.Second < audit.TickEvery {
+	s.now += audit.TickInterval
+	if s.now%time.Second < audit.TickInterval {
 		sums.most = max(sums.most, s.second)
 		s.second = 0
 	}
@@ -203,29 +203,29 @@
 // news brings a door the changes that its agent has told, one by one.
 func (s *auditSim) news(d *auditDoor, index int64) {
 	for ; !d.noNews && d.told < index; d.told++ {
-		d.events = append(d.events, audit.Adopted{Index: d.told + 1, Source: audit.FromChange, ReadAt: s.now, Changes: 1})
+		d.events = append(d.events, audit.VersionAdopted{Index: d.told + 1, Source: audit.FromDelta, ReadAt: s.now, Changes: 1})
 	}
 }
 
 func (s *auditSim) act(d *auditDoor, action audit.Action) {
 	switch action := action.(type) {
-	case audit.Count:
+	case audit.AddToCounter:
 		s.calls++
 		s.second++
 		n := s.numbers[action.Name]
 		if s.now >= n.until {
-			n = auditNumber{until: s.now + min(action.Keep, time.Minute)}
+			n = auditNumber{until: s.now + min(action.TTL, time.Minute)}
 		}
 		n.total += action.Amount
 		s.numbers[action.Name] = n
-		d.events = append(d.events, audit.Counted{Call: action.Call, Status: audit.Added, Total: n.total})
-	case audit.Rewatch:
+		d.events = append(d.events, audit.CounterResult{Call: action.Call, Status: audit.Added, Total: n.total})
+	case audit.ReopenWatch:
 		d.behind = true
-	case audit.FetchList:
-		d.events = append(d.events, audit.ListTaken{OK: true})
-	case audit.Suspend:
+	case audit.FetchSnapshot:
+		d.events = append(d.events, audit.SnapshotFetched{OK: true})
+	case audit.LeaveService:
 		d.out = true
-	case audit.Resume:
+	case audit.ReturnToService:
 		d.out = false
 	}
 }
--- a/internal/gateway/audit.go
+++ b/internal/gateway/audit.go
@@ -18,7 +18,7 @@
 	f       *Server
 	machine *audit.Machine
 	events  []audit.Event
-	read    []audit.Adopted // versions that are in force after the next Step of the Door
+	read    []audit.VersionAdopted // versions that are in force after the next Step of the Door
 	passAt  time.Duration   // when the last pass began or ended; the module's check alone brings one every 20 ms
 }
 
@@ -41,10 +41,10 @@
 	a.passAt = a.f.now()
 	a.configured(a.f.cfg.Discovery, a.f.cfg.Counter, a.f.cfg.Audit.Revision)
 	if known := &a.f.cfg.Known; known.Index > 0 {
-		a.adopted(known.Index, audit.FromKnown)
+		a.adopted(known.Index, audit.FromConfiguration)
 	}
 	a.f.log.Info("the audit is on", "window", a.machine.Window())
-	a.f.every(audit.TickEvery, a.step)
+	a.f.every(audit.TickInterval, a.step)
 }
 
 // configured tells of the configuration in force.
@@ -60,7 +60,7 @@
 // adopted notes a version that has been taken to its end.
 func (a *auditor) adopted(index int64, source audit.Source) {
 	if a != nil {
-		a.read = append(a.read, audit.Adopted{Index: index, Source: source, ReadAt: a.f.now(), Changes: 1})
+		a.read = append(a.read, audit.VersionAdopted{Index: index, Source: source, ReadAt: a.f.now(), Changes: 1})
 	}
 }
 
@@ -77,13 +77,13 @@
 
 func (a *auditor) decided(r *request) {
 	if a != nil {
-		a.tell(audit.Decided{RequestID: string(r.ask.args[2])})
+		a.tell(audit.RequestDecided{RequestID: string(r.ask.args[2])})
 	}
 }
 
 func (a *auditor) attempted() {
 	if a != nil {
-		a.tell(audit.Attempted{})
+		a.tell(audit.AttemptSent{})
 	}
 }
 
@@ -104,7 +104,7 @@
 	now := a.f.now()
 	stood := a.stoodStillFor(now)
 	if a.passAt = now; stood > 0 {
-		a.tell(audit.Woke{StoodStill: stood})
+		a.tell(audit.ResumedAfterPause{Pause: stood})
 		a.step()
 	}
 }
@@ -114,7 +114,7 @@
 	if a == nil {
 		return
 	}
-	if now := a.f.now(); now-a.passAt < audit.StoodStill {
+	if now := a.f.now(); now-a.passAt < audit.MinPause {
 		a.passAt = now
 	}
 	if len(a.events) > 0 {
@@ -127,7 +127,7 @@
 func (a *auditor) stoodStill(now time.Duration) bool { return a.stoodStillFor(now) > 0 }
 
 func (a *auditor) stoodStillFor(now time.Duration) time.Duration {
-	if a == nil || a.passAt == 0 || now-a.passAt < audit.StoodStill {
+	if a == nil || a.passAt == 0 || now-a.passAt < audit.MinPause {
 		return 0
 	}
 	return now - a.passAt
@@ -146,17 +146,17 @@
 
 func (a *auditor) act(action audit.Action) {
 	switch action := action.(type) {
-	case audit.Count:
+	case audit.AddToCounter:
 		a.count(action)
-	case audit.Rewatch:
+	case audit.ReopenWatch:
 		a.f.discovery.follow(a.f.discovery.addr)
-	case audit.FetchList:
-		a.f.discovery.askAndFollow(func(ok bool) { a.tell(audit.ListTaken{OK: ok}) })
-	case audit.Suspend:
+	case audit.FetchSnapshot:
+		a.f.discovery.askAndFollow(func(ok bool) { a.tell(audit.SnapshotFetched{OK: ok}) })
+	case audit.LeaveService:
 		a.f.suspended.Store(true)
 		a.f.tell(policy.Suspend{On: true})
 		a.f.backends.dropAllDialled()
-	case audit.Resume:
+	case audit.ReturnToService:
 		a.f.suspended.Store(false)
 		a.f.tell(policy.Suspend{On: false})
 	case audit.Log:
@@ -169,15 +169,15 @@
 }
 
 // count makes a call for the audit.
-func (a *auditor) count(c audit.Count) {
-	a.f.counter.add(c.Name, c.Amount, c.Keep, func(status policy.Status, total float64) {
-		ended := audit.Unknown
+func (a *auditor) count(c audit.AddToCounter) {
+	a.f.counter.add(c.Name, c.Amount, c.TTL, func(status policy.Status, total float64) {
+		ended := audit.MaybeAdded
 		switch status {
 		case policy.OK:
 			ended = audit.Added
 		case policy.Rejected, policy.ConnectFailed:
-			ended = audit.Refused
+			ended = audit.NotAdded
 		}
-		a.tell(audit.Counted{Call: c.Call, Status: ended, Total: total})
+		a.tell(audit.CounterResult{Call: c.Call, Status: ended, Total: total})
 	})
 }
--- a/internal/gateway/auditconfig.go
+++ b/internal/gateway/auditconfig.go
@@ -73,6 +73,6 @@
 }
 
 func (c *Config) auditSettings() audit.Settings {
-	return audit.Settings{Doors: c.Settings.Gateways, Rank: c.Settings.GatewayIndex, CallsPerSecond: c.Audit.CallsPerSecond,
+	return audit.Settings{Gateways: c.Settings.Gateways, GatewayIndex: c.Settings.GatewayIndex, CallsPerSecond: c.Audit.CallsPerSecond,
 		Share: c.Audit.Share, CounterTimeout: c.Settings.CounterTimeout}
 }
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -145,9 +145,9 @@
 // adopt notes that a list or change from discovery has been taken to its end.
 func (d *discovery) adopt(m Members) {
 	d.index = m.Index
-	source := audit.FromChange
+	source := audit.FromDelta
 	if m.Snapshot {
-		source = audit.FromWhole
+		source = audit.FromSnapshot
 	}
 	d.f.audit.adopted(m.Index, source)
 }
