--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -14,8 +14,8 @@
 
 // Settings is what a Machine is told at its start.
 type Settings struct {
-	Gateways          int           // doors of the fleet, this one included; 1 at least
-	GatewayIndex           int           // this door's number among them, from 0
+	Gateways       int           // doors of the fleet, this one included; 1 at least
+	GatewayIndex   int           // this door's number among them, from 0
 	CallsPerSecond float64       // calls that the counter takes, from all doors for all purposes
 	Share          float64       // of them, that the audits of all doors may make together
 	CounterTimeout time.Duration // after which a call ends unanswered
@@ -23,7 +23,7 @@
 
 // Limits of what the settings may ask for.
 const (
-	MaxShare     = 0.2              // of the counter's calls: quotas go first
+	MaxShare      = 0.2              // of the counter's calls: quotas go first
 	longestWindow = 25 * time.Second // the counter's numbers live for 60 s
 	mostDoors     = 1 << 20
 )
@@ -53,9 +53,9 @@
 
 // Sources of versions.
 const (
-	FromConfiguration  Source = iota // the list of the configuration
-	FromDelta               // a change that the watch told
-	FromSnapshot                // a whole list
+	FromConfiguration Source = iota // the list of the configuration
+	FromDelta                       // a change that the watch told
+	FromSnapshot                    // a whole list
 )
 
 func (s Source) String() string { return [...]string{"known", "change", "whole"}[s] }
@@ -65,9 +65,9 @@
 
 // Ends of a call.
 const (
-	Added   CallStatus = iota
-	NotAdded        // nothing was added
-	MaybeAdded        // it may have been added
+	Added      CallStatus = iota
+	NotAdded              // nothing was added
+	MaybeAdded            // it may have been added
 )
 
 // Event is something that happened: one of the types below.
@@ -107,14 +107,14 @@
 // SnapshotFetched ends a FetchSnapshot. The version that it brought, if any, is told before.
 type SnapshotFetched struct{ OK bool }
 
-func (VersionAdopted) event()         {}
-func (Configured) event()      {}
-func (RequestDecided) event()         {}
+func (VersionAdopted) event()    {}
+func (Configured) event()        {}
+func (RequestDecided) event()    {}
 func (AttemptSent) event()       {}
-func (CounterResult) event()         {}
-func (QuotaCallFailed) event() {}
-func (ResumedAfterPause) event()            {}
-func (SnapshotFetched) event()       {}
+func (CounterResult) event()     {}
+func (QuotaCallFailed) event()   {}
+func (ResumedAfterPause) event() {}
+func (SnapshotFetched) event()   {}
 
 // Action is something that the caller must do: one of the types below.
 type Action interface{ action() }
@@ -124,7 +124,7 @@
 	Call   uint64 // a Counted answers it
 	Name   uint64
 	Amount float64
-	TTL   time.Duration // life of a new name
+	TTL    time.Duration // life of a new name
 }
 
 // ReopenWatch opens discovery's watch anew, from the version in force.
@@ -143,9 +143,9 @@
 // Log is a record for the log.
 type Log struct{ Record Record }
 
-func (AddToCounter) action()     {}
-func (ReopenWatch) action()   {}
-func (FetchSnapshot) action() {}
-func (LeaveService) action()   {}
-func (ReturnToService) action()    {}
-func (Log) action()       {}
+func (AddToCounter) action()    {}
+func (ReopenWatch) action()     {}
+func (FetchSnapshot) action()   {}
+func (LeaveService) action()    {}
+func (ReturnToService) action() {}
+func (Log) action()             {}
--- a/internal/gateway/audit.go
+++ b/internal/gateway/audit.go
@@ -19,7 +19,7 @@
 	machine *audit.Machine
 	events  []audit.Event
 	read    []audit.VersionAdopted // versions that are in force after the next Step of the Door
-	passAt  time.Duration   // when the last pass began or ended; the module's check alone brings one every 20 ms
+	passAt  time.Duration          // when the last pass began or ended; the module's check alone brings one every 20 ms
 }
 
 func newAuditor(f *Server) (*auditor, error) {
