--- /dev/null
+++ b/internal/audit/doc.go
@@ -0,0 +1,38 @@
+// Package audit finds the gateways of a fleet that act on an old version of the endpoint list, and brings such a gateway
+// up to date or takes it out of service until it is.
+//
+// # The model
+//
+// A [Machine] is the audit of one gateway. It is a pure state machine: no socket, clock or goroutine. The gateway tells
+// [Machine.Step] what happened ([Event]) and carries out what Step answers ([Action]). The machines of a fleet share
+// nothing but the numbers of the counter. docs/AUDIT.md has the protocol between them, why it is safe and what it costs.
+//
+//   - A version is the index of the endpoint list that a gateway acts on.
+//   - Time is cut into windows, alike at all gateways. In each window one gateway proposes its version, every gateway
+//     that acts on that version or a newer one votes for it, and a gateway that is behind the proposal counts the votes.
+//   - A quorum of different voters is the proof that the fleet acts on a newer version. Nothing else makes a gateway
+//     count as behind, except its own check after its process stood still.
+//   - A gateway that a quorum is ahead of goes through the stages of staleness: it waits, reopens the watch, fetches
+//     the whole list, and is then taken out of service until it has caught up.
+//   - Only the holder of a slot is out of service. Slots are leased for an epoch, so that a bounded part of the fleet is
+//     out at once.
+//
+// # Who owns what
+//
+//	machine.go     Machine: the order of a Step; which event goes to which part; in or out of service
+//	settings.go    Settings: what may be asked for
+//	schedule.go    schedule: lengths of windows and epochs, lifetimes of the counter's numbers, derived once
+//	event.go       the events and actions at the boundary
+//	versions.go    versionHistory: the version and the configuration in force, and the record of each
+//	records.go     the records on the log and the ring of the latest ones
+//	calls.go       counterCalls: the counter calls that are out
+//	pacer.go       pacer: when a counter call may be made
+//	proposer.go    proposerOrder: which gateway proposes in a window
+//	round.go       round: propose, vote, compare
+//	tally.go       tally: how many different gateways a total stands for; quorum; versions as totals
+//	staleness.go   staleness: the stages of a gateway that is behind, as one table
+//	slotlease.go   slotLease: the claim to a slot
+//	pausecheck.go  pauseCheck: the check after the process stood still
+//
+// A Machine and all its parts belong to the goroutine that calls Step; nothing in the package is safe for concurrent use.
+package audit
--- /dev/null
+++ b/internal/audit/pausecheck.go
@@ -0,0 +1,117 @@
+package audit
+
+import "time"
+
+const (
+	// The longest time that a gateway waits for its check after a pause.
+	maxPauseCheck = 3 * time.Second
+	// Windows about the list whose proposals the check reads: the one that runs may have none yet.
+	pauseCheckWindows = 2
+)
+
+// pauseCheck is the check of a gateway whose process stood still: it is out of service until it has heard from
+// discovery, and from the fleet if the counter answers. docs/AUDIT.md, "A gateway that stood still".
+type pauseCheck struct {
+	out       *output
+	schedule  schedule
+	versions  *versionHistory
+	ballot    *ballot
+	staleness *staleness // goes on where the check finds a quorum ahead
+
+	current *runningCheck // nil: none
+}
+
+// runningCheck is one check. A further pause begins another; what the calls of the earlier one tell goes nowhere then.
+type runningCheck struct {
+	since           time.Duration
+	callsOut        int   // about proposals and votes
+	target          int64 // a quorum was found to act on this newer version; 0: none
+	snapshotFetched bool
+}
+
+// isRunning says whether a check is under way.
+func (p *pauseCheck) isRunning() bool { return p.current != nil }
+
+// resumed begins the check: it reopens the watch, asks for the whole list, and reads the proposals of this window and of
+// the one before, as far as the pacer allows.
+func (p *pauseCheck) resumed(pause time.Duration) {
+	if pause < MinPause || !p.versions.isKnown() {
+		return
+	}
+	check := &runningCheck{since: p.out.now}
+	p.current = check
+	p.out.recordStep(StepResumed, 0, "it stood still for %v", pause.Round(time.Millisecond))
+	p.out.act(ReopenWatch{})
+	p.out.act(FetchSnapshot{})
+	read := 0
+	for window := p.schedule.windowAt(p.out.now); read < pauseCheckWindows; window-- {
+		if !isConfigWindow(window) {
+			p.readProposal(check, window)
+			read++
+		}
+	}
+}
+
+// readProposal reads a window's proposal out of turn, and the votes for it if the gateway is behind.
+func (p *pauseCheck) readProposal(check *runningCheck, window int64) {
+	asked := p.ballot.readProposal(window, func(proposal int64, ok bool) {
+		check.callsOut--
+		if ok && p.ballot.isBehind(window, proposal) {
+			p.readVotes(check, window, proposal)
+		}
+	})
+	if asked {
+		check.callsOut++
+	}
+}
+
+// readVotes looks whether a quorum has voted for a proposal that the gateway is behind.
+func (p *pauseCheck) readVotes(check *runningCheck, window, proposal int64) {
+	asked := p.ballot.readVotes(window, proposal, func(voters int) {
+		check.callsOut--
+		if p.ballot.isQuorum(voters) {
+			check.target = max(check.target, proposal)
+		}
+	})
+	if asked {
+		check.callsOut++
+	}
+}
+
+// snapshotFetched notes whether the whole list was fetched.
+func (p *pauseCheck) snapshotFetched(ok bool) {
+	if p.current != nil {
+		p.current.snapshotFetched = ok
+	}
+}
+
+// run ends the check: when all is heard and nobody is known to be ahead, or when its time is over. A gateway that is
+// behind then goes on as one that has reopened its watch and asked for the list.
+func (p *pauseCheck) run() {
+	check := p.current
+	if check == nil {
+		return
+	}
+	ahead := check.target > p.versions.index()
+	complete := !ahead && check.snapshotFetched && check.callsOut <= 0
+	if !complete && p.out.now-check.since < maxPauseCheck {
+		return
+	}
+	p.current = nil
+	p.out.recordStep(StepResumeChecked, check.target, "%s, after %v", check.result(ahead),
+		(p.out.now - check.since).Round(time.Millisecond))
+	if ahead {
+		p.staleness.behindAfterPause(check.target)
+	}
+}
+
+// result is what the check has found, for the log.
+func (c *runningCheck) result(ahead bool) string {
+	switch {
+	case ahead:
+		return "the fleet is ahead"
+	case !c.snapshotFetched:
+		return "discovery did not answer"
+	}
+	return "no quorum is known to be ahead"
+}
--- /dev/null
+++ b/internal/audit/pausecheck_test.go
@@ -0,0 +1,33 @@
+package audit
+
+import (
+	"testing"
+	"time"
+)
+
+// A gateway that stood still forwards nothing until it has heard from discovery, or its time for that is over.
+func TestGatewayThatStoodStillWaitsForItsList(t *testing.T) {
+	for name, discoveryAnswers := range map[string]bool{"discovery answers": true, "discovery is silent": false} {
+		t.Run(name, func(t *testing.T) {
+			f := newSimFleet(t, 1, 5)
+			f.play(10 * time.Second)
+			g := f.gateways[1]
+			g.agentCut = !discoveryAnswers
+			g.pausedAt, g.pausedUntil = f.now, f.now+8*time.Second
+			for f.now < g.pausedUntil || g.pausedUntil > 0 {
+				f.step(0)
+			}
+			resumedAt := f.now
+			if !g.outOfService {
+				t.Fatal("it serves at once")
+			}
+			for g.outOfService && f.now < resumedAt+2*maxPauseCheck {
+				f.step(0)
+			}
+			waited := f.now - resumedAt
+			if discoveryAnswers != (waited < time.Second) || waited > maxPauseCheck+time.Second {
+				t.Errorf("it served after %v", waited)
+			}
+		})
+	}
+}
--- a/internal/audit/round.go
+++ b/internal/audit/round.go
@@ -3,162 +3,152 @@
 import "time"
 
 const (
-	readFrom      = 0.15 // part of the window from which on doors read the proposal, spread by their ranks ...
-	readTo        = 0.85 // ... up to here; all have voted then
-	compareAfter  = 0.85 // windows after that a door which is behind looks whether a quorum is ahead ...
-	compareLate   = 0.5  // ... or so much later at most, where the counter was spared meanwhile
-	keepWindows   = 2    // windows that a number lives
-	configEach    = 8    // one window in so many is about the configuration
-	levelToClear  = 5    // windows in a row that must say so before a door no longer counts as behind
-	scatterFactor = 0x9e3779b97f4a7c15
+	// Gateways read the proposal between these fractions of the window, spread by their indices, and vote at once. The
+	// proposer proposes before.
+	readFrom = 0.15
+	readTo   = 0.85
+	// A gateway that is behind the proposal compares so many windows after it has read it: all have voted then. Where
+	// the counter had to be spared meanwhile it compares up to maxCompareDelay windows later, then not at all.
+	compareAfter    = 0.85
+	maxCompareDelay = 0.5
 )
 
-// comparison is a proposal that a door is behind, and when it looks whether a quorum has answered it.
-type comparison struct {
-	window, proposal int64
-	at               time.Duration
-}
-
-// round is a door's part in the windows. In each, one door proposes the version that it acts on; every door reads the
-// proposal and adds itself to its count if it acts on that version or a newer one, else looks at the count. What is
-// proposed is a question only: the count is what answers it, so a proposal may be old, absurd or missing.
+// round is a gateway's part in the windows: propose, vote, compare. What is proposed is a question only: the votes are
+// what answers it, so a proposal may be old, absurd or missing. docs/AUDIT.md, "The protocol".
 type round struct {
-	first    int64 // the first window to take part in
-	window   int64 // the one that runs
-	proposed bool
-	read     bool // the proposal
-	level    int  // windows in a row in which the fleet was seen not to be ahead
+	out          *output
+	schedule     schedule
+	versions     *versionHistory
+	ballot       *ballot
+	staleness    *staleness // learns the verdicts
+	proposers    proposerOrder
+	gateways     int
+	gatewayIndex int
+
+	firstWindow      int64       // to take part in
+	window           int64       // that runs
+	proposed         bool        // in this window
+	read             bool        // the proposal, in this window
+	pending          *comparison // nil: none
+	reportedRevision uint64      // the other configuration that was recorded last, plus one; 0: none
 }
 
-func (m *Machine) windowAt(now time.Duration) int64 { return int64(now / m.set.window()) }
-
-// isConfig says whether a window is about the configuration and not about the list.
-func isConfig(window int64) bool { return window%configEach == configEach-1 }
-
-// proposer is the rank of the door that proposes in a window: each in turn, in an order that all know.
-func (m *Machine) proposer(window int64) int {
-	mixed := uint64(window) * scatterFactor
-	mixed ^= mixed >> 29
-	mixed *= 0xbf58476d1ce4e5b9
-	mixed ^= mixed >> 32
-	return int(mixed % uint64(m.set.Gateways))
+// comparison is a proposal that the gateway is behind, and when it compares the votes.
+type comparison struct {
+	window, proposal int64
+	dueAt            time.Duration
 }
 
-// takePart does what is due in the window that runs.
-func (m *Machine) takePart() {
-	r := &m.round
-	if window := m.windowAt(m.now); window != r.window {
-		*r = round{first: r.first, window: window, level: r.level}
-	}
-	if !m.known || r.window < r.first || m.set.Gateways < quorumMin {
+// begin keeps the gateway out of the windows that it can't take part in from their start on. A gateway of this name may
+// have voted in the window that runs; and were all to begin as soon as they have a token, a fleet that starts at once
+// would call the counter at once.
+func (r *round) begin(now time.Duration) { r.firstWindow = r.schedule.windowAt(now) + 2 }
+
+// run does what is due in the window that runs.
+func (r *round) run() {
+	r.followWindow()
+	if !r.takesPart() {
 		return
 	}
-	length := m.set.window()
-	part := float64(m.now%length) / float64(length)
-	if !r.proposed && m.proposer(r.window) == m.set.GatewayIndex && part < readFrom {
-		r.proposed = m.count(m.proposalName(r.window), asTotal(m.subject(r.window)), keepWindows*length,
-			func(CallStatus, float64) {})
+	fraction := r.schedule.windowFraction(r.out.now)
+	if r.mayPropose(fraction) {
+		r.proposed = r.ballot.propose(r.window)
 	}
-	turn := readFrom + (readTo-readFrom)*float64(m.set.GatewayIndex)/float64(m.set.Gateways)
-	if !r.read && part >= turn {
-		r.read = m.readProposal(r.window)
-	}
-	if c := m.ahead; c != nil && m.now >= c.at {
-		late := m.now > c.at+time.Duration(compareLate*float64(length))
-		if late || !m.isBehind(c.window, c.proposal) || m.compare(c.window, c.proposal) {
-			m.ahead = nil
-		}
+	if !r.read && fraction >= r.readTurn() {
+		r.read = r.readProposal(r.window)
 	}
+	r.compareIfDue()
 }
 
-// subject is what a window compares.
-func (m *Machine) subject(window int64) int64 {
-	if isConfig(window) {
-		return int64(m.history.revision % exact)
+// followWindow begins the window that runs.
+func (r *round) followWindow() {
+	if window := r.schedule.windowAt(r.out.now); window != r.window {
+		r.window, r.proposed, r.read = window, false, false
 	}
-	return m.own
 }
 
-// isBehind says whether the count of a proposal concerns this door: it acts on something older or, for the
-// configuration, on something else.
-func (m *Machine) isBehind(window, proposal int64) bool {
-	if isConfig(window) {
-		return proposal != m.subject(window)
-	}
-	return m.own < proposal
+// takesPart says whether the gateway takes part in the window: it has a version, the window is not one of its first
+// ones, and the fleet is large enough for a quorum.
+func (r *round) takesPart() bool {
+	return r.versions.isKnown() && r.window >= r.firstWindow && r.gateways >= minQuorum
 }
 
-func (m *Machine) proposalName(window int64) uint64 { return name("proposal %d", window) }
+// mayPropose says whether the window's proposal is this gateway's and still to be made.
+func (r *round) mayPropose(fraction float64) bool {
+	return !r.proposed && r.proposers.proposer(r.window) == r.gatewayIndex && fraction < readFrom
+}
 
-func (m *Machine) countName(window, proposal int64) uint64 {
-	return name("count %d %d", window, proposal)
+// readTurn is the fraction of the window from which on this gateway reads the proposal.
+func (r *round) readTurn() float64 {
+	return readFrom + (readTo-readFrom)*float64(r.gatewayIndex)/float64(r.gateways)
 }
 
-// readProposal reads what was proposed and answers it.
-func (m *Machine) readProposal(window int64) bool {
-	return m.count(m.proposalName(window), 0, keepWindows*m.set.window(), func(status CallStatus, total float64) {
-		proposal, ok := m.proposalOf(window, total)
-		if status != Added || !ok || window != m.round.window {
-			return
+// readProposal reads what was proposed. Then the gateway votes or, if it is behind, compares the votes later.
+func (r *round) readProposal(window int64) bool {
+	return r.ballot.readProposal(window, func(proposal int64, ok bool) {
+		switch {
+		case !ok || window != r.window:
+		case r.ballot.isBehind(window, proposal):
+			r.pending = &comparison{window, proposal, r.out.now + r.schedule.ofWindow(compareAfter)}
+		default:
+			r.vote(window, proposal)
 		}
-		if !m.isBehind(window, proposal) {
-			m.vote(window, proposal)
-			return
+	})
+}
+
+// vote votes for a proposal, and takes it as evidence once the vote is counted.
+func (r *round) vote(window, proposal int64) {
+	r.ballot.vote(window, proposal, func(ok bool) {
+		switch {
+		case !ok || window != r.window:
+		case isConfigWindow(window):
+			r.reportedRevision = 0
+		default:
+			r.staleness.notBehindProposal()
 		}
-		m.ahead = &comparison{window, proposal, m.now + time.Duration(compareAfter*float64(m.set.window()))}
 	})
 }
 
-// proposalOf reads what was proposed out of a total. Versions have more digits than totals; what is compared of a
-// configuration has not.
-func (m *Machine) proposalOf(window int64, total float64) (proposal int64, ok bool) {
-	if isConfig(window) {
-		return int64(total) - 1, isWhole(total) && total >= 1
+// compareIfDue compares the votes for the pending proposal, unless the gateway has caught up with it or it is too late.
+func (r *round) compareIfDue() {
+	c := r.pending
+	if c == nil || r.out.now < c.dueAt {
+		return
+	}
+	tooLate := r.out.now > c.dueAt+r.schedule.ofWindow(maxCompareDelay)
+	if tooLate || !r.ballot.isBehind(c.window, c.proposal) || r.compare(c.window, c.proposal) {
+		r.pending = nil
 	}
-	return fromTotal(total, m.own)
 }
 
-// vote adds this door to the count of a proposal, once in a window: a call that ends unknown is not made again.
-func (m *Machine) vote(window, proposal int64) {
-	m.count(m.countName(window, proposal), m.tally.amount(m.set.GatewayIndex), keepWindows*m.set.window(),
-		func(status CallStatus, total float64) {
-			switch {
-			case status != Added || window != m.round.window:
-			case isConfig(window):
-				m.reported = 0
-			default:
-				m.notBehind()
-			}
-		})
+// compare looks whether a quorum has voted for a proposal that this gateway is behind, and says whether that is done. A
+// gateway that is known to be stale needs its calls for a slot.
+func (r *round) compare(window, proposal int64) bool {
+	if r.staleness.isStale() && !isConfigWindow(window) {
+		r.staleness.behindProposal()
+		return true
+	}
+	return r.ballot.readVotes(window, proposal, func(voters int) { r.decide(window, proposal, voters) })
 }
 
-// compare looks at the count of a proposal that this door is behind. One that is known to be behind needs its calls for a
-// slot.
-func (m *Machine) compare(window, proposal int64) bool {
-	if m.straggler.stage == wantsOut && !isConfig(window) {
-		m.round.level = 0
-		return true
+// decide gives the verdict on a proposal by its votes.
+func (r *round) decide(window, proposal int64, voters int) {
+	switch {
+	case !r.ballot.isQuorum(voters): // one gateway's word, or none
+	case !r.ballot.isBehind(window, proposal): // it has caught up meanwhile
+	case isConfigWindow(window):
+		r.recordOtherConfig(proposal, voters)
+	default:
+		r.staleness.quorumAhead(proposal, voters)
 	}
-	return m.count(m.countName(window, proposal), 0, keepWindows*m.set.window(), func(status CallStatus, total float64) {
-		if status != Added || !m.isBehind(window, proposal) {
-			return
-		}
-		doors := m.tally.different(total)
-		switch {
-		case doors < m.quorum: // one door's word, or none
-		case isConfig(window):
-			m.otherConfiguration(proposal, doors)
-		default:
-			m.behind(proposal, doors)
-		}
-	})
 }
 
-func (m *Machine) otherConfiguration(proposal int64, doors int) {
-	if m.reported == uint64(proposal)+1 {
+// recordOtherConfig records that a quorum acts on another configuration, once for each such.
+func (r *round) recordOtherConfig(proposal int64, voters int) {
+	if r.reportedRevision == uint64(proposal)+1 {
 		return
 	}
-	m.reported = uint64(proposal) + 1
-	m.step(OtherConfiguration, 0, "%d doors or more act on configuration %d, this one on %d", doors, proposal,
-		m.subject(configEach-1))
+	r.reportedRevision = uint64(proposal) + 1
+	r.out.recordStep(StepConfigDiffers, 0, "%d gateways or more act on configuration %d, this one on %d", voters, proposal,
+		r.ballot.configSubject())
 }
--- /dev/null
+++ b/internal/audit/settings_test.go
@@ -0,0 +1,34 @@
+package audit
+
+import (
+	"errors"
+	"strings"
+	"testing"
+)
+
+// A setting that can't be used is named by the word that the operator wrote.
+func TestUnusableSettingsAreNamed(t *testing.T) {
+	usable := Settings{Gateways: 300, GatewayIndex: 1, CallsPerSecond: 830, Share: 0.05, CounterTimeout: callTime}
+	if err := usable.Check(); err != nil {
+		t.Error(err)
+	}
+	for _, c := range []struct {
+		setting, text string
+		spoil         func(*Settings)
+	}{
+		{"peers-total", "gateways", func(s *Settings) { s.Gateways = 0 }},
+		{"rank", "rank", func(s *Settings) { s.GatewayIndex = 300 }},
+		{"calls_per_second", "calls_per_second", func(s *Settings) { s.CallsPerSecond = -1 }},
+		{"share", "share", func(s *Settings) { s.Share = 0.5 }},
+		{"specifics.counter-timeout-us", "time-out", func(s *Settings) { s.CounterTimeout = 0 }},
+		{"calls_per_second", "round", func(s *Settings) { s.Gateways = 3000 }},
+	} {
+		settings := usable
+		c.spoil(&settings)
+		var unusable *SettingsError
+		err := settings.Check()
+		if !errors.As(err, &unusable) || unusable.Setting != c.setting || !strings.Contains(err.Error(), c.text) {
+			t.Errorf("%s: error %v", c.setting, err)
+		}
+	}
+}
--- /dev/null
+++ b/internal/audit/simfleet_test.go
@@ -0,0 +1,249 @@
+package audit
+
+import (
+	"math/rand/v2"
+	"slices"
+	"testing"
+	"time"
+)
+
+const (
+	tick     = TickInterval
+	callTime = 50 * time.Millisecond       // time-out of a counter call
+	simStart = 1_800_000_000 * time.Second // all machines read one clock
+	maxDelay = 15                          // ticks that an agent's updates may take
+)
+
+// simFleet plays the machines of a fleet over a simulated discovery and a simulated counter, in virtual time. Each tick
+// checks what has to hold whatever happens: the bound on gateways out of service, and that nobody is called behind
+// without a quorum. What runs in each tick has no t.Helper: it would cost more than the tick.
+type simFleet struct {
+	t        testing.TB
+	rng      *rand.Rand
+	now      time.Duration
+	settings Settings
+	schedule schedule
+	gateways []*simGateway
+	counter  simCounter
+	history  []int64 // discovery's index at each tick
+	highest  []int64 // by gateway, the newest version that it ever acted on
+	late     []lateEvent
+
+	counterSilent bool
+	callFaults    float64 // part of the calls that are lost, before or after they are added, or doubled
+}
+
+// simGateway is a machine and what stands round it.
+type simGateway struct {
+	machine       *Machine
+	events        []Event       // for the next Step
+	outOfService  bool          // as the machine wants it
+	agentCut      bool          // its agent brings nothing
+	agentDelay    time.Duration // of its agent's updates
+	counterCut    bool          // its calls to the counter are lost
+	pausedAt      time.Duration // when the process came to stand still
+	pausedUntil   time.Duration // 0: it runs
+	latestVersion int64         // that its agent has brought
+}
+
+// lateEvent is an event of the next tick, for a gateway's process if that still runs.
+type lateEvent struct {
+	gateway *simGateway
+	machine *Machine
+	event   Event
+}
+
+// simCounter is the counter's numbers.
+type simCounter struct {
+	totals  map[uint64]float64
+	expires map[uint64]time.Duration
+	calls   int
+}
+
+func (c *simCounter) empty() { c.totals, c.expires = map[uint64]float64{}, map[uint64]time.Duration{} }
+
+// add carries a call out so many times, and returns the total.
+func (c *simCounter) add(now time.Duration, call AddToCounter, times int) float64 {
+	c.calls++
+	if now >= c.expires[call.Name] {
+		c.totals[call.Name], c.expires[call.Name] = 0, now+min(call.TTL, time.Minute)
+	}
+	c.totals[call.Name] += float64(times) * call.Amount
+	return c.totals[call.Name]
+}
+
+func newSimFleet(t testing.TB, seed uint64, gateways int) *simFleet {
+	t.Helper()
+	settings := Settings{Gateways: gateways, CallsPerSecond: 830, Share: 0.05, CounterTimeout: callTime}
+	f := &simFleet{t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: simStart, settings: settings,
+		schedule: newSchedule(settings), history: []int64{1000}, highest: make([]int64, gateways)}
+	f.counter.empty()
+	for index := range gateways {
+		f.gateways = append(f.gateways, &simGateway{agentDelay: time.Duration(f.rng.IntN(maxDelay)) * tick})
+		f.startGateway(index)
+	}
+	return f
+}
+
+// startGateway starts a gateway's process anew, with the list that it had in its configuration.
+func (f *simFleet) startGateway(index int) {
+	f.t.Helper()
+	settings := f.settings
+	settings.GatewayIndex = index
+	machine, err := New(settings, f.rng.Uint64())
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	g := f.gateways[index]
+	g.machine, g.outOfService, g.pausedUntil = machine, false, 0
+	if g.latestVersion == 0 {
+		g.latestVersion = f.history[0]
+	}
+	g.events = []Event{
+		Configured{Revision: 7, Digest: uint64(index)},
+		VersionAdopted{Index: g.latestVersion, Source: FromConfiguration, Changes: 1},
+	}
+}
+
+// play lets time pass in which the list does not change.
+func (f *simFleet) play(duration time.Duration) {
+	for range duration / tick {
+		f.step(0)
+	}
+}
+
+// step plays one tick. Discovery's index grows by the number of changes.
+func (f *simFleet) step(changes int) {
+	f.now += tick
+	f.history = append(f.history, f.history[len(f.history)-1]+int64(changes))
+	f.deliverLate()
+	for index, g := range f.gateways {
+		if f.now < g.pausedUntil {
+			continue
+		}
+		f.resume(g)
+		f.deliverVersion(g)
+		f.stepGateway(index, g)
+		for len(g.events) > 0 { // answers that came at once
+			f.stepGateway(index, g)
+		}
+	}
+	f.checkSlots()
+}
+
+// deliverLate hands over what was kept for this tick.
+func (f *simFleet) deliverLate() {
+	late := f.late
+	f.late = nil
+	for _, l := range late {
+		if l.gateway.machine == l.machine {
+			l.gateway.events = append(l.gateway.events, l.event)
+		}
+	}
+}
+
+// resume ends the pause of a process whose time is over. The machine hears of it before all else.
+func (f *simFleet) resume(g *simGateway) {
+	if g.pausedUntil > 0 {
+		g.events = append([]Event{ResumedAfterPause{f.now - g.pausedAt}}, g.events...)
+		g.pausedUntil = 0
+	}
+}
+
+// deliverVersion brings what the gateway's agent knows, if that is another version.
+func (f *simFleet) deliverVersion(g *simGateway) {
+	known := f.history[max(0, len(f.history)-1-int(g.agentDelay/tick))]
+	if !g.agentCut && known != g.latestVersion {
+		g.latestVersion = known
+		g.events = append(g.events, VersionAdopted{Index: known, Source: FromDelta, ReadAt: f.now, Changes: 1})
+	}
+}
+
+func (f *simFleet) stepGateway(index int, g *simGateway) {
+	events := g.events
+	g.events = nil
+	for _, event := range events {
+		if version, ok := event.(VersionAdopted); ok {
+			f.highest[index] = max(f.highest[index], version.Index)
+		}
+	}
+	for _, action := range slices.Clone(g.machine.Step(f.now, events)) {
+		f.do(index, g, action)
+	}
+}
+
+// do carries an action out.
+func (f *simFleet) do(index int, g *simGateway, action Action) {
+	switch action := action.(type) {
+	case AddToCounter:
+		f.call(g, action)
+	case FetchSnapshot:
+		f.late = append(f.late, lateEvent{g, g.machine, SnapshotFetched{OK: !g.agentCut}})
+	case LeaveService:
+		g.outOfService = true
+	case ReturnToService:
+		g.outOfService = false
+	case Log:
+		if step, ok := action.Record.(StepRecord); ok {
+			f.checkVerdict(index, step)
+		}
+	}
+}
+
+// call carries a counter call out, with the faults of the network. A result of Added comes at once, as a slow one would
+// make the audit back off.
+func (f *simFleet) call(g *simGateway, call AddToCounter) {
+	fault := f.rng.Float64()
+	switch {
+	case f.counterSilent || g.counterCut || fault < f.callFaults/3: // the call is lost
+	case fault < 2*f.callFaults/3: // the answer is lost
+		f.counter.add(f.now, call, 1)
+	default:
+		times := 1
+		if fault < f.callFaults { // the call is doubled
+			times = maxAddsPerVote
+		}
+		g.events = append(g.events, CounterResult{call.Call, Added, f.counter.add(f.now, call, times)})
+		return
+	}
+	f.late = append(f.late, lateEvent{g, g.machine, CounterResult{call.Call, MaybeAdded, 0}})
+}
+
+// checkSlots checks that no more gateways are out of service for staleness than there are slots.
+func (f *simFleet) checkSlots() {
+	out := 0
+	for _, g := range f.gateways {
+		if g.outOfService && !g.machine.pauses.isRunning() && f.now >= g.pausedUntil {
+			out++
+		}
+	}
+	if out > f.schedule.slots {
+		f.t.Fatalf("%v: %d gateways are out of service, %d may be", f.now-simStart, out, f.schedule.slots)
+	}
+}
+
+// checkVerdict checks that a gateway is called behind only if a quorum has acted on that version.
+func (f *simFleet) checkVerdict(index int, step StepRecord) {
+	if step.Kind != StepBehind {
+		return
+	}
+	ahead := 0
+	for _, highest := range f.highest {
+		if highest >= step.Target {
+			ahead++
+		}
+	}
+	if ahead < quorumOf(f.settings.Gateways) {
+		f.t.Fatalf("gateway %d is called behind version %d, on which %d gateways have acted", index, step.Target, ahead)
+	}
+}
+
+// stepWords returns the log's words of the steps that a gateway has recorded, in order.
+func stepWords(g *simGateway) (words []string) {
+	for _, record := range g.machine.Records() {
+		if step, ok := record.(StepRecord); ok {
+			words = append(words, step.Kind.String())
+		}
+	}
+	return words
+}
--- /dev/null
+++ b/internal/audit/slotlease.go
@@ -0,0 +1,177 @@
+package audit
+
+import (
+	"math"
+	"math/rand/v2"
+	"time"
+)
+
+// Parts of an epoch, as fractions of it. docs/AUDIT.md, "Slots", has the same ones.
+const (
+	// Holders claim their slots for the next epoch up to here.
+	renewTo = 0.2
+	// Others claim what is left at a random moment between claimFrom and claimSpreadTo, so that few claim at once, or up
+	// to claimTo where the pacer allowed no call at that moment.
+	claimFrom     = 0.25
+	claimSpreadTo = 0.45
+	claimTo       = 0.5
+	// A claim that is answered later does not count.
+	claimAnsweredTo = 0.55
+	// All is claimed, and each looks whether its claim stands.
+	verifyFrom = 0.65
+	verifyTo   = 0.9
+)
+
+// slotNeed says what a gateway needs a slot for.
+type slotNeed struct {
+	kind   slotNeedKind
+	target int64 // the version that the fleet acts on, for the records
+}
+
+type slotNeedKind int
+
+const (
+	needsNoSlot slotNeedKind = iota
+	keepsSlot                // it renews the slot that it holds, and claims no other
+	needsSlot                // it claims any
+)
+
+// slotLease is a gateway's claim to one of the slots that bound how many gateways are out of service at once. A slot is
+// leased for one epoch and claimed in the one before: whoever finds its number empty and adds a mark of its own has it,
+// if it finds just that again when nobody may claim any more. So a counter that comes back empty in between makes
+// gateways lose their claims, and never gives a slot to two.
+type slotLease struct {
+	out          *output
+	schedule     schedule
+	calls        *counterCalls
+	rng          *rand.Rand
+	gatewayIndex int
+
+	firstEpoch    int64   // in which to claim
+	epoch         int64   // that runs
+	claimFraction float64 // fraction of this epoch at which to claim
+	slot          int     // held or claimed
+	held          bool    // the slot, in this epoch
+	noSlotLogged  bool    // the log says that there is no slot
+
+	// The claim for the next epoch, in the order in which it proceeds.
+	tried       bool
+	claimed     bool // nobody else's mark was there
+	verifyAsked bool // whether the claim stands
+	verified    bool // it stands
+}
+
+// begin keeps the gateway out of the epoch that it did not see from its start on, in which one of its name may have
+// claimed.
+func (l *slotLease) begin(now time.Duration) { l.firstEpoch = l.schedule.epochAt(now) + 1 }
+
+// isHeld says whether the gateway holds a slot in this epoch.
+func (l *slotLease) isHeld() bool { return l.held }
+
+// followEpoch begins the epoch that runs, and says whether a slot that was held is not held any more.
+func (l *slotLease) followEpoch(need slotNeed) (notRenewed bool) {
+	epoch := l.schedule.epochAt(l.out.now)
+	if epoch == l.epoch {
+		return false
+	}
+	wasHeld := l.held
+	l.held = l.verified && epoch == l.epoch+1
+	l.recordChange(wasHeld, need)
+	l.epoch = epoch
+	l.claimFraction = claimFrom + l.rng.Float64()*(claimSpreadTo-claimFrom)
+	l.tried, l.claimed, l.verifyAsked, l.verified = false, false, false, false
+	return wasHeld && !l.held
+}
+
+// recordChange records what a new epoch means to a gateway that needs a slot.
+func (l *slotLease) recordChange(wasHeld bool, need slotNeed) {
+	if need.kind != needsSlot {
+		l.noSlotLogged = false
+		return
+	}
+	slots := l.schedule.slots
+	switch {
+	case l.held && !wasHeld:
+		l.out.recordStep(StepOutOfService, need.target, "slot %d of %d is leased until the next epoch", l.slot, slots)
+	case !l.held && wasHeld:
+		l.out.recordStep(StepSlotLost, need.target, "the lease was not renewed: it serves on")
+	case !l.held && l.tried && !l.noSlotLogged:
+		l.noSlotLogged = true
+		l.out.recordStep(StepNoSlot, need.target, "no slot of %d was to be had: it serves on", slots)
+	}
+}
+
+// run claims a slot for the next epoch, or verifies the claim, when it is time for that.
+func (l *slotLease) run(need slotNeed) {
+	if !l.isWanted(need) || l.epoch < l.firstEpoch {
+		return
+	}
+	fraction := l.schedule.epochFraction(l.out.now)
+	switch {
+	case l.mayTry(fraction):
+		l.claim()
+	case l.mayVerify(fraction):
+		l.verify()
+	}
+}
+
+// isWanted says whether the gateway wants a slot in the next epoch.
+func (l *slotLease) isWanted(need slotNeed) bool {
+	return need.kind == needsSlot || need.kind == keepsSlot && l.held
+}
+
+// mayTry says whether it is time to claim: holders come before the others.
+func (l *slotLease) mayTry(fraction float64) bool {
+	switch {
+	case l.tried:
+		return false
+	case l.held:
+		return fraction < renewTo
+	}
+	return fraction >= l.claimFraction && fraction < claimTo
+}
+
+// mayVerify says whether it is time to look whether the claim stands.
+func (l *slotLease) mayVerify(fraction float64) bool {
+	return l.claimed && !l.verifyAsked && fraction >= verifyFrom && fraction < verifyTo
+}
+
+// claim asks for a slot in the next epoch. A holder claims the one it has; others look first whether one by chance is
+// free, as a second claim would spoil the first.
+func (l *slotLease) claim() {
+	if l.held {
+		l.tried = l.addMark(l.epoch)
+		return
+	}
+	l.slot = l.rng.IntN(l.schedule.slots)
+	epoch := l.epoch
+	l.tried = l.calls.read(slotName(epoch+1, l.slot), l.schedule.slotTTL, func(status CallStatus, total float64) {
+		if status == Added && total == 0 && l.claimsCount(epoch) {
+			l.addMark(epoch)
+		}
+	})
+}
+
+// mark is what a gateway adds to a slot's number.
+func (l *slotLease) mark() float64 { return float64(l.gatewayIndex + 1) }
+
+// addMark claims the slot in the epoch after one. It is claimed if no other mark was there.
+func (l *slotLease) addMark(epoch int64) bool {
+	name := slotName(epoch+1, l.slot)
+	return l.calls.add(name, l.mark(), l.schedule.slotTTL, func(status CallStatus, total float64) {
+		l.claimed = status == Added && total == l.mark() && l.claimsCount(epoch)
+	})
+}
+
+// claimsCount says whether claims in an epoch still count.
+func (l *slotLease) claimsCount(epoch int64) bool {
+	return l.epoch == epoch && l.out.now <= l.schedule.inEpoch(epoch, claimAnsweredTo)
+}
+
+// verify looks whether the claim stands.
+func (l *slotLease) verify() {
+	epoch := l.epoch
+	l.verifyAsked = l.calls.read(slotName(epoch+1, l.slot), l.schedule.slotTTL, func(status CallStatus, total float64) {
+		l.verified = status == Added && math.Abs(total-l.mark()) < 0.5 && l.epoch == epoch
+	})
+}
--- /dev/null
+++ b/internal/audit/staleness.go
@@ -0,0 +1,263 @@
+package audit
+
+import "time"
+
+// Times of the stages. docs/AUDIT.md, "What a stale gateway does", has the same ones.
+const (
+	// A change counts as told to every gateway after this, so who is behind for longer is stale.
+	behindTimeout = 6 * time.Second
+	// From the reopened watch to the request of the whole list: a new watch answers at once.
+	watchTimeout = 2 * time.Second
+	// From that to the wish to be out of service: two calls that come to nothing take 5.5 s.
+	snapshotTimeout = 6 * time.Second
+	// While it is stale, discovery is tried so often.
+	retryInterval = 5 * time.Second
+	// After it has caught up, a gateway that was out of service stays out for minRecovery, doubled each time up to
+	// maxRecovery; after having served for recoveryMemory the doubling starts anew.
+	minRecovery    = time.Second
+	maxRecovery    = 30 * time.Second
+	recoveryMemory = 2 * time.Minute
+	// Windows in a row whose proposal a gateway has to be level with before the fleet counts as not ahead. The proposing
+	// gateway may be behind itself; and discovery may have started anew with a lower index.
+	windowsToClear = 5
+)
+
+// stage says how far the remedies of a gateway that is behind have come. The stages are in the order of escalation.
+type stage int
+
+const (
+	inSync            stage = iota // no quorum is known to be ahead
+	behind                         // a quorum is ahead; the version may just be on its way
+	watchReopened                  // the watch was opened anew
+	snapshotRequested              // the whole list was asked for
+	stale                          // all remedies failed: out of service while it holds a slot, trying discovery on
+	recovering                     // it has caught up, and is out of service a while longer
+)
+
+// trigger is what leads from one stage to another.
+type trigger int
+
+const (
+	quorumFound     trigger = iota // a quorum acts on a newer version
+	stageTimedOut                  // the stage has lasted for its time
+	resolved                       // the version in force has reached the target, or the fleet is not ahead
+	slotExpired                    // the lease of the slot was not renewed
+	pauseCheckFound                // the check after a pause of the process found a quorum ahead
+)
+
+// slotGuard says whether a transition depends on holding a slot.
+type slotGuard int
+
+const (
+	slotOrNot slotGuard = iota
+	withSlot
+	withoutSlot
+)
+
+// transition is one row of the state machine.
+type transition struct {
+	from    stage
+	trigger trigger
+	guard   slotGuard
+	to      stage
+	onEntry func(*staleness) // nil: nothing
+}
+
+// transitions is the whole state machine. What it has no row for changes nothing. The stage changes nowhere else than in
+// staleness.fire.
+var transitions = [...]transition{
+	{inSync, quorumFound, slotOrNot, behind, nil},
+	{behind, stageTimedOut, slotOrNot, watchReopened, (*staleness).reopenWatch},
+	{watchReopened, stageTimedOut, slotOrNot, snapshotRequested, (*staleness).requestSnapshot},
+	{snapshotRequested, stageTimedOut, slotOrNot, stale, (*staleness).startRetries},
+
+	{behind, resolved, slotOrNot, inSync, (*staleness).forgetTarget},
+	{watchReopened, resolved, slotOrNot, inSync, (*staleness).forgetTarget},
+	{snapshotRequested, resolved, slotOrNot, inSync, (*staleness).forgetTarget},
+	{stale, resolved, withoutSlot, inSync, (*staleness).forgetTarget},
+	{stale, resolved, withSlot, recovering, (*staleness).setRecovery},
+
+	{recovering, stageTimedOut, slotOrNot, inSync, (*staleness).endRecovery},
+	{recovering, slotExpired, slotOrNot, inSync, (*staleness).noteReturn},
+	{recovering, quorumFound, slotOrNot, stale, nil},
+
+	// The check has reopened the watch and asked for the whole list already.
+	{inSync, pauseCheckFound, slotOrNot, snapshotRequested, nil},
+	{behind, pauseCheckFound, slotOrNot, snapshotRequested, nil},
+	{watchReopened, pauseCheckFound, slotOrNot, snapshotRequested, nil},
+}
+
+// staleness is what a gateway that is behind does about it: the state machine of docs/AUDIT.md.
+type staleness struct {
+	out      *output
+	versions *versionHistory
+	slot     slotHolder
+
+	stage         stage
+	since         time.Duration // of the stage
+	target        int64         // the newest version that the fleet is known to act on; 0: none
+	windowsInSync int           // windows in a row whose proposal the gateway was not behind
+
+	triedAt       time.Duration // when discovery was last tried
+	fetchesNext   bool          // the next try fetches the whole list; else it reopens the watch
+	recovery      time.Duration // how long the last stage recovering was to take
+	lastRecovered time.Duration // when it ended
+}
+
+// slotHolder says whether the gateway holds a slot.
+type slotHolder interface{ isHeld() bool }
+
+// fire takes the transition that a trigger leads to, if there is one.
+func (s *staleness) fire(on trigger) {
+	for _, t := range transitions {
+		if t.from != s.stage || t.trigger != on || !t.guard.allows(s.slot.isHeld()) {
+			continue
+		}
+		s.stage, s.since = t.to, s.out.now
+		if t.onEntry != nil {
+			t.onEntry(s)
+		}
+		return
+	}
+}
+
+func (g slotGuard) allows(held bool) bool {
+	switch g {
+	case withSlot:
+		return held
+	case withoutSlot:
+		return !held
+	}
+	return true
+}
+
+// timeout is how long the stage lasts; ok is false if it has no end of its own.
+func (s *staleness) timeout() (timeout time.Duration, ok bool) {
+	switch s.stage {
+	case behind:
+		return behindTimeout, true
+	case watchReopened:
+		return watchTimeout, true
+	case snapshotRequested:
+		return snapshotTimeout, true
+	case recovering:
+		return s.recovery, true
+	}
+	return 0, false
+}
+
+// run takes the step that is due.
+func (s *staleness) run() {
+	if s.isBehind() && s.versions.index() >= s.target {
+		s.out.recordStep(StepCaughtUp, s.target, "behind for %v since the last step", s.out.now-s.since)
+		s.fire(resolved)
+	}
+	if timeout, ok := s.timeout(); ok && s.out.now-s.since >= timeout {
+		s.fire(stageTimedOut)
+		return
+	}
+	if s.stage == stale && s.out.now-s.triedAt >= retryInterval {
+		s.retryDiscovery()
+	}
+}
+
+// isBehind says whether a quorum is known to act on a newer version.
+func (s *staleness) isBehind() bool { return s.stage > inSync && s.stage < recovering }
+
+// isStale says whether the remedies have failed.
+func (s *staleness) isStale() bool { return s.stage == stale }
+
+// fleetVersion is the newest version that the fleet is known to act on; 0: none.
+func (s *staleness) fleetVersion() int64 { return s.target }
+
+// needsOutOfService says whether the gateway has to be out of service for its staleness.
+func (s *staleness) needsOutOfService() bool {
+	return s.slot.isHeld() && (s.stage == stale || s.stage == recovering)
+}
+
+// slotNeed says what the gateway needs a slot for.
+func (s *staleness) slotNeed() slotNeed {
+	switch s.stage {
+	case stale:
+		return slotNeed{needsSlot, s.target}
+	case recovering:
+		return slotNeed{keepsSlot, s.target}
+	}
+	return slotNeed{needsNoSlot, s.target}
+}
+
+// quorumAhead takes the proof that a quorum acts on a newer version.
+func (s *staleness) quorumAhead(version int64, voters int) {
+	s.windowsInSync = 0
+	if s.isBehind() {
+		return
+	}
+	s.target = version
+	s.out.recordStep(StepBehind, version, "%d gateways or more act on version %d", voters, version)
+	s.fire(quorumFound)
+}
+
+// behindProposal notes that a stale gateway is behind one more proposal.
+func (s *staleness) behindProposal() { s.windowsInSync = 0 }
+
+// notBehindProposal takes the evidence that this gateway acts on what was proposed in a window, or on something newer.
+func (s *staleness) notBehindProposal() {
+	s.windowsInSync++
+	if s.isBehind() && s.windowsInSync >= windowsToClear {
+		s.out.recordStep(StepFleetNotAhead, s.target, "%d proposals in a row were no newer", s.windowsInSync)
+		s.fire(resolved)
+	}
+}
+
+// slotNotRenewed notes that the lease has ended.
+func (s *staleness) slotNotRenewed() { s.fire(slotExpired) }
+
+// behindAfterPause takes what the check after a pause has found.
+func (s *staleness) behindAfterPause(target int64) {
+	if s.stage < snapshotRequested {
+		s.target = target
+		s.fire(pauseCheckFound)
+	}
+}
+
+// What is done at the entry to a stage follows.
+
+func (s *staleness) reopenWatch() {
+	s.out.recordStep(StepWatchReopened, s.target, "still behind after %v", behindTimeout)
+	s.out.act(ReopenWatch{})
+}
+
+func (s *staleness) requestSnapshot() {
+	s.out.recordStep(StepSnapshotRequested, s.target, "the new watch brought nothing in %v", watchTimeout)
+	s.out.act(FetchSnapshot{})
+}
+
+func (s *staleness) startRetries() { s.triedAt = s.out.now }
+
+func (s *staleness) forgetTarget() { s.target = 0 }
+
+// setRecovery sets how long the gateway stays out of service after it has caught up.
+func (s *staleness) setRecovery() {
+	if s.out.now-s.lastRecovered > recoveryMemory {
+		s.recovery = 0
+	}
+	s.recovery = min(maxRecovery, max(minRecovery, 2*s.recovery))
+}
+
+func (s *staleness) endRecovery() {
+	s.noteReturn()
+	s.forgetTarget()
+}
+
+func (s *staleness) noteReturn() { s.lastRecovered = s.out.now }
+
+// retryDiscovery goes on trying, by the watch and by the whole list in turn.
+func (s *staleness) retryDiscovery() {
+	s.triedAt = s.out.now
+	if s.fetchesNext {
+		s.out.act(FetchSnapshot{})
+	} else {
+		s.out.act(ReopenWatch{})
+	}
+	s.fetchesNext = !s.fetchesNext
+}
--- a/internal/audit/tally.go
+++ b/internal/audit/tally.go
@@ -3,69 +3,80 @@
 import "math"
 
 const (
-	exact      = 9_999_999 // the largest total that the counter gives exactly: it has seven digits
-	mostAdds   = 2         // times that one door's amount may have been added: once, or doubled on its way
-	quorumPart = 16        // a version is the fleet's once so small a part of the doors have acted on it ...
-	quorumMin  = 2         // ... and so many at least: one door's word is not enough
+	// The largest total that the counter gives exactly: it has seven digits.
+	maxExactTotal = 9_999_999
+	// How often one gateway's amount may have been added: once, or doubled on its way.
+	maxAddsPerVote = 2
+	// A version is the fleet's once one gateway in so many has acted on it, and minQuorum at least: the word of one
+	// gateway is not enough.
+	gatewaysPerQuorumVote = 16
+	minQuorum             = 2
 )
 
-// tally counts different doors by one of the counter's numbers, though an amount may be added twice. The doors are split
-// into classes by rank; each class has a digit of the total, to a base that its doors can't overrun.
+// quorumOf is how many different gateways make a version the fleet's.
+func quorumOf(gateways int) int {
+	return max(minQuorum, (gateways+gatewaysPerQuorumVote-1)/gatewaysPerQuorumVote)
+}
+
+// tally counts different voters by one of the counter's numbers, though an amount may be added twice. The gateways are
+// split into classes by their index; each class has a digit of the total, to a base that its gateways can't overrun.
 type tally struct {
 	classes int
 	base    float64
 }
 
-// newTally takes as many classes as fit into seven digits. Up to seven doors have a digit each.
-func newTally(doors int) tally {
+// newTally takes as many classes as fit into the digits of an exact total. Up to seven gateways have a digit each.
+func newTally(gateways int) tally {
 	for classes := 7; classes > 1; classes-- {
-		base := math.Floor(math.Pow(exact+1, 1/float64(classes)) + 1e-9)
-		if perClass := (doors + classes - 1) / classes; float64(mostAdds*perClass) < base {
+		base := math.Floor(math.Pow(maxExactTotal+1, 1/float64(classes)) + 1e-9)
+		perClass := (gateways + classes - 1) / classes
+		if float64(maxAddsPerVote*perClass) < base {
 			return tally{classes, base}
 		}
 	}
-	return tally{1, exact + 1}
+	return tally{1, maxExactTotal + 1}
 }
 
-// amount is what the door with a rank adds.
-func (t tally) amount(rank int) float64 { return math.Pow(t.base, float64(rank%t.classes)) }
+// vote is the amount that the gateway with an index adds.
+func (t tally) vote(gatewayIndex int) float64 {
+	return math.Pow(t.base, float64(gatewayIndex%t.classes))
+}
 
-// different is how many different doors have added to a total, at least. What can't be one counts as nothing.
-func (t tally) different(total float64) int {
-	if !isWhole(total) {
+// voters is how many different gateways have added to a total, at least. What can't be a total counts as none.
+func (t tally) voters(total float64) int {
+	if !isExactTotal(total) {
 		return 0
 	}
-	doors := 0
+	voters := 0
 	for range t.classes {
 		digit := math.Mod(total, t.base)
-		doors += int(math.Ceil(digit / mostAdds))
+		voters += int(math.Ceil(digit / maxAddsPerVote))
 		total = math.Floor(total / t.base)
 	}
-	return doors
+	return voters
 }
 
-// quorum is how many different doors make a version the fleet's.
-func quorum(doors int) int { return max(quorumMin, (doors+quorumPart-1)/quorumPart) }
-
-// isWhole says whether a total is a whole number that the counter gives exactly.
-func isWhole(total float64) bool {
-	return total >= 0 && total <= exact && total == math.Trunc(total)
+// isExactTotal says whether a total is a whole number that the counter gives exactly.
+func isExactTotal(total float64) bool {
+	return total >= 0 && total <= maxExactTotal && total == math.Trunc(total)
 }
 
-// asTotal gives a version as a total above 0: an empty number must not look like one.
-func asTotal(version int64) float64 { return float64(modulo(version)) + 1 }
+// totalOfVersion gives a version as a total above 0: a number that nobody has added to must not look like a version.
+func totalOfVersion(version int64) float64 { return float64(moduloTotal(version)) + 1 }
 
-// fromTotal reads a version out of a total, as the one nearest to a version that is known; ok is false where there is
-// none.
-func fromTotal(total float64, near int64) (version int64, ok bool) {
-	if !isWhole(total) || total < 1 {
+// versionOfTotal reads a version out of a total. Versions have more digits than totals, so it is the one nearest to a
+// version that the reader knows; ok is false where there is none.
+func versionOfTotal(total float64, near int64) (version int64, ok bool) {
+	if !isExactTotal(total) || total < 1 {
 		return 0, false
 	}
-	ahead := modulo(int64(total) - 1 - modulo(near))
-	if ahead > exact/2 {
-		ahead -= exact
+	ahead := moduloTotal(int64(total) - 1 - moduloTotal(near))
+	if ahead > maxExactTotal/2 {
+		ahead -= maxExactTotal
 	}
 	return near + ahead, true
 }
 
-func modulo(version int64) int64 { return (version%exact + exact) % exact }
+func moduloTotal(version int64) int64 {
+	return (version%maxExactTotal + maxExactTotal) % maxExactTotal
+}
