--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -19,188 +19,238 @@
 
 // admit takes a request in. Its tau is the time left, bounded by the aim where a late answer earns nothing
 // (a departure: the paper knows one limit; here the client waits longer than the answer has worth).
-func (d *Engine) admit(ev Request) {
-	if d.reqs[ev.ID] != nil {
+func (e *Engine) admit(ev Request) {
+	if e.requests[ev.ID] != nil {
 		return
 	}
-	if ev.Class < 0 || ev.Class >= len(d.set.Classes) || ev.Plan < 0 || ev.Plan >= len(d.set.Plans) {
-		d.act(Reject{ID: ev.ID})
+	if ev.Class < 0 || ev.Class >= len(e.settings.Classes) || ev.Plan < 0 || ev.Plan >= len(e.settings.Plans) {
+		e.rejections.add(UnknownClassOrPlan)
+		e.emit(Reject{ID: ev.ID})
 		return
 	}
-	cl := &d.set.Classes[ev.Class]
-	r := &request{id: ev.ID, class: ev.Class, plan: ev.Plan, units: max(0, ev.Cost), at: d.now, tau: ev.TimeLeft,
-		retry: ev.ClientRetry}
+	cl := &e.settings.Classes[ev.Class]
+	r := &request{id: ev.ID, class: ev.Class, plan: ev.Plan, cost: max(0, ev.Cost),
+		arrivedAt: e.now, deadlineBudget: ev.TimeLeft,
+		clientRetry: ev.ClientRetry}
 	if cl.LateWeightShare == 0 && cl.LatencyObjective > 0 {
-		r.tau = min(r.tau, cl.LatencyObjective)
+		r.deadlineBudget = min(r.deadlineBudget, cl.LatencyObjective)
 	}
 	// What a door finds after it stood still has waited: first tries of a class have the same time at first.
-	d.mostLeft[ev.Class] = max(d.mostLeft[ev.Class], ev.TimeLeft)
-	if d.now-d.lastAt > stalledAfter && !ev.ClientRetry {
-		r.tau = min(r.tau, cl.LatencyObjective-min(d.now-d.lastAt, d.mostLeft[ev.Class]-ev.TimeLeft))
-	}
-	r.c = d.customer(ev)
-	d.reqs[r.id] = r
-	if d.suspended || r.tau.Seconds() <= d.latency(r, nil)/2 {
-		d.refuse(r, 0)
+	e.maxTimeLeft[ev.Class] = max(e.maxTimeLeft[ev.Class], ev.TimeLeft)
+	if e.now-e.previousStep > stalledAfter && !ev.ClientRetry {
+		waited := min(e.now-e.previousStep, e.maxTimeLeft[ev.Class]-ev.TimeLeft)
+		r.deadlineBudget = min(r.deadlineBudget, cl.LatencyObjective-waited)
+	}
+	r.tenant = e.customer(ev)
+	e.requests[r.id] = r
+	if e.suspended {
+		e.reject(r, rejection{reason: OutOfService})
+		return
+	}
+	if r.deadlineBudget.Seconds() <= e.latency(r, nil)/2 {
+		e.reject(r, rejection{reason: DeadlineCannotBeMet})
 		return
 	}
-	d.act(SetTimer{d.now + r.tau - d.set.TimerResolution, r.id<<1 | 1})
-	r.c.usedAt = d.now
-	gap := (d.now - r.c.demandAt).Seconds() / demandOver.Seconds()
-	r.c.demand = r.c.demand*math.Exp(-gap) + r.units/demandOver.Seconds()
-	r.c.demandAt = d.now
+	e.emit(SetTimer{e.now + r.deadlineBudget - e.settings.TimerResolution, r.id<<1 | 1})
+	r.tenant.usedAt = e.now
+	gap := (e.now - r.tenant.demandAt).Seconds() / demandOver.Seconds()
+	r.tenant.demand = r.tenant.demand*math.Exp(-gap) + r.cost/demandOver.Seconds()
+	r.tenant.demandAt = e.now
 	// A line for the ceiling must stay short, or each that still goes out of it is nearly late; and what is
 	// worth less leaves the room to what is worth more.
-	if fills := d.ceilingFillTime(r); fills > d.ceilingWaitMost(r) && !d.mayBorrow(r) {
-		d.refuse(r, time.Duration(fills*float64(time.Second)))
+	if fills := e.ceilingFillTime(r); fills > e.ceilingWaitMost(r) && !e.mayBorrow(r) {
+		e.reject(r, rejection{HardLimitQueueTooLong, time.Duration(fills * float64(time.Second))})
 		return
 	}
-	r.c.waiting = append(r.c.waiting, r)
-	d.serve(r.c)
+	r.tenant.waiting = append(r.tenant.waiting, r)
+	e.serve(r.tenant)
 }
 
 // suspend begins or ends a time in which nothing is sent on. What waits is refused at once, in its order.
-func (d *Engine) suspend(on bool) {
-	d.suspended = on
-	for _, id := range slices.Sorted(maps.Keys(d.reqs)) {
-		if r := d.reqs[id]; on && r != nil && r.out == 0 {
-			d.refuse(r, 0)
+func (e *Engine) suspend(on bool) {
+	e.suspended = on
+	for _, id := range slices.Sorted(maps.Keys(e.requests)) {
+		if r := e.requests[id]; on && r != nil && r.attemptsInFlight == 0 {
+			e.reject(r, rejection{reason: OutOfService})
 		}
 	}
 }
 
 // serve decides for a customer's requests in the order they came, until one has to wait: for the counter's
 // answer, for one of the customer's attempts to end, or for the ceiling's share to fill.
-func (d *Engine) serve(c *tenant) {
+func (e *Engine) serve(c *tenant) {
 	for len(c.waiting) > 0 {
 		r := c.waiting[0]
 		if r.ended {
 			c.waiting = c.waiting[1:]
 			continue
 		}
-		v := d.pay(r)
-		if v == wait {
+		decision := e.decideQuota(r)
+		if decision == mustWait {
 			break
 		}
 		c.waiting = c.waiting[1:]
-		if v == beyond {
-			d.beyond(r)
+		if decision == withinQuota {
+			e.dispatch(r)
 		} else {
-			d.place(r)
+			e.placeOverQuota(r, decision)
 		}
 	}
 	if len(c.waiting) > 0 && !c.listed {
 		c.listed = true
-		d.waiters = append(d.waiters, c)
+		e.waiters = append(e.waiters, c)
 	}
 }
 
-// pay promotes a request whose units are in the local tokens (stage 2 of the paper). A request without quota
-// keeps its level by worth.
-func (d *Engine) pay(r *request) verdict {
-	c, p := r.c, &d.set.Plans[r.plan]
-	late := (d.now-r.at).Seconds()+d.latency(r, nil) >= r.tau.Seconds()*margin
-	full := p.MaxConcurrent > 0 && c.live >= d.atOnce(r, p)
-	if short := r.units + c.ceilingQueued - d.ceiling(c, p); full || short > 0 && d.now >= r.loanUntil {
-		if !late && !full && d.mayBorrow(r) {
-			d.borrow(r)
-		}
-		if r.loanPending {
-			return wait
-		}
-		fills := short / d.ceilingRate(c, p) // seconds
-		if late || !full && (p.OverQuotaValue > p.OverQuotaPenalty && fills > r.tau.Seconds()*ceilingWaitPart ||
-			r.loanAsked && fills > d.ceilingWaitMost(r)) {
-			return beyond
-		}
-		return wait
+// quotaDecision says how a request stands with its tenant's limits and its quota.
+type quotaDecision int
+
+const (
+	withinQuota          quotaDecision = iota // it may be queued at its priority level
+	mustWait                                  // for the counter, an attempt's end or the hard limit's share
+	overConcurrencyLimit                      // others in flight kept it waiting until it was too late
+	overHardLimit                             // the hard limit's share does not fill in time
+	overQuota                                 // neither the lease nor this gateway's own share pays for it
+)
+
+// rejectReason is the reason for a rejection that follows from the decision.
+func (q quotaDecision) rejectReason() RejectReason {
+	switch q {
+	case overConcurrencyLimit:
+		return OverConcurrencyLimit
+	case overHardLimit:
+		return OverHardLimit
 	}
-	worth := max(1e-9, d.set.Classes[r.class].PriorityWeight*p.WeightFactor*r.units)
-	band := min(bands-1, max(0, int(math.Log2(d.topWorth/worth))))
-	r.level = band
-	if p.Rate > 0 {
-		if v := d.spend(r, p); v != paid {
-			return v
-		} else if r.unsure {
-			r.level += bands
-		}
-	} else if p.MaxConcurrent == 0 {
-		r.level += bands
+	return OverQuota
+}
+
+// decideQuota holds a request against its tenant's limits, then pays for it. What is within both gets its
+// priority level and counts as in flight from here on.
+func (e *Engine) decideQuota(r *request) quotaDecision {
+	if decision := e.checkLimits(r); decision != withinQuota {
+		return decision
+	}
+	r.level = e.priorityBand(r)
+	if decision := e.payQuota(r); decision != withinQuota {
+		return decision
 	}
-	r.paid = r.level < bands
-	if p.MaxConcurrent > 0 {
+	r.paid = r.level < priorityBands
+	if e.settings.Plans[r.plan].MaxConcurrent > 0 {
 		r.live = true
-		c.live++
+		r.tenant.live++
+	}
+	if e.now >= r.loanUntil {
+		e.hold(r)
+	}
+	return withinQuota
+}
+
+// checkLimits holds a request against the two limits of its plan that a queue can't bend: requests in flight
+// at once, and the hard limit's rate.
+func (e *Engine) checkLimits(r *request) quotaDecision {
+	full := e.concurrencyLimitReached(r)
+	short := r.cost + r.tenant.ceilingQueued - e.ceiling(r.tenant, &e.settings.Plans[r.plan])
+	if !full && (short <= 0 || e.now < r.loanUntil) {
+		return withinQuota
 	}
-	if d.now >= r.loanUntil {
-		d.hold(r)
+	late := e.tooLateToWait(r)
+	if !full && !late && e.mayBorrow(r) {
+		e.borrow(r)
 	}
-	return paid
+	switch {
+	case r.loanPending:
+		return mustWait
+	case full && late:
+		return overConcurrencyLimit
+	case !full && (late || e.hardLimitFillsTooLate(r, short)):
+		return overHardLimit
+	}
+	return mustWait
+}
+
+// tooLateToWait says whether a usual answer's time no longer fits into the deadline budget.
+func (e *Engine) tooLateToWait(r *request) bool {
+	return (e.now-r.arrivedAt).Seconds()+e.latency(r, nil) >= r.deadlineBudget.Seconds()*deadlineMargin
+}
+
+// priorityBand is the band of a request by its worth: each has half the worth of the one above it.
+func (e *Engine) priorityBand(r *request) int {
+	worth := max(1e-9, e.settings.Classes[r.class].PriorityWeight*e.settings.Plans[r.plan].WeightFactor*r.cost)
+	return min(priorityBands-1, max(0, int(math.Log2(e.maxRequestWeight/worth))))
+}
+
+// payQuota promotes a request whose cost is in the local tokens (stage 2 of the paper). A request that is not
+// promoted, as its plan guarantees nothing or nobody has looked whether the bucket holds its cost, goes to
+// the band of the same worth among the lower levels.
+func (e *Engine) payQuota(r *request) quotaDecision {
+	p := &e.settings.Plans[r.plan]
+	if p.Rate > 0 {
+		if decision := e.spend(r, p); decision != withinQuota {
+			return decision
+		}
+		if r.unsure {
+			r.level += priorityBands
+		}
+	} else if p.MaxConcurrent == 0 {
+		r.level += priorityBands
+	}
+	return withinQuota
+}
+
+// concurrencyLimitReached says whether a tenant has as many requests in flight here as it may.
+func (e *Engine) concurrencyLimitReached(r *request) bool {
+	p := &e.settings.Plans[r.plan]
+	return p.MaxConcurrent > 0 && r.tenant.live >= e.atOnce(r, p)
 }
 
 // atOnce is how many of a customer's requests may be under way here: this door's share of the cap, or, where
 // the counter tells that the others have less, what their demand leaves (a departure: traffic is uneven).
-func (d *Engine) atOnce(r *request, p *Plan) int {
-	share := float64(p.MaxConcurrent) / r.c.doors
-	if r.c.known && d.callShare > callsFew {
-		elsewhere := r.c.others / max(r.units, 1) * d.latency(r, nil)
+func (e *Engine) atOnce(r *request, p *Plan) int {
+	share := float64(p.MaxConcurrent) / r.tenant.doors
+	if r.tenant.known && e.callShare > callsFew {
+		elsewhere := r.tenant.others / max(r.cost, 1) * e.latency(r, nil)
 		share = max(share, float64(p.MaxConcurrent)-elsewhere-atOnceRoom-p.OverQuotaPenalty)
 	}
 	return max(1, int(share))
 }
 
-// beyond decides for a request that no tokens pay.
-func (d *Engine) beyond(r *request) {
-	p := &d.set.Plans[r.plan]
-	if p.OverQuotaValue <= p.OverQuotaPenalty || d.ceiling(r.c, p)-r.c.ceilingQueued < r.units {
-		d.refuse(r, d.refill(r.c, p, r.units))
+// placeOverQuota queues a request that no tokens pay at the lowest level, if its plan earns something for it
+// there and its hard limit holds it. Else it is rejected: for what left it unpaid, or for the hard limit.
+func (e *Engine) placeOverQuota(r *request, decision quotaDecision) {
+	p := &e.settings.Plans[r.plan]
+	if p.OverQuotaValue <= p.OverQuotaPenalty {
+		e.reject(r, rejection{decision.rejectReason(), e.refill(r.tenant, p, r.cost)})
 		return
 	}
-	r.level = lowest
-	d.hold(r)
-	d.place(r)
-}
-
-// refuse gives the final answer: a refusal where the rules let it be said, else a failure (rule 2).
-func (d *Engine) refuse(r *request, pause time.Duration) {
-	if r.ended {
+	if e.ceiling(r.tenant, p)-r.tenant.ceilingQueued < r.cost {
+		e.reject(r, rejection{OverHardLimit, e.refill(r.tenant, p, r.cost)})
 		return
 	}
-	cl := &d.set.Classes[r.class]
-	mayHaveRun := r.ran || r.out > 0
-	d.end(r)
-	if mayHaveRun && (cl.Idempotency == NonIdempotent ||
-		cl.Idempotency == IdempotentWithKey && cl.DedupScope != DedupAllBackends) {
-		d.act(Fail{r.id})
-	} else {
-		if !d.set.SendRetryAfter {
-			pause = 0
-		}
-		d.act(Reject{r.id, min(pause, d.set.MaxRetryAfter)})
-	}
-	d.forget(r)
+	r.level = lowestLevel
+	e.hold(r)
+	e.dispatch(r)
 }
 
 // end marks a request as over and calls off what is still out.
-func (d *Engine) end(r *request) {
+func (e *Engine) end(r *request) {
 	if r.ended {
 		return
 	}
 	r.ended = true
-	d.unqueue(r)
-	d.release(r)
+	e.unqueue(r)
+	e.release(r)
 	for _, a := range r.attempts {
-		if a.open && d.set.AllowCancel && !r.stream {
-			d.act(CancelAttempt{r.id, a.no})
+		if a.inFlight && e.settings.AllowCancel && !r.streaming {
+			e.emit(CancelAttempt{r.id, a.number})
 		}
 	}
-	if len(r.attempts) == 0 && r.paid && d.set.Plans[r.plan].Rate > 0 {
-		r.c.tokens += r.units
+	if len(r.attempts) == 0 && r.paid && e.settings.Plans[r.plan].Rate > 0 {
+		r.tenant.tokens += r.cost
 	}
 	if r.live {
 		r.live = false
-		r.c.live--
-		d.serve(r.c)
+		r.tenant.live--
+		e.serve(r.tenant)
 	}
-	d.forget(r)
+	e.forget(r)
 }
