--- a/internal/gateway/audit.go
+++ b/internal/gateway/audit.go
@@ -149,9 +149,9 @@
 	case audit.Count:
 		a.count(action)
 	case audit.Rewatch:
-		a.f.discovery.follow(a.f.discovery.addr)
+		a.f.discovery.Follow(a.f.discovery.Address())
 	case audit.FetchList:
-		a.f.discovery.askAndFollow(func(ok bool) { a.tell(audit.ListTaken{OK: ok}) })
+		a.f.discovery.FetchAndFollow(func(ok bool) { a.tell(audit.ListTaken{OK: ok}) })
 	case audit.Suspend:
 		a.f.suspended.Store(true)
 		a.f.tell(policy.Suspend{On: true})
--- a/internal/gateway/backends_test.go
+++ b/internal/gateway/backends_test.go
@@ -103,7 +103,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.take(members(1, addrs...), policy.CachedSnapshot)
+	f.discovery.Apply(members(1, addrs...).Endpoints, policy.CachedSnapshot)
 	f.events = nil
 	t.Cleanup(func() { close(f.done) })
 	return f
@@ -204,9 +204,9 @@
 		"drain": func(f *Server, a *attempt) {
 			m := members(2, f.backends.all["s-0"].addr)
 			m.Endpoints[0].Status = "DRAINING"
-			f.take(m, policy.Delta)
+			f.discovery.Apply(m.Endpoints, policy.Delta)
 		},
-		"left out": func(f *Server, a *attempt) { f.take(members(2), policy.Snapshot) },
+		"left out": func(f *Server, a *attempt) { f.discovery.Apply(members(2).Endpoints, policy.Snapshot) },
 		"cancel":   func(f *Server, a *attempt) { f.act(policy.CancelAttempt{ID: a.r.id}) },
 		"gone":     func(f *Server, a *attempt) { f.gone(a.r.ask) },
 	} {
@@ -276,7 +276,7 @@
 		func() {
 			m := members(2, b.addr)
 			m.Endpoints[0].SinceMS = 5
-			f.take(m, policy.Delta)
+			f.discovery.Apply(m.Endpoints, policy.Delta)
 		},
 	} {
 		a := try(t, f)
@@ -350,7 +350,7 @@
 	ln, next := listen(t), listen(t)
 	f := idle(t, ln.Addr().String())
 	a, p := inUse(t, f, ln)
-	f.take(members(2, next.Addr().String()), policy.Snapshot)
+	f.discovery.Apply(members(2, next.Addr().String()).Endpoints, policy.Snapshot)
 	p.write("*1\r\n$1\r\nx\r\n")
 	pump(t, f, func() bool { return a.ended })
 	wantOutcome(t, f, policy.OK)
@@ -358,7 +358,7 @@
 	f.events = nil
 	a = try(t, f)
 	dialling := a.conn
-	f.take(members(3, ln.Addr().String()), policy.Snapshot) // it moves while it is being dialled
+	f.discovery.Apply(members(3, ln.Addr().String()).Endpoints, policy.Snapshot) // it moves while it is being dialled
 	wantOutcome(t, f, policy.NotSent)
 	if !dialling.closed {
 		t.Error("the dial to the old address goes on")
@@ -370,7 +370,7 @@
 	ln := listen(t)
 	f := idle(t, ln.Addr().String())
 	a, _ := inUse(t, f, ln)
-	f.take(members(2), policy.Snapshot)
+	f.discovery.Apply(members(2).Endpoints, policy.Snapshot)
 	f.timers.Run(a.until)
 	wantOutcome(t, f, policy.TimedOut)
 	if len(f.backends.all) != 0 || f.backends.count != 0 {
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -1,6 +1,7 @@
 package gateway
 
 import (
+	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
@@ -10,6 +11,7 @@
 	"strings"
 	"time"
 
+	"bellwood/internal/gateway/endpoint"
 	"bellwood/internal/policy"
 	"bellwood/internal/simprotocol"
 )
@@ -39,13 +41,14 @@
 	Transport simprotocol.Transport
 	// Known is the endpoint list as last had; it may be old. Default: no endpoint, and index 0, from which discovery
 	// sends everything.
-	Known Members
+	Known endpoint.List
 	// Audit turns the audit of the fleet on. Default nil: it is off.
 	Audit *Audit
 
-	// watchSilence and settleFor take the place of the constants of their names in tests that can't wait so long or
-	// must not be disturbed by them; 0: the constant.
+	// Tests that can't wait so long, or must not be disturbed, set watchSilence and settleFor; 0: the usual times. Tests
+	// that play the network set discoveryDial; nil: TCP.
 	watchSilence, settleFor time.Duration
+	discoveryDial           func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
 // SettingError says which setting of the configuration can't be used. It unwraps to the reason, such as ErrNegative or
@@ -75,7 +78,7 @@
 			MemoryMB int `json:"memory_mb"`
 			Sockets  int
 		}
-		Known    Members
+		Known    endpoint.List
 		Audit    json.RawMessage
 		Settings map[string]any
 	}
--- a/internal/gateway/crowd_test.go
+++ b/internal/gateway/crowd_test.go
@@ -18,6 +18,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"bellwood/internal/gateway/discovery"
 )
 
 // crowded is set for a process that is to be a front door and not the tests.
@@ -413,7 +415,7 @@
 			t.Fatal(err)
 		}
 		clients := f.clients.most + f.clients.most/noPlaceMost + 1 // one more is being accepted
-		watch := 2 * int64(f.discovery.http.Transport.(*http.Transport).MaxConnsPerHost)
+		watch := 2 * int64(discovery.MaxConns)
 		const runtime, configuration = 8, 1 // standard files 3, poller 2, cgroup 2, listener
 		sum := clients + int64(f.backends.most) + watch + 2*counterConns + runtime + configuration
 		if sum > int64(sockets) {
--- /dev/null
+++ b/internal/gateway/discovery/discoverytest/discoverytest.go
@@ -0,0 +1,165 @@
+// Package discoverytest plays the discovery agent byte by byte, for tests of what follows it.
+package discoverytest
+
+import (
+	"bufio"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"bellwood/internal/gateway/endpoint"
+)
+
+// Patient bounds every wait; none is expected to take a noticeable part of it.
+const Patient = 20 * time.Second
+
+// OK is the head of an answer whose body comes in chunks.
+const OK = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+
+// Chunked is s as one chunk of a body.
+func Chunked(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
+
+// FleetSize is the largest fleet to carry, in backends.
+const FleetSize = 11_000
+
+// Fleet is a snapshot of n backends at which nothing listens.
+func Fleet(index int64, n int) endpoint.List {
+	list := endpoint.List{Index: index, Snapshot: true, Endpoints: make([]endpoint.Entry, n)}
+	for i := range list.Endpoints {
+		list.Endpoints[i] = endpoint.Entry{Name: fmt.Sprintf("s-%08x", uint32(i)*2654435761), Zone: "dc1", Type: "std",
+			Group: i % 40, Address: fmt.Sprintf("127.1.%d.%d:1", i>>8, i&255), Status: "SERVING", Weight: 1,
+			SinceMS: 1_790_000_000_000}
+	}
+	return list
+}
+
+// WireForm gives a list discovery's own names. It spells them by itself: names that the code has wrong must not agree.
+func WireForm(list endpoint.List) map[string]any {
+	endpoints := []map[string]any{}
+	for _, e := range list.Endpoints {
+		endpoints = append(endpoints, map[string]any{"name": e.Name, "address": e.Address, "zone": e.Zone, "type": e.Type,
+			"group": e.Group, "status": e.Status, "weight": e.Weight, "since_ms": e.SinceMS})
+	}
+	return map[string]any{"index": list.Index, "snapshot": list.Snapshot, "endpoints": endpoints}
+}
+
+// Line is a list as discovery writes it, on one line.
+func Line(t testing.TB, list endpoint.List) string {
+	t.Helper()
+	b, err := json.Marshal(WireForm(list))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(b) + "\n"
+}
+
+// Indented is a list on many lines.
+func Indented(t testing.TB, list endpoint.List, indent string) string {
+	t.Helper()
+	b, err := json.MarshalIndent(WireForm(list), "", indent)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(b) + "\n"
+}
+
+// Agent is a discovery agent whose every byte the test says.
+type Agent struct {
+	t        testing.TB
+	listener *net.TCPListener
+}
+
+// NewAgent returns an agent on a free port. It ends with the test.
+func NewAgent(t testing.TB) *Agent {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { listener.Close() })
+	return &Agent{t: t, listener: listener.(*net.TCPListener)}
+}
+
+// Address is the agent's IP address and port.
+func (a *Agent) Address() string { return a.listener.Addr().String() }
+
+// Watch takes the next watch, answers with the head, and returns it with the index that it asks from.
+func (a *Agent) Watch() (watch *Watch, index string) {
+	a.t.Helper()
+	a.listener.SetDeadline(time.Now().Add(Patient))
+	conn, err := a.listener.AcceptTCP()
+	if err != nil {
+		a.t.Fatal(err)
+	}
+	a.t.Cleanup(func() { conn.Close() })
+	conn.SetDeadline(time.Now().Add(Patient))
+	request, err := http.ReadRequest(bufio.NewReader(conn))
+	if err != nil {
+		a.t.Fatal(err)
+	}
+	watch = &Watch{t: a.t, Conn: conn}
+	watch.Write(OK)
+	return watch, request.URL.Query().Get("index")
+}
+
+// ServeEach gives each watch the same text and then keeps silent, until the agent ends.
+func (a *Agent) ServeEach(text string) {
+	for {
+		conn, err := a.listener.Accept()
+		if err != nil {
+			return
+		}
+		go func() {
+			defer conn.Close()
+			if _, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
+				io.WriteString(conn, OK+Chunked(text))
+				io.Copy(io.Discard, conn) // until the gateway leaves
+			}
+		}()
+	}
+}
+
+// Watch is an open watch, seen from the agent.
+type Watch struct {
+	t    testing.TB
+	Conn *net.TCPConn
+}
+
+// Write writes bytes as they are.
+func (w *Watch) Write(s string) {
+	w.t.Helper()
+	if _, err := io.WriteString(w.Conn, s); err != nil {
+		w.t.Fatal(err)
+	}
+}
+
+// Chunk writes one chunk.
+func (w *Watch) Chunk(s string) {
+	w.t.Helper()
+	w.Write(Chunked(s))
+}
+
+// Reset ends the connection by a reset.
+func (w *Watch) Reset() {
+	w.Conn.SetLinger(0)
+	w.Conn.Close()
+}
+
+// WantEnd waits until the client has ended the connection and fails if anything comes before.
+func (w *Watch) WantEnd() {
+	w.t.Helper()
+	var b [1]byte
+	n, err := w.Conn.Read(b[:])
+	var timeout net.Error
+	switch {
+	case n > 0:
+		w.t.Fatalf("got %q, want the end of the connection", b[:n])
+	case errors.As(err, &timeout) && timeout.Timeout():
+		w.t.Fatal("the connection stays open")
+	}
+}
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -1,134 +1,103 @@
 package gateway
 
 import (
-	"encoding/json"
-	"fmt"
+	"io"
 	"net"
 	"net/http"
 	"net/http/httptest"
 	"strings"
 	"testing"
 	"time"
+
+	"bellwood/internal/gateway/discovery/discoverytest"
+	"bellwood/internal/gateway/endpoint"
 )
 
-// Changes reach the pools and the Door, and a watch that ends is taken up from the last index.
+// endWatch ends the watch that serveWatch serves.
+var endWatch = endpoint.List{Index: -1}
+
+// wantsWatch waits for the next watch and compares the index that it asks from.
+func (w *world) wantsWatch(index string) {
+	w.t.Helper()
+	if from := <-w.watches; from != index {
+		w.t.Errorf("the watch asks from %s, want %s", from, index)
+	}
+}
+
+// Changes reach the pools and the decision module, and a watch that ends is taken up from the last index.
 func TestWatch(t *testing.T) {
 	first, second := listen(t), listen(t)
 	w := start(t, []string{first.Addr().String()})
-	if from := <-w.watches; from != "1" {
-		t.Errorf("the watch begins at %s", from)
-	}
-	m := members(7, first.Addr().String(), second.Addr().String())
-	m.Snapshot = false
-	m.Endpoints[0].Status = "DRAINING"
-	w.news <- m
-	w.news <- Members{Index: -1}
-	if from := <-w.watches; from != "7" {
-		t.Errorf("the watch goes on at %s", from)
-	}
-	c := w.dial()
-	c.command("Q.ASK", customer, "1", list)
-	b := accept(t, second)
-	b.message()
-	b.write("*1\r\n" + bulk("value"))
-	c.wants("value")
+	w.wantsWatch("1")
+	change := members(7, first.Addr().String(), second.Addr().String())
+	change.Snapshot = false
+	change.Endpoints[0].Status = "DRAINING"
+	w.news <- change
+	w.news <- endWatch
+	w.wantsWatch("7")
+	w.served(second, "1")
 }
 
-// What makes no sense in a list is passed over; a line that is no list ends the watch only.
-func TestOddLists(t *testing.T) {
-	ln := listen(t)
+// An entry that is not valid is passed over, and the others of its list hold. The gateway is ready with the first
+// backend in service.
+func TestInvalidEntriesArePassedOver(t *testing.T) {
+	backend := listen(t)
 	w := start(t, nil)
-	c := w.dial()
-	c.command("PING") // it can't serve yet
-	c.wantsPrefix("-LOADING")
-	m := members(3, ln.Addr().String())
-	odd := m.Endpoints[0]
-	odd.Status = "ASLEEP"
-	m.Endpoints = append(m.Endpoints, odd, Endpoint{})
-	w.news <- m
-	w.news <- Members{Index: -1}
+	client := w.dial()
+	client.command("PING") // it can't serve yet
+	client.wantsPrefix("-LOADING")
+	update := members(3, backend.Addr().String())
+	unknownStatus := update.Endpoints[0]
+	unknownStatus.Status = "ASLEEP"
+	update.Endpoints = append(update.Endpoints, unknownStatus, endpoint.Entry{})
+	w.news <- update
+	w.news <- endWatch
 	<-w.watches
 	<-w.watches
-	c.command("PING")
-	c.wants("+PONG")
-	c.command("Q.ASK", customer, "1", list)
-	b := accept(t, ln)
-	b.message()
-	b.write("*1\r\n" + bulk("value"))
-	c.wants("value")
+	client.command("PING")
+	client.wants("+PONG")
+	w.served(backend, "1")
 }
 
 // A new configuration moves the watch, from the index that was reached; what the old agent still says is no
 // longer taken.
 func TestWatchMoves(t *testing.T) {
-	ln := listen(t)
+	backend := listen(t)
 	w := start(t, nil)
 	<-w.watches
 	w.news <- members(5)
-	next := &world{t: t, news: make(chan Members), watches: make(chan string, 16)}
+	next := &world{t: t, news: make(chan endpoint.List), watches: make(chan string, 16)}
 	agent := httptest.NewServer(http.HandlerFunc(next.serveWatch))
 	defer agent.Close()
 	defer agent.CloseClientConnections()
-	w.news <- Members{Index: -1} // the list was read before the watch ended, and the next begins
-	if from := <-w.watches; from != "5" {
-		t.Errorf("the watch goes on at %s", from)
-	}
+	w.news <- endWatch // the list was read before the watch ended, and the next begins
+	w.wantsWatch("5")
 	w.f.Reload(strings.TrimPrefix(agent.URL, "http://"), w.f.cfg.Counter, "")
-	if from := <-next.watches; from != "5" {
-		t.Errorf("the watch begins at %s", from)
-	}
-	next.news <- members(6, ln.Addr().String())
-	c := w.dial()
-	c.command("Q.ASK", customer, "1", list)
-	b := accept(t, ln)
-	b.message()
-	b.write("*1\r\n" + bulk("value"))
-	c.wants("value")
+	next.wantsWatch("5")
+	next.news <- members(6, backend.Addr().String())
+	w.served(backend, "1")
 }
 
-// agent is discovery played byte by byte.
-type agent struct {
-	t  *testing.T
-	ln net.Listener
-}
-
-// watched takes the next watch and tells the index that it asks from.
-func (a *agent) watched() (*peer, string) {
-	a.t.Helper()
-	p := accept(a.t, a.ln)
-	req, err := http.ReadRequest(p.in)
-	if err != nil {
-		a.t.Fatal(err)
-	}
-	p.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-	return p, req.URL.Query().Get("index")
-}
-
-func (p *peer) chunk(s string) {
-	p.t.Helper()
-	p.write(fmt.Sprintf("%x\r\n%s\r\n", len(s), s))
-}
-
-// watching runs a front door that follows an agent and takes a watch for dead after so long a silence.
-func watching(t *testing.T, silence time.Duration) (*world, *agent) {
+// watching runs a gateway that follows an agent and takes a watch for dead after so long a silence.
+func watching(t *testing.T, silence time.Duration) (*world, *discoverytest.Agent) {
 	t.Helper()
-	ln := listen(t)
-	w := start(t, nil, func(c *Config, t *testing.T) { c.Discovery = ln.Addr().String() },
+	agent := discoverytest.NewAgent(t)
+	w := start(t, nil, func(c *Config, t *testing.T) { c.Discovery = agent.Address() },
 		func(c *Config, t *testing.T) { c.watchSilence = silence })
-	return w, &agent{t, ln}
+	return w, agent
 }
 
 // served says that a request reaches the backend and its value comes back.
-func (w *world) served(ln net.Listener, id string) {
+func (w *world) served(backend net.Listener, id string) {
 	w.t.Helper()
-	c := w.dial()
-	c.command("Q.ASK", customer, id, list)
-	b := accept(w.t, ln)
-	b.message()
-	b.write("*1\r\n" + bulk("value"))
-	c.wants("value")
-	c.nc.Close()
-	b.nc.Close()
+	client := w.dial()
+	client.command("Q.ASK", customer, id, list)
+	server := accept(w.t, backend)
+	server.message()
+	server.write("*1\r\n" + bulk("value"))
+	client.wants("value")
+	client.nc.Close()
+	server.nc.Close()
 }
 
 // listed waits until the loop has taken a list or change whole: a request that crosses it may go by the one before.
@@ -136,7 +105,7 @@
 	w.t.Helper()
 	for end := time.Now().Add(patient); ; time.Sleep(time.Millisecond) {
 		now := make(chan int64, 1)
-		w.f.post(func() { now <- w.f.discovery.index })
+		w.f.post(func() { now <- w.f.discovery.Index() })
 		if <-now == index {
 			return
 		}
@@ -149,92 +118,74 @@
 // A list may come indented, on many lines and in any pieces, with the signs of life between two lists.
 func TestIndentedLists(t *testing.T) {
 	first, second := listen(t), listen(t)
-	w, a := watching(t, patient)
-	watch, _ := a.watched()
-	text, err := json.MarshalIndent(lower(members(7, first.Addr().String())), "", "  ")
-	if err != nil {
-		t.Fatal(err)
-	}
-	watch.chunk("\r\n")
-	for i, b := range text {
-		if b == '\n' || b == ' ' || i == len(text)-1 {
-			watch.chunk(string(text[:i]))
-			text = text[i:]
-			break
-		}
-	}
-	half := len(text) / 2
-	watch.chunk(string(text[:half]))
-	watch.chunk(string(text[half:]) + "\n\r\n\r\n")
+	w, agent := watching(t, patient)
+	watch, _ := agent.Watch()
+	text := discoverytest.Indented(t, members(7, first.Addr().String()), "  ")
+	beginning, half := strings.IndexAny(text, "\n "), len(text)/2
+	watch.Chunk("\r\n")
+	watch.Chunk(text[:beginning])
+	watch.Chunk(text[beginning:half])
+	watch.Chunk(text[half:] + "\r\n\r\n")
 	w.listed(7)
 	w.served(first, "1")
-	m := members(8, first.Addr().String(), second.Addr().String())
-	m.Snapshot, m.Endpoints[0].Status = false, "DRAINING"
-	text, err = json.MarshalIndent(lower(m), "", "\t")
-	if err != nil {
-		t.Fatal(err)
-	}
-	watch.chunk(string(text) + "\n")
+	change := members(8, first.Addr().String(), second.Addr().String())
+	change.Snapshot, change.Endpoints[0].Status = false, "DRAINING"
+	watch.Chunk(discoverytest.Indented(t, change, "\t"))
 	w.listed(8)
 	w.served(second, "2") // no other watch was opened for it
 }
 
-// A watch that falls silent, at once, after a sign of life or within a list, is opened anew from the last index.
+// The machine of the agent, or the network to it, falls silent without a reset: at once, after a sign of life or within
+// a list. The gateway would go on with the list it has. The watch is opened anew from the last index.
 func TestSilentWatchIsOpenedAnew(t *testing.T) {
-	ln := listen(t)
-	w, a := watching(t, 50*time.Millisecond)
-	text, err := json.Marshal(lower(members(7, ln.Addr().String())))
-	if err != nil {
-		t.Fatal(err)
-	}
-	for _, said := range []string{"", "\r\n", string(text[:len(text)/2])} {
-		watch, from := a.watched()
+	backend := listen(t)
+	w, agent := watching(t, 50*time.Millisecond)
+	text := discoverytest.Line(t, members(7, backend.Addr().String()))
+	for _, said := range []string{"", "\r\n", text[:len(text)/2]} {
+		watch, from := agent.Watch()
 		if from != "0" && from != "1" {
 			t.Errorf("the watch begins at %s", from)
 		}
 		if said != "" {
-			watch.chunk(said)
+			watch.Chunk(said)
 		}
-		watch.wantsEnd()
+		watch.WantEnd()
 	}
-	watch, _ := a.watched()
-	watch.chunk(string(text) + "\n")
-	w.served(ln, "1")
-	if _, from := a.watched(); from != "7" {
+	watch, _ := agent.Watch()
+	watch.Chunk(text)
+	w.served(backend, "1")
+	if _, from := agent.Watch(); from != "7" {
 		t.Errorf("the watch goes on at %s", from)
 	}
 }
 
 // A watch that is reset, within a list too, is opened anew, and what it had begun to say is not kept.
 func TestResetWatchIsOpenedAnew(t *testing.T) {
-	ln := listen(t)
-	w, a := watching(t, patient)
-	text, err := json.Marshal(lower(members(7, ln.Addr().String())))
-	if err != nil {
-		t.Fatal(err)
-	}
-	for _, said := range []string{"\r\n", string(text[:len(text)-2])} {
-		watch, _ := a.watched()
-		watch.chunk(said)
-		watch.reset()
-	}
-	watch, from := a.watched()
+	backend := listen(t)
+	w, agent := watching(t, patient)
+	text := discoverytest.Line(t, members(7, backend.Addr().String()))
+	for _, said := range []string{"\r\n", text[:len(text)-len("e}\n")]} {
+		watch, _ := agent.Watch()
+		watch.Chunk(said)
+		watch.Reset()
+	}
+	watch, from := agent.Watch()
 	if from != "1" {
 		t.Errorf("the watch begins at %s", from)
 	}
-	watch.chunk(string(text) + "\n")
-	w.served(ln, "1")
+	watch.Chunk(text)
+	w.served(backend, "1")
 }
 
-// A list without end is not gathered.
+// A list without end is not gathered: it would take all memory.
 func TestEndlessListEndsTheWatch(t *testing.T) {
-	_, a := watching(t, patient)
-	watch, _ := a.watched()
-	watch.chunk(`{"index":9,"snapshot":true,"endpoints":[`)
-	entry := strings.Repeat(`{"name":"s-0","status":"ASLEEP"},`, 1<<10)
-	for sent := 0; sent < 64<<20; sent += len(entry) {
-		if _, err := fmt.Fprintf(watch.nc, "%x\r\n%s\r\n", len(entry), entry); err != nil {
-			a.watched()
+	_, agent := watching(t, patient)
+	watch, _ := agent.Watch()
+	watch.Chunk(`{"index":9,"snapshot":true,"endpoints":[`)
+	entries := strings.Repeat(`{"name":"s-0","status":"ASLEEP"},`, 1<<10)
+	for sent := 0; sent < 64<<20; sent += len(entries) {
+		if _, err := io.WriteString(watch.Conn, discoverytest.Chunked(entries)); err != nil {
+			agent.Watch()
 			return
 		}
 	}
--- /dev/null
+++ b/internal/gateway/endpoint/endpoint.go
@@ -0,0 +1,55 @@
+// Package endpoint is the form in which discovery and the configuration file have the backends (PROTOCOL-bellwood,
+// "Discovery"; DEPLOY-bellwood, "known"), and turns it into that of the decision module.
+package endpoint
+
+import (
+	"fmt"
+	"slices"
+	"time"
+
+	"bellwood/internal/policy"
+)
+
+// List is an endpoint list or changes of it.
+type List struct {
+	Index     int64 // of the agent's state that it leads to
+	Snapshot  bool  // it is whole: a backend that it doesn't name is not in service
+	Endpoints []Entry
+}
+
+// Entry is one backend.
+type Entry struct {
+	Name    string
+	Address string // IP address and port
+	Zone    string
+	Type    string
+	Group   int     // the decision module's Cell
+	Status  string  // SERVING, DRAINING or DELETED
+	Weight  float64 // relative to the other backends
+	SinceMS int64   `json:"since_ms"` // when the process began, in ms of Unix time
+}
+
+var states = map[string]policy.BackendState{"SERVING": policy.InService, "DRAINING": policy.Draining,
+	"DELETED": policy.Terminated}
+
+// InvalidError says that an entry has no name or no known status.
+type InvalidError struct{ Name, Status string }
+
+func (e *InvalidError) Error() string {
+	return fmt.Sprintf("endpoint %.40q has the status %.40q", e.Name, e.Status)
+}
+
+// Names are the zones and types of backends, in the order of the numbers that the decision module has for them.
+type Names struct{ Zones, Types []string }
+
+// Backend is an entry as the decision module wants it. An unknown zone or type counts as the first one. The error is
+// an *InvalidError.
+func (n *Names) Backend(e *Entry) (policy.Backend, error) {
+	state, known := states[e.Status]
+	if !known || e.Name == "" {
+		return policy.Backend{}, &InvalidError{Name: e.Name, Status: e.Status}
+	}
+	return policy.Backend{Name: e.Name, Zone: max(0, slices.Index(n.Zones, e.Zone)),
+		Kind: max(0, slices.Index(n.Types, e.Type)), Cell: e.Group, State: state, Weight: e.Weight,
+		Started: time.Duration(e.SinceMS) * time.Millisecond}, nil
+}
--- a/internal/gateway/front_test.go
+++ b/internal/gateway/front_test.go
@@ -13,10 +13,13 @@
 	"strings"
 	"testing"
 	"time"
+
+	"bellwood/internal/gateway/discovery/discoverytest"
+	"bellwood/internal/gateway/endpoint"
 )
 
 // patient bounds every wait of these tests; none is expected to take a noticeable part of it.
-const patient = 20 * time.Second
+const patient = discoverytest.Patient
 
 var discard = slog.New(slog.NewTextHandler(io.Discard, nil))
 
@@ -37,8 +40,8 @@
 	f       *Server
 	addr    string
 	stop    context.CancelFunc
-	news    chan Members // to the watch
-	watches chan string  // index each watch asked for
+	news    chan endpoint.List // to the watch
+	watches chan string        // index each watch asked for
 }
 
 type option func(*Config, *testing.T)
@@ -46,7 +49,7 @@
 // start runs a front door that knows the given backends.
 func start(t *testing.T, addrs []string, options ...option) *world {
 	t.Helper()
-	w := &world{t: t, news: make(chan Members), watches: make(chan string, 16)}
+	w := &world{t: t, news: make(chan endpoint.List), watches: make(chan string, 16)}
 	disco := httptest.NewServer(http.HandlerFunc(w.serveWatch))
 	cfg := config(t, false, 5_000_000)
 	cfg.Discovery = strings.TrimPrefix(disco.URL, "http://")
@@ -103,10 +106,10 @@
 	return ln
 }
 
-func members(index int64, addrs ...string) Members {
-	m := Members{Index: index, Snapshot: true}
+func members(index int64, addrs ...string) endpoint.List {
+	m := endpoint.List{Index: index, Snapshot: true}
 	for i, a := range addrs {
-		m.Endpoints = append(m.Endpoints, Endpoint{Name: fmt.Sprint("s-", i), Address: a, Zone: "dc1", Type: "std",
+		m.Endpoints = append(m.Endpoints, endpoint.Entry{Name: fmt.Sprint("s-", i), Address: a, Zone: "dc1", Type: "std",
 			Status: "SERVING", Weight: 1})
 	}
 	return m
@@ -125,7 +128,7 @@
 			if m.Index < 0 { // the test ends this watch
 				return
 			}
-			json.NewEncoder(rw).Encode(lower(m))
+			json.NewEncoder(rw).Encode(discoverytest.WireForm(m))
 			rw.(http.Flusher).Flush()
 		case <-r.Context().Done():
 			return
@@ -133,16 +136,6 @@
 	}
 }
 
-// lower gives a list discovery's own names.
-func lower(m Members) map[string]any {
-	list := []map[string]any{}
-	for _, e := range m.Endpoints {
-		list = append(list, map[string]any{"name": e.Name, "address": e.Address, "zone": e.Zone, "type": e.Type,
-			"group": e.Group, "status": e.Status, "weight": e.Weight, "since_ms": e.SinceMS})
-	}
-	return map[string]any{"index": m.Index, "snapshot": m.Snapshot, "endpoints": list}
-}
-
 // peer is one end of a connection that speaks RESP, a client's or a backend's.
 type peer struct {
 	t  *testing.T
--- a/internal/gateway/loop.go
+++ b/internal/gateway/loop.go
@@ -11,6 +11,7 @@
 	"sync/atomic"
 	"time"
 
+	"bellwood/internal/gateway/discovery"
 	"bellwood/internal/policy"
 	"bellwood/internal/timerqueue"
 )
@@ -45,7 +46,7 @@
 	clients   *clients
 	backends  *backends
 	counter   *counter
-	discovery *discovery
+	discovery *discovery.Client
 	audit     *auditor    // nil: off
 	suspended atomic.Bool // out of service, as the audit wants it
 }
@@ -100,18 +101,18 @@
 func (f *Server) Run(ctx context.Context, ln net.Listener) {
 	defer close(f.done)
 	defer ln.Close()
-	f.take(f.cfg.Known, policy.CachedSnapshot)
+	f.discovery.Apply(f.cfg.Known.Endpoints, policy.CachedSnapshot)
 	f.audit.start()
 	f.step() // from here on it is able to serve
-	f.discovery.follow(f.discovery.addr)
-	defer func() { f.discovery.stop() }()
+	f.discovery.Follow(f.discovery.Address())
+	defer f.discovery.Stop()
 	go f.clients.accept(ln)
 	go f.watchdog.run(f.done, watchdogEvery, f.log)
 	f.log.Info("serving", "listen", ln.Addr(), "backends", len(f.cfg.Known.Endpoints))
 	f.every(sweepEvery, func() {
 		f.backends.sweep()
 		f.counter.sweep()
-		f.discovery.forget()
+		f.discovery.Sweep()
 	})
 	f.loop(ctx, ln)
 }
@@ -120,8 +121,8 @@
 // configuration; see Audit.
 func (f *Server) Reload(discovery, counter, revision string) {
 	f.post(func() {
-		if discovery != f.discovery.addr {
-			f.discovery.follow(discovery)
+		if discovery != f.discovery.Address() {
+			f.discovery.Follow(discovery)
 		}
 		if counter != f.counter.addr {
 			f.counter.move(counter)
@@ -270,7 +271,7 @@
 	case policy.SetTimer:
 		f.timers.Add(a.At, func() { f.tell(policy.Timer{Cookie: a.Cookie}) })
 	case policy.WatchEndpoints, policy.FetchEndpoints:
-		f.discovery.askForDoor()
+		f.discovery.Fetch()
 	case policy.Log:
 		f.log.Info(a.Text)
 	}
--- a/internal/gateway/reach_test.go
+++ b/internal/gateway/reach_test.go
@@ -3,162 +3,157 @@
 import (
 	"bufio"
 	"context"
-	"fmt"
 	"io"
 	"net"
 	"net/http"
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"bellwood/internal/gateway/discovery/discoverytest"
 )
 
-// toldAfter is when a change counts as told that discovery has, if it can be reached: the operators' term.
-const toldAfter = 6 * time.Second
-
-// calls is an agent of which two calls come to nothing and all later ones are well.
-type calls struct {
-	t       *testing.T
-	ln      net.Listener
-	failed  func(nc net.Conn) // what a call comes to; nil: it is refused
-	path    string            // of the calls that count; others are told that there is no such thing
-	answer  string            // to those that are well
-	refused atomic.Int32
-	bad     atomic.Int32
-	from    chan string // the indices that calls asked from
-	held    chan struct{}
+// callsThatFail is how many calls in a row come to nothing before one is answered.
+const callsThatFail = 2
+
+// callKind says which calls to discovery a flakyAgent takes.
+type callKind int
+
+const (
+	watchCalls callKind = iota // with a query
+	listCalls                  // for the whole list, without one
+)
+
+// flakyAgent is a discovery agent that fails the first callsThatFail calls of a kind and answers all later ones. Calls
+// of the other kind are told that there is no such thing.
+type flakyAgent struct {
+	t        *testing.T
+	listener net.Listener
+	kind     callKind
+	fail     failure
+	answer   string // to the calls that don't fail
+	refused  atomic.Int32
+	taken    atomic.Int32
+	from     chan string // the indices that calls asked from
+	ended    chan struct{}
 }
 
-const callsThatFail = 2
+// failure is a way in which a call to discovery may come to nothing. It plays the agent's end of the connection, which
+// is closed when it returns; ended is closed at the end of the test. The connection is refused if it is nil.
+type failure func(conn net.Conn, ended <-chan struct{})
+
+// failures are the ways in which a call to discovery may come to nothing.
+var failures = map[string]failure{
+	"refused":                  nil,
+	"reset":                    resetCall,
+	"ended":                    endCall,
+	"silent":                   staySilent,
+	"silent behind its head":   sayThen(discoverytest.OK, staySilent),
+	"silent within its head":   sayThen(discoverytest.OK[:20], staySilent),
+	"silent within a list":     sayThen(discoverytest.OK+halfList, staySilent),
+	"reset within a list":      sayThen(discoverytest.OK+halfList, resetCall),
+	"status 500":               sayThen("HTTP/1.1 500 Oh\r\nContent-Length: 2\r\n\r\n{}", staySilent),
+	"status 503":               sayThen("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", endCall),
+	"no JSON":                  sayThen(discoverytest.OK+discoverytest.Chunked("<html>"), staySilent),
+	"no HTTP":                  sayThen("hello?\r\n\r\n", staySilent),
+	"a list without its index": sayThen(discoverytest.OK+discoverytest.Chunked(`{"snapshot":true,"endpoints":[]}`), staySilent),
+	"an entry that drips": sayThen(discoverytest.OK+discoverytest.Chunked(`{"index":9,"endpoints":[{"name":"`),
+		keepSaying(discoverytest.Chunked("x"))),
+}
+
+var halfList = discoverytest.Chunked(`{"index":9,"snapshot":true,"endpoints":[{"name":"s-9","addr`)
+
+func endCall(net.Conn, <-chan struct{}) {}
+
+func resetCall(conn net.Conn, _ <-chan struct{}) { conn.(*net.TCPConn).SetLinger(0) }
 
-func (c *calls) serve() {
+func staySilent(_ net.Conn, ended <-chan struct{}) { <-ended }
+
+// sayThen says something first.
+func sayThen(text string, then failure) failure {
+	return func(conn net.Conn, ended <-chan struct{}) {
+		io.WriteString(conn, text)
+		then(conn, ended)
+	}
+}
+
+// keepSaying says something every 10 ms until the connection or the test ends.
+func keepSaying(text string) failure {
+	return func(conn net.Conn, ended <-chan struct{}) {
+		for {
+			select {
+			case <-time.After(10 * time.Millisecond):
+			case <-ended:
+				return
+			}
+			if _, err := io.WriteString(conn, text); err != nil {
+				return
+			}
+		}
+	}
+}
+
+// serve takes calls until the listener is closed.
+func (a *flakyAgent) serve() {
 	for {
-		nc, err := c.ln.Accept()
+		conn, err := a.listener.Accept()
 		if err != nil {
 			return
 		}
-		go c.call(nc)
+		go a.call(conn)
 	}
 }
 
-func (c *calls) call(nc net.Conn) {
-	defer nc.Close()
-	req, err := http.ReadRequest(bufio.NewReader(nc))
+// call plays one call.
+func (a *flakyAgent) call(conn net.Conn) {
+	defer conn.Close()
+	request, err := http.ReadRequest(bufio.NewReader(conn))
 	if err != nil {
 		return
 	}
-	if req.URL.RawQuery != "" != (c.path == "watch") {
-		io.WriteString(nc, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
+	if isWatch := request.URL.RawQuery != ""; isWatch != (a.kind == watchCalls) {
+		io.WriteString(conn, "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
 		return
 	}
 	select {
-	case c.from <- req.URL.Query().Get("index"):
+	case a.from <- request.URL.Query().Get("index"):
 	default:
 	}
-	if c.failed != nil && c.bad.Add(1) <= callsThatFail {
-		c.failed(nc)
+	if a.fail != nil && a.taken.Add(1) <= callsThatFail {
+		a.fail(conn, a.ended)
 		return
 	}
-	io.WriteString(nc, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"+chunked(c.answer))
-	if c.path != "watch" {
-		io.WriteString(nc, "0\r\n\r\n")
+	io.WriteString(conn, discoverytest.OK+discoverytest.Chunked(a.answer))
+	if a.kind == listCalls {
+		io.WriteString(conn, "0\r\n\r\n")
 		return
 	}
-	for { // signs of life
-		select {
-		case <-time.After(10 * time.Millisecond):
-		case <-c.held:
-			return
-		}
-		if _, err := io.WriteString(nc, chunked("\r\n")); err != nil {
-			return
-		}
-	}
-}
-
-func chunked(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
-
-// dial refuses the first calls, if that is how they are to fail.
-func (c *calls) dial(ctx context.Context, network, addr string) (net.Conn, error) {
-	if c.failed == nil && c.refused.Add(1) <= callsThatFail {
-		addr = freeAddr(c.t)
-	}
-	return (&net.Dialer{}).DialContext(ctx, network, addr)
+	keepSaying(discoverytest.Chunked("\r\n"))(conn, a.ended) // signs of life
 }
 
-// failures are the ways in which a call to discovery may come to nothing.
-func (c *calls) failures() map[string]func(net.Conn) {
-	const ok = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-	says := func(s string, then func(net.Conn)) func(net.Conn) {
-		return func(nc net.Conn) {
-			io.WriteString(nc, s)
-			then(nc)
-		}
-	}
-	ends := func(net.Conn) {}
-	hold := func(net.Conn) { <-c.held }
-	reset := func(nc net.Conn) { nc.(*net.TCPConn).SetLinger(0) }
-	half := ok + chunked(`{"index":9,"snapshot":true,"endpoints":[{"name":"s-9","addr`)
-	return map[string]func(net.Conn){
-		"refused":                  nil,
-		"reset":                    reset,
-		"ended":                    ends,
-		"silent":                   hold,
-		"silent behind its head":   says(ok, hold),
-		"silent within its head":   says(ok[:20], hold),
-		"silent within a list":     says(half, hold),
-		"reset within a list":      says(half, reset),
-		"status 500":               says("HTTP/1.1 500 Oh\r\nContent-Length: 2\r\n\r\n{}", hold),
-		"status 503":               says("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", ends),
-		"nonsense":                 says(ok+chunked("<html>"), hold),
-		"no HTTP":                  says("hello?\r\n\r\n", hold),
-		"a list without its index": says(ok+chunked(`{"snapshot":true,"endpoints":[]}`), hold),
-		"an entry that drips": says(ok+chunked(`{"index":9,"endpoints":[{"name":"`), func(nc net.Conn) {
-			for {
-				select {
-				case <-time.After(10 * time.Millisecond):
-				case <-c.held:
-					return
-				}
-				if _, err := io.WriteString(nc, chunked("x")); err != nil {
-					return
-				}
-			}
-		}),
+// dial connects to the agent. It refuses the first calls, if that is how they are to fail.
+func (a *flakyAgent) dial(ctx context.Context, network, address string) (net.Conn, error) {
+	if a.fail == nil && a.refused.Add(1) <= callsThatFail {
+		address = freeAddr(a.t)
 	}
+	return (&net.Dialer{}).DialContext(ctx, network, address)
 }
 
-// reaches says that a change gets through to the door behind two failed calls of each kind, and from where they asked.
-func reaches(t *testing.T, path, answer string, kinds []string, options ...option) {
-	for _, kind := range kinds {
-		t.Run(kind, func(t *testing.T) {
+// reaches says that a list that names s-7 gets through to the gateway behind failed calls of each kind of failure, and
+// from where the calls asked.
+func reaches(t *testing.T, kind callKind, list string, options ...option) {
+	for name, fail := range failures {
+		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			c := &calls{t: t, ln: listen(t), path: path, answer: answer, from: make(chan string, 64),
-				held: make(chan struct{})}
-			c.failed = c.failures()[kind]
-			cfg := config(t, false, 5_000_000)
-			cfg.Discovery, cfg.Known, cfg.watchSilence = c.ln.Addr().String(), members(1, freeAddr(t)), 200*time.Millisecond
-			for _, o := range options {
-				o(cfg, t)
-			}
-			f, err := New(cfg, discard)
-			if err != nil {
-				t.Fatal(err)
-			}
-			f.discovery.http.Transport.(*http.Transport).DialContext = c.dial
-			ctx, stop := context.WithCancel(context.Background())
-			go f.Run(ctx, listen(t))
-			t.Cleanup(func() {
-				close(c.held)
-				stop()
-				<-f.done
-			})
-			go c.serve()
-			(&world{t: t, f: f}).until(func() bool { return f.discovery.known["s-7"] != nil })
-			if n := max(c.bad.Load(), c.refused.Load()); n <= callsThatFail {
+			agent := &flakyAgent{t: t, listener: listen(t), kind: kind, fail: fail, answer: list,
+				from: make(chan string, 64), ended: make(chan struct{})}
+			f := agent.follow(options...)
+			(&world{t: t, f: f}).until(func() bool { return f.discovery.Knows("s-7") })
+			if n := max(agent.taken.Load(), agent.refused.Load()); n <= callsThatFail {
 				t.Errorf("only %d calls", n)
 			}
-			for i := 0; i < callsThatFail && path == "watch" && c.failed != nil; i++ {
-				if from := <-c.from; from != "1" {
+			for i := 0; i < callsThatFail && kind == watchCalls && fail != nil; i++ {
+				if from := <-agent.from; from != "1" {
 					t.Errorf("call %d asks from %s", i, from)
 				}
 			}
@@ -166,50 +161,42 @@
 	}
 }
 
-func change(t *testing.T, whole bool) string {
-	m := members(7, freeAddr(t))
-	m.Snapshot, m.Endpoints[0].Name = whole, "s-7"
-	return text(t, m)
+// follow runs a gateway that follows the agent.
+func (a *flakyAgent) follow(options ...option) *Server {
+	cfg := config(a.t, false, 5_000_000)
+	cfg.Discovery, cfg.discoveryDial = a.listener.Addr().String(), a.dial
+	cfg.Known, cfg.watchSilence = members(1, freeAddr(a.t)), 200*time.Millisecond
+	for _, o := range options {
+		o(cfg, a.t)
+	}
+	f, err := New(cfg, discard)
+	if err != nil {
+		a.t.Fatal(err)
+	}
+	ctx, stop := context.WithCancel(context.Background())
+	go f.Run(ctx, listen(a.t))
+	a.t.Cleanup(func() {
+		close(a.ended)
+		stop()
+		<-f.done
+	})
+	go a.serve()
+	return f
 }
 
-func allKinds() (kinds []string) {
-	for kind := range (&calls{}).failures() {
-		kinds = append(kinds, kind)
-	}
-	return kinds
+// listWithNews is a list or change that names s-7.
+func listWithNews(t *testing.T, snapshot bool) string {
+	list := members(7, freeAddr(t))
+	list.Snapshot, list.Endpoints[0].Name = snapshot, "s-7"
+	return discoverytest.Line(t, list)
 }
 
-// A change reaches the door by the watch though two calls in a row came to nothing.
+// A change reaches the gateway by the watch though two calls in a row came to nothing.
 func TestChangeComesBehindFailedWatches(t *testing.T) {
-	reaches(t, "watch", change(t, false), allKinds())
+	reaches(t, watchCalls, listWithNews(t, false))
 }
 
-// A list that the Door has to ask for comes though two calls in a row came to nothing.
+// A list that the decision module polls for comes though two calls in a row came to nothing.
 func TestListComesBehindFailedCalls(t *testing.T) {
-	reaches(t, "list", change(t, true), allKinds(), func(c *Config, t *testing.T) { c.Settings.PollEndpoints = true })
-}
-
-// By the time-outs and pauses alone, two calls of the slowest kind leave time for the third to bring the news.
-func TestCallsAndPausesAreShort(t *testing.T) {
-	const bring = 500 * time.Millisecond // for the call that is well
-	if worst := callsThatFail*(watchSilence+rewatchMost) + bring; worst > toldAfter {
-		t.Errorf("by the watch a change may come after %v", worst)
-	}
-	const doorPause = 750 * time.Millisecond // the longest that a Door may take to ask again
-	if worst := callsThatFail*(askSilence+doorPause) + bring; worst > toldAfter {
-		t.Errorf("by calls for the list a change may come after %v", worst)
-	}
-	const sign = 2 * time.Second // between a watch's signs of life
-	if watchSilence < sign+sign/5 {
-		t.Errorf("a watch that gives its signs counts as dead after %v", watchSilence)
-	}
-	f := idle(t)
-	for _, err := range []error{io.EOF, errNonsense, errMoved} {
-		pause := rewatchAfter
-		for range 20 {
-			if pause = f.discovery.pause(pause, err); pause > rewatchMost {
-				t.Errorf("behind %v a pause of %v", err, pause)
-			}
-		}
-	}
+	reaches(t, listCalls, listWithNews(t, true), func(c *Config, t *testing.T) { c.Settings.PollEndpoints = true })
 }
