--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -7,11 +7,11 @@
 )
 
 // newDiscovery returns the client of the discovery agent that the configuration names.
-func newDiscovery(f *Server) *discovery.Client {
-	transport := &f.cfg.Transport
-	return discovery.New(discoveryLoop{f}, discovery.Options{Address: f.cfg.Discovery, Index: f.cfg.Known.Index,
-		Zones: transport.Zones, Types: transport.Kinds, Log: f.log,
-		Silence: f.cfg.watchSilence, Dial: f.cfg.discoveryDial})
+func newDiscovery(server *Server) *discovery.Client {
+	cfg := server.cfg
+	return discovery.New(discoveryLoop{server}, discovery.Options{Address: cfg.Discovery, Index: cfg.Known.Index,
+		Zones: cfg.Transport.Zones, Types: cfg.Transport.Kinds, Log: server.log,
+		Silence: cfg.watchSilence, Dial: cfg.discoveryDial})
 }
 
 // discoveryLoop is what discovery sees of the event loop: a discovery.EventLoop.
@@ -22,15 +22,15 @@
 func (l discoveryLoop) Done() <-chan struct{} { return l.server.done }
 
 func (l discoveryLoop) EndpointChanged(backend policy.Backend, address string) {
-	l.server.backends.listed(backend, address)
+	l.server.upstream.updateEndpoint(backend, address)
 }
 
 func (l discoveryLoop) Update(update policy.EndpointUpdate) { l.server.tell(update) }
 
 func (l discoveryLoop) Adopted(index int64, snapshot bool) {
-	source := audit.FromChange
+	source := audit.FromDelta
 	if snapshot {
-		source = audit.FromWhole
+		source = audit.FromSnapshot
 	}
 	l.server.audit.adopted(index, source)
 }
