--- a/internal/gateway/audit.go
+++ b/internal/gateway/audit.go
@@ -149,9 +149,9 @@
 	case audit.AddToCounter:
 		a.count(action)
 	case audit.ReopenWatch:
-		a.f.discovery.follow(a.f.discovery.addr)
+		a.f.discovery.Follow(a.f.discovery.Address())
 	case audit.FetchSnapshot:
-		a.f.discovery.askAndFollow(func(ok bool) { a.tell(audit.SnapshotFetched{OK: ok}) })
+		a.f.discovery.FetchAndFollow(func(ok bool) { a.tell(audit.SnapshotFetched{OK: ok}) })
 	case audit.LeaveService:
 		a.f.suspended.Store(true)
 		a.f.emit(policy.Suspend{On: true})
--- a/internal/gateway/descriptorlimit_test.go
+++ b/internal/gateway/descriptorlimit_test.go
@@ -20,6 +20,7 @@
 	"time"
 
 	"bellwood/internal/gateway/budget"
+	"bellwood/internal/gateway/discovery"
 )
 
 // crowded is set for a process that is to be a front door and not the tests.
@@ -415,7 +416,7 @@
 			t.Fatal(err)
 		}
 		clients := server.downstream.maxConns + server.downstream.maxConns/budget.ConnsPerRejected + 1 // one more is being accepted
-		watch := 2 * int64(server.discovery.http.Transport.(*http.Transport).MaxConnsPerHost)
+		watch := 2 * int64(discovery.MaxConns)
 		const runtime, configuration = 8, 1 // standard files 3, poller 2, cgroup 2, listener
 		sum := clients + int64(server.upstream.maxConns) + watch + 2*counterConns + runtime + configuration
 		if sum > int64(sockets) {
--- a/internal/gateway/requestparser.go
+++ b/internal/gateway/requestparser.go
@@ -208,5 +208,3 @@
 		return char
 	}, string(text))
 }
-
-func index(names []string, name string) int { return slices.Index(names, name) }
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -16,6 +16,7 @@
 	"time"
 
 	"bellwood/internal/gateway/budget"
+	"bellwood/internal/gateway/discovery"
 	"bellwood/internal/gateway/watchdog"
 	"bellwood/internal/policy"
 )
@@ -39,7 +40,7 @@
 	downstream *downstream
 	upstream   *upstream
 	counter    *counter
-	discovery  *discovery
+	discovery  *discovery.Client
 	audit      *auditor // nil: off
 }
 
@@ -75,11 +76,11 @@
 func (server *Server) Run(ctx context.Context, ln net.Listener) {
 	defer close(server.done)
 	defer ln.Close()
-	server.take(server.cfg.Known, policy.CachedSnapshot)
+	server.discovery.Apply(server.cfg.Known.Endpoints, policy.CachedSnapshot)
 	server.audit.start()
 	server.step() // from here on it is able to serve
-	server.discovery.follow(server.discovery.addr)
-	defer func() { server.discovery.stop() }()
+	server.discovery.Follow(server.discovery.Address())
+	defer server.discovery.Stop()
 	go server.downstream.accept(ln)
 	go server.watchdog.Run(server.done, watchdog.Interval, server.log)
 	server.log.Info("gateway started", slog.String("listen", ln.Addr().String()),
@@ -87,7 +88,7 @@
 	server.every(sweepInterval, func() {
 		server.upstream.closeExpiredIdle()
 		server.counter.sweep()
-		server.discovery.forget()
+		server.discovery.Sweep()
 	})
 	server.runLoop(ctx, ln)
 }
@@ -96,8 +97,8 @@
 // configuration; see Audit.
 func (server *Server) Reload(discovery, counter, revision string) {
 	server.post(func() {
-		if discovery != server.discovery.addr {
-			server.discovery.follow(discovery)
+		if discovery != server.discovery.Address() {
+			server.discovery.Follow(discovery)
 		}
 		if counter != server.counter.addr {
 			server.counter.move(counter)
@@ -216,7 +217,7 @@
 	case policy.SetTimer:
 		server.addTimer(action.At, func() { server.emit(policy.Timer{Cookie: action.Cookie}) })
 	case policy.WatchEndpoints, policy.FetchEndpoints:
-		server.discovery.askForDoor()
+		server.discovery.Fetch()
 	case policy.Log:
 		server.log.Info(action.Text)
 	}
--- a/internal/gateway/upstream_test.go
+++ b/internal/gateway/upstream_test.go
@@ -104,7 +104,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server.take(members(1, addrs...), policy.CachedSnapshot)
+	server.discovery.Apply(members(1, addrs...).Endpoints, policy.CachedSnapshot)
 	server.events = nil
 	t.Cleanup(func() { close(server.done) })
 	return server
@@ -209,9 +209,11 @@
 		"drain": func(server *Server, attempt *backendAttempt) {
 			m := members(2, server.upstream.pools["s-0"].addr)
 			m.Endpoints[0].Status = "DRAINING"
-			server.take(m, policy.Delta)
+			server.discovery.Apply(m.Endpoints, policy.Delta)
+		},
+		"left out": func(server *Server, attempt *backendAttempt) {
+			server.discovery.Apply(members(2).Endpoints, policy.Snapshot)
 		},
-		"left out": func(server *Server, attempt *backendAttempt) { server.take(members(2), policy.Snapshot) },
 		"cancel": func(server *Server, attempt *backendAttempt) {
 			server.carryOut(policy.CancelAttempt{ID: attempt.request.id})
 		},
@@ -283,7 +285,7 @@
 		func() {
 			m := members(2, pool.addr)
 			m.Endpoints[0].SinceMS = 5
-			server.take(m, policy.Delta)
+			server.discovery.Apply(m.Endpoints, policy.Delta)
 		},
 	} {
 		attempt := newAttempt(t, server)
@@ -357,7 +359,7 @@
 	ln, next := listen(t), listen(t)
 	server := newIdleServer(t, ln.Addr().String())
 	attempt, p := inUse(t, server, ln)
-	server.take(members(2, next.Addr().String()), policy.Snapshot)
+	server.discovery.Apply(members(2, next.Addr().String()).Endpoints, policy.Snapshot)
 	p.write("*1\r\n$1\r\nx\r\n")
 	runTasksUntil(t, server, func() bool { return attempt.ended })
 	wantOutcome(t, server, policy.OK)
@@ -365,7 +367,7 @@
 	server.events = nil
 	attempt = newAttempt(t, server)
 	dialling := attempt.conn
-	server.take(members(3, ln.Addr().String()), policy.Snapshot) // it moves while it is being dialled
+	server.discovery.Apply(members(3, ln.Addr().String()).Endpoints, policy.Snapshot) // it moves while it is being dialled
 	wantOutcome(t, server, policy.NotSent)
 	if !dialling.closed {
 		t.Error("the dial to the old address goes on")
@@ -377,7 +379,7 @@
 	ln := listen(t)
 	server := newIdleServer(t, ln.Addr().String())
 	attempt, _ := inUse(t, server, ln)
-	server.take(members(2), policy.Snapshot)
+	server.discovery.Apply(members(2).Endpoints, policy.Snapshot)
 	server.timers.Run(attempt.deadline)
 	wantOutcome(t, server, policy.TimedOut)
 	if len(server.upstream.pools) != 0 || server.upstream.connCount != 0 {
