--- a/cmd/bellwood/log_test.go
+++ b/cmd/bellwood/log_test.go
@@ -5,17 +5,14 @@
 	"net"
 	"os"
 	"os/exec"
-	"path/filepath"
 	"strings"
 	"syscall"
 	"testing"
 	"time"
 )
 
-const (
-	patient = 20 * time.Second
-	asMain  = "BELLWOOD_TEST_AS_MAIN" // in the environment of a process that is to be the program, not the tests
-)
+// asMain stands in the environment of a process that is to be the program, not the tests.
+const asMain = "BELLWOOD_TEST_AS_MAIN"
 
 func TestMain(m *testing.M) {
 	if os.Getenv(asMain) != "" {
@@ -25,6 +22,25 @@
 	os.Exit(m.Run())
 }
 
+// A gateway whose log goes to a pipe that nobody reads must serve on and end: each line once waited for the reader, and
+// the event loop with it.
+func TestServesThoughNobodyReadsTheLog(t *testing.T) {
+	addr := freeAddr(t)
+	program := startProgram(t, addr, fullPipe(t))
+	if reply := ping(addr); !strings.HasPrefix(reply, "-LOADING") {
+		t.Fatalf("PING is answered %q", reply)
+	}
+	program.process.Signal(syscall.SIGTERM)
+	select {
+	case err := <-program.ended:
+		if err != nil {
+			t.Error(err)
+		}
+	case <-time.After(testTimeout):
+		t.Fatal("it does not end")
+	}
+}
+
 // fullPipe returns the writing end of a pipe that takes nothing more, as that of a log whose reader has stopped.
 func fullPipe(t *testing.T) *os.File {
 	t.Helper()
@@ -41,50 +57,50 @@
 	}
 }
 
-// A front door serves on and ends though nobody reads its log.
-func TestServesThoughNobodyReadsTheLog(t *testing.T) {
+// freeAddr returns an address on which nothing listens.
+func freeAddr(t *testing.T) string {
+	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := ln.Addr().String()
-	ln.Close()
-	file := filepath.Join(t.TempDir(), "config.json")
-	text := `{"name":"n1","listen":"` + addr + `","discovery":"127.0.0.1:1","seed":"1","settings":{"peers-total":1,` +
-		`"limits":{"max-attempts":1,"dial-timeout-us":1000},"classes":[{"name":"a","effect":"safe"}],"tiers-of-service":[{"name":"b"}]}}`
-	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	door := exec.Command(os.Args[0])
-	door.Env = append(os.Environ(), asMain+"=1", "NODE_CONFIG="+file, "NODE_NAME=", "NODE_LISTEN=", "NODE_DISCOVERY=")
-	door.Stderr = fullPipe(t)
-	if err := door.Start(); err != nil {
+	defer ln.Close()
+	return ln.Addr().String()
+}
+
+// program is the program in a process of its own.
+type program struct {
+	process *os.Process
+	ended   chan error
+}
+
+// startProgram starts the program, which listens on an address and logs to a file, until the test ends.
+func startProgram(t *testing.T, addr string, log *os.File) program {
+	t.Helper()
+	file := newConfigFile(t, configJSON(addr, "127.0.0.1:1"))
+	cmd := exec.Command(os.Args[0])
+	cmd.Env = append(os.Environ(), asMain+"=1", "NODE_CONFIG="+file, "NODE_NAME=", "NODE_LISTEN=", "NODE_DISCOVERY=")
+	cmd.Stderr = log
+	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	ended := make(chan error, 1)
-	go func() { ended <- door.Wait() }()
-	t.Cleanup(func() { door.Process.Kill() })
-	var answer string
-	for end := time.Now().Add(patient); answer == "" && time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		nc, err := net.Dial("tcp", addr)
+	go func() { ended <- cmd.Wait() }()
+	t.Cleanup(func() { cmd.Process.Kill() })
+	return program{process: cmd.Process, ended: ended}
+}
+
+// ping sends a PING as soon as the program listens, and returns the reply; empty: there was none in time.
+func ping(addr string) (reply string) {
+	for end := time.Now().Add(testTimeout); reply == "" && time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+		conn, err := net.Dial("tcp", addr)
 		if err != nil {
 			continue
 		}
-		nc.SetDeadline(time.Now().Add(patient))
-		nc.Write([]byte("*1\r\n$4\r\nPING\r\n"))
-		answer, _ = bufio.NewReader(nc).ReadString('\n')
-		nc.Close()
-	}
-	if !strings.HasPrefix(answer, "-LOADING") {
-		t.Fatalf("PING is answered %q", answer)
-	}
-	door.Process.Signal(syscall.SIGTERM)
-	select {
-	case err := <-ended:
-		if err != nil {
-			t.Error(err)
-		}
-	case <-time.After(patient):
-		t.Fatal("it does not end")
+		conn.SetDeadline(time.Now().Add(testTimeout))
+		conn.Write([]byte("*1\r\n$4\r\nPING\r\n"))
+		reply, _ = bufio.NewReader(conn).ReadString('\n')
+		conn.Close()
 	}
+	return reply
 }
--- a/cmd/bellwood/main.go
+++ b/cmd/bellwood/main.go
@@ -1,4 +1,8 @@
-// Command bellwood is one front door: it meters customers' quotas and passes their requests on to a shared fleet.
+// Command bellwood is one gateway: it meters tenants' quotas and forwards their requests to a shared fleet of backends.
+//
+// It is configured by the JSON file that NODE_CONFIG names; NODE_NAME, NODE_LISTEN and NODE_DISCOVERY go before what the
+// file says. SIGTERM or an interrupt begins a graceful shutdown, SIGHUP makes it read the file again. It logs to standard
+// error. See README.
 package main
 
 import (
@@ -17,12 +21,15 @@
 	"bellwood/internal/logsink"
 )
 
-// gcPercent is how much garbage may gather for each live byte. The heap has few MB, so collections would else come
-// often; the memory limit makes them come sooner where that is needed.
-const gcPercent = 400
-
-// logWithin is how long the end waits for whoever reads the log.
-const logWithin = 100 * time.Millisecond
+const (
+	// gcPercent is how much garbage may gather for each live byte, in percent. The heap has few MB, so collections would
+	// else come often; the memory limit makes them come sooner where that is needed.
+	gcPercent = 400
+	// heapShare of the memory limit is for the heap; the rest is for stacks, sockets and the kernel.
+	heapShareNum, heapShareDen = 3, 4
+	// logFlushTimeout is how long the end waits for whoever reads the log.
+	logFlushTimeout = 100 * time.Millisecond
+)
 
 func main() {
 	if err := run(); err != nil {
@@ -41,17 +48,17 @@
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
-	runtime.GOMAXPROCS(1) // a front door has one core: more threads would only take turns on it
+	runtime.GOMAXPROCS(1) // a gateway has one core: more threads would only take turns on it
 	if cfg.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(cfg.MemoryMB) << 20 * 3 / 4) // the rest is for stacks, sockets and the kernel
+		debug.SetMemoryLimit(int64(cfg.MemoryMB) << 20 * heapShareNum / heapShareDen)
 		debug.SetGCPercent(gcPercent)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
 	sink := logsink.New(os.Stderr)
-	defer sink.Close(logWithin)
+	defer sink.Close(logFlushTimeout)
 	log := slog.New(slog.NewTextHandler(sink, nil)).With("name", cfg.Name)
-	f, err := gateway.New(cfg, log)
+	server, err := gateway.New(cfg, log)
 	if err != nil {
 		return err
 	}
@@ -61,14 +68,14 @@
 	}
 	ended := make(chan struct{})
 	defer close(ended)
-	go reload(hup, ended, f, log)
-	f.Run(ctx, ln)
+	go reload(hup, ended, server, log) // until run returns
+	server.Run(ctx, ln)
 	return nil
 }
 
-// reload reads the file again at each signal. The file now goes before the environment, which tells what held at
-// the start; only the addresses of discovery and the counter change.
-func reload(hup <-chan os.Signal, ended <-chan struct{}, f *gateway.Server, log *slog.Logger) {
+// reload reads the file again at each signal, until ended is closed. The file now goes before the environment, which
+// tells what held at the start; only the addresses of discovery and the counter change. An unusable file changes nothing.
+func reload(hup <-chan os.Signal, ended <-chan struct{}, server *gateway.Server, log *slog.Logger) {
 	for {
 		select {
 		case <-hup:
@@ -80,7 +87,7 @@
 			log.Error("configuration reload failed", slog.Any("error", err))
 			continue
 		}
-		f.Reload(cfg.Discovery, cfg.Counter, cfg.Audit.RevisionText())
+		server.Reload(cfg.Discovery, cfg.Counter, cfg.Audit.RevisionText())
 	}
 }
 
--- a/cmd/bellwood/main_test.go
+++ b/cmd/bellwood/main_test.go
@@ -1,30 +1,23 @@
 package main
 
 import (
-	"fmt"
 	"net/http"
 	"net/http/httptest"
 	"os"
-	ossignal "os/signal"
-	"path/filepath"
+	"os/signal"
 	"strings"
 	"syscall"
 	"testing"
 	"time"
 )
 
-// A front door that can't start says why in one line; the address it is to listen on is no exception.
+// A gateway that can't start says why in one line; the address it is to listen on is no exception.
 func TestBadConfiguration(t *testing.T) {
-	good := `{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":{"peers-total":1,` +
-		`"limits":{"max-attempts":1,"dial-timeout-us":1000},"classes":[{"name":"a","effect":"safe"}],"tiers-of-service":[{"name":"b"}]}}`
+	good := configJSON("127.0.0.1:0", "127.0.0.1:1")
 	for _, bad := range []string{"{", strings.Replace(good, `"peers-total":1`, `"peers-total":0`, 1),
 		strings.Replace(good, "127.0.0.1:0", "127.0.0.1:none", 1), strings.Replace(good, "127.0.0.1:0", "nowhere", 1),
 		strings.Replace(good, "1000", "0", 1)} {
-		file := filepath.Join(t.TempDir(), "config.json")
-		if err := os.WriteFile(file, []byte(bad), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		t.Setenv("NODE_CONFIG", file)
+		t.Setenv("NODE_CONFIG", newConfigFile(t, bad))
 		for _, name := range []string{"NODE_NAME", "NODE_LISTEN", "NODE_DISCOVERY"} {
 			t.Setenv(name, "")
 		}
@@ -36,79 +29,81 @@
 
 // The environment goes before the file.
 func TestEnvironment(t *testing.T) {
-	file := filepath.Join(t.TempDir(), "config.json")
-	text := `{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1","settings":{"peers-total":1,` +
-		`"limits":{"max-attempts":1,"dial-timeout-us":1000},"classes":[{"name":"a","effect":"safe"}],"tiers-of-service":[{"name":"b"}]}}`
-	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	t.Setenv("NODE_CONFIG", file)
+	t.Setenv("NODE_CONFIG", newConfigFile(t, configJSON("127.0.0.1:1", "127.0.0.1:2")))
 	t.Setenv("NODE_NAME", "n2")
 	t.Setenv("NODE_LISTEN", "127.0.0.1:3")
 	t.Setenv("NODE_DISCOVERY", "127.0.0.1:4")
-	c, err := readConfig(environment)
-	if err != nil || c.Name != "n2" || c.Listen != "127.0.0.1:3" || c.Discovery != "127.0.0.1:4" {
-		t.Errorf("%+v, %v", c, err)
+	cfg, err := readConfig(environment)
+	if err != nil || cfg.Name != "n2" || cfg.Listen != "127.0.0.1:3" || cfg.Discovery != "127.0.0.1:4" {
+		t.Errorf("%+v, %v", cfg, err)
 	}
 }
 
-// SIGHUP must not end the program: an unusable file changes nothing, and a usable one goes before the environment.
+// By default SIGHUP ends a program. It must not end this one, also while it starts or ends: an unusable file changes
+// nothing, and a usable one goes before the environment.
 func TestReload(t *testing.T) {
-	watched := make(chan string, 64)
-	agent := func(name string) string {
-		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { watched <- name }))
-		t.Cleanup(s.Close)
-		return strings.TrimPrefix(s.URL, "http://")
-	}
-	file := filepath.Join(t.TempDir(), "config.json")
-	write := func(discovery string) {
-		t.Helper()
-		text := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"seed":"1","settings":{"peers-total":1,`+
-			`"limits":{"max-attempts":1,"dial-timeout-us":1000},"classes":[{"name":"a","effect":"safe"}],"tiers-of-service":[{"name":"b"}]}}`, discovery)
-		if err := os.WriteFile(file+".new", []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.Rename(file+".new", file); err != nil {
-			t.Fatal(err)
-		}
-	}
-	wait := func(name string) {
-		t.Helper()
-		for limit := time.After(20 * time.Second); ; {
-			select {
-			case got := <-watched:
-				if got == name {
-					return
-				}
-			case <-limit:
-				t.Fatalf("%s is not watched", name)
-			}
-		}
-	}
-	signal := func(s syscall.Signal) {
-		if err := syscall.Kill(os.Getpid(), s); err != nil {
-			t.Fatal(err)
-		}
-	}
-	write("127.0.0.1:1")
+	watched := make(chan string, 64) // names of the agents that are asked
+	file := newConfigFile(t, configJSON("127.0.0.1:0", "127.0.0.1:1"))
 	t.Setenv("NODE_CONFIG", file)
-	t.Setenv("NODE_DISCOVERY", agent("first"))
+	t.Setenv("NODE_DISCOVERY", newAgent(t, "first", watched))
 	ended := make(chan error, 1)
 	go func() { ended <- run() }()
-	wait("first")
-	write("nowhere")
-	signal(syscall.SIGHUP)
-	wait("first")
-	write(agent("second"))
-	signal(syscall.SIGHUP)
-	wait("second")
+	waitForWatch(t, watched, "first")
+	replaceFile(t, file, configJSON("127.0.0.1:0", "nowhere"))
+	sendSignal(t, syscall.SIGHUP)
+	waitForWatch(t, watched, "first")
+	replaceFile(t, file, configJSON("127.0.0.1:0", newAgent(t, "second", watched)))
+	sendSignal(t, syscall.SIGHUP)
+	waitForWatch(t, watched, "second")
 	late := make(chan os.Signal, 8) // one that comes when run has ended must not end the tests
-	ossignal.Notify(late, syscall.SIGHUP, syscall.SIGTERM)
-	defer ossignal.Stop(late)
+	signal.Notify(late, syscall.SIGHUP, syscall.SIGTERM)
+	defer signal.Stop(late)
 	for _, s := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM} {
-		signal(s)
+		sendSignal(t, s)
 	}
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
 }
+
+// newAgent starts a discovery agent that tells when it is asked, and returns its address.
+func newAgent(t *testing.T, name string, watched chan<- string) (addr string) {
+	t.Helper()
+	agent := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { watched <- name }))
+	t.Cleanup(agent.Close)
+	return strings.TrimPrefix(agent.URL, "http://")
+}
+
+// waitForWatch waits until an agent is asked from now on.
+func waitForWatch(t *testing.T, watched <-chan string, name string) {
+	t.Helper()
+	for limit := time.After(testTimeout); ; {
+		select {
+		case got := <-watched:
+			if got == name {
+				return
+			}
+		case <-limit:
+			t.Fatalf("%s is not watched", name)
+		}
+	}
+}
+
+// replaceFile puts a configuration in the place of a file's, at once.
+func replaceFile(t *testing.T, file, text string) {
+	t.Helper()
+	if err := os.WriteFile(file+".new", []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.Rename(file+".new", file); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// sendSignal sends this process a signal.
+func sendSignal(t *testing.T, signal syscall.Signal) {
+	t.Helper()
+	if err := syscall.Kill(os.Getpid(), signal); err != nil {
+		t.Fatal(err)
+	}
+}
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -95,16 +95,17 @@
 
 // Reload moves to other addresses of discovery and the counter, from any goroutine. The revision is that of the
 // configuration; see Audit.
-func (server *Server) Reload(discovery, counter, revision string) {
+func (server *Server) Reload(discoveryAddr, counterAddr, revision string) {
 	server.post(func() {
-		if discovery != server.discovery.Address() {
-			server.discovery.Follow(discovery)
+		if discoveryAddr != server.discovery.Address() {
+			server.discovery.Follow(discoveryAddr)
 		}
-		if counter != server.counter.addr {
-			server.counter.move(counter)
+		if counterAddr != server.counter.addr {
+			server.counter.move(counterAddr)
 		}
-		server.log.Info("configuration reloaded", slog.String("discovery", discovery), slog.String("counter", counter))
-		server.audit.configured(discovery, counter, revision)
+		server.log.Info("configuration reloaded", slog.String("discovery", discoveryAddr),
+			slog.String("counter", counterAddr))
+		server.audit.configured(discoveryAddr, counterAddr, revision)
 	})
 }
 
--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -1,4 +1,8 @@
 // Package logsink keeps a program from waiting for whoever reads its log.
+//
+// Failure: the log goes to a pipe that nobody reads, and is full. How it shows: whoever logs waits for ever, the gateway's
+// event loop among them, so nothing is answered. Why this holds: lines are taken into a bounded buffer and written by a
+// goroutine of its own; what does not fit is dropped, and the log says how many lines that were.
 package logsink
 
 import (
@@ -13,72 +17,72 @@
 
 // Writer hands lines to another writer from a goroutine of its own, so that Write never waits.
 type Writer struct {
-	to io.Writer
+	to   io.Writer
+	done chan struct{} // closed once all is written after Close
 
-	mu        sync.Mutex
+	mu        sync.Mutex // guards the fields below
 	workOrEnd *sync.Cond // there is something to write, or it is to end
-	pending   []byte
-	dropped   int
+	pending   []byte     // lines to be written
+	dropped   int        // lines that did not fit, since the log last told of them
 	closing   bool
-	done      chan struct{} // closed once all is written after Close
 }
 
-// New returns a Writer to another writer.
+// New returns a Writer to another writer. Its goroutine ends after Close, unless the other writer never returns.
 func New(to io.Writer) *Writer {
-	w := &Writer{to: to, done: make(chan struct{})}
-	w.workOrEnd = sync.NewCond(&w.mu)
-	go w.run()
-	return w
+	writer := &Writer{to: to, done: make(chan struct{})}
+	writer.workOrEnd = sync.NewCond(&writer.mu)
+	go writer.run()
+	return writer
 }
 
 // Write takes a line, or drops it whole where too much waits already. It never fails.
-func (w *Writer) Write(line []byte) (int, error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if len(w.pending)+len(line) > maxPendingBytes {
-		w.dropped++
+func (writer *Writer) Write(line []byte) (int, error) {
+	writer.mu.Lock()
+	defer writer.mu.Unlock()
+	if len(writer.pending)+len(line) > maxPendingBytes {
+		writer.dropped++
 		return len(line), nil
 	}
-	w.pending = append(w.pending, line...)
-	w.workOrEnd.Signal()
+	writer.pending = append(writer.pending, line...)
+	writer.workOrEnd.Signal()
 	return len(line), nil
 }
 
-// Close lets what waits be written, for a time at most. What is written afterwards may be lost.
-func (w *Writer) Close(within time.Duration) {
-	w.mu.Lock()
-	w.closing = true
-	w.workOrEnd.Signal()
-	w.mu.Unlock()
+// Close lets what waits be written, for the timeout at most. What is written afterwards may be lost.
+func (writer *Writer) Close(timeout time.Duration) {
+	writer.mu.Lock()
+	writer.closing = true
+	writer.workOrEnd.Signal()
+	writer.mu.Unlock()
 	select {
-	case <-w.done:
-	case <-time.After(within):
+	case <-writer.done:
+	case <-time.After(timeout):
 	}
 }
 
 // run writes what waits until the end.
-func (w *Writer) run() {
-	defer close(w.done)
+func (writer *Writer) run() {
+	defer close(writer.done)
 	for {
-		lines, more := w.next()
+		lines, more := writer.next()
 		if !more {
 			return
 		}
-		w.to.Write(lines) // there is nowhere to tell of an error
+		writer.to.Write(lines) // there is nowhere to tell of an error
 	}
 }
 
 // next waits for lines. It says whether there were any before the end.
-func (w *Writer) next() (lines []byte, more bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for len(w.pending) == 0 && w.dropped == 0 && !w.closing {
-		w.workOrEnd.Wait()
+func (writer *Writer) next() (lines []byte, more bool) {
+	writer.mu.Lock()
+	defer writer.mu.Unlock()
+	for len(writer.pending) == 0 && writer.dropped == 0 && !writer.closing {
+		writer.workOrEnd.Wait()
 	}
-	lines, w.pending = w.pending, nil
-	if w.dropped > 0 {
-		lines = fmt.Appendf(lines, "level=WARN msg=\"log lines dropped\" count=%d\n", w.dropped)
-		w.dropped = 0
+	lines, writer.pending = writer.pending, nil
+	if writer.dropped > 0 {
+		lines = fmt.Appendf(lines, "level=WARN msg=\"log lines dropped\" count=%d\n", writer.dropped)
+		writer.dropped = 0
 	}
 	return lines, len(lines) > 0
 }
--- a/internal/timerqueue/timerqueue.go
+++ b/internal/timerqueue/timerqueue.go
@@ -8,8 +8,8 @@
 
 // Timer is a task for later.
 type Timer struct {
-	at     time.Duration
-	number uint64 // in the order of Add
+	at     time.Duration // on the owner's clock
+	number uint64        // in the order of Add
 	task   func()
 	index  int // in the heap; -1: no longer there
 }
@@ -20,50 +20,51 @@
 	last   uint64 // number of the timer added last
 }
 
-// Add adds a task that is due at a time.
-func (q *Queue) Add(at time.Duration, do func()) *Timer {
-	q.last++
-	t := &Timer{at: at, number: q.last, task: do}
-	heap.Push(&q.timers, t)
-	return t
+// Add adds a task that is due at a time on the owner's clock. Tasks that are due at the same time run in no fixed order.
+func (queue *Queue) Add(at time.Duration, task func()) *Timer {
+	queue.last++
+	timer := &Timer{at: at, number: queue.last, task: task}
+	heap.Push(&queue.timers, timer)
+	return timer
 }
 
 // Stop takes a timer back; nil or one that has run is passed over.
-func (q *Queue) Stop(t *Timer) {
-	if t != nil && t.index >= 0 {
-		heap.Remove(&q.timers, t.index)
+func (queue *Queue) Stop(timer *Timer) {
+	if timer != nil && timer.index >= 0 {
+		heap.Remove(&queue.timers, timer.index)
 	}
 }
 
 // Wait is the time until the first timer is due; an hour where there is none.
-func (q *Queue) Wait(now time.Duration) time.Duration {
-	if len(q.timers) == 0 {
+func (queue *Queue) Wait(now time.Duration) time.Duration {
+	if len(queue.timers) == 0 {
 		return time.Hour
 	}
-	return max(0, q.timers[0].at-now)
+	return max(0, queue.timers[0].at-now)
 }
 
 // Late is how long the first timer has been due; below 0 where it is not yet, 0 where there is none.
-func (q *Queue) Late(now time.Duration) time.Duration {
-	if len(q.timers) == 0 {
+func (queue *Queue) Late(now time.Duration) time.Duration {
+	if len(queue.timers) == 0 {
 		return 0
 	}
-	return now - q.timers[0].at
+	return now - queue.timers[0].at
 }
 
 // Run runs what is due, in the order of the times. What is added meanwhile, and due already, may be left for the next
 // Run, so that tasks which add others always come to an end.
-func (q *Queue) Run(now time.Duration) {
-	for last := q.last; len(q.timers) > 0; {
-		first := q.timers[0]
+func (queue *Queue) Run(now time.Duration) {
+	for last := queue.last; len(queue.timers) > 0; {
+		first := queue.timers[0]
 		if first.at > now || first.number > last {
 			return
 		}
-		heap.Pop(&q.timers)
+		heap.Pop(&queue.timers)
 		first.task()
 	}
 }
 
+// timerHeap is a heap.Interface with the timer that is due first on top.
 type timerHeap []*Timer
 
 func (h timerHeap) Len() int           { return len(h) }
@@ -74,16 +75,16 @@
 }
 
 func (h *timerHeap) Push(timer any) {
-	t := timer.(*Timer)
-	t.index = len(*h)
-	*h = append(*h, t)
+	added := timer.(*Timer)
+	added.index = len(*h)
+	*h = append(*h, added)
 }
 
 func (h *timerHeap) Pop() any {
 	old := *h
-	t := old[len(old)-1]
+	last := old[len(old)-1]
 	old[len(old)-1] = nil
 	*h = old[:len(old)-1]
-	t.index = -1
-	return t
+	last.index = -1
+	return last
 }
