--- a/internal/gateway/backendconn.go
+++ b/internal/gateway/backendconn.go
@@ -124,7 +124,7 @@
 }
 
 // replySource reads from a backend's socket for the reader of replies. It takes nothing while no answer is owed: that
-// would be found in front of the next answer, and a client be given another one's value (TestUnaskedAnswer). And an
+// would be found in front of the next answer, and a client be given another one's value (TestUnsolicitedReplyReachesNobody). And an
 // answer that has begun must go on.
 type replySource struct {
 	conn   *backendConn
--- a/internal/gateway/clientreader.go
+++ b/internal/gateway/clientreader.go
@@ -41,7 +41,7 @@
 // Failure: a close of a socket waits until nobody is within a read of it, and whoever closes holds the lock: a reader
 // that waits for the lock within a read and the one who closes wait for each other. How it shows: the loop, or whoever
 // accepts connections, stands still for good. Why this holds: within a read the lock is only tried for (readLocked); it
-// is waited for outside, where a close does not wait for the reader. TestCloseCrossesARead, TestCloseCrossingARead,
+// is waited for outside, where a close does not wait for the reader. TestCloseCrossingServe, TestCloseCrossingARead,
 // TestReadWaitsForTheLock.
 func (conn *clientConn) receive(buffer []byte) (int, error) {
 	if conn.rawSocket == nil {
--- a/internal/gateway/closedeadlock_test.go
+++ b/internal/gateway/closedeadlock_test.go
@@ -28,20 +28,20 @@
 
 // Closing a connection waits until nobody is within a read of its socket. Bytes, or a reset, may come in that very
 // moment, and the reader then wants the lock that the one who closes holds: neither must wait for the other.
-func TestCloseCrossesARead(t *testing.T) {
+func TestCloseCrossingServe(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
 	server.ready.Store(true)
-	conn, p := newClientPair(t, server)
+	conn, client := newClientPair(t, server)
 	ended := make(chan struct{})
 	go func() {
 		conn.serve()
 		close(ended)
 	}()
-	p.write(command("PING"))
-	p.wants("+PONG")
+	client.write(respCommand("PING"))
+	client.wants("+PONG")
 	readerWaits(t, conn, "IO wait") // for the next command
 	conn.mu.Lock()
-	p.write(command("PING")[:5])
+	client.write(respCommand("PING")[:5])
 	readerWaits(t, conn, "sync.Mutex.Lock")
 	closed := make(chan struct{})
 	go func() {
@@ -62,14 +62,43 @@
 func TestReadWaitsForTheLock(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
 	server.ready.Store(true)
-	conn, p := newClientPair(t, server)
+	conn, client := newClientPair(t, server)
 	go conn.serve()
-	p.write(command("PING"))
-	p.wants("+PONG")
+	client.write(respCommand("PING"))
+	client.wants("+PONG")
 	readerWaits(t, conn, "IO wait")
 	conn.mu.Lock()
-	p.write(command("PING"))
+	client.write(respCommand("PING"))
 	readerWaits(t, conn, "sync.Mutex.Lock")
 	conn.mu.Unlock()
-	p.wants("+PONG")
+	client.wants("+PONG")
+}
+
+// A connection can be closed while its reader is about to read: the closing waits for the reader, which must not
+// wait for who closes.
+func TestCloseCrossingARead(t *testing.T) {
+	server := newIdleServer(t, freeAddr(t))
+	conn, client := newClientPair(t, server)
+	conn.mu.Lock()
+	read := make(chan error, 1)
+	go func() {
+		_, err := conn.receive(make([]byte, 1))
+		read <- err
+	}()
+	time.Sleep(20 * time.Millisecond) // it gets as far as it can
+	closed := make(chan struct{})
+	go func() {
+		conn.closeLocked()
+		conn.mu.Unlock()
+		close(closed)
+	}()
+	select {
+	case <-closed:
+	case <-time.After(testTimeout):
+		t.Fatal("the closing and the reader wait for each other")
+	}
+	if err := <-read; err == nil {
+		t.Error("something was read")
+	}
+	client.wantsEnd()
 }
--- a/internal/gateway/descriptorlimit_test.go
+++ b/internal/gateway/descriptorlimit_test.go
@@ -24,10 +24,10 @@
 )
 
 // crowded is set for a process that is to be a front door and not the tests.
-const crowded = "FRONT_CROWDED"
+const asCrowdedGateway = "FRONT_CROWDED"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(crowded) != "" {
+	if os.Getenv(asCrowdedGateway) != "" {
 		if err := serveCrowd(); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
@@ -78,44 +78,6 @@
 	return nil
 }
 
-// closedPort is an address of our own at which connections are refused until it is opened.
-type closedPort struct {
-	file *os.File
-	addr string
-}
-
-func newClosedPort(t *testing.T) *closedPort {
-	t.Helper()
-	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
-	if err != nil {
-		t.Fatal(err)
-	}
-	p := &closedPort{file: os.NewFile(uintptr(fd), "port")}
-	t.Cleanup(func() { p.file.Close() })
-	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
-		t.Fatal(err)
-	}
-	at, err := syscall.Getsockname(fd)
-	if err != nil {
-		t.Fatal(err)
-	}
-	p.addr = fmt.Sprint("127.0.0.1:", at.(*syscall.SockaddrInet4).Port)
-	return p
-}
-
-func (p *closedPort) open(t *testing.T, backlog int) net.Listener {
-	t.Helper()
-	if err := syscall.Listen(int(p.file.Fd()), backlog); err != nil {
-		t.Fatal(err)
-	}
-	ln, err := net.FileListener(p.file)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { ln.Close() })
-	return ln
-}
-
 // serveCounter answers every call, and notes the first.
 func serveCounter(ln net.Listener, called chan struct{}) {
 	var once sync.Once
@@ -182,7 +144,7 @@
 	for i, ln := range counters {
 		go serveCounter(ln, called[i])
 	}
-	discovery := newClosedPort(t)
+	discovery := newReservedPort(t)
 	settings := fmt.Sprintf(settingsJSON, 5_000_000, true)
 	settings = strings.Replace(settings, `"most-at-once":10`, `"most-at-once":1`, 1)
 	settings = strings.Replace(settings, `"counter-timeout-us":50000`, `"counter-timeout-us":2000000`, 1)
@@ -191,7 +153,7 @@
 		strings.ReplaceAll(settings, "\n", ""))
 	var log lockedBuffer
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), crowded+"=1")
+	cmd.Env = append(os.Environ(), asCrowdedGateway+"=1")
 	cmd.Stderr = &log
 	in, err := cmd.StdinPipe()
 	if err != nil {
@@ -229,7 +191,7 @@
 					return
 				}
 				stop := context.AfterFunc(ctx, func() { nc.Close() })
-				nc.Write([]byte(command("PING")))
+				nc.Write([]byte(respCommand("PING")))
 				in := bufio.NewReader(nc)
 				if line, _ := in.ReadString('\n'); strings.HasPrefix(line, "+") || strings.HasPrefix(line, "-LOADING") {
 					resting.Add(1)
@@ -272,7 +234,7 @@
 	id := 0
 	ask := func(plan string) {
 		id++
-		client.command("Q.ASK", customer, fmt.Sprint(id), strings.Replace(list, "t=open", "t="+plan, 1))
+		client.command("Q.ASK", tenantID, fmt.Sprint(id), strings.Replace(idempotentFields, "t=open", "t="+plan, 1))
 	}
 	fill := func() (held []*peer) {
 		for end := time.After(testTimeout); len(held) < share; {
@@ -368,7 +330,7 @@
 
 // A crowd that stands in the listener's line takes no more descriptors than the clients' share: one connection for
 // which there is no place is closed before the next is accepted, but for the few whose request is read.
-func TestCrowdInTheLineTakesNoDescriptors(t *testing.T) {
+func TestCrowdInTheBacklogTakesNoDescriptors(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
 	server.downstream.maxConns = 2 * budget.ConnsPerRejected
 	ln := &countingListener{Listener: listen(t)}
@@ -392,7 +354,7 @@
 }
 
 // A connection that gives way makes room for one other, also while its reader has not ended yet.
-func TestOneThatGivesWayMakesRoomOnce(t *testing.T) {
+func TestEvictedConnectionMakesRoomOnce(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
 	conn, p := newClientPair(t, server) // nobody reads
 	conn.idleSince.Store(int64(server.now() - time.Hour))
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -29,7 +29,7 @@
 	first, second := listen(t), listen(t)
 	gateway := startGateway(t, []string{first.Addr().String()})
 	gateway.wantsWatch("1")
-	change := members(7, first.Addr().String(), second.Addr().String())
+	change := endpointList(7, first.Addr().String(), second.Addr().String())
 	change.Snapshot = false
 	change.Endpoints[0].Status = "DRAINING"
 	gateway.listUpdates <- change
@@ -46,7 +46,7 @@
 	client := gateway.dial()
 	client.command("PING") // it can't serve yet
 	client.wantsPrefix("-LOADING")
-	update := members(3, backend.Addr().String())
+	update := endpointList(3, backend.Addr().String())
 	unknownStatus := update.Endpoints[0]
 	unknownStatus.Status = "ASLEEP"
 	update.Endpoints = append(update.Endpoints, unknownStatus, endpoint.Entry{})
@@ -65,7 +65,7 @@
 	backend := listen(t)
 	gateway := startGateway(t, nil)
 	<-gateway.watches
-	gateway.listUpdates <- members(5)
+	gateway.listUpdates <- endpointList(5)
 	next := &testGateway{t: t, listUpdates: make(chan endpoint.List), watches: make(chan string, 16)}
 	agent := httptest.NewServer(http.HandlerFunc(next.serveWatch))
 	defer agent.Close()
@@ -74,7 +74,7 @@
 	gateway.wantsWatch("5")
 	gateway.server.Reload(strings.TrimPrefix(agent.URL, "http://"), gateway.server.cfg.Counter, "")
 	next.wantsWatch("5")
-	next.listUpdates <- members(6, backend.Addr().String())
+	next.listUpdates <- endpointList(6, backend.Addr().String())
 	gateway.served(backend, "1")
 }
 
@@ -91,10 +91,10 @@
 func (gateway *testGateway) served(backend net.Listener, id string) {
 	gateway.t.Helper()
 	client := gateway.dial()
-	client.command("Q.ASK", customer, id, list)
+	client.command("Q.ASK", tenantID, id, idempotentFields)
 	server := accept(gateway.t, backend)
 	server.message()
-	server.write("*1\r\n" + bulk("value"))
+	server.write("*1\r\n" + respBulk("value"))
 	client.wants("value")
 	client.socket.Close()
 	server.socket.Close()
@@ -120,7 +120,7 @@
 	first, second := listen(t), listen(t)
 	gateway, agent := watching(t, testTimeout)
 	watch, _ := agent.Watch()
-	text := discoverytest.Indented(t, members(7, first.Addr().String()), "  ")
+	text := discoverytest.Indented(t, endpointList(7, first.Addr().String()), "  ")
 	beginning, half := strings.IndexAny(text, "\n "), len(text)/2
 	watch.Chunk("\r\n")
 	watch.Chunk(text[:beginning])
@@ -128,7 +128,7 @@
 	watch.Chunk(text[half:] + "\r\n\r\n")
 	gateway.listed(7)
 	gateway.served(first, "1")
-	change := members(8, first.Addr().String(), second.Addr().String())
+	change := endpointList(8, first.Addr().String(), second.Addr().String())
 	change.Snapshot, change.Endpoints[0].Status = false, "DRAINING"
 	watch.Chunk(discoverytest.Indented(t, change, "\t"))
 	gateway.listed(8)
@@ -140,7 +140,7 @@
 func TestSilentWatchIsOpenedAnew(t *testing.T) {
 	backend := listen(t)
 	gateway, agent := watching(t, 50*time.Millisecond)
-	text := discoverytest.Line(t, members(7, backend.Addr().String()))
+	text := discoverytest.Line(t, endpointList(7, backend.Addr().String()))
 	for _, said := range []string{"", "\r\n", text[:len(text)/2]} {
 		watch, from := agent.Watch()
 		if from != "0" && from != "1" {
@@ -163,7 +163,7 @@
 func TestResetWatchIsOpenedAnew(t *testing.T) {
 	backend := listen(t)
 	gateway, agent := watching(t, testTimeout)
-	text := discoverytest.Line(t, members(7, backend.Addr().String()))
+	text := discoverytest.Line(t, endpointList(7, backend.Addr().String()))
 	for _, said := range []string{"\r\n", text[:len(text)-len("e}\n")]} {
 		watch, _ := agent.Watch()
 		watch.Chunk(said)
--- a/internal/gateway/downstream_test.go
+++ b/internal/gateway/downstream_test.go
@@ -12,26 +12,25 @@
 
 // A value goes to the client alone and whole, a command to the backend unchanged but for d, and a warm connection
 // is used again.
-func TestPassesCommandAndValueOn(t *testing.T) {
-	ln := listen(t)
-	gateway := startGateway(t, []string{ln.Addr().String()}, withoutSettleTime)
+func TestForwardsCommandAndValue(t *testing.T) {
+	gateway, ln := startWithBackend(t, withoutSettleTime)
 	client := gateway.dial()
 	client.command("PING")
 	client.wants("+PONG")
 	value, body := strings.Repeat("v\r\n-", resp.MaxValueBytes/4), strings.Repeat("b", resp.MaxValueBytes)
 	var backend *peer
 	for range 2 {
-		client.command("q.do", customer, "9b1f03aa5c7e2d41", keyed, body)
+		client.command("q.do", tenantID, "9b1f03aa5c7e2d41", keyedFields, body)
 		if backend == nil {
 			backend = accept(t, ln)
 		}
 		m := backend.message()
-		if len(m) != 5 || m[0] != "q.do" || m[1] != customer || m[2] != "9b1f03aa5c7e2d41" || m[4] != body {
+		if len(m) != 5 || m[0] != "q.do" || m[1] != tenantID || m[2] != "9b1f03aa5c7e2d41" || m[4] != body {
 			t.Fatalf("the backend got %.100q", m)
 		}
 		d := 0
 		for i, item := range strings.Split(m[3], ",") {
-			if was := strings.Split(keyed, ",")[i]; strings.HasPrefix(item, "d=") {
+			if was := strings.Split(keyedFields, ",")[i]; strings.HasPrefix(item, "d=") {
 				for _, r := range item[2:] {
 					d = 10*d + int(r-'0')
 				}
@@ -42,58 +41,55 @@
 		if d < 1 || d > 6000 { // the module waits no longer than the aim
 			t.Errorf("d=%d", d)
 		}
-		backend.write("*3\r\n" + bulk(value) + bulk("used=37,cost=4") + "$-1\r\n")
+		backend.write("*3\r\n" + respBulk(value) + respBulk("used=37,cost=4") + "$-1\r\n")
 		if m := client.message(); len(m) != 1 || m[0] != value {
 			t.Fatalf("the client got %.60q", m)
 		}
 	}
 }
 
-func TestAnswersInCommandOrder(t *testing.T) {
-	ln := listen(t)
-	gateway := startGateway(t, []string{ln.Addr().String()})
+func TestRepliesInCommandOrder(t *testing.T) {
+	gateway, ln := startWithBackend(t)
 	client := gateway.dial()
-	client.command("Q.ASK", customer, "1", list)
-	first := accept(t, ln)
-	first.message()
-	client.command("Q.ASK", customer, "2", list)
+	client.sendRequest("1")
+	first := acceptCommand(t, ln)
+	client.sendRequest("2")
 	client.command("PING")
 	second := accept(t, ln) // not queued behind the first
 	second.message()
-	second.write("*3\r\n" + bulk("two") + "$-1\r\n$-1\r\n")
-	first.write("*3\r\n" + bulk("one") + "$-1\r\n$-1\r\n")
+	second.write(fullValueReply("two"))
+	first.write(fullValueReply("one"))
 	client.wants("one")
 	client.wants("two")
 	client.wants("+PONG")
 }
 
-func TestBadInput(t *testing.T) {
-	ln := listen(t)
-	gateway := startGateway(t, []string{ln.Addr().String()})
+func TestMalformedInputIsRejected(t *testing.T) {
+	gateway, ln := startWithBackend(t)
 	for _, bad := range [][]string{
-		{"Q.ASK"}, {"Q.ASK", customer, "1"}, {"Q.ASK", customer, "1", list, "body", "more"},
-		{"Q.ASK", "b4d65521", "1", list}, {"Q.ASK", "zzzzzzzzzzzzzzzz", "1", list}, {"Q.ASK", "ffffffffffffffff", "1", list},
-		{"Q.ASK", customer, "", list}, {"Q.ASK", customer, "1", ""},
-		{"Q.ASK", customer, "1", strings.Replace(list, "evaluate", "other", 1)},
-		{"Q.ASK", customer, "1", strings.Replace(list, "t=open", "t=other", 1)},
-		{"Q.ASK", customer, "1", strings.Replace(list, "d=20000", "d=-1", 1)},
-		{"Q.ASK", customer, "1", strings.Replace(list, "d=20000,", "", 1)},
-		{"Q.ASK", customer, "1", strings.Replace(list, "units=1", "units=nan", 1)},
-		{"Q.ASK", customer, "1", strings.Replace(list, "spread=1", "spread=x", 1)},
-		{"Q.ASK", customer, "1", strings.Replace(list, ",first=0", "", 1)},
-		{"Q.ASK", customer, "1", keyed}, {"Q.DO", customer, "1", list, "body"},
-		{"Q.DO", customer, "1", strings.Replace(keyed, "k=5c0f6e1a2b3d4c59,", "", 1), "body"},
+		{"Q.ASK"}, {"Q.ASK", tenantID, "1"}, {"Q.ASK", tenantID, "1", idempotentFields, "body", "more"},
+		{"Q.ASK", "b4d65521", "1", idempotentFields}, {"Q.ASK", "zzzzzzzzzzzzzzzz", "1", idempotentFields}, {"Q.ASK", "ffffffffffffffff", "1", idempotentFields},
+		{"Q.ASK", tenantID, "", idempotentFields}, {"Q.ASK", tenantID, "1", ""},
+		{"Q.ASK", tenantID, "1", strings.Replace(idempotentFields, "evaluate", "other", 1)},
+		{"Q.ASK", tenantID, "1", strings.Replace(idempotentFields, "t=open", "t=other", 1)},
+		{"Q.ASK", tenantID, "1", strings.Replace(idempotentFields, "d=20000", "d=-1", 1)},
+		{"Q.ASK", tenantID, "1", strings.Replace(idempotentFields, "d=20000,", "", 1)},
+		{"Q.ASK", tenantID, "1", strings.Replace(idempotentFields, "units=1", "units=nan", 1)},
+		{"Q.ASK", tenantID, "1", strings.Replace(idempotentFields, "spread=1", "spread=x", 1)},
+		{"Q.ASK", tenantID, "1", strings.Replace(idempotentFields, ",first=0", "", 1)},
+		{"Q.ASK", tenantID, "1", keyedFields}, {"Q.DO", tenantID, "1", idempotentFields, "body"},
+		{"Q.DO", tenantID, "1", strings.Replace(keyedFields, "k=5c0f6e1a2b3d4c59,", "", 1), "body"},
 		{"GET", "x\r\ny"}, {""},
-		{"Q.ASK", customer, "1", strings.Replace(list, "units=1", "units=1.5", 1)},
-		{"Q.ASK", customer, "1", strings.Replace(list, "units=1", "units=+1", 1)},
-		{"Q.ASK", customer, "1", strings.Replace(list, "units=1", "units=0x1p0", 1)},
-		{"Q.ASK", customer, "1", strings.Replace(list, "units=1", "units=1e0", 1)},
-		{"Q.ASK", customer, "1", strings.Replace(list, "units=1", "units=0", 1)},
-		{"Q.ASK", customer, "1", strings.Replace(list, "spread=1", "spread=2", 1)},
-		{"Q.ASK", customer, "1", strings.Replace(list, "spread=1", "spread=+1", 1)},
-		{"Q.ASK", customer, "1", strings.Replace(list, "first=0", "first=1", 1)},
-		{"Q.ASK", customer, "1", strings.Replace(list, "d=20000", "d=90000000", 1)},
-		{"Q.ASK", customer, "1", list + ",units=1"}, {"Q.ASK", customer, "1", list + ",t=open"},
+		{"Q.ASK", tenantID, "1", strings.Replace(idempotentFields, "units=1", "units=1.5", 1)},
+		{"Q.ASK", tenantID, "1", strings.Replace(idempotentFields, "units=1", "units=+1", 1)},
+		{"Q.ASK", tenantID, "1", strings.Replace(idempotentFields, "units=1", "units=0x1p0", 1)},
+		{"Q.ASK", tenantID, "1", strings.Replace(idempotentFields, "units=1", "units=1e0", 1)},
+		{"Q.ASK", tenantID, "1", strings.Replace(idempotentFields, "units=1", "units=0", 1)},
+		{"Q.ASK", tenantID, "1", strings.Replace(idempotentFields, "spread=1", "spread=2", 1)},
+		{"Q.ASK", tenantID, "1", strings.Replace(idempotentFields, "spread=1", "spread=+1", 1)},
+		{"Q.ASK", tenantID, "1", strings.Replace(idempotentFields, "first=0", "first=1", 1)},
+		{"Q.ASK", tenantID, "1", strings.Replace(idempotentFields, "d=20000", "d=90000000", 1)},
+		{"Q.ASK", tenantID, "1", idempotentFields + ",units=1"}, {"Q.ASK", tenantID, "1", idempotentFields + ",t=open"},
 	} {
 		client := gateway.dial()
 		client.command(bad...)
@@ -117,22 +113,19 @@
 
 // A client that leaves takes its request along: the backend's connection is closed and nothing more goes out.
 func TestClientGone(t *testing.T) {
-	ln := listen(t)
-	gateway := startGateway(t, []string{ln.Addr().String()})
+	gateway, ln := startWithBackend(t)
 	client := gateway.dial()
-	client.command("Q.ASK", customer, "1", list)
-	backend := accept(t, ln)
-	backend.message()
+	client.sendRequest("1")
+	backend := acceptCommand(t, ln)
 	client.socket.Close()
 	backend.wantsEnd()
 }
 
 // A client that takes no answers must not hold up the others.
-func TestSlowClientHoldsNobodyUp(t *testing.T) {
-	ln := listen(t)
-	gateway := startGateway(t, []string{ln.Addr().String()})
+func TestSlowClientDoesNotBlockOthers(t *testing.T) {
+	gateway, ln := startWithBackend(t)
 	slow := gateway.dial()
-	value := bulk(strings.Repeat("v", resp.MaxValueBytes))
+	value := respBulk(strings.Repeat("v", resp.MaxValueBytes))
 	go func() {
 		nc, err := ln.Accept()
 		for err == nil { // a backend that serves all that comes
@@ -151,16 +144,16 @@
 		}
 	}()
 	for range 200 {
-		slow.command("Q.ASK", customer, "1", list)
+		slow.sendRequest("1")
 	}
 	client := gateway.dial()
 	for served := false; !served; { // the module may refuse some meanwhile
-		client.command("Q.ASK", customer, "2", list)
+		client.sendRequest("2")
 		served = len(client.message()[0]) == resp.MaxValueBytes
 	}
 }
 
-func TestBusyAnswer(t *testing.T) {
+func TestBusyReply(t *testing.T) {
 	for pause, want := range map[time.Duration]string{0: "-BUSY\r\n", 1: "-BUSY 1\r\n", 250 * time.Millisecond: "-BUSY 250\r\n"} {
 		if got := string(busyReply(pause)); got != want {
 			t.Errorf("%v: %q", pause, got)
@@ -173,7 +166,7 @@
 func TestOverdueRequestIsAnswered(t *testing.T) {
 	gateway := startGateway(t, nil)
 	client := gateway.dial()
-	client.command("Q.ASK", customer, "1", strings.Replace(list, "d=20000", "d=60", 1))
+	client.command("Q.ASK", tenantID, "1", strings.Replace(idempotentFields, "d=20000", "d=60", 1))
 	if m := client.message(); !strings.HasPrefix(m[0], "-") {
 		t.Errorf("got %q", m)
 	}
@@ -193,8 +186,8 @@
 			case <-stop:
 				return
 			case <-time.After(commandTimeout / 20):
-				dripping.socket.Write([]byte(command("PING", strings.Repeat("x", 1000))[i : i+1]))
-				later.socket.Write([]byte(command("PING", strings.Repeat("x", 1000))[i : i+1]))
+				dripping.socket.Write([]byte(respCommand("PING", strings.Repeat("x", 1000))[i : i+1]))
+				later.socket.Write([]byte(respCommand("PING", strings.Repeat("x", 1000))[i : i+1]))
 			}
 		}
 	}()
@@ -204,7 +197,7 @@
 }
 
 // A client that is turned away while it still sends must be able to read why.
-func TestErrorOutlivesWhatIsSent(t *testing.T) {
+func TestErrorReachesAClientThatStillSends(t *testing.T) {
 	gateway := startGateway(t, nil)
 	client := gateway.dial()
 	client.write("*2\r\n$4\r\nPING\r\n$60000000\r\n")
@@ -214,26 +207,24 @@
 }
 
 // The id of a request that is open belongs to that request: another one gets an error and not its value.
-func TestOpenIDIsRefused(t *testing.T) {
-	ln := listen(t)
-	gateway := startGateway(t, []string{ln.Addr().String()}, withoutSettleTime)
+func TestOpenIDIsRejected(t *testing.T) {
+	gateway, ln := startWithBackend(t, withoutSettleTime)
 	client, other := gateway.dial(), gateway.dial()
-	client.command("Q.ASK", customer, "1", list)
-	backend := accept(t, ln)
-	backend.message()
-	other.command("Q.ASK", customer, "1", list)
+	client.sendRequest("1")
+	backend := acceptCommand(t, ln)
+	other.sendRequest("1")
 	other.wantsPrefix("-ERR ")
-	backend.write("*1\r\n" + bulk("value"))
+	backend.write(valueReply("value"))
 	client.wants("value")
-	other.command("Q.ASK", customer, "1", list) // it is over, so the id is free
+	other.sendRequest("1") // it is over, so the id is free
 	backend.message()
-	backend.write("*1\r\n" + bulk("again"))
+	backend.write(valueReply("again"))
 	other.wants("again")
 }
 
 // Connections that are kept for nothing give way to new clients, those that are idle longest first.
-func TestIdleClientsGiveWay(t *testing.T) {
-	gateway := startGateway(t, nil, func(c *Config, t *testing.T) { c.Sockets = 8 }) // 4 of them for clients
+func TestIdleConnectionsAreEvicted(t *testing.T) {
+	gateway := startGateway(t, nil, func(cfg *Config, t *testing.T) { cfg.Sockets = 8 }) // 4 of them for clients
 	var all []*peer
 	for range 4 {
 		client := gateway.dial()
@@ -277,15 +268,15 @@
 
 // All clients together can't make the front door hold more than its share of memory.
 func TestClientMemoryIsBounded(t *testing.T) {
-	gateway := startGateway(t, nil, func(c *Config, t *testing.T) { c.MemoryMB = 1 })
+	gateway := startGateway(t, nil, func(cfg *Config, t *testing.T) { cfg.MemoryMB = 1 })
 	body := strings.Repeat("b", resp.MaxValueBytes)
 	var last *peer
 	for i := range 8 { // none of these requests ends soon, as no backend is known
 		last = gateway.dial()
-		last.command("Q.DO", customer, fmt.Sprint(i), keyed, body)
-		p := gateway.dial()
-		p.command("PING") // it is read meanwhile
-		p.wantsPrefix("-LOADING")
+		last.command("Q.DO", tenantID, fmt.Sprint(i), keyedFields, body)
+		client := gateway.dial()
+		client.command("PING") // it is read meanwhile
+		client.wantsPrefix("-LOADING")
 	}
 	if m := last.message(); m[0] != strings.TrimSpace(string(busyReply(fullRetryAfter))) && !strings.HasPrefix(m[0], "-ERR no memory") {
 		t.Errorf("got %q", m)
@@ -294,5 +285,3 @@
 		t.Errorf("%d bytes are held", held)
 	}
 }
-
-func bulk(s string) string { return command(s)[len("*1\r\n"):] }
--- /dev/null
+++ b/internal/gateway/idleserver_test.go
@@ -0,0 +1,108 @@
+package gateway
+
+import (
+	"net"
+	"testing"
+	"time"
+
+	"bellwood/internal/gateway/rawsocket"
+	"bellwood/internal/policy"
+)
+
+// newIdleServer is a front door that is not running, so that a test can play its loop.
+func newIdleServer(t *testing.T, addrs ...string) *Server {
+	t.Helper()
+	server, err := New(config(t, true, 5_000_000), discardLog)
+	if err != nil {
+		t.Fatal(err)
+	}
+	server.discovery.Apply(endpointList(1, addrs...).Endpoints, policy.CachedSnapshot)
+	server.events = nil
+	t.Cleanup(func() { close(server.done) })
+	return server
+}
+
+// newAttempt makes a request with one attempt.
+func newAttempt(t *testing.T, server *Server) *backendAttempt {
+	t.Helper()
+	received, err := server.downstream.parser.parse("Q.ASK", [][]byte{[]byte("Q.ASK"), []byte(tenantID), []byte("1"), []byte(idempotentFields)}, server.now())
+	if err != nil {
+		t.Fatal(err)
+	}
+	received.conn = &clientConn{}
+	server.requests.requestArrived(received)
+	request := server.requests.byID[received.requestID]
+	server.events = nil
+	server.requests.startAttempt(request, policy.SendAttempt{ID: request.id, Backend: "s-0", Timeout: 10 * time.Second})
+	return request.attempts[0]
+}
+
+// runTasksUntil runs the loop's tasks until something holds.
+func runTasksUntil(t *testing.T, server *Server, until func() bool) {
+	t.Helper()
+	end := time.After(testTimeout)
+	for !until() {
+		select {
+		case task := <-server.tasks:
+			task()
+		case <-end:
+			t.Fatal("it never came to that")
+		}
+	}
+}
+
+// attemptOutcomes returns the outcomes told so far.
+func attemptOutcomes(server *Server) (all []policy.AttemptResult) {
+	for _, ev := range server.events {
+		if o, ok := ev.(policy.AttemptResult); ok {
+			all = append(all, o)
+		}
+	}
+	return all
+}
+
+func wantOutcome(t *testing.T, server *Server, want policy.Status) {
+	t.Helper()
+	if got := attemptOutcomes(server); len(got) != 1 || got[0].Status != want {
+		t.Errorf("outcomes %+v, want one %v", got, want)
+	}
+}
+
+// newClientPair is a connection of which the front door's end is not read by anybody yet.
+func newClientPair(t *testing.T, server *Server) (*clientConn, *peer) {
+	t.Helper()
+	ln := listen(t)
+	nc, err := net.Dial("tcp", ln.Addr().String())
+	if err != nil {
+		t.Fatal(err)
+	}
+	far, err := ln.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { far.Close() })
+	conn := newClientConn(server.downstream, far)
+	server.downstream.connCount.Add(1)
+	server.downstream.conns[conn] = true
+	return conn, newPeer(t, nc)
+}
+
+// waitForBytes waits until what a peer wrote lies in the other end's socket.
+func waitForBytes(t *testing.T, nc net.Conn) {
+	t.Helper()
+	for end := time.Now().Add(testTimeout); rawsocket.Quiet(nc); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatal("what was written has not come")
+		}
+	}
+}
+
+// waitForEnd waits until the end of a connection has come to this side, whatever lies before it.
+func waitForEnd(t *testing.T, conn *clientConn) {
+	t.Helper()
+	for end := time.Now().Add(testTimeout); !rawsocket.PeerEnded(conn.socket); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatal("the end has not come")
+		}
+	}
+}
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -80,7 +80,7 @@
 //
 // Failure: closing a listener resets the connections in its backlog. How it shows: their clients hold them for open, have
 // sent their requests, and get a reset during a shutdown. Why this holds: they are accepted until none came for a poll;
-// and under a load that never ends, for a bounded time. TestBacklogIsTakenAtTheEnd, TestAcceptEndsUnderLoad.
+// and under a load that never ends, for a bounded time. TestShutdownAcceptsTheBacklog, TestAcceptEndsUnderLoad.
 type backlog struct {
 	until   time.Time // no longer are they taken; zero: the listener has not been told to end
 	emptied bool      // none has come since the last poll
@@ -168,7 +168,7 @@
 // Failures: closing a connection whose request lies unread resets it, and the client loses the rejection; and a crowd in
 // the listener's backlog, each of it held until its request was read, takes the descriptors that backends, discovery and
 // the counter need. Why this holds: what the client has sent is read for a moment, but only few connections are held for
-// that; the others are closed before the next one is accepted. TestNoPlaceIsTold, TestCrowdInTheLineTakesNoDescriptors.
+// that; the others are closed before the next one is accepted. TestRejectedConnectionIsTold, TestCrowdInTheBacklogTakesNoDescriptors.
 func (clients *downstream) rejectConn(socket net.Conn) {
 	rawsocket.WriteAvailable(socket, busyReply(fullRetryAfter)) // nothing is taken, so nothing has run
 	half, ok := socket.(halfCloser)
--- a/internal/gateway/overduerequest_test.go
+++ b/internal/gateway/overduerequest_test.go
@@ -16,14 +16,14 @@
 		"late at the deadline": func(gateway *testGateway, ask func()) {
 			ask()
 			gateway.until(func() bool { return len(gateway.server.requests.byID) == 1 })
-			release := gateway.hold()
+			release := gateway.holdLoop()
 			time.Sleep(wait + 50*time.Millisecond)
 			release()
 		},
 		"late between arrival and Step": func(gateway *testGateway, ask func()) {
-			release := gateway.hold()
+			release := gateway.holdLoop()
 			ask()
-			gateway.posted(1)
+			gateway.waitForTasks(1)
 			gateway.server.post(func() { time.Sleep(50 * time.Millisecond) }) // in the same pass as the arrival
 			release()
 		},
@@ -34,7 +34,7 @@
 			gateway.server.post(func() { gateway.server.requests.log = slog.New(slog.NewTextHandler(&log, nil)) })
 			client := gateway.dial()
 			late(gateway, func() {
-				client.command("Q.ASK", customer, "1", strings.Replace(list, "d=20000", fmt.Sprint("d=", wait.Milliseconds()), 1))
+				client.command("Q.ASK", tenantID, "1", strings.Replace(idempotentFields, "d=20000", fmt.Sprint("d=", wait.Milliseconds()), 1))
 			})
 			client.wantsPrefix("-BUSY")
 			if strings.Contains(log.String(), "deadline exceeded") {
--- a/internal/gateway/reach_test.go
+++ b/internal/gateway/reach_test.go
@@ -165,7 +165,7 @@
 func (a *flakyAgent) follow(options ...option) *Server {
 	cfg := config(a.t, false, 5_000_000)
 	cfg.Discovery, cfg.discoveryDial = a.listener.Addr().String(), a.dial
-	cfg.Known, cfg.watchSilence = members(1, freeAddr(a.t)), 200*time.Millisecond
+	cfg.Known, cfg.watchSilence = endpointList(1, freeAddr(a.t)), 200*time.Millisecond
 	for _, o := range options {
 		o(cfg, a.t)
 	}
@@ -186,7 +186,7 @@
 
 // listWithNews is a list or change that names s-7.
 func listWithNews(t *testing.T, snapshot bool) string {
-	list := members(7, freeAddr(t))
+	list := endpointList(7, freeAddr(t))
 	list.Snapshot, list.Endpoints[0].Name = snapshot, "s-7"
 	return discoverytest.Line(t, list)
 }
--- a/internal/gateway/ready_test.go
+++ b/internal/gateway/ready_test.go
@@ -66,7 +66,7 @@
 	defer nc.Close()
 	nc.SetDeadline(time.Now().Add(6 * testTimeout))
 	for in := bufio.NewReader(nc); ; time.Sleep(time.Millisecond) {
-		if _, err := io.WriteString(nc, command("PING")); err != nil {
+		if _, err := io.WriteString(nc, respCommand("PING")); err != nil {
 			t.Fatal(err)
 		}
 		line, err := in.ReadString('\n')
@@ -158,7 +158,7 @@
 	}
 	for range b.N {
 		ln := listenLocally(b)
-		server, _, end := run(b, configured(b, members(1, "127.0.0.1:1")), ln.Addr().String())
+		server, _, end := run(b, configured(b, endpointList(1, "127.0.0.1:1")), ln.Addr().String())
 		watch, err := ln.Accept()
 		if err != nil {
 			b.Fatal(err)
--- a/internal/gateway/requesttable.go
+++ b/internal/gateway/requesttable.go
@@ -61,7 +61,7 @@
 func (table *requestTable) len() int { return len(table.byID) }
 
 // requestArrived takes a request in, or answers it where too many are open or its id is that of an open one: the client
-// would be given what another request is answered (TestOpenIDIsRefused).
+// would be given what another request is answered (TestOpenIDIsRejected).
 func (table *requestTable) requestArrived(received *clientRequest) {
 	if limit := table.cfg.Transport.MostOpen; limit > 0 && len(table.byID) >= limit {
 		received.answer(busyReply(0))
--- a/internal/gateway/server_test.go
+++ b/internal/gateway/server_test.go
@@ -40,40 +40,28 @@
 	}
 }
 
-// ends waits until the front door has ended.
-func (gateway *testGateway) ends() {
-	gateway.t.Helper()
-	select {
-	case <-gateway.server.done:
-	case <-time.After(testTimeout):
-		gateway.t.Fatal("it does not end")
-	}
-}
-
 // After SIGTERM connections and requests are still taken for a while; all that was taken is answered; then
 // connections end between requests, and the front door too.
 func TestShutdownAnswersWhatWasTaken(t *testing.T) {
-	ln := listen(t)
-	gateway := startGateway(t, []string{ln.Addr().String()})
+	gateway, ln := startWithBackend(t)
 	early, calm := gateway.dial(), gateway.dial()
 	calm.command("PING")
 	calm.wants("+PONG")
-	early.command("Q.ASK", customer, "1", list)
-	backend := accept(t, ln)
-	backend.message()
+	early.sendRequest("1")
+	backend := acceptCommand(t, ln)
 	gateway.stop()
 	late := gateway.dial()
 	late.command("PING")
 	late.wants("+PONG")
 	calm.wantsEnd()
 	late.wantsEnd()
-	early.command("Q.ASK", customer, "2", list) // too late: it is refused and does not keep the connection open
-	gateway.taken(2)
-	backend.write("*1\r\n" + bulk("value"))
+	early.sendRequest("2") // too late: it is refused and does not keep the connection open
+	gateway.waitForPending(2)
+	backend.write(valueReply("value"))
 	early.wants("value")
 	early.wants("-BUSY")
 	early.wantsEnd()
-	gateway.ends()
+	gateway.waitForShutdown()
 	if !rawsocket.Quiet(backend.socket) {
 		t.Error("it was sent on")
 	}
@@ -83,14 +71,13 @@
 func TestServesFromKnownList(t *testing.T) {
 	ln := listen(t)
 	silent := listen(t) // takes connections and says nothing
-	gateway := startGateway(t, []string{ln.Addr().String()}, func(c *Config, t *testing.T) {
-		c.Discovery, c.Counter = silent.Addr().String(), silent.Addr().String()
-		c.Settings.SharedCounter = true
+	gateway := startGateway(t, []string{ln.Addr().String()}, func(cfg *Config, t *testing.T) {
+		cfg.Discovery, cfg.Counter = silent.Addr().String(), silent.Addr().String()
+		cfg.Settings.SharedCounter = true
 	})
 	client := gateway.dial()
-	client.command("Q.ASK", customer, "1", strings.Replace(list, "t=open", "t=starter", 1))
-	backend := accept(t, ln)
-	backend.message()
-	backend.write("*1\r\n" + bulk("value"))
+	client.command("Q.ASK", tenantID, "1", strings.Replace(idempotentFields, "t=open", "t=starter", 1))
+	backend := acceptCommand(t, ln)
+	backend.write(valueReply("value"))
 	client.wants("value")
 }
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -16,7 +16,7 @@
 // shows: clients see resets during a rolling restart. Why this holds: connections are taken until drainFrom, by which
 // time clients have heard of the shutdown; each then ends between two requests or with its last answer; and what is open
 // at abandonAt is answered with an error, before the operators' SIGKILL. TestShutdownAnswersWhatWasTaken,
-// TestWhatIsOpenAtTheEndIsAnswered.
+// TestShutdownAnswersOpenRequests.
 type shutdown struct {
 	drainFrom time.Duration // no connection is accepted any more, and those at hand are drained
 	abandonAt time.Duration // what is open is answered with an error
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -8,50 +8,20 @@
 	"testing"
 	"time"
 
+	"bellwood/internal/gateway/budget"
 	"bellwood/internal/gateway/rawsocket"
 	"bellwood/internal/policy"
-
-	"bellwood/internal/gateway/budget"
 )
 
-// newClientPair is a connection of which the front door's end is not read by anybody yet.
-func newClientPair(t *testing.T, server *Server) (*clientConn, *peer) {
-	t.Helper()
-	ln := listen(t)
-	nc, err := net.Dial("tcp", ln.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	far, err := ln.Accept()
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { far.Close() })
-	conn := newClientConn(server.downstream, far)
-	server.downstream.connCount.Add(1)
-	server.downstream.conns[conn] = true
-	return conn, newPeer(t, nc)
-}
-
-// come waits until what a peer wrote lies in the other end's socket.
-func come(t *testing.T, nc net.Conn) {
-	t.Helper()
-	for end := time.Now().Add(testTimeout); rawsocket.Quiet(nc); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal("what was written has not come")
-		}
-	}
-}
-
 // A connection whose next request lies unread in the socket, or was read in part, is not closed by an eviction, by
 // the deadline of its first command or by a shutdown: the request has been taken and is answered.
 func TestUnreadRequestKeepsTheConnection(t *testing.T) {
-	for _, cut := range []int{1, 5, len(command("PING")) - 1, len(command("PING"))} {
+	for _, cut := range []int{1, 5, len(respCommand("PING")) - 1, len(respCommand("PING"))} {
 		server := newIdleServer(t, freeAddr(t))
 		server.ready.Store(true)
-		conn, p := newClientPair(t, server)
-		p.write(command("PING")[:cut])
-		come(t, conn.socket)
+		conn, client := newClientPair(t, server)
+		client.write(respCommand("PING")[:cut])
+		waitForBytes(t, conn.socket)
 		if conn.closeIfBetweenRequests() {
 			t.Fatalf("closed with %d bytes unread", cut)
 		}
@@ -61,63 +31,40 @@
 		}
 		conn.finish()
 		go conn.serve()
-		p.write(command("PING")[cut:])
-		p.wants("+PONG")
-		p.wantsEnd() // what is owed on it has been given
-	}
-}
-
-// taken waits until a connection owes so many answers.
-func (gateway *testGateway) taken(n int) {
-	gateway.t.Helper()
-	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
-		most := 0
-		gateway.server.downstream.mu.Lock()
-		for conn := range gateway.server.downstream.conns {
-			conn.mu.Lock()
-			most = max(most, len(conn.pending))
-			conn.mu.Unlock()
-		}
-		gateway.server.downstream.mu.Unlock()
-		if most == n {
-			return
-		}
-		if time.Now().After(end) {
-			gateway.t.Fatalf("%d answers are owed, not %d", most, n)
-		}
+		client.write(respCommand("PING")[cut:])
+		client.wants("+PONG")
+		client.wantsEnd() // what is owed on it has been given
 	}
 }
 
 // At a shutdown a connection that still owes an answer takes requests, as they count as taken, and refuses them; it
 // ends with the last answer, one that was read in part included.
-func TestShutdownRefusesWhatCrosses(t *testing.T) {
-	ln := listen(t)
-	gateway := startGateway(t, []string{ln.Addr().String()})
+func TestShutdownRejectsCrossingRequests(t *testing.T) {
+	gateway, ln := startWithBackend(t)
 	busy, quiet := gateway.dial(), gateway.dial()
 	quiet.command("PING")
 	quiet.wants("+PONG")
-	busy.command("Q.ASK", customer, "1", list)
-	backend := accept(t, ln)
-	backend.message()
-	third := command("Q.ASK", customer, "3", list)
-	busy.write(command("PING"))
+	busy.sendRequest("1")
+	backend := acceptCommand(t, ln)
+	third := respCommand("Q.ASK", tenantID, "3", idempotentFields)
+	busy.write(respCommand("PING"))
 	gateway.stop()
 	quiet.wantsEnd() // nothing is taken in any more
-	busy.write(command("Q.ASK", customer, "2", list) + third[:len(third)-1])
-	gateway.taken(3) // the first, the PING and the second
-	backend.write("*1\r\n" + bulk("value"))
+	busy.write(respCommand("Q.ASK", tenantID, "2", idempotentFields) + third[:len(third)-1])
+	gateway.waitForPending(3) // the first, the PING and the second
+	backend.write(valueReply("value"))
 	busy.wants("value")
 	busy.wants("+PONG")
 	busy.wants("-BUSY")
 	busy.write(third[len(third)-1:])
 	busy.wants("-BUSY")
 	busy.wantsEnd()
-	gateway.ends()
+	gateway.waitForShutdown()
 }
 
 // Connections that stand in the listener's line when it is to be closed have been accepted by the machine: they
 // are taken and answered.
-func TestBacklogIsTakenAtTheEnd(t *testing.T) {
+func TestShutdownAcceptsTheBacklog(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
 	server.ready.Store(true)
 	ln := listen(t)
@@ -127,20 +74,20 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		p := newPeer(t, nc)
-		p.command("PING")
-		all = append(all, p)
+		client := newPeer(t, nc)
+		client.command("PING")
+		all = append(all, client)
 	}
 	stopAccepting(ln) // nobody has accepted yet
 	server.downstream.accept(ln)
-	for _, p := range all {
-		p.wants("+PONG")
+	for _, client := range all {
+		client.wants("+PONG")
 	}
 	for !server.downstream.drain() {
 		time.Sleep(time.Millisecond)
 	}
-	for _, p := range all {
-		p.wantsEnd()
+	for _, client := range all {
+		client.wantsEnd()
 	}
 	if nc, err := net.Dial("tcp", ln.Addr().String()); err == nil {
 		nc.Close()
@@ -149,12 +96,12 @@
 }
 
 // When the time for a shutdown is over, what is still open is answered: SIGKILL does not wait for a long deadline.
-func TestWhatIsOpenAtTheEndIsAnswered(t *testing.T) {
+func TestShutdownAnswersOpenRequests(t *testing.T) {
 	ln := listen(t)
 	server := newIdleServer(t, ln.Addr().String())
-	conn, p := newClientPair(t, server)
+	conn, client := newClientPair(t, server)
 	go conn.serve()
-	p.command("Q.ASK", customer, "1", list)
+	client.sendRequest("1")
 	runTasksUntil(t, server, func() bool { return len(server.requests.byID) == 1 })
 	server.events = nil
 	for _, request := range server.requests.byID {
@@ -164,7 +111,7 @@
 	runTasksUntil(t, server, func() bool { return server.upstream.dialled("s-0") })
 	backend.message()
 	server.requests.abandonAll()
-	p.wants("-ERR no answer in time")
+	client.wants("-ERR no answer in time")
 	backend.wantsEnd()
 	if server.step(); len(server.requests.byID) != 0 || len(server.requests.idInUse) != 0 {
 		t.Error("the request is kept")
@@ -174,12 +121,10 @@
 // A second signal changes nothing, nor does a new configuration meanwhile; a backend that hangs is waited for no
 // longer than its request.
 func TestHungBackendAtShutdown(t *testing.T) {
-	ln := listen(t)
-	gateway := startGateway(t, []string{ln.Addr().String()})
+	gateway, ln := startWithBackend(t)
 	client := gateway.dial()
-	client.command("Q.ASK", customer, "1", strings.Replace(list, "d=20000", "d=1500", 1))
-	backend := accept(t, ln)
-	backend.message()
+	client.command("Q.ASK", tenantID, "1", strings.Replace(idempotentFields, "d=20000", "d=1500", 1))
+	acceptCommand(t, ln) // it hangs
 	gateway.stop()
 	gateway.server.Reload(freeAddr(t), gateway.server.cfg.Counter, "")
 	gateway.stop()
@@ -187,13 +132,13 @@
 		t.Errorf("got %q", m)
 	}
 	client.wantsEnd()
-	gateway.ends()
+	gateway.waitForShutdown()
 }
 
 // A client that leaves is seen wherever its reader stands, so that nothing is sent on for it: with more commands
 // on its connection than may be open, behind one that can't be read, and between bad ones.
 func TestLeavingClientIsSeen(t *testing.T) {
-	request := func(i int) string { return command("Q.ASK", customer, fmt.Sprint("r", i), list) }
+	request := func(i int) string { return respCommand("Q.ASK", tenantID, fmt.Sprint("r", i), idempotentFields) }
 	many := ""
 	for i := range maxPipelined + 100 {
 		many += request(i)
@@ -207,13 +152,13 @@
 		"unreadable":     {request(0) + "nonsense\r\n", 1},
 		"half a command": {request(0) + request(1)[:20], 1},
 	} {
-		for _, end := range []func(p *peer){func(p *peer) { p.socket.Close() }, (*peer).reset} {
+		for _, end := range []func(client *peer){func(client *peer) { client.socket.Close() }, (*peer).reset} {
 			server := newIdleServer(t, freeAddr(t))
-			conn, p := newClientPair(t, server)
+			conn, client := newClientPair(t, server)
 			go conn.serve()
-			p.write(sent.text)
+			client.write(sent.text)
 			runTasksUntil(t, server, func() bool { return len(server.requests.byID) == sent.open })
-			end(p)
+			end(client)
 			runTasksUntil(t, server, func() bool { return len(server.requests.byID) == 0 })
 			if n := len(server.downstream.conns); n != 0 {
 				t.Errorf("%s: %d connections are kept", name, n)
@@ -228,10 +173,10 @@
 // The pause after a bad command ends with the connection.
 func TestPauseEndsWithTheConnection(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
-	conn, p := newClientPair(t, server)
-	p.write("*1\r\n$4\r\nPI") // is kept
-	come(t, conn.socket)
-	p.socket.Close()
+	conn, client := newClientPair(t, server)
+	client.write("*1\r\n$4\r\nPI") // is kept
+	waitForBytes(t, conn.socket)
+	client.socket.Close()
 	if conn.pause(time.Hour) {
 		t.Error("the end is not seen")
 	}
@@ -244,13 +189,13 @@
 func TestReadAheadIsTaken(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
 	server.ready.Store(true)
-	conn, p := newClientPair(t, server)
+	conn, client := newClientPair(t, server)
 	go conn.serve()
-	p.write(command("Q.ASK", customer, "1", list))
+	client.write(respCommand("Q.ASK", tenantID, "1", idempotentFields))
 	for range maxPipelined {
-		p.write(command("PING"))
+		client.write(respCommand("PING"))
 	}
-	p.write(command("PI")) // it is answered last
+	client.write(respCommand("PI")) // it is answered last
 	runTasksUntil(t, server, func() bool { return len(server.requests.byID) == 1 })
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		conn.mu.Lock()
@@ -265,35 +210,33 @@
 	for _, request := range server.requests.byID {
 		server.requests.answer(request, []byte("-BUSY\r\n"))
 	}
-	p.wants("-BUSY")
+	client.wants("-BUSY")
 	for range maxPipelined {
-		p.wants("+PONG")
+		client.wants("+PONG")
 	}
-	p.wants("-ERR unknown command 'PI'")
+	client.wants("-ERR unknown command 'PI'")
 }
 
 // A client for which there is no place hears so though it has already sent its request.
-func TestNoPlaceIsTold(t *testing.T) {
+func TestRejectedConnectionIsTold(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
 	server.downstream.maxConns = budget.ConnsPerRejected
-	conn, p := newClientPair(t, server)
-	p.command("Q.ASK", customer, "1", list)
-	come(t, conn.socket)
+	conn, client := newClientPair(t, server)
+	client.sendRequest("1")
+	waitForBytes(t, conn.socket)
 	server.downstream.rejectConn(conn.socket)
-	p.wantsPrefix("-BUSY ")
-	p.wantsEnd()
+	client.wantsPrefix("-BUSY ")
+	client.wantsEnd()
 }
 
 // An error line is not lost to a reset though the client goes on sending.
 func TestErrorLineOutlivesTheRest(t *testing.T) {
-	ln := listen(t)
-	gateway := startGateway(t, []string{ln.Addr().String()})
+	gateway, ln := startWithBackend(t)
 	client := gateway.dial()
-	client.command("Q.ASK", customer, "1", list)
-	backend := accept(t, ln)
-	backend.message()
+	client.sendRequest("1")
+	backend := acceptCommand(t, ln)
 	client.write("nonsense\r\n" + strings.Repeat("x", 100<<10))
-	backend.write("*1\r\n" + bulk("value"))
+	backend.write(valueReply("value"))
 	client.wants("value")
 	client.wants("-ERR Protocol error")
 	client.wantsEnd()
@@ -318,37 +261,21 @@
 	server.downstream.accept(ln)
 }
 
-// until waits until the loop finds that something holds.
-func (gateway *testGateway) until(holds func() bool) {
-	gateway.t.Helper()
-	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
-		got := make(chan bool)
-		gateway.server.post(func() { got <- holds() })
-		if <-got {
-			return
-		}
-		if time.Now().After(end) {
-			gateway.t.Fatal("it never came to that")
-		}
-	}
-}
-
 // A request whose client leaves while the counter is asked for it is not sent on when the answer comes.
 func TestClientLeavesDuringACounterCall(t *testing.T) {
 	ln, counter := listen(t), listen(t)
-	gateway := startGateway(t, []string{ln.Addr().String()}, func(c *Config, t *testing.T) {
-		c.Counter = counter.Addr().String()
-		c.Settings.SharedCounter, c.Settings.CounterTimeout = true, testTimeout
-		c.Settings.Plans[1].Burst = 1 // so the second request has to ask
+	gateway := startGateway(t, []string{ln.Addr().String()}, func(cfg *Config, t *testing.T) {
+		cfg.Counter = counter.Addr().String()
+		cfg.Settings.SharedCounter, cfg.Settings.CounterTimeout = true, testTimeout
+		cfg.Settings.Plans[1].Burst = 1 // so the second request has to ask
 	})
-	metered := strings.Replace(list, "t=open", "t=starter", 1)
+	metered := strings.Replace(idempotentFields, "t=open", "t=starter", 1)
 	client := gateway.dial()
-	client.command("Q.ASK", customer, "1", metered)
-	backend := accept(t, ln)
-	backend.message()
-	backend.write("*1\r\n" + bulk("value"))
+	client.command("Q.ASK", tenantID, "1", metered)
+	backend := acceptCommand(t, ln)
+	backend.write(valueReply("value"))
 	client.wants("value")
-	client.command("Q.ASK", customer, "2", metered)
+	client.command("Q.ASK", tenantID, "2", metered)
 	called := accept(t, counter)
 	if line := called.message(); !strings.HasPrefix(line[0], "add ") {
 		t.Fatalf("got %q", line)
@@ -377,7 +304,7 @@
 // A shutdown leaves a new connection the time to bring its first request, and no longer.
 func TestNewConnectionHasTimeForItsRequest(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
-	conn, p := newClientPair(t, server)
+	conn, client := newClientPair(t, server)
 	conn.idleSince.Store(int64(server.now() + time.Hour)) // it came just now, however slow this test is
 	server.downstream.drain()
 	if conn.closed || conn.isFinishing() {
@@ -385,5 +312,5 @@
 	}
 	conn.idleSince.Store(int64(server.now() - firstRequestGrace))
 	server.downstream.drain()
-	p.wantsEnd()
+	client.wantsEnd()
 }
--- a/internal/gateway/testgateway_test.go
+++ b/internal/gateway/testgateway_test.go
@@ -1,7 +1,6 @@
 package gateway
 
 import (
-	"bufio"
 	"context"
 	"encoding/json"
 	"fmt"
@@ -11,6 +10,7 @@
 	"net/http"
 	"net/http/httptest"
 	"strings"
+	"sync"
 	"testing"
 	"time"
 
@@ -53,7 +53,7 @@
 	disco := httptest.NewServer(http.HandlerFunc(gateway.serveWatch))
 	cfg := config(t, false, 5_000_000)
 	cfg.Discovery = strings.TrimPrefix(disco.URL, "http://")
-	cfg.Known = members(1, addrs...)
+	cfg.Known = endpointList(1, addrs...)
 	for _, o := range options {
 		o(cfg, t)
 	}
@@ -74,6 +74,13 @@
 	return gateway
 }
 
+// startWithBackend runs a gateway that knows one backend, and returns the backend's listener too.
+func startWithBackend(t *testing.T, options ...option) (*testGateway, net.Listener) {
+	t.Helper()
+	ln := listen(t)
+	return startGateway(t, []string{ln.Addr().String()}, options...), ln
+}
+
 // withoutSettleTime lets a connection be used again at once.
 func withoutSettleTime(c *Config, t *testing.T) { c.settleFor = 1 }
 
@@ -106,7 +113,7 @@
 	return ln
 }
 
-func members(index int64, addrs ...string) endpoint.List {
+func endpointList(index int64, addrs ...string) endpoint.List {
 	m := endpoint.List{Index: index, Snapshot: true}
 	for i, a := range addrs {
 		m.Endpoints = append(m.Endpoints, endpoint.Entry{Name: fmt.Sprint("s-", i), Address: a, Zone: "dc1", Type: "std",
@@ -136,133 +143,86 @@
 	}
 }
 
-// peer is one end of a connection that speaks RESP, a client's or a backend's.
-type peer struct {
-	t      *testing.T
-	socket net.Conn
-	reader *bufio.Reader
-}
-
-func newPeer(t *testing.T, nc net.Conn) *peer {
-	nc.SetDeadline(time.Now().Add(testTimeout))
-	t.Cleanup(func() { nc.Close() })
-	return &peer{t, nc, bufio.NewReader(nc)}
+// holdLoop stops the loop until the returned function is called.
+func (gateway *testGateway) holdLoop() (release func()) {
+	holds, until := make(chan struct{}), make(chan struct{})
+	gateway.server.post(func() {
+		close(holds)
+		<-until
+	})
+	<-holds
+	release = sync.OnceFunc(func() { close(until) })
+	gateway.t.Cleanup(release) // a failed test must not wait for the loop
+	return release
 }
 
-// dial connects a client.
-func (gateway *testGateway) dial() *peer {
+// waitForTasks waits until so many tasks wait for a loop that is held.
+func (gateway *testGateway) waitForTasks(n int) {
 	gateway.t.Helper()
-	nc, err := net.Dial("tcp", gateway.addr)
-	if err != nil {
-		gateway.t.Fatal(err)
-	}
-	return newPeer(gateway.t, nc)
-}
-
-// reset ends the connection by a reset.
-func (p *peer) reset() {
-	p.socket.(*net.TCPConn).SetLinger(0)
-	p.socket.Close()
-}
-
-func (p *peer) write(s string) {
-	p.t.Helper()
-	if _, err := io.WriteString(p.socket, s); err != nil {
-		p.t.Fatal(err)
-	}
-}
-
-func (p *peer) command(args ...string) {
-	p.t.Helper()
-	p.write(command(args...))
-}
-
-func command(args ...string) string {
-	s := fmt.Sprintf("*%d\r\n", len(args))
-	for _, a := range args {
-		s += fmt.Sprintf("$%d\r\n%s\r\n", len(a), a)
-	}
-	return s
-}
-
-// message reads one RESP message: its parts, a line that is no length being one of its own.
-func (p *peer) message() []string {
-	p.t.Helper()
-	m, err := p.tryMessage()
-	if err != nil {
-		p.t.Fatal(err)
+	for end := time.Now().Add(testTimeout); len(gateway.server.tasks) < n; time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			gateway.t.Fatalf("%d tasks wait, not %d", len(gateway.server.tasks), n)
+		}
 	}
-	return m
 }
 
-func (p *peer) tryMessage() ([]string, error) {
-	line, err := p.reader.ReadString('\n')
-	if err != nil {
-		return nil, err
-	}
-	line = strings.TrimSuffix(line, "\r\n")
-	n := 0
-	switch line[0] {
-	case '*':
-		fmt.Sscan(line[1:], &n)
-		var all []string
-		for range n {
-			m, err := p.tryMessage()
-			if err != nil {
-				return nil, err
+// waitForDial waits until a connection to a backend is asked for, and not up.
+func (gateway *testGateway) waitForDial() {
+	gateway.t.Helper()
+	gateway.until(func() bool {
+		for _, pool := range gateway.server.upstream.pools {
+			for conn := range pool.conns {
+				if conn.socket == nil && conn.attempt != nil {
+					return true
+				}
 			}
-			all = append(all, m...)
 		}
-		return all, nil
-	case '$':
-		fmt.Sscan(line[1:], &n)
-		b := make([]byte, n+2)
-		_, err := io.ReadFull(p.reader, b)
-		return []string{string(b[:n])}, err
-	}
-	return []string{line}, nil
-}
-
-// wants reads one answer and compares it.
-func (p *peer) wants(want string) {
-	p.t.Helper()
-	if m := p.message(); len(m) != 1 || m[0] != want {
-		p.t.Fatalf("got %q, want %q", m, want)
-	}
+		return false
+	})
 }
 
-// wantsPrefix reads one answer and compares its beginning.
-func (p *peer) wantsPrefix(want string) {
-	p.t.Helper()
-	if m := p.message(); len(m) != 1 || !strings.HasPrefix(m[0], want) {
-		p.t.Fatalf("got %q, want %s...", m, want)
+// until waits until the loop finds that something holds.
+func (gateway *testGateway) until(holds func() bool) {
+	gateway.t.Helper()
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
+		got := make(chan bool)
+		gateway.server.post(func() { got <- holds() })
+		if <-got {
+			return
+		}
+		if time.Now().After(end) {
+			gateway.t.Fatal("it never came to that")
+		}
 	}
 }
 
-// wantsEnd reads up to the end of the connection and fails if anything comes before it.
-func (p *peer) wantsEnd() {
-	p.t.Helper()
-	if m, err := p.tryMessage(); err == nil {
-		p.t.Fatalf("got %q, want the end of the connection", m)
-	} else if ne, ok := err.(net.Error); ok && ne.Timeout() {
-		p.t.Fatal("the connection stays open")
+// waitForPending waits until a connection owes so many answers.
+func (gateway *testGateway) waitForPending(n int) {
+	gateway.t.Helper()
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
+		most := 0
+		gateway.server.downstream.mu.Lock()
+		for conn := range gateway.server.downstream.conns {
+			conn.mu.Lock()
+			most = max(most, len(conn.pending))
+			conn.mu.Unlock()
+		}
+		gateway.server.downstream.mu.Unlock()
+		if most == n {
+			return
+		}
+		if time.Now().After(end) {
+			gateway.t.Fatalf("%d answers are owed, not %d", most, n)
+		}
 	}
 }
 
-const (
-	customer = "00000000b4d65521"
-	list     = "c=evaluate,t=open,d=20000,units=1,spread=1,first=0"
-	keyed    = "c=change,t=open,d=20000,k=5c0f6e1a2b3d4c59,units=1,spread=1,first=0,x=new"
-	unsafe   = "c=once,t=open,d=20000,units=1,spread=1,first=0"
-)
-
-// accept takes the next connection of a backend.
-func accept(t *testing.T, ln net.Listener) *peer {
-	t.Helper()
-	ln.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout))
-	nc, err := ln.Accept()
-	if err != nil {
-		t.Fatal(err)
+// waitForShutdown waits until the front door has ended.
+func (gateway *testGateway) waitForShutdown() {
+	gateway.t.Helper()
+	select {
+	case <-gateway.server.done:
+	case <-time.After(testTimeout):
+		gateway.t.Fatal("it does not end")
 	}
-	return newPeer(t, nc)
 }
--- a/internal/gateway/upstream.go
+++ b/internal/gateway/upstream.go
@@ -147,7 +147,7 @@
 // waits for room. How it shows: a backend works on a request that nobody waits for, counted as one sent on after its
 // client had left. Why this holds: the socket itself is asked, whatever lies unread in it, before an attempt takes a
 // connection and again when a dialed one has come up; wherever the request has waited until then, nothing is written in
-// between. TestEndThatIsNotYetReadStopsTheSend, TestEndBehindTheReadAheadStopsTheSend.
+// between. TestUnreadEndStopsTheSend, TestEndBehindReadAheadStopsTheSend.
 func (backends *upstream) endIfClientLeft(attempt *backendAttempt) bool {
 	left := attempt.clientLeft()
 	if left {
--- a/internal/gateway/upstream_test.go
+++ b/internal/gateway/upstream_test.go
@@ -36,43 +36,37 @@
 
 // An error from one backend leads to another attempt; its connection is good for more. After a break the value
 // of a keyed request still comes from a backend.
-func TestFurtherAttempt(t *testing.T) {
-	ln := listen(t)
-	gateway := startGateway(t, []string{ln.Addr().String()}, withoutSettleTime)
+func TestFailedAttemptIsRetried(t *testing.T) {
+	gateway, ln := startWithBackend(t, withoutSettleTime)
 	client := gateway.dial()
-	client.command("Q.DO", customer, "1", keyed, "body")
-	backend := accept(t, ln)
-	backend.message()
+	client.command("Q.DO", tenantID, "1", keyedFields, "body")
+	backend := acceptCommand(t, ln)
 	backend.write("-ERR failed used=12\r\n")
 	backend.message() // the second attempt
 	backend.socket.Close()
-	backend = accept(t, ln)
-	backend.message()
-	backend.write("*3\r\n" + bulk("done") + "$-1\r\n$-1\r\n")
+	backend = acceptCommand(t, ln)
+	backend.write(fullValueReply("done"))
 	client.wants("done")
 }
 
 // An unsafe request that may have run is neither sent again nor refused, only failed.
-func TestUnsafeRequestIsNotRepeated(t *testing.T) {
-	ln := listen(t)
-	gateway := startGateway(t, []string{ln.Addr().String()})
+func TestNonIdempotentRequestIsNotRetried(t *testing.T) {
+	gateway, ln := startWithBackend(t)
 	client := gateway.dial()
-	client.command("Q.DO", customer, "1", unsafe, "body")
-	backend := accept(t, ln)
-	backend.message()
+	client.command("Q.DO", tenantID, "1", nonIdempotentFields, "body")
+	backend := acceptCommand(t, ln)
 	backend.socket.Close()
 	client.wants("-ERR failed")
 }
 
 // Odd answers cost the connection, not the front door, and are served to nobody.
-func TestOddAnswers(t *testing.T) {
+func TestMalformedRepliesEndTheConnection(t *testing.T) {
 	for _, odd := range []string{"+OK\r\n", "*1\r\n$-1\r\n", "nonsense\r\n", "$999999999\r\n", ":1\r\n", "*1\r\n*1\r\n*1\r\n*1\r\n"} {
 		ln := listen(t) // the module no longer uses a backend that fails twice
 		gateway := startGateway(t, []string{ln.Addr().String()})
 		client := gateway.dial()
-		client.command("Q.DO", customer, "1", unsafe, "body")
-		backend := accept(t, ln)
-		backend.message()
+		client.command("Q.DO", tenantID, "1", nonIdempotentFields, "body")
+		backend := acceptCommand(t, ln)
 		backend.write(odd)
 		client.wants("-ERR failed")
 		backend.wantsEnd()
@@ -80,83 +74,21 @@
 }
 
 // An answer that nobody asked for must not be taken for that of the next request.
-func TestUnaskedAnswer(t *testing.T) {
-	ln := listen(t)
-	gateway := startGateway(t, []string{ln.Addr().String()})
+func TestUnsolicitedReplyReachesNobody(t *testing.T) {
+	gateway, ln := startWithBackend(t)
 	client := gateway.dial()
-	client.command("Q.ASK", customer, "1", list)
-	backend := accept(t, ln)
-	backend.message()
-	backend.write("*3\r\n" + bulk("one") + "$-1\r\n$-1\r\n*3\r\n" + bulk("stray") + "$-1\r\n$-1\r\n")
+	client.sendRequest("1")
+	backend := acceptCommand(t, ln)
+	backend.write("*3\r\n" + respBulk("one") + "$-1\r\n$-1\r\n*3\r\n" + respBulk("stray") + "$-1\r\n$-1\r\n")
 	client.wants("one")
 	backend.wantsEnd()
-	client.command("Q.ASK", customer, "2", list)
-	backend = accept(t, ln)
-	backend.message()
-	backend.write("*3\r\n" + bulk("two") + "$-1\r\n$-1\r\n")
+	client.sendRequest("2")
+	backend = acceptCommand(t, ln)
+	backend.write(fullValueReply("two"))
 	client.wants("two")
 }
 
-// newIdleServer is a front door that is not running, so that a test can play its loop.
-func newIdleServer(t *testing.T, addrs ...string) *Server {
-	t.Helper()
-	server, err := New(config(t, true, 5_000_000), discardLog)
-	if err != nil {
-		t.Fatal(err)
-	}
-	server.discovery.Apply(members(1, addrs...).Endpoints, policy.CachedSnapshot)
-	server.events = nil
-	t.Cleanup(func() { close(server.done) })
-	return server
-}
-
-// newAttempt makes a request with one attempt.
-func newAttempt(t *testing.T, server *Server) *backendAttempt {
-	t.Helper()
-	received, err := server.downstream.parser.parse("Q.ASK", [][]byte{[]byte("Q.ASK"), []byte(customer), []byte("1"), []byte(list)}, server.now())
-	if err != nil {
-		t.Fatal(err)
-	}
-	received.conn = &clientConn{}
-	server.requests.requestArrived(received)
-	request := server.requests.byID[received.requestID]
-	server.events = nil
-	server.requests.startAttempt(request, policy.SendAttempt{ID: request.id, Backend: "s-0", Timeout: 10 * time.Second})
-	return request.attempts[0]
-}
-
-// runTasksUntil runs the loop's tasks until something holds.
-func runTasksUntil(t *testing.T, server *Server, until func() bool) {
-	t.Helper()
-	end := time.After(testTimeout)
-	for !until() {
-		select {
-		case task := <-server.tasks:
-			task()
-		case <-end:
-			t.Fatal("it never came to that")
-		}
-	}
-}
-
-// outcomes returns the outcomes told so far.
-func outcomes(server *Server) (all []policy.AttemptResult) {
-	for _, ev := range server.events {
-		if o, ok := ev.(policy.AttemptResult); ok {
-			all = append(all, o)
-		}
-	}
-	return all
-}
-
-func wantOutcome(t *testing.T, server *Server, want policy.Status) {
-	t.Helper()
-	if got := outcomes(server); len(got) != 1 || got[0].Status != want {
-		t.Errorf("outcomes %+v, want one %v", got, want)
-	}
-}
-
-func TestOneOutcomeForEachSend(t *testing.T) {
+func TestOneOutcomeForEachAttempt(t *testing.T) {
 	ends := map[string]struct {
 		want policy.Status
 		do   func(server *Server, attempt *backendAttempt, backend *peer)
@@ -207,12 +139,12 @@
 func TestPendingDialIsNotWritten(t *testing.T) {
 	for name, end := range map[string]func(server *Server, attempt *backendAttempt){
 		"drain": func(server *Server, attempt *backendAttempt) {
-			m := members(2, server.upstream.pools["s-0"].addr)
+			m := endpointList(2, server.upstream.pools["s-0"].addr)
 			m.Endpoints[0].Status = "DRAINING"
 			server.discovery.Apply(m.Endpoints, policy.Delta)
 		},
 		"left out": func(server *Server, attempt *backendAttempt) {
-			server.discovery.Apply(members(2).Endpoints, policy.Snapshot)
+			server.discovery.Apply(endpointList(2).Endpoints, policy.Snapshot)
 		},
 		"cancel": func(server *Server, attempt *backendAttempt) {
 			server.carryOut(policy.CancelAttempt{ID: attempt.request.id})
@@ -250,20 +182,20 @@
 	server := newIdleServer(t, first.Addr().String(), second.Addr().String())
 	server.upstream.maxConns = 1
 	attempt := newAttempt(t, server)
-	p := accept(t, first)
+	client := accept(t, first)
 	runTasksUntil(t, server, func() bool { return attempt.conn.writeState.Load() != commandUnsent })
-	p.message()
+	client.message()
 	other := &backendAttempt{request: attempt.request, number: 1, backend: "s-1", deadline: attempt.deadline}
 	server.upstream.startAttempt(other)
 	wantOutcome(t, server, policy.NotSent)
 	for conn := attempt.conn; conn.writeState.Load() != commandWritten; {
 		time.Sleep(time.Millisecond)
 	}
-	p.write("*1\r\n$1\r\nx\r\n")
+	client.write("*1\r\n$1\r\nx\r\n")
 	runTasksUntil(t, server, func() bool { return attempt.ended })
 	server.events = nil
 	server.upstream.startAttempt(&backendAttempt{request: attempt.request, number: 2, backend: "s-1", deadline: attempt.deadline})
-	p.wantsEnd()
+	client.wantsEnd()
 	accept(t, second)
 }
 
@@ -283,25 +215,25 @@
 	for _, end := range []func(){
 		func() { server.upstream.noReplyInTime(pool, server.now()) },
 		func() {
-			m := members(2, pool.addr)
+			m := endpointList(2, pool.addr)
 			m.Endpoints[0].SinceMS = 5
 			server.discovery.Apply(m.Endpoints, policy.Delta)
 		},
 	} {
 		attempt := newAttempt(t, server)
-		p := accept(t, ln)
+		client := accept(t, ln)
 		runTasksUntil(t, server, func() bool { return attempt.conn.writeState.Load() != commandUnsent })
-		p.message()
+		client.message()
 		for conn := attempt.conn; conn.writeState.Load() != commandWritten; {
 			time.Sleep(time.Millisecond)
 		}
-		p.write("*1\r\n$1\r\nx\r\n")
+		client.write("*1\r\n$1\r\nx\r\n")
 		runTasksUntil(t, server, func() bool { return len(pool.idle) == 1 })
 		end()
 		if len(pool.idle) != 0 || server.upstream.connCount != 0 {
 			t.Errorf("%d idle connections, %d in all", len(pool.idle), server.upstream.connCount)
 		}
-		p.wantsEnd()
+		client.wantsEnd()
 	}
 }
 
@@ -309,25 +241,25 @@
 func inUse(t *testing.T, server *Server, ln net.Listener) (*backendAttempt, *peer) {
 	t.Helper()
 	attempt := newAttempt(t, server)
-	p := accept(t, ln)
+	client := accept(t, ln)
 	runTasksUntil(t, server, func() bool { return attempt.conn.writeState.Load() == commandWritten })
-	p.message()
-	return attempt, p
+	client.message()
+	return attempt, client
 }
 
 // What comes on a connection while nothing is asked must not stand before the next answer, nor a whole second
 // copy be taken for it: the connection is not used again, whether its reader has seen it or not.
-func TestLateSurplusSpoilsTheConnection(t *testing.T) {
+func TestLateExtraBytesEndTheConnection(t *testing.T) {
 	for _, surplus := range []string{"*1\r\n$5\r\nstray\r\n", "*1\r\n$5\r\nst", "x"} {
 		ln := listen(t)
 		server := newIdleServer(t, ln.Addr().String())
-		attempt, p := inUse(t, server, ln)
-		p.write("*1\r\n$1\r\nx\r\n")
+		attempt, client := inUse(t, server, ln)
+		client.write("*1\r\n$1\r\nx\r\n")
 		runTasksUntil(t, server, func() bool { return attempt.ended })
 		conn := server.upstream.pools["s-0"].idle[0]
-		p.write(surplus)
+		client.write(surplus)
 		runTasksUntil(t, server, func() bool { return conn.closed })
-		p.wantsEnd()
+		client.wantsEnd()
 		if !conn.malformed.Load() || len(server.upstream.pools["s-0"].idle) != 0 {
 			t.Errorf("%q: the connection is kept", surplus)
 		}
@@ -342,11 +274,11 @@
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	p := accept(t, ln)
+	client := accept(t, ln)
 	if !rawsocket.Quiet(nc) {
 		t.Error("nothing has come, and it is not quiet")
 	}
-	p.write("x")
+	client.write("x")
 	for end := time.Now().Add(testTimeout); rawsocket.Quiet(nc); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("what has come is not seen")
@@ -358,16 +290,16 @@
 func TestBusyConnectionOfAnOldAddressIsNotKept(t *testing.T) {
 	ln, next := listen(t), listen(t)
 	server := newIdleServer(t, ln.Addr().String())
-	attempt, p := inUse(t, server, ln)
-	server.discovery.Apply(members(2, next.Addr().String()).Endpoints, policy.Snapshot)
-	p.write("*1\r\n$1\r\nx\r\n")
+	attempt, client := inUse(t, server, ln)
+	server.discovery.Apply(endpointList(2, next.Addr().String()).Endpoints, policy.Snapshot)
+	client.write("*1\r\n$1\r\nx\r\n")
 	runTasksUntil(t, server, func() bool { return attempt.ended })
 	wantOutcome(t, server, policy.OK)
-	p.wantsEnd()
+	client.wantsEnd()
 	server.events = nil
 	attempt = newAttempt(t, server)
 	dialling := attempt.conn
-	server.discovery.Apply(members(3, ln.Addr().String()).Endpoints, policy.Snapshot) // it moves while it is being dialled
+	server.discovery.Apply(endpointList(3, ln.Addr().String()).Endpoints, policy.Snapshot) // it moves while it is being dialled
 	wantOutcome(t, server, policy.NotSent)
 	if !dialling.closed {
 		t.Error("the dial to the old address goes on")
@@ -375,11 +307,11 @@
 }
 
 // A backend that is gone must be forgotten with its last attempt, however that ends.
-func TestGoneBackendIsForgotten(t *testing.T) {
+func TestRemovedBackendIsForgotten(t *testing.T) {
 	ln := listen(t)
 	server := newIdleServer(t, ln.Addr().String())
 	attempt, _ := inUse(t, server, ln)
-	server.discovery.Apply(members(2).Endpoints, policy.Snapshot)
+	server.discovery.Apply(endpointList(2).Endpoints, policy.Snapshot)
 	server.timers.Run(attempt.deadline)
 	wantOutcome(t, server, policy.TimedOut)
 	if len(server.upstream.pools) != 0 || server.upstream.connCount != 0 {
@@ -388,20 +320,20 @@
 }
 
 // Probes end once, whatever comes back.
-func TestProbe(t *testing.T) {
+func TestHealthCheck(t *testing.T) {
 	ln := listen(t)
 	server := newIdleServer(t, ln.Addr().String())
 	for text, want := range map[string]policy.Status{"+PONG\r\n": policy.OK, "-ERR no\r\n": policy.Failed} {
 		server.events = nil
 		server.upstream.startHealthCheck("s-0")
-		p := accept(t, ln)
+		client := accept(t, ln)
 		runTasksUntil(t, server, func() bool {
 			return server.upstream.connCount == 1 && len(server.tasks) == 0 && server.upstream.dialled("s-0")
 		})
-		if m := p.message(); m[0] != "PING" {
+		if m := client.message(); m[0] != "PING" {
 			t.Fatalf("got %q", m)
 		}
-		p.write(text)
+		client.write(text)
 		runTasksUntil(t, server, func() bool { return len(server.events) > 0 })
 		if got := server.events[0].(policy.HealthCheckResult); got.Status != want {
 			t.Errorf("%q: %+v", text, got)
@@ -444,15 +376,15 @@
 }
 
 // A repeat whose connection comes up when repeats are no longer dropped is not written.
-func TestRepeatThatComesUpLateIsNotWritten(t *testing.T) {
+func TestLateRetryIsNotWritten(t *testing.T) {
 	ln := listen(t)
 	server := newIdleServer(t, ln.Addr().String())
 	attempt := newAttempt(t, server)
-	p := accept(t, ln) // it is up, but the loop has not heard of it
+	client := accept(t, ln) // it is up, but the loop has not heard of it
 	attempt.sendBefore = server.now()
 	runTasksUntil(t, server, func() bool { return attempt.ended })
 	wantOutcome(t, server, policy.NotSent)
-	p.wantsEnd()
+	client.wantsEnd()
 	server.events = nil
 	server.requests.startAttempt(attempt.request, policy.SendAttempt{ID: attempt.request.id, Backend: "s-0", SendBefore: 5})
 	if got := attempt.request.attempts[1].sendBefore; got != 5 {
@@ -461,15 +393,15 @@
 }
 
 // The true units of a request come with its answer; a figure that none can have is not taken.
-func TestTrueUnitsAreTold(t *testing.T) {
+func TestReportedCostIsPassedOn(t *testing.T) {
 	for figures, want := range map[string]float64{"cost=1": 1, "used=3,cost=0.5": 0.5, "cost=2": 0, "cost=x": 0,
 		"cost=-1": 0, "cost=1e9": 0, "": 0} {
 		ln := listen(t)
 		server := newIdleServer(t, ln.Addr().String())
-		attempt, p := inUse(t, server, ln)
-		p.write("*3\r\n" + bulk("x") + bulk(figures) + "$-1\r\n")
+		attempt, client := inUse(t, server, ln)
+		client.write("*3\r\n" + respBulk("x") + respBulk(figures) + "$-1\r\n")
 		runTasksUntil(t, server, func() bool { return attempt.ended })
-		if got := outcomes(server); len(got) != 1 || got[0].Status != policy.OK || got[0].Cost != want {
+		if got := attemptOutcomes(server); len(got) != 1 || got[0].Status != policy.OK || got[0].Cost != want {
 			t.Errorf("%q: %+v", figures, got)
 		}
 	}
--- a/internal/gateway/watchdog_test.go
+++ b/internal/gateway/watchdog_test.go
@@ -9,7 +9,7 @@
 
 // A loop that stands still is reported once, with the place where it stands, and so is that it goes on; one that has
 // nothing to do is not.
-func TestWatchdogReportsALoopThatStandsStill(t *testing.T) {
+func TestWatchdogReportsAStuckLoop(t *testing.T) {
 	var log lockedBuffer
 	gateway := startGateway(t, nil)
 	dog := make(chan struct{})
@@ -27,9 +27,9 @@
 	if text := log.String(); strings.Contains(text, "stuck") {
 		t.Fatalf("reported with nothing to do: %.500s", text)
 	}
-	release := gateway.hold()
+	release := gateway.holdLoop()
 	says("event loop stuck")
-	says("(*testGateway).hold")
+	says("(*testGateway).holdLoop")
 	time.Sleep(600 * time.Millisecond)
 	if n := strings.Count(log.String(), "event loop stuck"); n != 1 {
 		t.Errorf("reported %d times", n)
