--- /dev/null
+++ b/internal/gateway/crowdedgateway_test.go
@@ -0,0 +1,357 @@
+package gateway
+
+import (
+	"bufio"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"log/slog"
+	"net"
+	"net/http"
+	"os"
+	"os/exec"
+	"runtime"
+	"strings"
+	"sync"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+)
+
+// asCrowdedGateway stands in the environment of a process that is to be a gateway and not the tests.
+const asCrowdedGateway = "FRONT_CROWDED"
+
+func TestMain(m *testing.M) {
+	if os.Getenv(asCrowdedGateway) != "" {
+		if err := serveCrowd(); err != nil {
+			fmt.Fprintln(os.Stderr, err)
+			os.Exit(1)
+		}
+		return
+	}
+	os.Exit(m.Run())
+}
+
+// serveCrowd runs a gateway that may hold no more descriptors than its configuration says, until its standard input
+// ends. It takes the configuration, then addresses of discovery and the counter to move to.
+func serveCrowd() error {
+	in := bufio.NewReader(os.Stdin)
+	line, err := in.ReadString('\n')
+	if err != nil {
+		return err
+	}
+	cfg, err := ReadConfig(strings.NewReader(line))
+	if err != nil {
+		return err
+	}
+	limit := uint64(cfg.Sockets)
+	if err := syscall.Setrlimit(syscall.RLIMIT_NOFILE, &syscall.Rlimit{Cur: limit, Max: limit}); err != nil {
+		return err
+	}
+	runtime.GOMAXPROCS(1)
+	server, err := New(cfg, slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug})))
+	if err != nil {
+		return err
+	}
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return err
+	}
+	fmt.Println(ln.Addr())
+	ctx, stop := context.WithCancel(context.Background())
+	go func() {
+		defer stop()
+		reloadFrom(in, server)
+	}()
+	server.Run(ctx, ln)
+	return nil
+}
+
+// reloadFrom lets a gateway move to the addresses of discovery and the counter that come, until the input ends.
+func reloadFrom(in *bufio.Reader, server *Server) {
+	for {
+		var discovery, counter string
+		if _, err := fmt.Fscanln(in, &discovery, &counter); err != nil {
+			return
+		}
+		server.Reload(discovery, counter, "")
+	}
+}
+
+// crowdedGateway is a gateway in a process of its own, with few descriptors, and what stands round it.
+type crowdedGateway struct {
+	t         *testing.T
+	addr      string
+	in        io.Writer // to its standard input
+	log       lockedBuffer
+	endpoints []map[string]any // as discovery gives them
+	reached   chan *peer       // connections that backends have got
+	process   *exec.Cmd
+}
+
+// startCrowdedGateway runs a gateway that may hold so many descriptors. Its discovery and counter may not be there yet.
+// The caller stops it.
+func startCrowdedGateway(t *testing.T, descriptors, backends int, discovery, counter string) *crowdedGateway {
+	t.Helper()
+	gateway := &crowdedGateway{t: t, reached: make(chan *peer, 1024)}
+	for i := range backends {
+		ln := listen(t)
+		gateway.endpoints = append(gateway.endpoints, map[string]any{"name": fmt.Sprint("s-", i),
+			"address": ln.Addr().String(), "zone": "dc1", "type": "std", "group": 0, "status": "SERVING", "weight": 1,
+			"since_ms": 0})
+		go gateway.acceptBackendConns(ln)
+	}
+	gateway.startProcess(crowdedConfig(descriptors, discovery, counter))
+	return gateway
+}
+
+// crowdedConfig is a configuration with a quota of which little is used at once, so that the counter is called.
+func crowdedConfig(descriptors int, discovery, counter string) string {
+	settings := fmt.Sprintf(settingsJSON, 5_000_000, true)
+	settings = strings.Replace(settings, `"most-at-once":10`, `"most-at-once":1`, 1)
+	settings = strings.Replace(settings, `"counter-timeout-us":50000`, `"counter-timeout-us":2000000`, 1)
+	return fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"seed":"8c1f30d27a5be964","limits":{"cores":1.0,`+
+		`"memory_mb":192,"sockets":%d},"counter":%q,"settings":%s}`, discovery, descriptors, counter,
+		strings.ReplaceAll(settings, "\n", ""))
+}
+
+// acceptBackendConns takes the connections to a backend, which answers nothing.
+func (gateway *crowdedGateway) acceptBackendConns(ln net.Listener) {
+	for {
+		conn, err := ln.Accept()
+		if err != nil {
+			return
+		}
+		gateway.reached <- newPeerWithoutDeadline(gateway.t, conn)
+	}
+}
+
+// startProcess starts the gateway and reads its address.
+func (gateway *crowdedGateway) startProcess(config string) {
+	t := gateway.t
+	t.Helper()
+	cmd := exec.Command(os.Args[0])
+	cmd.Env = append(os.Environ(), asCrowdedGateway+"=1")
+	cmd.Stderr = &gateway.log
+	in, err := cmd.StdinPipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+	out, err := cmd.StdoutPipe()
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := cmd.Start(); err != nil {
+		t.Fatal(err)
+	}
+	gateway.process, gateway.in = cmd, in
+	fmt.Fprintln(in, config)
+	addr, err := bufio.NewReader(out).ReadString('\n')
+	if err != nil {
+		gateway.stop()
+		t.Fatal(err, gateway.log.String())
+	}
+	gateway.addr = strings.TrimSpace(addr)
+}
+
+func (gateway *crowdedGateway) stop() {
+	gateway.process.Process.Kill()
+	gateway.process.Wait()
+}
+
+// move lets the gateway read other addresses of discovery and the counter.
+func (gateway *crowdedGateway) move(discovery, counter net.Addr) {
+	fmt.Fprintln(gateway.in, discovery, counter)
+}
+
+// serveDiscovery starts a discovery agent at a listener, and returns what is closed with the first watch.
+func (gateway *crowdedGateway) serveDiscovery(ln net.Listener, index int) (watched chan struct{}) {
+	watched = make(chan struct{})
+	var once sync.Once
+	agent := &http.Server{Handler: http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
+		json.NewEncoder(rw).Encode(map[string]any{"index": index, "snapshot": true, "endpoints": gateway.endpoints})
+		rw.(http.Flusher).Flush()
+		once.Do(func() { close(watched) })
+		<-r.Context().Done()
+	})}
+	go agent.Serve(ln)
+	gateway.t.Cleanup(func() { agent.Close() })
+	return watched
+}
+
+// crowd is clients of a gateway that connect, ask once, and rest until they are closed; then they come again.
+type crowd struct {
+	addr    string
+	resting atomic.Int64 // connections that rest
+	leave   context.CancelFunc
+	clients sync.WaitGroup
+}
+
+func startCrowd(addr string, size int) *crowd {
+	ctx, leave := context.WithCancel(context.Background())
+	all := &crowd{addr: addr, leave: leave}
+	for range size {
+		all.clients.Go(func() {
+			for ctx.Err() == nil && all.visit(ctx) {
+			}
+		})
+	}
+	return all
+}
+
+// visit connects and rests once, and says whether a connection was made.
+func (all *crowd) visit(ctx context.Context) bool {
+	conn, err := net.Dial("tcp", all.addr)
+	if err != nil {
+		return false
+	}
+	stop := context.AfterFunc(ctx, func() { conn.Close() })
+	conn.Write([]byte(respCommand("PING")))
+	in := bufio.NewReader(conn)
+	if line, _ := in.ReadString('\n'); strings.HasPrefix(line, "+") || strings.HasPrefix(line, "-LOADING") {
+		all.resting.Add(1)
+		io.Copy(io.Discard, in)
+		all.resting.Add(-1)
+	}
+	stop()
+	conn.Close()
+	select {
+	case <-ctx.Done():
+	case <-time.After(200 * time.Millisecond):
+	}
+	return true
+}
+
+// waitForResting waits until so many of the crowd's connections rest.
+func (all *crowd) waitForResting(t *testing.T, want int64) {
+	t.Helper()
+	for end := time.Now().Add(testTimeout); all.resting.Load() < want; time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatalf("only %d rest", all.resting.Load())
+		}
+	}
+}
+
+// stop lets the crowd leave, and waits for its end.
+func (all *crowd) stop() {
+	all.leave()
+	all.clients.Wait()
+}
+
+// usualClient is one client of a crowded gateway that does not rest.
+type usualClient struct {
+	*peer
+	gateway  *crowdedGateway
+	requests int // sent so far
+}
+
+// findRoom connects a client until it finds a place.
+func (gateway *crowdedGateway) findRoom() *usualClient {
+	t := gateway.t
+	t.Helper()
+	for end := time.Now().Add(testTimeout); ; {
+		if time.Now().After(end) {
+			t.Fatal("no place is found")
+		}
+		conn, err := net.Dial("tcp", gateway.addr)
+		if err != nil {
+			t.Fatal(err)
+		}
+		client := newPeer(t, conn)
+		client.command("PING")
+		if message, err := client.tryMessage(); err == nil && message[0] == "+PONG" {
+			return &usualClient{peer: client, gateway: gateway}
+		}
+	}
+}
+
+func (client *usualClient) sendRequestOfPlan(plan string) {
+	client.t.Helper()
+	client.requests++
+	client.command("Q.ASK", tenantID, fmt.Sprint(client.requests),
+		strings.Replace(idempotentFields, "t=open", "t="+plan, 1))
+}
+
+// fillBackends sends requests until backends have so many connections.
+func (client *usualClient) fillBackends(want int) (reached []*peer) {
+	client.t.Helper()
+	for end := time.After(testTimeout); len(reached) < want; {
+		client.sendRequestOfPlan("open")
+		for waited := false; !waited && len(reached) < want; {
+			select {
+			case backend := <-client.gateway.reached:
+				reached = append(reached, backend)
+			case <-time.After(20 * time.Millisecond):
+				waited = true
+			case <-end:
+				client.t.Fatalf("backends have %d connections, not %d\n%s", len(reached), want, client.gateway.log.String())
+			}
+		}
+	}
+	return reached
+}
+
+// callCounter sends requests of a small quota until the counter is called: beyond a burst of 1 some have to ask it.
+func (client *usualClient) callCounter(called <-chan struct{}) {
+	client.t.Helper()
+	for range 60 {
+		client.sendRequestOfPlan("starter")
+		select {
+		case <-called:
+			return
+		case <-time.After(20 * time.Millisecond):
+		}
+	}
+	await(client.t, "the counter is not called", called)
+}
+
+// serveCounter answers every call that comes to a listener, and returns what is closed with the first.
+func serveCounter(ln net.Listener) (called chan struct{}) {
+	called = make(chan struct{})
+	var once sync.Once
+	go func() {
+		for {
+			conn, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			go func() {
+				defer conn.Close()
+				for in := bufio.NewScanner(conn); in.Scan(); conn.Write([]byte("ok 1\r\n")) {
+					once.Do(func() { close(called) })
+				}
+			}()
+		}
+	}()
+	return called
+}
+
+// await waits for an event.
+func await(t *testing.T, failure string, event <-chan struct{}) {
+	t.Helper()
+	select {
+	case <-event:
+	case <-time.After(testTimeout):
+		t.Fatal(failure)
+	}
+}
+
+// lockedBuffer gathers a log.
+type lockedBuffer struct {
+	mu  sync.Mutex // guards all
+	all strings.Builder
+}
+
+func (buffer *lockedBuffer) Write(text []byte) (int, error) {
+	buffer.mu.Lock()
+	defer buffer.mu.Unlock()
+	return buffer.all.Write(text)
+}
+
+func (buffer *lockedBuffer) String() string {
+	buffer.mu.Lock()
+	defer buffer.mu.Unlock()
+	return buffer.all.String()
+}
