--- a/internal/gateway/backendreply.go
+++ b/internal/gateway/backendreply.go
@@ -21,8 +21,8 @@
 type backendReply struct {
 	status        policy.Status
 	value         []byte  // as a bulk string, to be passed on
-	quotaUsage    int     // 1 + percent of the quota used; 0: not told
-	cost          float64 // in units; 0: not told
+	quotaUsage    int     // 1 + percent of the quota used; 0: not reported
+	cost          float64 // in units; 0: not reported
 	unexpected    bool    // it is not what a backend answers to a request
 	pong          bool    // it is what a backend answers to a health check
 	trailingBytes bool    // more bytes came behind it
--- a/internal/gateway/clientgone_test.go
+++ b/internal/gateway/clientgone_test.go
@@ -12,15 +12,15 @@
 	"bellwood/internal/resp"
 )
 
-// With all places of a connection taken, and more read ahead than may be, the reader waits and reads no further. The
-// end behind that is seen when one of the requests is to go out.
+// With as many commands open on a connection as may be, and as much read ahead, the reader waits and reads no further: it
+// does not see that the client leaves. The end behind all that is seen when one of the requests is to be forwarded.
 func TestEndBehindReadAheadStopsTheSend(t *testing.T) {
 	many := ""
 	for i := range maxPipelined {
-		many += respCommand("Q.ASK", tenantID, fmt.Sprint("r", i), idempotentFields)
+		many += requestCommand(fmt.Sprint("r", i))
 	}
-	for len(many) < maxPipelined*len(respCommand("Q.ASK", tenantID, "r", idempotentFields))+resp.MaxMessageBytes+(32<<10) {
-		many += respCommand("Q.ASK", tenantID, fmt.Sprint("s", len(many)), idempotentFields)
+	for len(many) < maxPipelined*len(requestCommand("r"))+resp.MaxMessageBytes+(32<<10) {
+		many += requestCommand(fmt.Sprint("s", len(many)))
 	}
 	for how, end := range map[string]func(client *peer){"closes": func(client *peer) { client.socket.Close() }, "resets": (*peer).reset} {
 		t.Run(how, func(t *testing.T) {
@@ -38,7 +38,7 @@
 				break
 			}
 			if len(attemptOutcomes(server)) == 0 {
-				t.Fatal("it is sent on")
+				t.Fatal("it is forwarded")
 			}
 			wantOutcome(t, server, policy.NotSent)
 			runTasksUntil(t, server, func() bool { return len(server.requests.byID) == 0 && len(server.downstream.conns) == 0 })
@@ -188,7 +188,8 @@
 	release()
 }
 
-// A command of which a part is written to a backend that does not read never becomes whole once its client has left.
+// A backend does not read, so only a part of a command is written to it when the client leaves. The rest is never written,
+// and the backend never gets the command whole.
 func TestHalfWrittenCommandStaysHalf(t *testing.T) {
 	small := newReservedPort(t)
 	if err := syscall.SetsockoptInt(int(small.file.Fd()), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 2048); err != nil {
@@ -202,7 +203,8 @@
 	}
 	socket.(*net.TCPConn).SetWriteBuffer(4096)
 	pool := server.upstream.pools["s-0"]
-	backendSide := &backendConn{upstream: server.upstream, pool: pool, generation: pool.generation, socket: socket, cancelDial: func() {}} // it has served before
+	backendSide := &backendConn{upstream: server.upstream, pool: pool, generation: pool.generation, socket: socket,
+		cancelDial: func() {}} // it has served before
 	server.upstream.connCount++
 	pool.conns[backendSide], pool.idle = true, append(pool.idle, backendSide)
 	conn, client := newClientPair(t, server)
@@ -229,7 +231,8 @@
 	}
 }
 
-// A client that leaves while a connection comes up late takes its request along.
+// A client leaves while the connection for its request comes up a second late. The dial is given up, and what the backend
+// gets next is another client's request.
 func TestClientLeavesBeforeALateConnectionIsUp(t *testing.T) {
 	l := newLateListener(t)
 	gateway := startGateway(t, []string{l.listener.Addr().String()})
@@ -244,8 +247,8 @@
 	wantNextCommand(t, received, "marker")
 }
 
-// An attempt whose connection comes up late tells its backend what is left to the client then, the first and a
-// further one.
+// The connection of an attempt comes up a second late. The attempt tells its backend what is left to the client then, the
+// first one and a retry.
 func TestLateConnectionIsToldTheTimeLeft(t *testing.T) {
 	const most, wait = 8 * time.Second, 300 * time.Millisecond
 	l := newLateListener(t)
@@ -254,7 +257,7 @@
 	client.command("Q.ASK", tenantID, "1", strings.Replace(idempotentFields, "d=20000", fmt.Sprint("d=", most.Milliseconds()), 1))
 	gateway.until(func() bool { return gateway.server.requests.idInUse["1"] })
 	come := time.Now() // or before
-	for _, which := range []string{"first", "further"} {
+	for _, which := range []string{"first", "second"} {
 		gateway.waitForDial()
 		time.Sleep(wait)
 		up := time.Now() // or later
--- a/internal/gateway/closedeadlock_test.go
+++ b/internal/gateway/closedeadlock_test.go
@@ -26,8 +26,9 @@
 	}
 }
 
-// Closing a connection waits until nobody is within a read of its socket. Bytes, or a reset, may come in that very
-// moment, and the reader then wants the lock that the one who closes holds: neither must wait for the other.
+// Closing a connection waits until nobody is within a read of its socket. Bytes, or a reset, may come in that very moment,
+// and the reader then wants the lock that the one who closes holds. Each once waited for the other, and the loop, or who
+// accepts connections, stood still for good.
 func TestCloseCrossingServe(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
 	server.ready.Store(true)
@@ -74,8 +75,7 @@
 	client.wants("+PONG")
 }
 
-// A connection can be closed while its reader is about to read: the closing waits for the reader, which must not
-// wait for who closes.
+// The same, with a reader that is about to read: closing waits for it, and it must not wait for who closes.
 func TestCloseCrossingARead(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
 	conn, client := newClientPair(t, server)
--- a/internal/gateway/descriptorlimit_test.go
+++ b/internal/gateway/descriptorlimit_test.go
@@ -77,8 +77,9 @@
 	return err
 }
 
-// A crowd that stands in the listener's line takes no more descriptors than the clients' share: one connection for
-// which there is no place is closed before the next is accepted, but for the few whose request is read.
+// A crowd stands in the listener's backlog while the clients' share is full. Each of it was once held until a goroutine came
+// to reject it, and descriptors wanted for the others. Now a connection for which there is no room is closed before the
+// next is accepted, but for the few whose request is read.
 func TestCrowdInTheBacklogTakesNoDescriptors(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
 	server.downstream.maxConns = 2 * budget.ConnsPerRejected
@@ -97,12 +98,12 @@
 			t.Fatalf("%d of %d were accepted", ln.all.Load(), crowd)
 		}
 	}
-	if bound := server.downstream.maxConns + server.downstream.maxConns/budget.ConnsPerRejected + 1; ln.most.Load() > bound {
+	if bound := server.downstream.maxConns + budget.RejectedConns(server.downstream.maxConns) + 1; ln.most.Load() > bound {
 		t.Errorf("%d connections were held at once, over %d", ln.most.Load(), bound)
 	}
 }
 
-// A connection that gives way makes room for one other, also while its reader has not ended yet.
+// A connection that is evicted makes room for one other, also while its reader has not ended yet.
 func TestEvictedConnectionMakesRoomOnce(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
 	conn, p := newClientPair(t, server) // nobody reads
@@ -126,7 +127,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		clients := server.downstream.maxConns + server.downstream.maxConns/budget.ConnsPerRejected + 1 // one more is being accepted
+		clients := server.downstream.maxConns + budget.RejectedConns(server.downstream.maxConns) + 1 // one more is being accepted
 		watch := 2 * int64(discovery.MaxConns)
 		const runtime, configuration = 8, 1 // standard files 3, poller 2, cgroup 2, listener
 		sum := clients + int64(server.upstream.maxConns) + watch + 2*counterConns + runtime + configuration
--- a/internal/gateway/downstream_test.go
+++ b/internal/gateway/downstream_test.go
@@ -38,7 +38,7 @@
 				t.Errorf("%s went on as %s", was, item)
 			}
 		}
-		if d < 1 || d > 6000 { // the module waits no longer than the aim
+		if d < 1 || d > 6000 { // the engine waits no longer than the latency objective
 			t.Errorf("d=%d", d)
 		}
 		backend.write("*3\r\n" + respBulk(value) + respBulk("used=37,cost=4") + "$-1\r\n")
@@ -48,6 +48,7 @@
 	}
 }
 
+// Replies come in the order of the commands, whatever the order of the backends' replies.
 func TestRepliesInCommandOrder(t *testing.T) {
 	gateway, ln := startWithBackend(t)
 	client := gateway.dial()
@@ -64,6 +65,8 @@
 	client.wants("+PONG")
 }
 
+// What can't be parsed is answered with an error and forwarded to nobody. Where the framing is intact the connection is
+// kept, else it is closed.
 func TestMalformedInputIsRejected(t *testing.T) {
 	gateway, ln := startWithBackend(t)
 	for _, bad := range [][]string{
@@ -107,7 +110,7 @@
 	ln.Close()
 	if nc, err := ln.Accept(); err == nil {
 		nc.Close()
-		t.Error("something was sent on")
+		t.Error("something was forwarded")
 	}
 }
 
@@ -147,12 +150,13 @@
 		slow.sendRequest("1")
 	}
 	client := gateway.dial()
-	for served := false; !served; { // the module may refuse some meanwhile
+	for served := false; !served; { // the engine may reject some meanwhile
 		client.sendRequest("2")
 		served = len(client.message()[0]) == resp.MaxValueBytes
 	}
 }
 
+// A rejection tells whole milliseconds, rounded up; none where no pause is wanted.
 func TestBusyReply(t *testing.T) {
 	for pause, want := range map[time.Duration]string{0: "-BUSY\r\n", 1: "-BUSY 1\r\n", 250 * time.Millisecond: "-BUSY 250\r\n"} {
 		if got := string(busyReply(pause)); got != want {
@@ -161,8 +165,7 @@
 	}
 }
 
-// Nobody to serve by: the request is held and refused when its time is up, here by the loop for a Door that
-// would forget it.
+// No backend is known: the request is queued and rejected when its time is up, by the loop if the engine should forget it.
 func TestOverdueRequestIsAnswered(t *testing.T) {
 	gateway := startGateway(t, nil)
 	client := gateway.dial()
@@ -196,7 +199,7 @@
 	later.wantsPrefix("-ERR ")
 }
 
-// A client that is turned away while it still sends must be able to read why.
+// A client that is rejected while it still sends must be able to read why: closing the connection at once would reset it.
 func TestErrorReachesAClientThatStillSends(t *testing.T) {
 	gateway := startGateway(t, nil)
 	client := gateway.dial()
@@ -222,7 +225,8 @@
 	other.wants("again")
 }
 
-// Connections that are kept for nothing give way to new clients, those that are idle longest first.
+// Clients connect and rest until no room is left for others. Their connections are closed for new clients, those that are
+// idle longest first.
 func TestIdleConnectionsAreEvicted(t *testing.T) {
 	gateway := startGateway(t, nil, func(cfg *Config, t *testing.T) { cfg.Sockets = 8 }) // 4 of them for clients
 	var all []*peer
@@ -251,8 +255,8 @@
 		}
 	}
 	since(map[int]time.Duration{0: -time.Hour, 1: -time.Hour, 2: -time.Hour, 3: -time.Hour})
-	refused := gateway.dial()
-	refused.wantsPrefix("-BUSY")
+	rejected := gateway.dial()
+	rejected.wantsPrefix("-BUSY")
 	since(map[int]time.Duration{1: minIdle, 2: 2 * minIdle})
 	client := gateway.dial()
 	client.command("PING")
@@ -266,7 +270,7 @@
 	all[1].wantsPrefix("-LOADING")
 }
 
-// All clients together can't make the front door hold more than its share of memory.
+// All clients together can't make the gateway hold more than its share of memory.
 func TestClientMemoryIsBounded(t *testing.T) {
 	gateway := startGateway(t, nil, func(cfg *Config, t *testing.T) { cfg.MemoryMB = 1 })
 	body := strings.Repeat("b", resp.MaxValueBytes)
--- a/internal/gateway/idleserver_test.go
+++ b/internal/gateway/idleserver_test.go
@@ -9,7 +9,7 @@
 	"bellwood/internal/policy"
 )
 
-// newIdleServer is a front door that is not running, so that a test can play its loop.
+// newIdleServer is a gateway that is not running, so that a test can play its loop.
 func newIdleServer(t *testing.T, addrs ...string) *Server {
 	t.Helper()
 	server, err := New(config(t, true, 5_000_000), discardLog)
@@ -22,10 +22,11 @@
 	return server
 }
 
-// newAttempt makes a request with one attempt.
+// newAttempt makes a request of a client that is not there, with one attempt.
 func newAttempt(t *testing.T, server *Server) *backendAttempt {
 	t.Helper()
-	received, err := server.downstream.parser.parse("Q.ASK", [][]byte{[]byte("Q.ASK"), []byte(tenantID), []byte("1"), []byte(idempotentFields)}, server.now())
+	args := [][]byte{[]byte("Q.ASK"), []byte(tenantID), []byte("1"), []byte(idempotentFields)}
+	received, err := server.downstream.parser.parse("Q.ASK", args, server.now())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -61,6 +62,7 @@
 	return all
 }
 
+// wantOutcome fails unless the engine is told of one outcome, and of this one.
 func wantOutcome(t *testing.T, server *Server, want policy.Status) {
 	t.Helper()
 	if got := attemptOutcomes(server); len(got) != 1 || got[0].Status != want {
@@ -68,7 +70,7 @@
 	}
 }
 
-// newClientPair is a connection of which the front door's end is not read by anybody yet.
+// newClientPair is a connection of which the gateway's end is not read by anybody yet.
 func newClientPair(t *testing.T, server *Server) (*clientConn, *peer) {
 	t.Helper()
 	ln := listen(t)
@@ -82,8 +84,7 @@
 	}
 	t.Cleanup(func() { far.Close() })
 	conn := newClientConn(server.downstream, far)
-	server.downstream.connCount.Add(1)
-	server.downstream.conns[conn] = true
+	server.downstream.add(conn)
 	return conn, newPeer(t, nc)
 }
 
--- a/internal/gateway/latelistener_test.go
+++ b/internal/gateway/latelistener_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// reservedPort is an address of our own at which connections are refused until it is opened.
+// reservedPort is an address at which connections are refused until it is opened.
 type reservedPort struct {
 	file *os.File
 	addr string
--- a/internal/gateway/overduerequest_test.go
+++ b/internal/gateway/overduerequest_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// A loop that is late finds the module's timer and the client's deadline due together. The module answers, as only it
-// knows whether the request may be refused; the last resort is for what it has lost.
+// A loop that is late finds the engine's timer and the client's deadline due together. The engine answers, as only it
+// knows whether the request may be rejected; the loop's own deadline is for what the engine has lost.
 func TestModuleAnswersThoughTheLoopIsLate(t *testing.T) {
-	const wait = 700 * time.Millisecond // under half a second the module would refuse it on its arrival
+	const wait = 700 * time.Millisecond // under half a second the engine would reject it on its arrival
 	for name, late := range map[string]func(gateway *testGateway, ask func()){
 		"late at the deadline": func(gateway *testGateway, ask func()) {
 			ask()
@@ -20,7 +20,7 @@
 			time.Sleep(wait + 50*time.Millisecond)
 			release()
 		},
-		"late between arrival and Step": func(gateway *testGateway, ask func()) {
+		"late between arrival and step": func(gateway *testGateway, ask func()) {
 			release := gateway.holdLoop()
 			ask()
 			gateway.waitForTasks(1)
--- a/internal/gateway/peer_test.go
+++ b/internal/gateway/peer_test.go
@@ -157,9 +157,12 @@
 // sendRequest sends an idempotent request.
 func (p *peer) sendRequest(id string) {
 	p.t.Helper()
-	p.command("Q.ASK", tenantID, id, idempotentFields)
+	p.write(requestCommand(id))
 }
 
+// requestCommand is the command of an idempotent request.
+func requestCommand(id string) string { return respCommand("Q.ASK", tenantID, id, idempotentFields) }
+
 // respBulk is a bulk string.
 func respBulk(text string) string { return respCommand(text)[len("*1\r\n"):] }
 
--- a/internal/gateway/requesttable.go
+++ b/internal/gateway/requesttable.go
@@ -222,8 +222,8 @@
 	return !table.audit.stoodStill(now)
 }
 
-// attemptEnded gives the one outcome of an attempt, with the quota usage (1 + percent; 0: not told) and the cost
-// (0: not told) that the backend reported.
+// attemptEnded gives the one outcome of an attempt, with the quota usage (1 + percent; 0: not reported) and the cost
+// (0: not reported) that the backend reported.
 func (table *requestTable) attemptEnded(attempt *backendAttempt, status policy.Status, quotaUsage int, cost float64) {
 	if attempt.ended {
 		return
--- a/internal/gateway/server_test.go
+++ b/internal/gateway/server_test.go
@@ -9,7 +9,7 @@
 	"bellwood/internal/policy"
 )
 
-// All front doors name the counter's numbers by the time, so theirs must be the same clock.
+// All gateways name the counter's numbers by the time, so they must read the same clock.
 func TestClockIsUnixTime(t *testing.T) {
 	server := newIdleServer(t)
 	before := time.Now().UnixNano()
@@ -19,16 +19,16 @@
 	}
 }
 
-// The module never lets a request go unanswered; should it, the loop's own timer answers and calls off.
+// The engine never lets a request go unanswered; should it, the loop's own timer answers it and cancels its attempts.
 func TestOverdueRequest(t *testing.T) {
 	ln := listen(t)
 	server := newIdleServer(t, ln.Addr().String())
 	attempt := newAttempt(t, server)
 	server.timers.Run(attempt.request.deadline)
 	if attempt.request.ended {
-		t.Error("it is answered before the module's own timer has had its Step")
+		t.Error("it is answered before the engine's own timer has had its step")
 	}
-	for _, request := range server.requests.overdue { // as answerOverdue does, without its Step
+	for _, request := range server.requests.overdue { // as abandonOverdue does, without the step behind it
 		server.requests.abandon(request)
 	}
 	wantOutcome(t, server, policy.ConnectFailed) // the loop has not heard of the connection
@@ -41,7 +41,7 @@
 }
 
 // After SIGTERM connections and requests are still taken for a while; all that was taken is answered; then
-// connections end between requests, and the front door too.
+// connections end between requests, and the gateway too.
 func TestShutdownAnswersWhatWasTaken(t *testing.T) {
 	gateway, ln := startWithBackend(t)
 	early, calm := gateway.dial(), gateway.dial()
@@ -55,7 +55,7 @@
 	late.wants("+PONG")
 	calm.wantsEnd()
 	late.wantsEnd()
-	early.sendRequest("2") // too late: it is refused and does not keep the connection open
+	early.sendRequest("2") // too late: it is rejected and does not keep the connection open
 	gateway.waitForPending(2)
 	backend.write(valueReply("value"))
 	early.wants("value")
@@ -63,7 +63,7 @@
 	early.wantsEnd()
 	gateway.waitForShutdown()
 	if !rawsocket.Quiet(backend.socket) {
-		t.Error("it was sent on")
+		t.Error("it was forwarded")
 	}
 }
 
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -13,8 +13,9 @@
 	"bellwood/internal/policy"
 )
 
-// A connection whose next request lies unread in the socket, or was read in part, is not closed by an eviction, by
-// the deadline of its first command or by a shutdown: the request has been taken and is answered.
+// A client's next request lies unread in the socket, or was read in part, when its connection is to be closed: by an
+// eviction, the deadline of its first command or a shutdown. Closing it there once lost the request, and the reset took the
+// reply before it along. So the connection stays, and the request is answered.
 func TestUnreadRequestKeepsTheConnection(t *testing.T) {
 	for _, cut := range []int{1, 5, len(respCommand("PING")) - 1, len(respCommand("PING"))} {
 		server := newIdleServer(t, freeAddr(t))
@@ -37,8 +38,8 @@
 	}
 }
 
-// At a shutdown a connection that still owes an answer takes requests, as they count as taken, and refuses them; it
-// ends with the last answer, one that was read in part included.
+// During a shutdown a client pipelines further requests behind one that is open. They were once dropped. Now they are
+// rejected in their order, and the connection ends with the last reply, that to a request which was read in part included.
 func TestShutdownRejectsCrossingRequests(t *testing.T) {
 	gateway, ln := startWithBackend(t)
 	busy, quiet := gateway.dial(), gateway.dial()
@@ -46,11 +47,11 @@
 	quiet.wants("+PONG")
 	busy.sendRequest("1")
 	backend := acceptCommand(t, ln)
-	third := respCommand("Q.ASK", tenantID, "3", idempotentFields)
+	third := requestCommand("3")
 	busy.write(respCommand("PING"))
 	gateway.stop()
 	quiet.wantsEnd() // nothing is taken in any more
-	busy.write(respCommand("Q.ASK", tenantID, "2", idempotentFields) + third[:len(third)-1])
+	busy.write(requestCommand("2") + third[:len(third)-1])
 	gateway.waitForPending(3) // the first, the PING and the second
 	backend.write(valueReply("value"))
 	busy.wants("value")
@@ -62,8 +63,8 @@
 	gateway.waitForShutdown()
 }
 
-// Connections that stand in the listener's line when it is to be closed have been accepted by the machine: they
-// are taken and answered.
+// Connections stand in the listener's backlog when it is to be closed. Their clients hold them for open and have sent
+// their requests; closing the listener reset them. So they are accepted first, and answered.
 func TestShutdownAcceptsTheBacklog(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
 	server.ready.Store(true)
@@ -95,7 +96,8 @@
 	}
 }
 
-// When the time for a shutdown is over, what is still open is answered: SIGKILL does not wait for a long deadline.
+// A request with a long deadline is open when the time for a shutdown is over. SIGKILL does not wait for it, so it is
+// answered with an error.
 func TestShutdownAnswersOpenRequests(t *testing.T) {
 	ln := listen(t)
 	server := newIdleServer(t, ln.Addr().String())
@@ -108,7 +110,7 @@
 		server.requests.startAttempt(request, policy.SendAttempt{ID: request.id, Backend: "s-0"})
 	}
 	backend := accept(t, ln)
-	runTasksUntil(t, server, func() bool { return server.upstream.dialled("s-0") })
+	runTasksUntil(t, server, func() bool { return server.upstream.dialed("s-0") })
 	backend.message()
 	server.requests.abandonAll()
 	client.wants("-ERR no answer in time")
@@ -135,10 +137,11 @@
 	gateway.waitForShutdown()
 }
 
-// A client that leaves is seen wherever its reader stands, so that nothing is sent on for it: with more commands
-// on its connection than may be open, behind one that can't be read, and between bad ones.
+// A client leaves while its reader does not wait for its next command: more commands are open than may be, or one could
+// not be read. The end was not seen there, and all that it had asked was forwarded. Now it is seen wherever the reader
+// stands.
 func TestLeavingClientIsSeen(t *testing.T) {
-	request := func(i int) string { return respCommand("Q.ASK", tenantID, fmt.Sprint("r", i), idempotentFields) }
+	request := func(i int) string { return requestCommand(fmt.Sprint("r", i)) }
 	many := ""
 	for i := range maxPipelined + 100 {
 		many += request(i)
@@ -170,7 +173,7 @@
 	}
 }
 
-// The pause after a bad command ends with the connection.
+// A client leaves during the pause after an unusable command. The pause ends with the connection, and keeps what it read.
 func TestPauseEndsWithTheConnection(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
 	conn, client := newClientPair(t, server)
@@ -185,18 +188,32 @@
 	}
 }
 
-// What was read ahead while too many were open is taken when answers make room.
+// What was read ahead while too many commands were open is taken when replies make room.
 func TestReadAheadIsTaken(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
 	server.ready.Store(true)
 	conn, client := newClientPair(t, server)
 	go conn.serve()
-	client.write(respCommand("Q.ASK", tenantID, "1", idempotentFields))
+	client.write(requestCommand("1"))
 	for range maxPipelined {
 		client.write(respCommand("PING"))
 	}
 	client.write(respCommand("PI")) // it is answered last
 	runTasksUntil(t, server, func() bool { return len(server.requests.byID) == 1 })
+	waitForParkedReader(t, conn)
+	for _, request := range server.requests.byID {
+		server.requests.answer(request, []byte("-BUSY\r\n"))
+	}
+	client.wants("-BUSY")
+	for range maxPipelined {
+		client.wants("+PONG")
+	}
+	client.wants("-ERR unknown command 'PI'")
+}
+
+// waitForParkedReader waits until the reader of a connection reads ahead for want of room.
+func waitForParkedReader(t *testing.T, conn *clientConn) {
+	t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		conn.mu.Lock()
 		parked := conn.readerParked
@@ -207,17 +224,10 @@
 			t.Fatal("the reader does not wait")
 		}
 	}
-	for _, request := range server.requests.byID {
-		server.requests.answer(request, []byte("-BUSY\r\n"))
-	}
-	client.wants("-BUSY")
-	for range maxPipelined {
-		client.wants("+PONG")
-	}
-	client.wants("-ERR unknown command 'PI'")
 }
 
-// A client for which there is no place hears so though it has already sent its request.
+// A client for which there is no room has already sent its request. Its rejection was lost to the reset of a connection
+// that is closed with bytes unread; now it hears of it.
 func TestRejectedConnectionIsTold(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
 	server.downstream.maxConns = budget.ConnsPerRejected
@@ -229,7 +239,8 @@
 	client.wantsEnd()
 }
 
-// An error line is not lost to a reset though the client goes on sending.
+// A client goes on sending behind a command that can't be read. Neither the error line nor the reply before it is lost to a
+// reset.
 func TestErrorLineOutlivesTheRest(t *testing.T) {
 	gateway, ln := startWithBackend(t)
 	client := gateway.dial()
@@ -242,7 +253,7 @@
 	client.wantsEnd()
 }
 
-// The listener's deadline ends the taking of connections though clients go on coming.
+// Clients go on coming while the backlog is taken at a shutdown. The listener ends all the same.
 func TestAcceptEndsUnderLoad(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
 	ln := listen(t)
@@ -261,7 +272,7 @@
 	server.downstream.accept(ln)
 }
 
-// A request whose client leaves while the counter is asked for it is not sent on when the answer comes.
+// A client leaves while the counter is asked for its request. The request is not forwarded when the answer comes.
 func TestClientLeavesDuringACounterCall(t *testing.T) {
 	ln, counter := listen(t), listen(t)
 	gateway := startGateway(t, []string{ln.Addr().String()}, func(cfg *Config, t *testing.T) {
@@ -293,7 +304,7 @@
 	}()
 	gateway.until(func() bool { return len(gateway.server.counter.open) == 0 && len(gateway.server.events) == 0 })
 	if !rawsocket.Quiet(backend.socket) {
-		t.Error("it was sent on")
+		t.Error("it was forwarded")
 	}
 	ln.Close()
 	if gateway.until(func() bool { return gateway.server.upstream.connCount <= 1 }); len(gateway.server.requests.idInUse) != 0 {
@@ -301,7 +312,8 @@
 	}
 }
 
-// A shutdown leaves a new connection the time to bring its first request, and no longer.
+// A connection is new when a shutdown drains the others, and its first request is on its way. It is left the time for it,
+// and no longer.
 func TestNewConnectionHasTimeForItsRequest(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
 	conn, client := newClientPair(t, server)
--- a/internal/gateway/testgateway_test.go
+++ b/internal/gateway/testgateway_test.go
@@ -34,7 +34,7 @@
 "tiers-of-service":[{"name":"open","value-factor":1.0},
  {"name":"starter","value-factor":1.0,"units-per-s":2.5,"most-at-once":10,"over-cost":1.2}]}`
 
-// testGateway is a front door with what stands round it, all on loopback.
+// testGateway is a gateway with what stands round it, all on loopback.
 type testGateway struct {
 	t           *testing.T
 	server      *Server
@@ -46,7 +46,7 @@
 
 type option func(*Config, *testing.T)
 
-// startGateway runs a front door that knows the given backends.
+// startGateway runs a gateway that knows the given backends.
 func startGateway(t *testing.T, addrs []string, options ...option) *testGateway {
 	t.Helper()
 	gateway := &testGateway{t: t, listUpdates: make(chan endpoint.List), watches: make(chan string, 16)}
@@ -217,7 +217,7 @@
 	}
 }
 
-// waitForShutdown waits until the front door has ended.
+// waitForShutdown waits until the gateway has ended.
 func (gateway *testGateway) waitForShutdown() {
 	gateway.t.Helper()
 	select {
--- a/internal/gateway/upstream_test.go
+++ b/internal/gateway/upstream_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// An error from one backend leads to another attempt; its connection is good for more. After a break the value
-// of a keyed request still comes from a backend.
+// An error from one backend leads to a retry; its connection is good for more. After a reset the value of a request that
+// is idempotent with a key still comes from a backend.
 func TestFailedAttemptIsRetried(t *testing.T) {
 	gateway, ln := startWithBackend(t, withoutSettleTime)
 	client := gateway.dial()
@@ -49,7 +49,7 @@
 	client.wants("done")
 }
 
-// An unsafe request that may have run is neither sent again nor refused, only failed.
+// A non-idempotent request that may have run is neither retried nor rejected, only failed.
 func TestNonIdempotentRequestIsNotRetried(t *testing.T) {
 	gateway, ln := startWithBackend(t)
 	client := gateway.dial()
@@ -59,21 +59,22 @@
 	client.wants("-ERR failed")
 }
 
-// Odd answers cost the connection, not the front door, and are served to nobody.
+// Replies that no backend makes for a request cost the connection, not the gateway, and are served to nobody.
 func TestMalformedRepliesEndTheConnection(t *testing.T) {
-	for _, odd := range []string{"+OK\r\n", "*1\r\n$-1\r\n", "nonsense\r\n", "$999999999\r\n", ":1\r\n", "*1\r\n*1\r\n*1\r\n*1\r\n"} {
-		ln := listen(t) // the module no longer uses a backend that fails twice
+	for _, malformed := range []string{"+OK\r\n", "*1\r\n$-1\r\n", "nonsense\r\n", "$999999999\r\n", ":1\r\n", "*1\r\n*1\r\n*1\r\n*1\r\n"} {
+		ln := listen(t) // the engine no longer uses a backend that fails twice
 		gateway := startGateway(t, []string{ln.Addr().String()})
 		client := gateway.dial()
 		client.command("Q.DO", tenantID, "1", nonIdempotentFields, "body")
 		backend := acceptCommand(t, ln)
-		backend.write(odd)
+		backend.write(malformed)
 		client.wants("-ERR failed")
 		backend.wantsEnd()
 	}
 }
 
-// An answer that nobody asked for must not be taken for that of the next request.
+// A backend sends two replies to one command. The second one must not be taken for the reply to the next request: its
+// client would be given another one's value.
 func TestUnsolicitedReplyReachesNobody(t *testing.T) {
 	gateway, ln := startWithBackend(t)
 	client := gateway.dial()
@@ -88,25 +89,23 @@
 	client.wants("two")
 }
 
+// However an attempt ends, the engine is told of one outcome, and what comes later changes nothing: not a cancel, nor its
+// deadline, nor the end of its connection.
 func TestOneOutcomeForEachAttempt(t *testing.T) {
 	ends := map[string]struct {
 		want policy.Status
 		do   func(server *Server, attempt *backendAttempt, backend *peer)
 	}{
-		"cancel": {policy.Cancelled, func(server *Server, attempt *backendAttempt, backend *peer) {
-			server.carryOut(policy.CancelAttempt{ID: attempt.request.id})
-		}},
-		"timeout": {policy.TimedOut, func(server *Server, attempt *backendAttempt, backend *peer) { server.timers.Run(attempt.deadline) }},
-		"reset":   {policy.ConnectionReset, func(server *Server, attempt *backendAttempt, backend *peer) { backend.socket.Close() }},
-		"gone": {policy.Cancelled, func(server *Server, attempt *backendAttempt, backend *peer) {
-			server.requests.clientGone(attempt.request.received)
-		}},
-		"noise":  {policy.Failed, func(server *Server, attempt *backendAttempt, backend *peer) { backend.write("\x00\x01\x02\r\n") }},
-		"length": {policy.Failed, func(server *Server, attempt *backendAttempt, backend *peer) { backend.write("*1\r\n$3000000000\r\nx") }},
-		"short":  {policy.Failed, func(server *Server, attempt *backendAttempt, backend *peer) { backend.write("*1\r\n$20\r\nx\r\n") }}, // and no more
-		"line":   {policy.Failed, func(server *Server, attempt *backendAttempt, backend *peer) { backend.write("-OOPS\r\n") }},
-		"full":   {policy.Rejected, func(server *Server, attempt *backendAttempt, backend *peer) { backend.write("-BUSY\r\n") }},
-		"served": {policy.OK, func(server *Server, attempt *backendAttempt, backend *peer) { backend.write("*1\r\n$1\r\nx\r\n") }},
+		"cancel":      {policy.Cancelled, cancelAttempt},
+		"timeout":     {policy.TimedOut, exceedDeadline},
+		"client gone": {policy.Cancelled, loseClient},
+		"reset":       {policy.ConnectionReset, func(_ *Server, _ *backendAttempt, backend *peer) { backend.socket.Close() }},
+		"noise":       {policy.Failed, replyWith("\x00\x01\x02\r\n")},
+		"length":      {policy.Failed, replyWith("*1\r\n$3000000000\r\nx")},
+		"short":       {policy.Failed, replyWith("*1\r\n$20\r\nx\r\n")}, // and no more
+		"line":        {policy.Failed, replyWith("-OOPS\r\n")},
+		"busy":        {policy.Rejected, replyWith("-BUSY\r\n")},
+		"served":      {policy.OK, replyWith("*1\r\n$1\r\nx\r\n")},
 	}
 	for name, end := range ends {
 		t.Run(name, func(t *testing.T) {
@@ -123,8 +122,8 @@
 			end.do(server, attempt, backend)
 			runTasksUntil(t, server, func() bool { return attempt.ended })
 			wantOutcome(t, server, end.want)
-			server.carryOut(policy.CancelAttempt{ID: attempt.request.id}) // what comes later changes nothing
-			server.timers.Run(attempt.deadline)
+			cancelAttempt(server, attempt, backend)
+			exceedDeadline(server, attempt, backend)
 			conn.connectionEnded()
 			wantOutcome(t, server, end.want)
 			if end.want != policy.Rejected && end.want != policy.OK {
@@ -134,29 +133,45 @@
 	}
 }
 
-// A request whose connection is still being made when its backend drains, the attempt is called off or the client
-// leaves must not be written afterwards.
+// Ways in which an attempt ends.
+
+func cancelAttempt(server *Server, attempt *backendAttempt, _ *peer) {
+	server.carryOut(policy.CancelAttempt{ID: attempt.request.id})
+}
+
+func exceedDeadline(server *Server, attempt *backendAttempt, _ *peer) {
+	server.timers.Run(attempt.deadline)
+}
+
+func loseClient(server *Server, attempt *backendAttempt, _ *peer) {
+	server.requests.clientGone(attempt.request.received)
+}
+
+func replyWith(text string) func(*Server, *backendAttempt, *peer) {
+	return func(_ *Server, _ *backendAttempt, backend *peer) { backend.write(text) }
+}
+
+// A connection is still being dialed when its backend drains, the attempt is cancelled or the client leaves. When it has
+// come up the request must not be written: the backend may end before it answers, or nobody waits for the answer.
 func TestPendingDialIsNotWritten(t *testing.T) {
-	for name, end := range map[string]func(server *Server, attempt *backendAttempt){
-		"drain": func(server *Server, attempt *backendAttempt) {
+	for name, end := range map[string]func(*Server, *backendAttempt, *peer){
+		"drain": func(server *Server, _ *backendAttempt, _ *peer) {
 			m := endpointList(2, server.upstream.pools["s-0"].addr)
 			m.Endpoints[0].Status = "DRAINING"
 			server.discovery.Apply(m.Endpoints, policy.Delta)
 		},
-		"left out": func(server *Server, attempt *backendAttempt) {
+		"left out": func(server *Server, _ *backendAttempt, _ *peer) {
 			server.discovery.Apply(endpointList(2).Endpoints, policy.Snapshot)
 		},
-		"cancel": func(server *Server, attempt *backendAttempt) {
-			server.carryOut(policy.CancelAttempt{ID: attempt.request.id})
-		},
-		"gone": func(server *Server, attempt *backendAttempt) { server.requests.clientGone(attempt.request.received) },
+		"cancel":      cancelAttempt,
+		"client gone": loseClient,
 	} {
 		t.Run(name, func(t *testing.T) {
 			ln := listen(t)
 			server := newIdleServer(t, ln.Addr().String())
 			attempt := newAttempt(t, server)
 			backend := accept(t, ln) // the connection is up, but the loop has not heard of it
-			end(server, attempt)
+			end(server, attempt, backend)
 			wantOutcome(t, server, policy.NotSent)
 			for len(server.tasks) > 0 {
 				(<-server.tasks)()
@@ -176,26 +191,20 @@
 	}
 }
 
-// With no socket left the connection that was idle longest makes room; with none idle the attempt is not sent.
+// With no descriptor left the connection that was idle longest makes room; with none idle the attempt is not sent.
 func TestConnectionsAreBounded(t *testing.T) {
 	first, second := listen(t), listen(t)
 	server := newIdleServer(t, first.Addr().String(), second.Addr().String())
 	server.upstream.maxConns = 1
-	attempt := newAttempt(t, server)
-	client := accept(t, first)
-	runTasksUntil(t, server, func() bool { return attempt.conn.writeState.Load() != commandUnsent })
-	client.message()
+	attempt, backend := newAttemptInFlight(t, server, first)
 	other := &backendAttempt{request: attempt.request, number: 1, backend: "s-1", deadline: attempt.deadline}
 	server.upstream.startAttempt(other)
 	wantOutcome(t, server, policy.NotSent)
-	for conn := attempt.conn; conn.writeState.Load() != commandWritten; {
-		time.Sleep(time.Millisecond)
-	}
-	client.write("*1\r\n$1\r\nx\r\n")
+	backend.write("*1\r\n$1\r\nx\r\n")
 	runTasksUntil(t, server, func() bool { return attempt.ended })
 	server.events = nil
 	server.upstream.startAttempt(&backendAttempt{request: attempt.request, number: 2, backend: "s-1", deadline: attempt.deadline})
-	client.wantsEnd()
+	backend.wantsEnd()
 	accept(t, second)
 }
 
@@ -220,53 +229,47 @@
 			server.discovery.Apply(m.Endpoints, policy.Delta)
 		},
 	} {
-		attempt := newAttempt(t, server)
-		client := accept(t, ln)
-		runTasksUntil(t, server, func() bool { return attempt.conn.writeState.Load() != commandUnsent })
-		client.message()
-		for conn := attempt.conn; conn.writeState.Load() != commandWritten; {
-			time.Sleep(time.Millisecond)
-		}
-		client.write("*1\r\n$1\r\nx\r\n")
+		_, backend := newAttemptInFlight(t, server, ln)
+		backend.write("*1\r\n$1\r\nx\r\n")
 		runTasksUntil(t, server, func() bool { return len(pool.idle) == 1 })
 		end()
 		if len(pool.idle) != 0 || server.upstream.connCount != 0 {
 			t.Errorf("%d idle connections, %d in all", len(pool.idle), server.upstream.connCount)
 		}
-		client.wantsEnd()
+		backend.wantsEnd()
 	}
 }
 
-// inUse makes an attempt on the one connection to a backend and waits until it has come there.
-func inUse(t *testing.T, server *Server, ln net.Listener) (*backendAttempt, *peer) {
+// newAttemptInFlight makes an attempt by a new connection to a backend and waits until it has come there.
+func newAttemptInFlight(t *testing.T, server *Server, ln net.Listener) (*backendAttempt, *peer) {
 	t.Helper()
 	attempt := newAttempt(t, server)
-	client := accept(t, ln)
+	backend := accept(t, ln)
 	runTasksUntil(t, server, func() bool { return attempt.conn.writeState.Load() == commandWritten })
-	client.message()
-	return attempt, client
+	backend.message()
+	return attempt, backend
 }
 
-// What comes on a connection while nothing is asked must not stand before the next answer, nor a whole second
-// copy be taken for it: the connection is not used again, whether its reader has seen it or not.
+// A backend sends more than it was asked for, some time after its reply. These bytes must not stand before the next reply,
+// nor be taken for it: the connection is not used again, whether its reader has seen them or not.
 func TestLateExtraBytesEndTheConnection(t *testing.T) {
 	for _, surplus := range []string{"*1\r\n$5\r\nstray\r\n", "*1\r\n$5\r\nst", "x"} {
 		ln := listen(t)
 		server := newIdleServer(t, ln.Addr().String())
-		attempt, client := inUse(t, server, ln)
-		client.write("*1\r\n$1\r\nx\r\n")
+		attempt, backend := newAttemptInFlight(t, server, ln)
+		backend.write("*1\r\n$1\r\nx\r\n")
 		runTasksUntil(t, server, func() bool { return attempt.ended })
 		conn := server.upstream.pools["s-0"].idle[0]
-		client.write(surplus)
+		backend.write(surplus)
 		runTasksUntil(t, server, func() bool { return conn.closed })
-		client.wantsEnd()
+		backend.wantsEnd()
 		if !conn.malformed.Load() || len(server.upstream.pools["s-0"].idle) != 0 {
 			t.Errorf("%q: the connection is kept", surplus)
 		}
 	}
 }
 
-// Before an idle connection is used the socket itself is asked, as its reader may not have run since.
+// Bytes have come on an idle connection, and its reader has not run since. So before it is used the socket itself is asked.
 func TestQuiet(t *testing.T) {
 	ln := listen(t)
 	nc, err := net.Dial("tcp", ln.Addr().String())
@@ -274,11 +277,11 @@
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	client := accept(t, ln)
+	backend := accept(t, ln)
 	if !rawsocket.Quiet(nc) {
 		t.Error("nothing has come, and it is not quiet")
 	}
-	client.write("x")
+	backend.write("x")
 	for end := time.Now().Add(testTimeout); rawsocket.Quiet(nc); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("what has come is not seen")
@@ -286,31 +289,32 @@
 	}
 }
 
-// A connection that was busy when its backend moved leads to the old process: it ends with its answer.
+// A backend moves to another address while a connection to it is busy, and then while one is dialed. Both lead to the old
+// process: the busy one ends with its reply, the other at once.
 func TestBusyConnectionOfAnOldAddressIsNotKept(t *testing.T) {
 	ln, next := listen(t), listen(t)
 	server := newIdleServer(t, ln.Addr().String())
-	attempt, client := inUse(t, server, ln)
+	attempt, backend := newAttemptInFlight(t, server, ln)
 	server.discovery.Apply(endpointList(2, next.Addr().String()).Endpoints, policy.Snapshot)
-	client.write("*1\r\n$1\r\nx\r\n")
+	backend.write("*1\r\n$1\r\nx\r\n")
 	runTasksUntil(t, server, func() bool { return attempt.ended })
 	wantOutcome(t, server, policy.OK)
-	client.wantsEnd()
+	backend.wantsEnd()
 	server.events = nil
 	attempt = newAttempt(t, server)
-	dialling := attempt.conn
-	server.discovery.Apply(endpointList(3, ln.Addr().String()).Endpoints, policy.Snapshot) // it moves while it is being dialled
+	dialing := attempt.conn
+	server.discovery.Apply(endpointList(3, ln.Addr().String()).Endpoints, policy.Snapshot) // it moves while it is being dialed
 	wantOutcome(t, server, policy.NotSent)
-	if !dialling.closed {
+	if !dialing.closed {
 		t.Error("the dial to the old address goes on")
 	}
 }
 
-// A backend that is gone must be forgotten with its last attempt, however that ends.
+// A backend that is removed must be forgotten with its last attempt, however that ends.
 func TestRemovedBackendIsForgotten(t *testing.T) {
 	ln := listen(t)
 	server := newIdleServer(t, ln.Addr().String())
-	attempt, _ := inUse(t, server, ln)
+	attempt, _ := newAttemptInFlight(t, server, ln)
 	server.discovery.Apply(endpointList(2).Endpoints, policy.Snapshot)
 	server.timers.Run(attempt.deadline)
 	wantOutcome(t, server, policy.TimedOut)
@@ -319,21 +323,21 @@
 	}
 }
 
-// Probes end once, whatever comes back.
+// Health checks end once, whatever comes back.
 func TestHealthCheck(t *testing.T) {
 	ln := listen(t)
 	server := newIdleServer(t, ln.Addr().String())
 	for text, want := range map[string]policy.Status{"+PONG\r\n": policy.OK, "-ERR no\r\n": policy.Failed} {
 		server.events = nil
 		server.upstream.startHealthCheck("s-0")
-		client := accept(t, ln)
+		backend := accept(t, ln)
 		runTasksUntil(t, server, func() bool {
-			return server.upstream.connCount == 1 && len(server.tasks) == 0 && server.upstream.dialled("s-0")
+			return server.upstream.connCount == 1 && len(server.tasks) == 0 && server.upstream.dialed("s-0")
 		})
-		if m := client.message(); m[0] != "PING" {
+		if m := backend.message(); m[0] != "PING" {
 			t.Fatalf("got %q", m)
 		}
-		client.write(text)
+		backend.write(text)
 		runTasksUntil(t, server, func() bool { return len(server.events) > 0 })
 		if got := server.events[0].(policy.HealthCheckResult); got.Status != want {
 			t.Errorf("%q: %+v", text, got)
@@ -341,7 +345,8 @@
 	}
 }
 
-func (backends *upstream) dialled(name string) bool {
+// dialed says whether no connection to a backend is being dialed.
+func (backends *upstream) dialed(name string) bool {
 	for conn := range backends.pools[name].conns {
 		if conn.socket == nil {
 			return false
@@ -350,16 +355,17 @@
 	return true
 }
 
-// A second answer that comes some milliseconds late must find no other request on its connection: one that was
-// answered just now is left alone, however busy the backend is, and serves again when it has stayed quiet.
+// A backend sends a second reply to one command some milliseconds late. Where the connection was used again at once, the
+// next request got it for its own. So a connection that was answered just now rests, however busy the backend is, and is
+// used again when it has stayed quiet.
 func TestLateSecondAnswerReachesNobody(t *testing.T) {
 	ln := listen(t)
 	server := newIdleServer(t, ln.Addr().String())
 	server.upstream.settleTime = time.Hour
-	attempt, first := inUse(t, server, ln)
+	attempt, first := newAttemptInFlight(t, server, ln)
 	first.write("*1\r\n$3\r\none\r\n")
 	runTasksUntil(t, server, func() bool { return attempt.ended })
-	attempt, second := inUse(t, server, ln) // a new connection
+	attempt, second := newAttemptInFlight(t, server, ln) // a new connection
 	first.write("*1\r\n$3\r\none\r\n")
 	first.wantsEnd()
 	second.write("*1\r\n$3\r\ntwo\r\n")
@@ -375,16 +381,17 @@
 	}
 }
 
-// A repeat whose connection comes up when repeats are no longer dropped is not written.
+// A retry of a request that is idempotent with a key waits for its connection, which comes up when the backend no longer
+// drops requests with a key that it has seen. It would run a second time, so it is not written.
 func TestLateRetryIsNotWritten(t *testing.T) {
 	ln := listen(t)
 	server := newIdleServer(t, ln.Addr().String())
 	attempt := newAttempt(t, server)
-	client := accept(t, ln) // it is up, but the loop has not heard of it
+	backend := accept(t, ln) // it is up, but the loop has not heard of it
 	attempt.sendBefore = server.now()
 	runTasksUntil(t, server, func() bool { return attempt.ended })
 	wantOutcome(t, server, policy.NotSent)
-	client.wantsEnd()
+	backend.wantsEnd()
 	server.events = nil
 	server.requests.startAttempt(attempt.request, policy.SendAttempt{ID: attempt.request.id, Backend: "s-0", SendBefore: 5})
 	if got := attempt.request.attempts[1].sendBefore; got != 5 {
@@ -392,14 +399,15 @@
 	}
 }
 
-// The true units of a request come with its answer; a figure that none can have is not taken.
+// Where quotas are settled on the response, the cost comes with a backend's reply and is passed on to the engine; a figure
+// that no request can have is not taken.
 func TestReportedCostIsPassedOn(t *testing.T) {
 	for figures, want := range map[string]float64{"cost=1": 1, "used=3,cost=0.5": 0.5, "cost=2": 0, "cost=x": 0,
 		"cost=-1": 0, "cost=1e9": 0, "": 0} {
 		ln := listen(t)
 		server := newIdleServer(t, ln.Addr().String())
-		attempt, client := inUse(t, server, ln)
-		client.write("*3\r\n" + respBulk("x") + respBulk(figures) + "$-1\r\n")
+		attempt, backend := newAttemptInFlight(t, server, ln)
+		backend.write("*3\r\n" + respBulk("x") + respBulk(figures) + "$-1\r\n")
 		runTasksUntil(t, server, func() bool { return attempt.ended })
 		if got := attemptOutcomes(server); len(got) != 1 || got[0].Status != policy.OK || got[0].Cost != want {
 			t.Errorf("%q: %+v", figures, got)
--- a/internal/gateway/watchdog_test.go
+++ b/internal/gateway/watchdog_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// A loop that stands still is reported once, with the place where it stands, and so is that it goes on; one that has
-// nothing to do is not.
+// A loop that waits for something never comes back, and nothing is logged, as the loop does that. The watchdog reports it
+// once, with the place where it stands, and that it runs again; a loop that has nothing to do is not reported.
 func TestWatchdogReportsAStuckLoop(t *testing.T) {
 	var log lockedBuffer
 	gateway := startGateway(t, nil)
-	dog := make(chan struct{})
-	defer close(dog)
-	go gateway.server.watchdog.Run(dog, 100*time.Millisecond, slog.New(slog.NewTextHandler(&log, nil)))
+	done := make(chan struct{})
+	defer close(done)
+	go gateway.server.watchdog.Run(done, 100*time.Millisecond, slog.New(slog.NewTextHandler(&log, nil)))
 	says := func(want string) {
 		t.Helper()
 		for end := time.Now().Add(testTimeout); !strings.Contains(log.String(), want); time.Sleep(time.Millisecond) {
