--- a/internal/gateway/backendconn.go
+++ b/internal/gateway/backendconn.go
@@ -13,12 +13,6 @@
 	"bellwood/internal/resp"
 )
 
-// replyStallTimeout: an answer that has begun and then stops for so long has a wrong length.
-const replyStallTimeout = 250 * time.Millisecond
-
-// errUnsolicitedReply says that bytes came on a connection that owed no answer.
-var errUnsolicitedReply = errors.New("backend connection: a reply to no command")
-
 // pingCommand is a health check.
 const pingCommand = "*1\r\n$4\r\nPING\r\n"
 
@@ -49,12 +43,7 @@
 	writeState   atomic.Int32 // of the command that was last given to it
 	readEnded    atomic.Bool  // the reader has ended
 	malformed    atomic.Bool  // the reader has ended because what came is no answer
-	commandsSent atomic.Int32 // commands given to it
-
-	// The reader's alone.
-	replies     *resp.Reader
-	repliesRead int32
-	deadlineSet bool // a read deadline is set
+	commandsSent atomic.Int32 // commands given to it; the reader counts replies against it
 }
 
 func (conn *backendConn) dialing() bool { return conn.socket == nil }
@@ -75,8 +64,9 @@
 func (conn *backendConn) reusableAfter(reply backendReply, attempt *backendAttempt, check *healthCheck) bool {
 	asked := attempt != nil || check != nil
 	answered := !reply.unexpected || check != nil && reply.pong
-	return asked && answered && !reply.trailingBytes && conn.writeState.Load() == commandWritten &&
-		conn.pool.inService && conn.generation == conn.pool.generation
+	atRest := !reply.trailingBytes && conn.writeState.Load() == commandWritten
+	sameBackend := conn.pool.inService && conn.generation == conn.pool.generation
+	return asked && answered && atRest && sameBackend
 }
 
 // dialAndRead dials and then reads answers until the connection ends. It is the connection's own goroutine.
@@ -87,16 +77,18 @@
 		return
 	}
 	conn.upstream.loop.post(func() { conn.connected(socket) })
-	conn.replies = resp.NewReader(replySource{conn, socket}, nil)
+	conn.readReplies(socket)
+}
+
+// readReplies reads answers until the connection ends.
+func (conn *backendConn) readReplies(socket net.Conn) {
+	reader := newReplyReader(socket, &conn.commandsSent)
 	for {
-		message, err := conn.replies.Next()
+		reply, err := reader.next()
 		if err != nil {
 			conn.readFailed(socket, err)
 			return
 		}
-		reply := readReply(message)
-		conn.repliesRead++
-		reply.trailingBytes = conn.replies.Partial()
 		conn.upstream.loop.post(func() { conn.upstream.replyReceived(conn, reply) })
 	}
 }
@@ -113,7 +105,13 @@
 	}
 }
 
-// readFailed notes how the reading ended. Who writes posts the end where a write is under way, knowing how far it got.
+// readFailed notes how the reading ended, and posts the end to the loop unless a write is under way.
+//
+// Failure: the connection breaks while its command is being written, and the reader sees it first. How it shows: a command
+// that never ran counts as one that may have run and is not retried, or the other way round. Why this holds: as long as
+// the command is being written the end is left to who writes, who knows how far it got; that one stores the state before
+// it looks whether the reader has ended, and the reader the other way round, so at least one of them posts the end, and
+// the loop takes a second one for nothing. TestOneOutcomeForEachAttempt, TestNonIdempotentRequestIsNotRetried.
 func (conn *backendConn) readFailed(socket net.Conn, err error) {
 	conn.malformed.Store(errors.Is(err, resp.ErrMalformed) || errors.Is(err, errUnsolicitedReply) ||
 		errors.Is(err, os.ErrDeadlineExceeded))
@@ -123,30 +121,6 @@
 	}
 }
 
-// replySource reads from a backend's socket for the reader of replies. It takes nothing while no answer is owed: that
-// would be found in front of the next answer, and a client be given another one's value (TestUnsolicitedReplyReachesNobody). And an
-// answer that has begun must go on.
-type replySource struct {
-	conn   *backendConn
-	socket net.Conn
-}
-
-func (source replySource) Read(buffer []byte) (int, error) {
-	conn := source.conn
-	if conn.replies.Partial() {
-		source.socket.SetReadDeadline(time.Now().Add(replyStallTimeout))
-		conn.deadlineSet = true
-	} else if conn.deadlineSet {
-		source.socket.SetReadDeadline(time.Time{})
-		conn.deadlineSet = false
-	}
-	n, err := source.socket.Read(buffer)
-	if n > 0 && conn.commandsSent.Load() == conn.repliesRead {
-		return 0, errUnsolicitedReply
-	}
-	return n, err
-}
-
 // writeCommand writes what the connection carries, as far as the socket takes it at once. The rest is written by a
 // goroutine of its own: a backend that takes nothing must not hold up the loop. The loop closes the connection when the
 // time is up.
--- a/internal/gateway/clientclose.go
+++ b/internal/gateway/clientclose.go
@@ -59,7 +59,7 @@
 // closeIfDone closes a connection that is to end when no reply is owed on it. The caller holds mu.
 func (conn *clientConn) closeIfDone() {
 	switch {
-	case conn.closed || conn.owesReply():
+	case conn.closed || conn.replies.owed():
 	case conn.discarding && !conn.lingering:
 		conn.startLinger()
 	case conn.finishing && !conn.discarding && conn.betweenRequests():
@@ -71,7 +71,7 @@
 func (conn *clientConn) closeIfBetweenRequests() bool {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
-	if !conn.closed && !conn.discarding && !conn.owesReply() && conn.betweenRequests() {
+	if !conn.closed && !conn.discarding && !conn.replies.owed() && conn.betweenRequests() {
 		conn.closeLocked()
 	}
 	return conn.closed
@@ -95,3 +95,22 @@
 		conn.roomOrClosed.Broadcast()
 	}
 }
+
+// evictionRank orders the connections that may be closed to make room, the lowest first: those that have been idle for
+// long, then those on which nothing was ever asked, and last, where no room is left at all, those that may be asked
+// again soon. It says whether the connection may be closed.
+func (conn *clientConn) evictionRank(now time.Duration, full bool) (rank time.Duration, ok bool) {
+	since := time.Duration(conn.idleSince.Load())
+	if since == 0 {
+		return 0, false
+	}
+	switch idle := now - since; {
+	case idle >= minIdle:
+		return since, true
+	case idle >= minIdleWithoutCommand && !conn.commandSeen.Load():
+		return since + minIdle, true
+	case full && idle >= minIdleWhenFull:
+		return since + 2*minIdle, true
+	}
+	return 0, false
+}
--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -49,15 +49,13 @@
 	// mu guards the fields below, and the closing of the socket. Whoever closes holds it; see receive for what that
 	// means to the reader.
 	mu           sync.Mutex
-	roomOrClosed *sync.Cond      // there is room for a further reply, or the connection has ended
-	pending      []*pendingReply // in the order of the commands
-	unwritten    []byte          // replies to be written
-	writing      bool            // a goroutine writes
-	commandBegun bool            // bytes were read that are not yet a command
-	readerParked bool            // the reader reads ahead until there is room
-	finishing    bool            // to be closed once all is answered: nothing more is forwarded
-	discarding   bool            // what still comes is thrown away
-	lingering    bool            // all is answered, and the rest of what is thrown away is awaited
+	roomOrClosed *sync.Cond // there is room for a further reply, or the connection has ended
+	replies      replyQueue
+	commandBegun bool // bytes were read that are not yet a command
+	readerParked bool // the reader reads ahead until there is room
+	finishing    bool // to be closed once all is answered: nothing more is forwarded
+	discarding   bool // what still comes is thrown away
+	lingering    bool // all is answered, and the rest of what is thrown away is awaited
 	closed       bool
 }
 
@@ -68,6 +66,7 @@
 			conn.rawSocket = raw
 		}
 	}
+	conn.replies.memory = clients.memory
 	conn.roomOrClosed = sync.NewCond(&conn.mu)
 	conn.commands = resp.NewReader(conn, clients.memory)
 	conn.idleSince.Store(int64(clients.loop.now()))
@@ -169,7 +168,7 @@
 	clients := conn.downstream
 	conn.mu.Lock()
 	conn.closeLocked()
-	left := conn.dropPending() // under the lock, as the loop may be answering
+	left := conn.replies.drop() // under the lock, as the loop may be answering
 	if conn.lingering {
 		clients.lingerEnded()
 	}
--- a/internal/gateway/clientreply.go
+++ b/internal/gateway/clientreply.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"bellwood/internal/gateway/budget"
 	"bellwood/internal/gateway/rawsocket"
 	"bellwood/internal/resp"
 )
@@ -22,6 +23,80 @@
 	memory  int64          // bytes taken from the budget until it is answered
 }
 
+// replyQueue keeps the replies of a connection in the order of its commands, first those that are still to be given and
+// then the bytes of those that are still to be written. The connection's lock guards it.
+type replyQueue struct {
+	memory    *budget.Bytes // of all clients
+	pending   []*pendingReply
+	unwritten []byte
+	writing   bool // a goroutine writes
+}
+
+// full says whether too many replies are pending, or those before are not read.
+func (queue *replyQueue) full() bool {
+	return len(queue.pending) >= maxPipelined || len(queue.unwritten) > maxUnreadBytes
+}
+
+// owed says whether a reply is still to be given or written.
+func (queue *replyQueue) owed() bool {
+	return len(queue.pending) > 0 || len(queue.unwritten) > 0 || queue.writing
+}
+
+// add keeps a place for the next reply.
+func (queue *replyQueue) add(request *clientRequest, memory int64) *pendingReply {
+	reply := &pendingReply{request: request, memory: memory}
+	queue.pending = append(queue.pending, reply)
+	return reply
+}
+
+// moveReady moves the replies that are ready, up to the first that is not, to those to be written, and says whether there
+// were any.
+func (queue *replyQueue) moveReady() (moved bool) {
+	for len(queue.pending) > 0 && queue.pending[0].ready {
+		first := queue.pending[0]
+		queue.unwritten = append(queue.unwritten, first.text...)
+		queue.memory.Adjust(int64(len(first.text)) - first.memory)
+		queue.pending[0] = nil
+		queue.pending = queue.pending[1:]
+		moved = true
+	}
+	return moved
+}
+
+// tooMuchUnread says whether the client is given up for what it leaves unread.
+func (queue *replyQueue) tooMuchUnread() bool {
+	unwritten := len(queue.unwritten)
+	return unwritten > maxUnwrittenBytes || unwritten > resp.MaxValueBytes && queue.memory.Exceeded()
+}
+
+// wrote takes off the first n bytes, which are written.
+func (queue *replyQueue) wrote(n int) {
+	queue.memory.Release(int64(n))
+	if queue.unwritten = queue.unwritten[n:]; len(queue.unwritten) == 0 {
+		queue.unwritten = nil
+	}
+}
+
+// takeUnwritten takes off all that is to be written. Its memory is given back when it is written.
+func (queue *replyQueue) takeUnwritten() []byte {
+	unwritten := queue.unwritten
+	queue.unwritten = nil
+	return unwritten
+}
+
+// drop gives back the memory of all that is not answered or not written, and returns the requests that have no answer.
+func (queue *replyQueue) drop() (unanswered []*clientRequest) {
+	for _, reply := range queue.pending {
+		if reply.request != nil {
+			unanswered = append(unanswered, reply.request)
+		}
+		queue.memory.Release(reply.memory)
+	}
+	queue.memory.Release(int64(len(queue.unwritten)))
+	queue.pending, queue.unwritten = nil, nil
+	return unanswered
+}
+
 // replyNow answers a command that takes no request, in its order, and says whether the connection stands.
 func (conn *clientConn) replyNow(line string) bool {
 	reply := conn.reserveReply(nil, 0)
@@ -34,7 +109,7 @@
 func (conn *clientConn) reserveReply(request *clientRequest, memory int64) *pendingReply {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
-	for (len(conn.pending) >= maxPipelined || len(conn.unwritten) > maxUnreadBytes) && !conn.closed {
+	for conn.replies.full() && !conn.closed {
 		conn.waitForRoom()
 	}
 	if conn.closed {
@@ -46,8 +121,7 @@
 
 // appendReply keeps a place. The caller holds mu.
 func (conn *clientConn) appendReply(request *clientRequest, memory int64) *pendingReply {
-	reply := &pendingReply{request: request, memory: memory}
-	conn.pending = append(conn.pending, reply)
+	reply := conn.replies.add(request, memory)
 	conn.idleSince.Store(0)
 	return reply
 }
@@ -64,48 +138,28 @@
 		return
 	}
 	reply.text, reply.ready, reply.request = text, true, nil
-	conn.moveReadyReplies()
-	if len(conn.pending) == 0 {
+	if conn.replies.moveReady() {
+		conn.signalRoom()
+	}
+	if len(conn.replies.pending) == 0 {
 		conn.idleSince.Store(int64(conn.downstream.loop.now()))
 	}
-	if conn.readsTooLittle() {
+	if conn.replies.tooMuchUnread() {
 		conn.closeLocked()
-	} else if len(conn.unwritten) > 0 && !conn.writing && !conn.closed {
+	} else if len(conn.replies.unwritten) > 0 && !conn.replies.writing && !conn.closed {
 		conn.writeSome()
 	}
 }
 
-// moveReadyReplies moves the replies that are ready, up to the first that is not, to those to be written. The caller
-// holds mu.
-func (conn *clientConn) moveReadyReplies() {
-	for len(conn.pending) > 0 && conn.pending[0].ready {
-		first := conn.pending[0]
-		conn.unwritten = append(conn.unwritten, first.text...)
-		conn.downstream.memory.Adjust(int64(len(first.text)) - first.memory)
-		conn.pending[0] = nil
-		conn.pending = conn.pending[1:]
-		conn.signalRoom()
-	}
-}
-
-// readsTooLittle says whether the client is given up for what it leaves unread. The caller holds mu.
-func (conn *clientConn) readsTooLittle() bool {
-	unwritten := len(conn.unwritten)
-	return unwritten > maxUnwrittenBytes || unwritten > resp.MaxValueBytes && conn.downstream.memory.Exceeded()
-}
-
 // writeSome writes what the socket takes at once. The caller holds mu.
 func (conn *clientConn) writeSome() {
-	n, err := rawsocket.WriteAvailable(conn.socket, conn.unwritten)
-	conn.downstream.memory.Release(int64(n))
-	if conn.unwritten = conn.unwritten[n:]; len(conn.unwritten) == 0 {
-		conn.unwritten = nil
-	}
+	n, err := rawsocket.WriteAvailable(conn.socket, conn.replies.unwritten)
+	conn.replies.wrote(n)
 	switch {
 	case err != nil:
 		conn.closeLocked()
-	case conn.unwritten != nil:
-		conn.writing = true
+	case conn.replies.unwritten != nil:
+		conn.replies.writing = true
 		go conn.writeRest() // until all is written or the connection ends
 	default:
 		conn.closeIfDone()
@@ -116,9 +170,8 @@
 func (conn *clientConn) writeRest() {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
-	for len(conn.unwritten) > 0 && !conn.closed {
-		replies := conn.unwritten
-		conn.unwritten = nil
+	for len(conn.replies.unwritten) > 0 && !conn.closed {
+		replies := conn.replies.takeUnwritten()
 		conn.signalRoom()
 		conn.mu.Unlock()
 		conn.socket.SetWriteDeadline(time.Now().Add(writeTimeout))
@@ -129,26 +182,7 @@
 			conn.closeLocked()
 		}
 	}
-	conn.writing = false
+	conn.replies.writing = false
 	conn.socket.SetWriteDeadline(time.Time{})
 	conn.closeIfDone()
 }
-
-// dropPending gives back the memory of all that is not answered or not written, and returns the requests that have no
-// answer. The caller holds mu.
-func (conn *clientConn) dropPending() (unanswered []*clientRequest) {
-	for _, reply := range conn.pending {
-		if reply.request != nil {
-			unanswered = append(unanswered, reply.request)
-		}
-		conn.downstream.memory.Release(reply.memory)
-	}
-	conn.downstream.memory.Release(int64(len(conn.unwritten)))
-	conn.pending, conn.unwritten = nil, nil
-	return unanswered
-}
-
-// owesReply says whether a reply is still to be given or written. The caller holds mu.
-func (conn *clientConn) owesReply() bool {
-	return len(conn.pending) > 0 || len(conn.unwritten) > 0 || conn.writing
-}
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -144,25 +144,6 @@
 	return first
 }
 
-// evictionRank orders the connections that may be closed to make room, the lowest first: those that have been idle for
-// long, then those on which nothing was ever asked, and last, where no room is left at all, those that may be asked
-// again soon. It says whether the connection may be closed.
-func (conn *clientConn) evictionRank(now time.Duration, full bool) (rank time.Duration, ok bool) {
-	since := time.Duration(conn.idleSince.Load())
-	if since == 0 {
-		return 0, false
-	}
-	switch idle := now - since; {
-	case idle >= minIdle:
-		return since, true
-	case idle >= minIdleWithoutCommand && !conn.commandSeen.Load():
-		return since + minIdle, true
-	case full && idle >= minIdleWhenFull:
-		return since + 2*minIdle, true
-	}
-	return 0, false
-}
-
 // rejectConn rejects a connection for which there is no room.
 //
 // Failures: closing a connection whose request lies unread resets it, and the client loses the rejection; and a crowd in
--- /dev/null
+++ b/internal/gateway/replyreader.go
@@ -0,0 +1,62 @@
+package gateway
+
+import (
+	"errors"
+	"net"
+	"sync/atomic"
+	"time"
+
+	"bellwood/internal/resp"
+)
+
+// replyStallTimeout: an answer that has begun and then stops for so long has a wrong length.
+const replyStallTimeout = 250 * time.Millisecond
+
+// errUnsolicitedReply says that bytes came on a connection that owed no answer.
+var errUnsolicitedReply = errors.New("backend connection: a reply to no command")
+
+// replyReader reads a backend's answers. The goroutine that reads the connection owns it.
+type replyReader struct {
+	socket       net.Conn
+	commandsSent *atomic.Int32 // on the connection
+	messages     *resp.Reader
+	repliesRead  int32
+	deadlineSet  bool // a read deadline is set
+}
+
+func newReplyReader(socket net.Conn, commandsSent *atomic.Int32) *replyReader {
+	reader := &replyReader{socket: socket, commandsSent: commandsSent}
+	reader.messages = resp.NewReader(reader, nil)
+	return reader
+}
+
+// next returns the next answer. It fails with resp.ErrMalformed, errUnsolicitedReply, os.ErrDeadlineExceeded for an
+// answer that stalls, or an error of the network.
+func (reader *replyReader) next() (backendReply, error) {
+	message, err := reader.messages.Next()
+	if err != nil {
+		return backendReply{}, err
+	}
+	reply := readReply(message)
+	reader.repliesRead++
+	reply.trailingBytes = reader.messages.Partial()
+	return reply, nil
+}
+
+// Read reads from the socket for messages. It takes nothing while no answer is owed: that would be found in front of the
+// next answer, and a client be given another one's value (TestUnsolicitedReplyReachesNobody). And an answer that has
+// begun must go on.
+func (reader *replyReader) Read(buffer []byte) (int, error) {
+	if reader.messages.Partial() {
+		reader.socket.SetReadDeadline(time.Now().Add(replyStallTimeout))
+		reader.deadlineSet = true
+	} else if reader.deadlineSet {
+		reader.socket.SetReadDeadline(time.Time{})
+		reader.deadlineSet = false
+	}
+	n, err := reader.socket.Read(buffer)
+	if n > 0 && reader.commandsSent.Load() == reader.repliesRead {
+		return 0, errUnsolicitedReply
+	}
+	return n, err
+}
--- a/internal/gateway/testgateway_test.go
+++ b/internal/gateway/testgateway_test.go
@@ -204,7 +204,7 @@
 		gateway.server.downstream.mu.Lock()
 		for conn := range gateway.server.downstream.conns {
 			conn.mu.Lock()
-			most = max(most, len(conn.pending))
+			most = max(most, len(conn.replies.pending))
 			conn.mu.Unlock()
 		}
 		gateway.server.downstream.mu.Unlock()
--- a/internal/gateway/upstream_test.go
+++ b/internal/gateway/upstream_test.go
@@ -8,7 +8,6 @@
 
 	"github.com/tidwall/redcon"
 
-	"bellwood/internal/gateway/rawsocket"
 	"bellwood/internal/policy"
 )
 
@@ -269,26 +268,6 @@
 	}
 }
 
-// Bytes have come on an idle connection, and its reader has not run since. So before it is used the socket itself is asked.
-func TestQuiet(t *testing.T) {
-	ln := listen(t)
-	nc, err := net.Dial("tcp", ln.Addr().String())
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer nc.Close()
-	backend := accept(t, ln)
-	if !rawsocket.Quiet(nc) {
-		t.Error("nothing has come, and it is not quiet")
-	}
-	backend.write("x")
-	for end := time.Now().Add(testTimeout); rawsocket.Quiet(nc); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal("what has come is not seen")
-		}
-	}
-}
-
 // A backend moves to another address while a connection to it is busy, and then while one is dialed. Both lead to the old
 // process: the busy one ends with its reply, the other at once.
 func TestBusyConnectionOfAnOldAddressIsNotKept(t *testing.T) {
