--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,5 @@
-// Command simadapter hosts one bellwood.Door for each instance on the simulator's wire.
+// Command simadapter plays the decision module of simulated gateways: it reads the simulator's line protocol from
+// standard input, steps one policy.Engine for each instance, and writes the engines' actions to standard output.
 package main
 
 import (
@@ -19,49 +20,83 @@
 	}
 }
 
-// run answers batches until the input ends.
+// writeBuffer, in bytes: a reply may run to megabytes.
+const writeBuffer = 1 << 20
+
+// run answers batches until the input ends between two of them.
 func run(in io.Reader, out io.Writer) error {
-	r, w := simprotocol.NewReader(in), bufio.NewWriterSize(out, 1<<20)
-	doors := map[string]*policy.Engine{}
-	var line []byte
+	reader := simprotocol.NewReader(in)
+	a := &adapter{out: bufio.NewWriterSize(out, writeBuffer), engines: map[string]*policy.Engine{}}
 	for {
-		b, err := r.Next()
+		batch, err := reader.Next()
 		if errors.Is(err, io.EOF) {
 			return nil
 		}
 		if err != nil {
 			return err
 		}
-		for i := 0; i < len(b.Items); {
-			it := b.Items[i]
-			switch {
-			case it.Start:
-				d, err := policy.New(it.Settings, it.Seed)
-				if err != nil {
-					return fmt.Errorf("settings of %s: %w", it.Door, err)
-				}
-				doors[it.Door] = d
-				i++
-				continue
-			case doors[it.Door] == nil:
-				return fmt.Errorf("batch %s: unknown instance %s", b.Seq, it.Door)
-			case it.Stop:
-				delete(doors, it.Door)
-				i++
-				continue
-			}
-			var events []policy.Event
-			for ; i < len(b.Items) && b.Items[i].Door == it.Door && b.Items[i].Event != nil; i++ {
-				events = append(events, b.Items[i].Event)
-			}
-			for _, a := range doors[it.Door].Step(b.Now, events) {
-				line = simprotocol.Append(line[:0], it.Door, a)
-				w.Write(line)
+		if err := a.answer(batch); err != nil {
+			return err
+		}
+	}
+}
+
+// adapter holds the engines of the instances that run.
+type adapter struct {
+	out     *bufio.Writer
+	engines map[string]*policy.Engine // by instance
+	line    []byte                    // room for one action
+}
+
+// answer replies to a batch. Events of one instance that follow one another make one Step.
+func (a *adapter) answer(batch *simprotocol.Batch) error {
+	items := batch.Items
+	for len(items) > 0 {
+		item := items[0]
+		if item.Kind == simprotocol.InstanceStarted {
+			if err := a.start(item); err != nil {
+				return err
 			}
+			items = items[1:]
+			continue
 		}
-		fmt.Fprintf(w, "YIELD %s\n", b.Seq)
-		if err := w.Flush(); err != nil {
-			return err
+		engine := a.engines[item.Instance]
+		if engine == nil {
+			return fmt.Errorf("batch %s: unknown instance %s", batch.Number, item.Instance)
+		}
+		if item.Kind == simprotocol.InstanceStopped {
+			delete(a.engines, item.Instance)
+			items = items[1:]
+			continue
+		}
+		events := leadingEvents(items, item.Instance)
+		items = items[len(events):]
+		for _, action := range engine.Step(batch.Now, events) {
+			a.line = simprotocol.AppendAction(a.line[:0], item.Instance, action)
+			a.out.Write(a.line) // an error is kept by the writer, and returned by Flush
+		}
+	}
+	fmt.Fprintf(a.out, "YIELD %s\n", batch.Number)
+	return a.out.Flush()
+}
+
+// start makes the engine of an instance that starts, in place of one of its name.
+func (a *adapter) start(item simprotocol.Item) error {
+	engine, err := policy.New(item.Settings, item.Seed)
+	if err != nil {
+		return fmt.Errorf("settings of %s: %w", item.Instance, err)
+	}
+	a.engines[item.Instance] = engine
+	return nil
+}
+
+// leadingEvents returns the events of an instance that the items begin with.
+func leadingEvents(items []simprotocol.Item, instance string) (events []policy.Event) {
+	for i := range items {
+		if items[i].Instance != instance || items[i].Kind != simprotocol.InstanceEvent {
+			break
 		}
+		events = append(events, items[i].Event)
 	}
+	return events
 }
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-func TestRun(t *testing.T) {
+// The adapter answers each batch, steps the engine of an instance that has events, and ends at what it can't read.
+func TestBatchesAreAnswered(t *testing.T) {
 	start := "PROVISION door/1 5 peers-total=1 limits.max-attempts=1 classes.count=1 classes.0.target-us=500000 " +
 		"classes.0.worth=1 classes.0.effect=safe tiers-of-service.count=1 tiers-of-service.0.name=p\n"
 	var out strings.Builder
@@ -16,7 +17,7 @@
 		t.Fatalf("%v, %q", err, out.String())
 	}
 	if !strings.Contains(out.String(), "HAND_OFF door/1 9 ") {
-		t.Errorf("the request was not sent on: %q", out.String())
+		t.Errorf("the request was not forwarded: %q", out.String())
 	}
 	for _, bad := range []string{"REMINDER door/2 1", "WHAT door/1", "PROVISION door/1 5 peers-total=0"} {
 		if err := run(strings.NewReader("CLOCK 1 1\n"+bad+"\nEOF_BATCH\n"), io.Discard); err == nil {
--- a/internal/simprotocol/print.go
+++ b/internal/simprotocol/print.go
@@ -2,52 +2,70 @@
 
 import (
 	"strconv"
+	"time"
 
 	"bellwood/internal/policy"
 )
 
-// Append prints one action of an instance as a line.
-func Append(b []byte, door string, a policy.Action) []byte {
-	num := func(v int64) { b = strconv.AppendInt(append(b, ' '), v, 10) }
-	id := func(v uint64) { b = strconv.AppendUint(append(b, ' '), v, 10) }
-	head := func(name string) { b = append(append(append(b, name...), ' '), door...) }
-	switch a := a.(type) {
+// AppendAction appends an instance's action to b, as a line of the protocol.
+func AppendAction(b []byte, instance string, action policy.Action) []byte {
+	line := lineWriter(b)
+	switch action := action.(type) {
 	case policy.SendAttempt:
-		head("HAND_OFF")
-		id(a.ID)
-		num(a.Timeout.Microseconds())
-		b = append(append(b, ' '), a.Backend...)
+		line.message("HAND_OFF", instance)
+		line.id(action.ID)
+		line.micros(action.Timeout)
+		line.text(action.Backend)
 	case policy.Reject:
-		head("TURN_AWAY")
-		id(a.ID)
-		num(a.RetryAfter.Microseconds())
+		line.message("TURN_AWAY", instance)
+		line.id(action.ID)
+		line.micros(action.RetryAfter)
 	case policy.Fail:
-		head("SURRENDER")
-		id(a.ID)
+		line.message("SURRENDER", instance)
+		line.id(action.ID)
 	case policy.CancelAttempt:
-		head("WITHDRAW")
-		id(a.ID)
-		num(int64(a.Attempt))
+		line.message("WITHDRAW", instance)
+		line.id(action.ID)
+		line.integer(int64(action.Attempt))
 	case policy.HealthCheck:
-		head("SAMPLE")
-		b = append(append(b, ' '), a.Backend...)
+		line.message("SAMPLE", instance)
+		line.text(action.Backend)
 	case policy.AddToCounter:
-		head("CHARGE_COUNTER")
-		id(a.Name)
-		b = strconv.AppendFloat(append(b, ' '), a.Amount, 'f', -1, 64)
-		num(a.TTL.Microseconds())
+		line.message("CHARGE_COUNTER", instance)
+		line.id(action.Name)
+		line.number(action.Amount)
+		line.micros(action.TTL)
 	case policy.SetTimer:
-		head("REMIND")
-		num(a.At.Microseconds())
-		id(a.Cookie)
+		line.message("REMIND", instance)
+		line.micros(action.At)
+		line.id(action.Cookie)
 	case policy.WatchEndpoints:
-		head("OBSERVE")
-		num(1)
+		line.message("OBSERVE", instance)
+		line.integer(1)
 	case policy.FetchEndpoints:
-		head("PULL")
+		line.message("PULL", instance)
 	case policy.Log:
-		head("JOURNAL_LINE")
-		b = append(append(b, ' '), a.Text...)
+		line.message("JOURNAL_LINE", instance)
+		line.text(action.Text)
 	}
-	return append(b, '\n')
+	return append(line, '\n')
 }
+
+// lineWriter builds a line: a message's name, the instance, and further fields after a space each.
+type lineWriter []byte
+
+func (l *lineWriter) message(name, instance string) {
+	*l = append(*l, name...)
+	l.text(instance)
+}
+
+func (l *lineWriter) text(field string) { *l = append(append(*l, ' '), field...) }
+
+func (l *lineWriter) id(id uint64) { *l = strconv.AppendUint(append(*l, ' '), id, 10) }
+
+func (l *lineWriter) integer(n int64) { *l = strconv.AppendInt(append(*l, ' '), n, 10) }
+
+func (l *lineWriter) number(n float64) { *l = strconv.AppendFloat(append(*l, ' '), n, 'f', -1, 64) }
+
+// micros writes a time in whole microseconds.
+func (l *lineWriter) micros(d time.Duration) { l.integer(d.Microseconds()) }
--- a/internal/simprotocol/settings_test.go
+++ b/internal/simprotocol/settings_test.go
@@ -1,6 +1,7 @@
 package simprotocol
 
 import (
+	"errors"
 	"maps"
 	"strings"
 	"testing"
@@ -8,16 +9,16 @@
 	"bellwood/internal/policy"
 )
 
-// usable is the least that a deployment can tell.
-func usable() map[string]string {
+// minimalSettings is the least that a deployment can tell.
+func minimalSettings() map[string]string {
 	return map[string]string{"peers-total": "3", "rank": "2", "limits.max-attempts": "1", "classes.count": "1",
 		"classes.0.name": "scan", "classes.0.effect": "unsafe", "tiers-of-service.count": "1",
 		"tiers-of-service.0.name": "only", "limits.dial-timeout-us": "1000"}
 }
 
-// What can't be used is said with the name of its field, never guessed.
-func TestUnusableSettings(t *testing.T) {
-	for name, values := range map[string][]string{
+// What can't be used is named by its path, never guessed.
+func TestUnusableSettingsAreNamed(t *testing.T) {
+	for path, values := range map[string][]string{
 		"peers-total": {"0", "1.5", "many", "-1", "1e300", "-"}, "rank": {"3", "-1"}, "limits.max-attempts": {"0", "-"},
 		"classes": {"0", "-", "5000"}, "classes.0.effect": {"", "harmless"}, "classes.0.group": {"town"},
 		"classes.0.worth": {"-1", "Inf", "NaN", "1x"}, "classes.0.target-us": {"-5", "1e30"},
@@ -25,57 +26,63 @@
 		"obligations.cold-from": {"1.5"}, "obligations.fall-multiple": {"-3"}, "tiers-of-service": {"0"},
 		"tiers-of-service.0.at-once": {"2.5", "-1"}, "specifics.max-units": {"NaN"},
 	} {
-		for _, v := range values {
-			m := usable()
-			key := name
-			if name == "classes" || name == "tiers-of-service" {
-				key += ".count"
+		for _, value := range values {
+			settings := minimalSettings()
+			if path == "classes" || path == "tiers-of-service" {
+				settings[path+".count"] = value
+			} else {
+				settings[path] = value
 			}
-			m[key] = v
-			_, err := Settings(m)
-			if err == nil || !strings.Contains(err.Error(), "setting "+name+":") {
-				t.Errorf("%s=%s: error %v", name, v, err)
+			if _, err := Settings(settings); !namesSetting(err, path) {
+				t.Errorf("%s=%s: error %v", path, value, err)
 			}
 		}
 	}
-	for name, given := range map[string]map[string]string{
+	for path, given := range map[string]map[string]string{
 		"specifics.counter-timeout-us":    {"specifics.shared-counter": "true"},
 		"tiers-of-service.0.most-at-once": {"tiers-of-service.0.units-per-s": "2"},
 		"tiers-of-service.0.cap-depth":    {"tiers-of-service.0.never-over-rate": "2"},
 	} {
-		m := usable()
-		maps.Copy(m, given)
-		if _, err := Settings(m); err == nil || !strings.Contains(err.Error(), "setting "+name+":") {
-			t.Errorf("%s is left out: error %v", name, err)
+		settings := minimalSettings()
+		maps.Copy(settings, given)
+		if _, err := Settings(settings); !namesSetting(err, path) {
+			t.Errorf("%s is left out: error %v", path, err)
 		}
 	}
 }
 
-// A front door finds requests' classes and plans by their names, so each has one of its own.
-func TestUnusableNames(t *testing.T) {
-	twice := usable()
-	twice["classes.count"], twice["classes.1.name"], twice["classes.1.effect"] = "2", "scan", "safe"
-	none := usable()
-	delete(none, "tiers-of-service.0.name")
-	for name, m := range map[string]map[string]string{"classes.1.name": twice, "tiers-of-service.0.name": none} {
-		if _, err := ReadTransport(m); err == nil || !strings.Contains(err.Error(), "setting "+name+":") {
-			t.Errorf("%s: error %v", name, err)
+// namesSetting says whether an error is about the setting of a path, and says so.
+func namesSetting(err error, path string) bool {
+	var unusable *SettingError
+	return errors.As(err, &unusable) && unusable.Path == path && strings.Contains(err.Error(), "setting "+path+":")
+}
+
+// Requests name their class and plan, so each of these has to have a name of its own.
+func TestMissingAndRepeatedNamesAreRejected(t *testing.T) {
+	repeated := minimalSettings()
+	repeated["classes.count"], repeated["classes.1.name"], repeated["classes.1.effect"] = "2", "scan", "safe"
+	missing := minimalSettings()
+	delete(missing, "tiers-of-service.0.name")
+	for path, settings := range map[string]map[string]string{"classes.1.name": repeated, "tiers-of-service.0.name": missing} {
+		if _, err := ReadTransport(settings); !namesSetting(err, path) {
+			t.Errorf("%s: error %v", path, err)
 		}
 	}
 }
 
-// What may be absent is: load reports, a counter, ceilings, caps, quotas, zones, names that are new.
-func TestLeastSettings(t *testing.T) {
-	m := usable()
-	m["load-info.how"], m["something.new"] = "none", "7"
-	set, err := Settings(m)
-	if err != nil || set.Gateways != 3 || set.GatewayIndex != 2 || set.Classes[0].Idempotency != policy.NonIdempotent || len(set.Plans) != 1 {
-		t.Errorf("%+v, %v", set, err)
+// Load reports, a counter, hard limits, quotas and zones may be left out; unknown paths are passed over.
+func TestMinimalSettingsAreEnough(t *testing.T) {
+	given := minimalSettings()
+	given["load-info.how"], given["something.new"] = "none", "7"
+	settings, err := Settings(given)
+	if err != nil || settings.Gateways != 3 || settings.GatewayIndex != 2 ||
+		settings.Classes[0].Idempotency != policy.NonIdempotent || len(settings.Plans) != 1 {
+		t.Errorf("%+v, %v", settings, err)
 	}
-	if tr, err := ReadTransport(m); err != nil || tr.Classes[0] != "scan" || tr.Plans[0] != "only" {
-		t.Errorf("%+v, %v", tr, err)
+	if transport, err := ReadTransport(given); err != nil || transport.Classes[0] != "scan" || transport.Plans[0] != "only" {
+		t.Errorf("%+v, %v", transport, err)
 	}
-	if _, err := policy.New(set, 1); err != nil {
+	if _, err := policy.New(settings, 1); err != nil {
 		t.Error(err)
 	}
 }
--- /dev/null
+++ b/internal/simprotocol/transport.go
@@ -0,0 +1,48 @@
+package simprotocol
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+)
+
+// Transport is the part of the settings that concerns sockets and names: the decision module has no use for it, a
+// gateway with sockets does.
+type Transport struct {
+	Classes, Plans, Zones, Kinds []string      // names, in the order of the indices that the module uses
+	DialTimeout                  time.Duration // a connection that is not up by then has failed
+	ConnIdle                     time.Duration // backends close a connection that has been idle for this long
+	MostOpen                     int           // requests that may be open at once; 0: no limit is told
+}
+
+// ReadTransport maps settings, by their paths, to a Transport. The error is a *SettingError.
+func ReadTransport(settings map[string]string) (Transport, error) {
+	v := &settingValues{values: settings}
+	transport := Transport{
+		Classes:     v.names("classes"),
+		Plans:       v.names("tiers-of-service"),
+		Zones:       strings.Split(settings["areas"], ","),
+		Kinds:       strings.Split(settings["kinds"], ","),
+		DialTimeout: v.duration("limits.dial-timeout-us"),
+		ConnIdle:    v.duration("limits.conn-idle-us"),
+		MostOpen:    v.wholeNumber("limits.open-cap"),
+	}
+	return transport, v.err
+}
+
+// names reads the names of a list's entries. Each has to have one of its own, as requests refer to them by name.
+func (v *settingValues) names(list string) (names []string) {
+	for i := range v.listLength(list) {
+		path := fmt.Sprintf("%s.%d.name", list, i)
+		switch name := v.values[path]; {
+		case name == "":
+			v.fail(path, "missing")
+		case slices.Contains(names, name):
+			v.fail(path, "given twice")
+		default:
+			names = append(names, name)
+		}
+	}
+	return names
+}
