--- a/internal/fleettest/settings.go
+++ b/internal/fleettest/settings.go
@@ -91,10 +91,10 @@
 // module returns the settings as hollow doors use them.
 func (p pathSettings) module() (policy.Settings, error) {
 	m := p.texts()
-	if _, err := simprotocol.ReadTransport(m); err != nil {
+	if _, err := simprotocol.ParseTransport(m); err != nil {
 		return policy.Settings{}, err
 	}
-	return simprotocol.Settings(m)
+	return simprotocol.ParseSettings(m)
 }
 
 // nested returns the settings as a real door's configuration has them.
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -92,10 +92,10 @@
 	}
 	settings := map[string]string{}
 	flatten(settings, "", file.Settings)
-	if c.Settings, err = simprotocol.Settings(settings); err != nil {
+	if c.Settings, err = simprotocol.ParseSettings(settings); err != nil {
 		return nil, &SettingError{"settings", err}
 	}
-	if c.Transport, err = simprotocol.ReadTransport(settings); err != nil {
+	if c.Transport, err = simprotocol.ParseTransport(settings); err != nil {
 		return nil, &SettingError{"settings", err}
 	}
 	if c.Audit, err = readAudit(file.Audit, settings); err != nil {
--- a/internal/gateway/config_test.go
+++ b/internal/gateway/config_test.go
@@ -24,7 +24,7 @@
 	}
 	if fmt.Sprint(transport.Classes, transport.Plans, transport.Zones, transport.Kinds) !=
 		"[evaluate change once] [open starter] [dc1] [std]" ||
-		transport.DialTimeout != 250*time.Millisecond || transport.ConnIdle != 30*time.Second {
+		transport.DialTimeout != 250*time.Millisecond || transport.ConnIdleTimeout != 30*time.Second {
 		t.Errorf("transport %+v", transport)
 	}
 	if err := c.Check(); err != nil {
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -287,7 +287,7 @@
 
 // requestArrived takes a request in.
 func (server *Server) requestArrived(received *clientRequest) {
-	if most := server.cfg.Transport.MostOpen; most > 0 && len(server.requests) >= most {
+	if most := server.cfg.Transport.MaxOpenRequests; most > 0 && len(server.requests) >= most {
 		received.conn.answer(received.reply, busyReply(0))
 		return
 	}
--- a/internal/gateway/upstream.go
+++ b/internal/gateway/upstream.go
@@ -171,7 +171,7 @@
 
 // closeExpiredIdle closes what has been idle for long.
 func (backends *upstream) closeExpiredIdle() {
-	if idle := backends.server.cfg.Transport.ConnIdle; idle > 0 {
+	if idle := backends.server.cfg.Transport.ConnIdleTimeout; idle > 0 {
 		since := backends.server.now() - time.Duration(float64(idle)*idleTimeoutShare)
 		for _, pool := range backends.pools {
 			backends.closeIdleSince(pool, since)
--- a/internal/simprotocol/doc.go
+++ b/internal/simprotocol/doc.go
@@ -7,7 +7,7 @@
 //	parse.go      Reader: lines into batches of items; one parser for each message
 //	fields.go     the fields of a line, by position
 //	print.go      AppendAction: an action into a line
-//	settings.go   Settings: path=value settings into policy.Settings
+//	settings.go   ParseSettings: path=value settings into policy.Settings
 //	transport.go  Transport: the settings that concern sockets and names
 //	values.go     the values of settings, by path
 //	words.go      the words of the protocol and of the settings, and what they stand for
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -17,12 +17,12 @@
 		}
 		settings[path] = value
 	}
-	return Settings(settings)
+	return ParseSettings(settings)
 }
 
-// Settings maps settings, by their paths, to those of the module. Unknown paths are passed over. The error is a
+// ParseSettings maps settings, by their paths, to those of the module. Unknown paths are passed over. The error is a
 // *SettingError for the first setting that can't be used.
-func Settings(settings map[string]string) (policy.Settings, error) {
+func ParseSettings(settings map[string]string) (policy.Settings, error) {
 	v := &settingValues{values: settings}
 	mapped := v.fleet()
 	v.checkFleet(&mapped)
--- a/internal/simprotocol/settings_test.go
+++ b/internal/simprotocol/settings_test.go
@@ -33,7 +33,7 @@
 			} else {
 				settings[path] = value
 			}
-			if _, err := Settings(settings); !namesSetting(err, path) {
+			if _, err := ParseSettings(settings); !namesSetting(err, path) {
 				t.Errorf("%s=%s: error %v", path, value, err)
 			}
 		}
@@ -45,7 +45,7 @@
 	} {
 		settings := minimalSettings()
 		maps.Copy(settings, given)
-		if _, err := Settings(settings); !namesSetting(err, path) {
+		if _, err := ParseSettings(settings); !namesSetting(err, path) {
 			t.Errorf("%s is left out: error %v", path, err)
 		}
 	}
@@ -64,7 +64,7 @@
 	missing := minimalSettings()
 	delete(missing, "tiers-of-service.0.name")
 	for path, settings := range map[string]map[string]string{"classes.1.name": repeated, "tiers-of-service.0.name": missing} {
-		if _, err := ReadTransport(settings); !namesSetting(err, path) {
+		if _, err := ParseTransport(settings); !namesSetting(err, path) {
 			t.Errorf("%s: error %v", path, err)
 		}
 	}
@@ -74,12 +74,12 @@
 func TestMinimalSettingsAreEnough(t *testing.T) {
 	given := minimalSettings()
 	given["load-info.how"], given["something.new"] = "none", "7"
-	settings, err := Settings(given)
+	settings, err := ParseSettings(given)
 	if err != nil || settings.Gateways != 3 || settings.GatewayIndex != 2 ||
 		settings.Classes[0].Idempotency != policy.NonIdempotent || len(settings.Plans) != 1 {
 		t.Errorf("%+v, %v", settings, err)
 	}
-	if transport, err := ReadTransport(given); err != nil || transport.Classes[0] != "scan" || transport.Plans[0] != "only" {
+	if transport, err := ParseTransport(given); err != nil || transport.Classes[0] != "scan" || transport.Plans[0] != "only" {
 		t.Errorf("%+v, %v", transport, err)
 	}
 	if _, err := policy.New(settings, 1); err != nil {
--- a/internal/simprotocol/transport.go
+++ b/internal/simprotocol/transport.go
@@ -12,21 +12,21 @@
 type Transport struct {
 	Classes, Plans, Zones, Kinds []string      // names, in the order of the indices that the module uses
 	DialTimeout                  time.Duration // a connection that is not up by then has failed
-	ConnIdle                     time.Duration // backends close a connection that has been idle for this long
-	MostOpen                     int           // requests that may be open at once; 0: no limit is told
+	ConnIdleTimeout              time.Duration // backends close a connection that has been idle for this long
+	MaxOpenRequests              int           // requests that may be open at once; 0: no limit is told
 }
 
-// ReadTransport maps settings, by their paths, to a Transport. The error is a *SettingError.
-func ReadTransport(settings map[string]string) (Transport, error) {
+// ParseTransport maps settings, by their paths, to a Transport. The error is a *SettingError.
+func ParseTransport(settings map[string]string) (Transport, error) {
 	v := &settingValues{values: settings}
 	transport := Transport{
-		Classes:     v.names("classes"),
-		Plans:       v.names("tiers-of-service"),
-		Zones:       strings.Split(settings["areas"], ","),
-		Kinds:       strings.Split(settings["kinds"], ","),
-		DialTimeout: v.duration("limits.dial-timeout-us"),
-		ConnIdle:    v.duration("limits.conn-idle-us"),
-		MostOpen:    v.wholeNumber("limits.open-cap"),
+		Classes:         v.names("classes"),
+		Plans:           v.names("tiers-of-service"),
+		Zones:           strings.Split(settings["areas"], ","),
+		Kinds:           strings.Split(settings["kinds"], ","),
+		DialTimeout:     v.duration("limits.dial-timeout-us"),
+		ConnIdleTimeout: v.duration("limits.conn-idle-us"),
+		MaxOpenRequests: v.wholeNumber("limits.open-cap"),
 	}
 	return transport, v.err
 }
