--- a/internal/audit/settings.go
+++ b/internal/audit/settings.go
@@ -26,7 +26,7 @@
 	maxCallsPerSecond = 1e9
 )
 
-// SettingsError says which setting of the audit can't be used, and why. Get it out of an error by errors.As.
+// SettingsError says which setting of the audit can't be used, and why.
 type SettingsError struct {
 	Setting string // as the operator writes it in the configuration
 	Value   any
@@ -34,7 +34,7 @@
 }
 
 func (e *SettingsError) Error() string {
-	return fmt.Sprintf("audit: %s is %v: %s", e.Setting, e.Value, e.Reason)
+	return fmt.Sprintf("%s is %v: %s", e.Setting, e.Value, e.Reason)
 }
 
 // Check returns a *SettingsError for the first setting that can't be used; nil if there is none.
--- a/internal/gateway/auditconfig.go
+++ b/internal/gateway/auditconfig.go
@@ -13,46 +13,59 @@
 	"bellwood/internal/audit"
 )
 
-// What the section audit of the configuration has where it does not say.
+// What the section audit has where the configuration does not say.
 const (
-	usualCallsPerSecond = 830.0 // of the smallest counter
-	usualAuditShare     = 0.05
+	defaultCallsPerSecond = 830.0 // of the smallest counter
+	defaultAuditShare     = 0.05
 )
 
-// Audit is the section audit of the configuration, which turns the audit of the fleet on.
+// Audit is the section audit of the configuration, which turns the audit of the fleet on. README, "Audit of the fleet".
 type Audit struct {
-	CallsPerSecond float64 `json:"calls_per_second"` // that the counter takes from all doors
-	Share          float64 `json:"share"`            // of them, for the audit; over 0 and at most 0.2
-	Revision       string  `json:"revision"`         // a name for the configuration, alike at all doors
+	// CallsPerSecond is how many calls the counter takes, from all gateways for all purposes. Default 830.
+	CallsPerSecond float64 `json:"calls_per_second"`
+	// Share is the part of CallsPerSecond for the audits of all gateways; above 0, at most audit.MaxShare. Default 0.05.
+	Share float64 `json:"share"`
+	// Revision is the operators' name of the configuration, alike at all gateways. Default: empty. Server.Reload
+	// replaces it.
+	Revision string `json:"revision"`
 
-	settings uint64 // digest of the settings that all doors have alike
+	// fleetSettings is a digest of the settings that all gateways have alike.
+	fleetSettings uint64
 }
 
-// ownSettings are those that differ from door to door.
+// ownSettings are the paths of settings that differ from gateway to gateway.
 var ownSettings = []string{"rank", "locality"}
 
-// readAudit reads the section; without one the audit is off.
-func readAudit(text json.RawMessage, settings map[string]string) (*Audit, error) {
-	if len(text) == 0 || bytes.Equal(text, []byte("null")) {
+// ErrNoSharedCounter is the reason of a SettingError: the audit can't run without a shared counter.
+var ErrNoSharedCounter = errors.New("the settings have no shared counter")
+
+// readAudit reads the section; nil without one: the audit is off. Settings are those of the whole configuration, by
+// their paths. The error is a *SettingError.
+func readAudit(section json.RawMessage, settings map[string]string) (*Audit, error) {
+	if len(section) == 0 || bytes.Equal(section, []byte("null")) {
 		return nil, nil
 	}
-	a := &Audit{CallsPerSecond: usualCallsPerSecond, Share: usualAuditShare}
-	in := json.NewDecoder(bytes.NewReader(text))
-	in.DisallowUnknownFields()
-	if err := in.Decode(a); err != nil {
-		return nil, fmt.Errorf("audit: %w", err)
+	a := &Audit{CallsPerSecond: defaultCallsPerSecond, Share: defaultAuditShare, fleetSettings: fleetDigest(settings)}
+	decoder := json.NewDecoder(bytes.NewReader(section))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(a); err != nil {
+		return nil, &SettingError{"audit", err}
 	}
+	return a, nil
+}
+
+// fleetDigest is a digest of the settings that all gateways have alike, the same at all of them.
+func fleetDigest(settings map[string]string) uint64 {
 	digest := xxhash.New()
 	for _, path := range slices.Sorted(maps.Keys(settings)) {
 		if !slices.Contains(ownSettings, path) {
 			fmt.Fprintf(digest, "%s=%s\n", path, settings[path])
 		}
 	}
-	a.settings = digest.Sum64()
-	return a, nil
+	return digest.Sum64()
 }
 
-// RevisionText returns the name of the configuration; empty where the audit is off.
+// RevisionText returns the name of the configuration; empty where the audit is off (nil).
 func (a *Audit) RevisionText() string {
 	if a == nil {
 		return ""
@@ -60,19 +73,28 @@
 	return a.Revision
 }
 
-// checkAudit says why the audit could not run.
+// checkAudit says why the audit could not run, by a *SettingError.
 func (c *Config) checkAudit() error {
 	if c.Audit == nil {
 		return nil
 	}
 	if !c.Settings.SharedCounter {
-		return errors.New("audit: the settings have no shared counter")
+		return &SettingError{"audit", ErrNoSharedCounter}
 	}
 	settings := c.auditSettings()
-	return settings.Check()
+	if err := settings.Check(); err != nil {
+		return &SettingError{"audit", err}
+	}
+	return nil
 }
 
+// auditSettings is what the audit's machine is told. The section audit has to be there.
 func (c *Config) auditSettings() audit.Settings {
-	return audit.Settings{Gateways: c.Settings.Gateways, GatewayIndex: c.Settings.GatewayIndex, CallsPerSecond: c.Audit.CallsPerSecond,
-		Share: c.Audit.Share, CounterTimeout: c.Settings.CounterTimeout}
+	return audit.Settings{
+		Gateways:       c.Settings.Gateways,
+		GatewayIndex:   c.Settings.GatewayIndex,
+		CallsPerSecond: c.Audit.CallsPerSecond,
+		Share:          c.Audit.Share,
+		CounterTimeout: c.Settings.CounterTimeout,
+	}
 }
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -244,7 +244,7 @@
 		if request := server.requests[arrival.ID]; request != nil {
 			arrival.TimeLeft = max(0, request.deadline-now)
 			events[i] = arrival
-			server.audit.decided(request)
+			server.audit.decided(request.received.args[2])
 		}
 	}
 }
