--- a/internal/emulator/agent.go
+++ b/internal/emulator/agent.go
@@ -10,46 +10,46 @@
 )
 
 const (
-	agentSign  = 2 * time.Second // an empty line comes so often while nothing changes
-	agentConns = 16              // connections that an agent holds
+	heartbeatInterval = 2 * time.Second // an empty line comes so often while nothing changes
+	maxAgentConns     = 16              // connections that an agent holds
 )
 
-// Told is what a watch was sent.
-type Told struct {
-	Index   int64     // of the list from now on
-	Entries int       // backends it names
-	Whole   bool      // the whole list
-	Bytes   int       // of the line, without the transfer's framing
-	At      time.Time // when it was handed to the kernel
+// WatchSent is what a watch was sent.
+type WatchSent struct {
+	Index    int64     // of the list from now on
+	Entries  int       // backends it names
+	Snapshot bool      // the whole list
+	Bytes    int       // of the line, without the transfer's framing
+	SentAt   time.Time // when it was handed to the kernel
 	// Peer is the door's end of the connection and Own the agent's, as the kernel's table of sockets names them.
-	Peer, Own netip.AddrPort
+	GatewayAddr, AgentAddr netip.AddrPort
 }
 
 // Agent is discovery's agent for one door.
 type Agent struct {
-	Meter   Meter
-	catalog *Catalog
-	told    func(Told) // may be nil
-	ln      *listener
-	http    *http.Server
-	done    chan struct{}
+	Meter      Meter
+	catalog    *Catalog
+	onSent     func(WatchSent) // may be nil
+	listener   *listener
+	server     *http.Server
+	serveEnded chan struct{}
 }
 
 // StartAgent listens on a loopback address. It calls told, if not nil, after each list that a watch was sent, from
 // several goroutines.
-func StartAgent(addr string, catalog *Catalog, told func(Told)) (*Agent, error) {
-	a := &Agent{catalog: catalog, told: told, done: make(chan struct{})}
+func StartAgent(addr string, catalog *Catalog, told func(WatchSent)) (*Agent, error) {
+	a := &Agent{catalog: catalog, onSent: told, serveEnded: make(chan struct{})}
 	var err error
-	if a.ln, err = listen(addr, agentConns, &a.Meter); err != nil {
+	if a.listener, err = listen(addr, maxAgentConns, &a.Meter); err != nil {
 		return nil, err
 	}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /catalog/members", a.members)
-	a.http = &http.Server{Handler: mux, ReadHeaderTimeout: 2 * time.Second, MaxHeaderBytes: 8 << 10,
+	a.server = &http.Server{Handler: mux, ReadHeaderTimeout: 2 * time.Second, MaxHeaderBytes: 8 << 10,
 		IdleTimeout: 10 * time.Second, ErrorLog: log.New(nowhere{}, "", 0)}
 	go func() {
-		defer close(a.done)
-		a.http.Serve(a.ln)
+		defer close(a.serveEnded)
+		a.server.Serve(a.listener)
 	}()
 	return a, nil
 }
@@ -59,13 +59,13 @@
 func (nowhere) Write(b []byte) (int, error) { return len(b), nil }
 
 // Addr returns the agent's address.
-func (a *Agent) Addr() string { return a.ln.Addr().String() }
+func (a *Agent) Addr() string { return a.listener.Addr().String() }
 
 // Close ends the agent and its watches.
 func (a *Agent) Close() {
-	a.http.Close()
-	a.ln.Close()
-	<-a.done
+	a.server.Close()
+	a.listener.Close()
+	<-a.serveEnded
 }
 
 // members gives the whole list or serves a watch.
@@ -74,9 +74,9 @@
 	rc := http.NewResponseController(w)
 	w.Header().Set("Content-Type", "application/json")
 	if q.Get("stream") != "1" {
-		whole := a.catalog.WholeJSON()
+		whole := a.catalog.SnapshotJSON()
 		w.Header().Set("Content-Length", strconv.Itoa(len(whole)))
-		rc.SetWriteDeadline(time.Now().Add(writeWithin))
+		rc.SetWriteDeadline(time.Now().Add(writeTimeout))
 		w.Write(whole)
 		return
 	}
@@ -94,12 +94,12 @@
 	if addr, ok := r.Context().Value(http.LocalAddrContextKey).(net.Addr); ok {
 		own, _ = netip.ParseAddrPort(addr.String())
 	}
-	sign := time.NewTimer(agentSign)
+	sign := time.NewTimer(heartbeatInterval)
 	defer sign.Stop()
 	for {
 		l := a.catalog.line(index)
 		index = l.index
-		rc.SetWriteDeadline(time.Now().Add(writeWithin))
+		rc.SetWriteDeadline(time.Now().Add(writeTimeout))
 		if l.text != nil {
 			w.Write(l.text)
 			w.Write([]byte("\n"))
@@ -107,22 +107,22 @@
 		if rc.Flush() != nil {
 			return
 		}
-		if l.text != nil && a.told != nil {
-			a.told(Told{Index: index, Entries: l.entries, Whole: l.whole, Bytes: len(l.text) + 1, At: time.Now(),
-				Peer: peer, Own: own})
+		if l.text != nil && a.onSent != nil {
+			a.onSent(WatchSent{Index: index, Entries: l.entries, Snapshot: l.whole, Bytes: len(l.text) + 1, SentAt: time.Now(),
+				GatewayAddr: peer, AgentAddr: own})
 		}
-		sign.Reset(agentSign)
+		sign.Reset(heartbeatInterval)
 	quiet:
 		for {
 			select {
 			case <-l.wake:
 				break quiet
 			case <-sign.C:
-				rc.SetWriteDeadline(time.Now().Add(writeWithin))
+				rc.SetWriteDeadline(time.Now().Add(writeTimeout))
 				if _, err := w.Write([]byte("\n")); err != nil || rc.Flush() != nil {
 					return
 				}
-				sign.Reset(agentSign)
+				sign.Reset(heartbeatInterval)
 			case <-r.Context().Done():
 				return
 			}
--- a/internal/emulator/client.go
+++ b/internal/emulator/client.go
@@ -13,34 +13,34 @@
 // Clients send requests to one door. They keep their connections, one request at a time on each, and open more when
 // all are busy.
 type Clients struct {
-	addr    string
-	patient time.Duration // beyond its own time, a request's answer is awaited for so long
-	places  chan struct{}
+	addr       string
+	replyGrace time.Duration // beyond its own time, a request's answer is awaited for so long
+	busy       chan struct{}
 
-	mu   sync.Mutex
-	idle []*clientConn // the one used last at the end
-	all  map[*clientConn]bool
-	end  bool
+	mu     sync.Mutex
+	idle   []*clientConn // the one used last at the end
+	conns  map[*clientConn]bool
+	closed bool
 }
 
 type clientConn struct {
-	nc net.Conn
-	in *bufio.Reader
+	conn net.Conn
+	in   *bufio.Reader
 }
 
 // NewClients returns the clients of the door at an address. They hold so many connections at most; a request for which
 // there is none waits. An answer is awaited for the request's own time and patient more.
 func NewClients(addr string, most int, patient time.Duration) *Clients {
-	return &Clients{addr: addr, patient: patient, places: make(chan struct{}, most), all: map[*clientConn]bool{}}
+	return &Clients{addr: addr, replyGrace: patient, busy: make(chan struct{}, most), conns: map[*clientConn]bool{}}
 }
 
 // Close ends all connections. Requests that are out end as Unanswered.
 func (c *Clients) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.end = true
-	for k := range c.all {
-		k.nc.Close()
+	c.closed = true
+	for k := range c.conns {
+		k.conn.Close()
 	}
 	c.idle = nil
 }
@@ -68,8 +68,8 @@
 // of the answer, 0 where no answer came.
 func (c *Clients) Do(ctx context.Context, q *Request) (how Ending, took time.Duration) {
 	select {
-	case c.places <- struct{}{}:
-		defer func() { <-c.places }()
+	case c.busy <- struct{}{}:
+		defer func() { <-c.busy }()
 	case <-ctx.Done():
 		return Unanswered, 0
 	}
@@ -79,7 +79,7 @@
 			return Unanswered, 0
 		}
 		start := time.Now()
-		nothing, r, err := k.ask(q.Command(), q.Wait+c.patient)
+		nothing, r, err := k.ask(q.Command(), q.ClientTimeout+c.replyGrace)
 		took = time.Since(start)
 		if err != nil {
 			c.drop(k)
@@ -90,12 +90,12 @@
 		}
 		c.keep(k)
 		switch {
-		case r.isval && r.value == q.ID:
+		case r.isValue && r.value == q.ID:
 			return Served, took
-		case r.isval:
+		case r.isValue:
 			return Wrong, took
 		case r.line == "-BUSY" || strings.HasPrefix(r.line, "-BUSY "):
-			return Refused, took
+			return Rejected, took
 		}
 		return Failed, took
 	}
@@ -119,33 +119,33 @@
 	k = &clientConn{nc, bufio.NewReaderSize(nc, 4096)}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.end {
+	if c.closed {
 		nc.Close()
 		return nil, false, net.ErrClosed
 	}
-	c.all[k] = true
+	c.conns[k] = true
 	return k, false, nil
 }
 
 func (c *Clients) keep(k *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.end {
+	if !c.closed {
 		c.idle = append(c.idle, k)
 	}
 }
 
 func (c *Clients) drop(k *clientConn) {
-	k.nc.Close()
+	k.conn.Close()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	delete(c.all, k)
+	delete(c.conns, k)
 }
 
 // ask sends a command and reads its answer. nothing tells that the connection ended before any byte of one.
 func (k *clientConn) ask(command []byte, within time.Duration) (nothing bool, r reply, err error) {
-	k.nc.SetDeadline(time.Now().Add(within))
-	if _, err = k.nc.Write(command); err != nil {
+	k.conn.SetDeadline(time.Now().Add(within))
+	if _, err = k.conn.Write(command); err != nil {
 		return true, r, err
 	}
 	if _, err = k.in.Peek(1); err != nil {
--- a/internal/emulator/counter.go
+++ b/internal/emulator/counter.go
@@ -11,65 +11,65 @@
 )
 
 const (
-	counterConns = 32               // connections of one door that the counter holds
-	counterIdle  = 10 * time.Second // an idle connection is closed after this
-	counterLine  = 256              // bytes of a call
-	mostKeep     = time.Minute      // a longer life counts as this
-	mostAmount   = 1e9
-	mostNames    = 1 << 18 // more are turned away
+	maxCounterConns    = 32               // connections of one door that the counter holds
+	counterIdleTimeout = 10 * time.Second // an idle connection is closed after this
+	maxCallBytes       = 256              // bytes of a call
+	maxTTL             = time.Minute      // a longer life counts as this
+	maxAmount          = 1e9
+	maxNumbers         = 1 << 18 // more are turned away
 )
 
 type number struct {
-	total float64
-	until time.Time
+	total     float64
+	expiresAt time.Time
 }
 
 // Numbers are what the counter holds, for doors on sockets and within this process alike. They are safe for concurrent
 // use.
 type Numbers struct {
-	mu     sync.Mutex
-	all    map[string]number
-	swept  time.Time
-	closed bool
-	calls  int64
-	busy   int64
-	rate   float64 // calls a second; 0: no bound
-	left   float64 // calls that may come at once
-	leftAt time.Time
+	mu             sync.Mutex
+	numbers        map[string]number
+	sweptAt        time.Time
+	rejectsAll     bool
+	calls          int64
+	rejected       int64
+	callsPerSecond float64 // calls a second; 0: no bound
+	tokens         float64 // calls that may come at once
+	filledAt       time.Time
 }
 
 // NewNumbers returns no numbers yet. They take so many calls a second, a tenth of a second's at once; further ones are
 // turned away. 0: all calls.
 func NewNumbers(callsPerSecond float64) *Numbers {
-	return &Numbers{all: map[string]number{}, rate: callsPerSecond}
+	return &Numbers{numbers: map[string]number{}, callsPerSecond: callsPerSecond}
 }
 
 // TurnAway makes the counter turn all calls away, or take them again.
 func (n *Numbers) TurnAway(yes bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.closed = yes
+	n.rejectsAll = yes
 }
 
 // Empty forgets all numbers, as a counter that was restarted.
 func (n *Numbers) Empty() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	clear(n.all)
+	clear(n.numbers)
 }
 
 // Calls returns how many calls came so far, and how many of them were turned away.
 func (n *Numbers) Calls() (all, turnedAway int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.calls, n.busy
+	return n.calls, n.rejected
 }
 
 // Names returns how many numbers are held.
 func (n *Numbers) Names() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return len(n.all)
+	return len(n.numbers)
 }
 
 // Add adds to a number and returns its total. A new name is forgotten after keep. ok is false where the call is turned
@@ -78,77 +78,77 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.calls++
-	if n.rate > 0 {
-		n.left = min(n.rate/10, n.left+n.rate*max(0, now.Sub(n.leftAt)).Seconds())
-		n.leftAt = now
+	if n.callsPerSecond > 0 {
+		n.tokens = min(n.callsPerSecond/10, n.tokens+n.callsPerSecond*max(0, now.Sub(n.filledAt)).Seconds())
+		n.filledAt = now
 	}
-	if now.Sub(n.swept) >= time.Second {
-		n.swept = now
-		for k, v := range n.all {
-			if !now.Before(v.until) {
-				delete(n.all, k)
+	if now.Sub(n.sweptAt) >= time.Second {
+		n.sweptAt = now
+		for k, v := range n.numbers {
+			if !now.Before(v.expiresAt) {
+				delete(n.numbers, k)
 			}
 		}
 	}
-	v, known := n.all[name]
-	if known && !now.Before(v.until) {
+	v, known := n.numbers[name]
+	if known && !now.Before(v.expiresAt) {
 		v, known = number{}, false
 	}
-	if n.closed || n.rate > 0 && n.left < 1 || !known && len(n.all) >= mostNames {
-		n.busy++
+	if n.rejectsAll || n.callsPerSecond > 0 && n.tokens < 1 || !known && len(n.numbers) >= maxNumbers {
+		n.rejected++
 		return 0, false
 	}
-	n.left--
+	n.tokens--
 	if !known {
-		v.until = now.Add(min(max(keep, time.Millisecond), mostKeep))
+		v.expiresAt = now.Add(min(max(keep, time.Millisecond), maxTTL))
 	}
 	v.total += amount
-	n.all[name] = v
+	n.numbers[name] = v
 	return v.total, true
 }
 
 // Counter is the counter as one door sees it, on an address of its own. Several share the same Numbers.
 type Counter struct {
-	Meter Meter
-	nums  *Numbers
-	ln    *listener
+	Meter    Meter
+	numbers  *Numbers
+	listener *listener
 }
 
 // StartCounter listens on a loopback address.
 func StartCounter(addr string, nums *Numbers) (*Counter, error) {
-	c := &Counter{nums: nums}
+	c := &Counter{numbers: nums}
 	var err error
-	if c.ln, err = listen(addr, counterConns, &c.Meter); err != nil {
+	if c.listener, err = listen(addr, maxCounterConns, &c.Meter); err != nil {
 		return nil, err
 	}
-	c.ln.serve(c.serve)
+	c.listener.serve(c.serve)
 	return c, nil
 }
 
 // Addr returns the counter's address.
-func (c *Counter) Addr() string { return c.ln.Addr().String() }
+func (c *Counter) Addr() string { return c.listener.Addr().String() }
 
 // Close ends the counter and its connections.
-func (c *Counter) Close() { c.ln.Close() }
+func (c *Counter) Close() { c.listener.Close() }
 
 // serve answers the calls of a connection in their order. Answers to calls that came together go out together.
 func (c *Counter) serve(nc net.Conn) {
-	in := bufio.NewReaderSize(nc, counterLine)
+	in := bufio.NewReaderSize(nc, maxCallBytes)
 	out := bufio.NewWriterSize(nc, 4096)
 	for {
 		if in.Buffered() == 0 {
-			nc.SetWriteDeadline(time.Now().Add(writeWithin))
+			nc.SetWriteDeadline(time.Now().Add(writeTimeout))
 			if out.Flush() != nil {
 				return
 			}
-			nc.SetReadDeadline(time.Now().Add(counterIdle))
+			nc.SetReadDeadline(time.Now().Add(counterIdleTimeout))
 		}
 		text, err := in.ReadSlice('\n')
 		if err != nil { // too long a call, among others
 			return
 		}
 		answer, ok := c.answer(strings.TrimRight(string(text), "\r\n"))
-		nc.SetWriteDeadline(time.Now().Add(writeWithin))
+		nc.SetWriteDeadline(time.Now().Add(writeTimeout))
 		out.WriteString(answer + "\r\n")
 		if !ok {
 			out.Flush()
@@ -168,10 +168,10 @@
 	}
 	amount, err := strconv.ParseFloat(f[2], 64)
 	ms, err2 := strconv.ParseInt(f[3], 10, 64)
-	if err != nil || err2 != nil || math.IsNaN(amount) || math.Abs(amount) > mostAmount || ms < 1 {
+	if err != nil || err2 != nil || math.IsNaN(amount) || math.Abs(amount) > maxAmount || ms < 1 {
 		return "error", false
 	}
-	total, added := c.nums.Add(time.Now(), f[1], amount, time.Duration(min(ms, 60_000))*time.Millisecond)
+	total, added := c.numbers.Add(time.Now(), f[1], amount, time.Duration(min(ms, 60_000))*time.Millisecond)
 	if !added {
 		return "busy", true
 	}
--- a/internal/emulator/ledger.go
+++ b/internal/emulator/ledger.go
@@ -11,15 +11,15 @@
 const (
 	Unanswered Ending = iota // no final answer, or one that breaks off
 	Served
-	Refused // trying again is harmless
+	Rejected // trying again is harmless
 	Failed
 	Wrong // served with what was not made for this request
 )
 
-const mostEntries = 1 << 20 // requests that a ledger holds; further ones are only counted
+const maxLedgerEntries = 1 << 20 // requests that a ledger holds; further ones are only counted
 
-type entry struct {
-	effect  Effect
+type ledgerEntry struct {
+	effect  Idempotency
 	runs    int
 	service time.Duration
 	ended   bool
@@ -28,83 +28,83 @@
 
 // Ledger keeps, by request, what the backends did and what the client was told. It is safe for concurrent use.
 type Ledger struct {
-	mu   sync.Mutex
-	all  map[string]*entry
-	lost int
+	mu      sync.Mutex
+	entries map[string]*ledgerEntry
+	notKept int
 }
 
 // NewLedger returns an empty ledger.
-func NewLedger() *Ledger { return &Ledger{all: map[string]*entry{}} }
+func NewLedger() *Ledger { return &Ledger{entries: map[string]*ledgerEntry{}} }
 
-func (l *Ledger) entry(id string) *entry {
-	e := l.all[id]
+func (l *Ledger) entry(id string) *ledgerEntry {
+	e := l.entries[id]
 	if e == nil {
-		e = &entry{}
-		if len(l.all) >= mostEntries {
-			l.lost++
+		e = &ledgerEntry{}
+		if len(l.entries) >= maxLedgerEntries {
+			l.notKept++
 			return e
 		}
-		l.all[id] = e
+		l.entries[id] = e
 	}
 	return e
 }
 
-// Ran notes that a backend has begun an attempt.
-func (l *Ledger) Ran(id string) {
+// AttemptStarted notes that a backend has begun an attempt.
+func (l *Ledger) AttemptStarted(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.entry(id).runs++
 }
 
-// Took notes how long a backend had an attempt, from the command's last byte to its answer.
-func (l *Ledger) Took(id string, service time.Duration) {
+// AttemptServed notes how long a backend had an attempt, from the command's last byte to its answer.
+func (l *Ledger) AttemptServed(id string, service time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.entry(id).service = service
 }
 
-// Service returns the time that Took noted last for a request; 0: none.
-func (l *Ledger) Service(id string) time.Duration {
+// ServiceTime returns the time that Took noted last for a request; 0: none.
+func (l *Ledger) ServiceTime(id string) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if e := l.all[id]; e != nil {
+	if e := l.entries[id]; e != nil {
 		return e.service
 	}
 	return 0
 }
 
-// Ended notes what the client was told.
-func (l *Ledger) Ended(q *Request, how Ending) {
+// RequestEnded notes what the client was told.
+func (l *Ledger) RequestEnded(q *Request, how Ending) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e := l.entry(q.ID)
-	e.effect, e.ended, e.ending = q.Effect, true, how
+	e.effect, e.ended, e.ending = q.Idempotency, true, how
 }
 
 // Sums compares what the backends did with what the clients were told, by the requests' ids.
 type Sums struct {
 	Requests   int `json:"requests"` // that ended at a client
 	Served     int `json:"served"`
-	Refused    int `json:"refused"`
+	Rejected   int `json:"refused"`
 	Failed     int `json:"failed"`
 	Unanswered int `json:"unanswered"`
 	Wrong      int `json:"wrong"` // served with another request's value
 
-	Runs       int `json:"runs"`        // attempts that backends began
-	Ran        int `json:"ran"`         // requests of which they began one or more
-	RanNotSaid int `json:"ran_unsaid"`  // ... that were not served all the same
-	Phantom    int `json:"phantom"`     // served, but no backend ran them
-	Doubled    int `json:"doubled"`     // of an unsafe class, run more than once
-	RefusedRan int `json:"refused_ran"` // of an unsafe class, run and yet refused
-	Lost       int `json:"lost"`        // notes beyond what the ledger holds
+	Runs         int `json:"runs"`        // attempts that backends began
+	Ran          int `json:"ran"`         // requests of which they began one or more
+	RanNotServed int `json:"ran_unsaid"`  // ... that were not served all the same
+	Phantom      int `json:"phantom"`     // served, but no backend ran them
+	Doubled      int `json:"doubled"`     // of an unsafe class, run more than once
+	RejectedRan  int `json:"refused_ran"` // of an unsafe class, run and yet refused
+	NotKept      int `json:"lost"`        // notes beyond what the ledger holds
 }
 
 // Sums returns the sums of the requests for which of holds; nil: all.
 func (l *Ledger) Sums(of func(id string) bool) Sums {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := Sums{Lost: l.lost}
-	for id, e := range l.all {
+	s := Sums{NotKept: l.notKept}
+	for id, e := range l.entries {
 		if of != nil && !of(id) {
 			continue
 		}
@@ -112,7 +112,7 @@
 		if e.runs > 0 {
 			s.Ran++
 			if e.ending != Served {
-				s.RanNotSaid++
+				s.RanNotServed++
 			}
 		}
 		if !e.ended {
@@ -125,10 +125,10 @@
 			if e.runs == 0 {
 				s.Phantom++
 			}
-		case Refused:
-			s.Refused++
-			if e.runs > 0 && e.effect == Unsafe {
-				s.RefusedRan++
+		case Rejected:
+			s.Rejected++
+			if e.runs > 0 && e.effect == NonIdempotent {
+				s.RejectedRan++
 			}
 		case Failed:
 			s.Failed++
@@ -137,7 +137,7 @@
 		case Wrong:
 			s.Wrong++
 		}
-		if e.runs > 1 && e.effect == Unsafe {
+		if e.runs > 1 && e.effect == NonIdempotent {
 			s.Doubled++
 		}
 	}
--- a/internal/emulator/link.go
+++ b/internal/emulator/link.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-const linkConns = 1024 // connections that a link holds
+const maxLinkConns = 1024 // connections that a link holds
 
 // Direction is one of the two ways through a link.
 type Direction int
@@ -22,46 +22,46 @@
 
 // Flows of a direction.
 const (
-	Passes Flow = iota
-	Held        // kept until it passes again, as on a network that is cut: nobody is told
-	Lost        // read and thrown away
+	Pass Flow = iota
+	Hold      // kept until it passes again, as on a network that is cut: nobody is told
+	Drop      // read and thrown away
 )
 
 // Link is a relay on loopback between any two parties. It can hold, lose or delay one direction, and reset connections.
 type Link struct {
-	Meter  Meter
-	ln     *listener
-	target string
+	Meter    Meter
+	listener *listener
+	target   string
 
 	mu      sync.Mutex
 	changed *sync.Cond
 	flow    [2]Flow
 	delay   [2]time.Duration
 	closed  bool
-	pairs   map[*pair]bool
+	relayed map[*relayedConn]bool
 }
 
-// pair is a connection through a link: its two ends.
-type pair struct {
-	link         *Link
-	dialled, own net.Conn
-	once         sync.Once
+// relayedConn is a connection through a link: its two ends.
+type relayedConn struct {
+	link           *Link
+	client, server net.Conn
+	once           sync.Once
 }
 
 // StartLink listens on a loopback address and relays to another one.
 func StartLink(addr, target string) (*Link, error) {
-	l := &Link{target: target, pairs: map[*pair]bool{}}
+	l := &Link{target: target, relayed: map[*relayedConn]bool{}}
 	l.changed = sync.NewCond(&l.mu)
 	var err error
-	if l.ln, err = listen(addr, linkConns, &l.Meter); err != nil {
+	if l.listener, err = listen(addr, maxLinkConns, &l.Meter); err != nil {
 		return nil, err
 	}
-	l.ln.serve(l.serve)
+	l.listener.serve(l.serve)
 	return l, nil
 }
 
 // Addr returns the address to dial.
-func (l *Link) Addr() string { return l.ln.Addr().String() }
+func (l *Link) Addr() string { return l.listener.Addr().String() }
 
 // Set says what becomes of one direction from now on, on all connections.
 func (l *Link) Set(direction Direction, flow Flow) {
@@ -73,9 +73,9 @@
 
 // Cut holds both directions, or lets both pass again.
 func (l *Link) Cut(yes bool) {
-	flow := Passes
+	flow := Pass
 	if yes {
-		flow = Held
+		flow = Hold
 	}
 	l.Set(ToServer, flow)
 	l.Set(ToClient, flow)
@@ -91,7 +91,7 @@
 // Reset resets all connections. New ones may come.
 func (l *Link) Reset() {
 	for _, p := range l.open() {
-		for _, nc := range []net.Conn{p.dialled, p.own} {
+		for _, nc := range []net.Conn{p.client, p.server} {
 			if tcp, ok := nc.(*net.TCPConn); ok {
 				tcp.SetLinger(0)
 			}
@@ -109,13 +109,13 @@
 	for _, p := range l.open() {
 		p.close()
 	}
-	l.ln.Close()
+	l.listener.Close()
 }
 
-func (l *Link) open() (all []*pair) {
+func (l *Link) open() (all []*relayedConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for p := range l.pairs {
+	for p := range l.relayed {
 		all = append(all, p)
 	}
 	return all
@@ -127,14 +127,14 @@
 	if metered, ok := dialled.(*meteredConn); ok {
 		outer = metered.Conn
 	}
-	own, err := net.DialTimeout("tcp", l.target, writeWithin)
+	own, err := net.DialTimeout("tcp", l.target, writeTimeout)
 	if err != nil {
 		outer.(*net.TCPConn).SetLinger(0)
 		return
 	}
-	p := &pair{link: l, dialled: outer, own: own}
+	p := &relayedConn{link: l, client: outer, server: own}
 	l.mu.Lock()
-	l.pairs[p] = true
+	l.relayed[p] = true
 	l.mu.Unlock()
 	defer p.close()
 	var both sync.WaitGroup
@@ -143,19 +143,19 @@
 	both.Wait()
 }
 
-func (p *pair) close() {
+func (p *relayedConn) close() {
 	p.once.Do(func() {
-		p.dialled.Close()
-		p.own.Close()
+		p.client.Close()
+		p.server.Close()
 		p.link.mu.Lock()
 		defer p.link.mu.Unlock()
-		delete(p.link.pairs, p)
+		delete(p.link.relayed, p)
 		p.link.changed.Broadcast()
 	})
 }
 
 // relay passes one direction on until its end. While it is held the end is held too.
-func (p *pair) relay(direction Direction, from, to net.Conn) {
+func (p *relayedConn) relay(direction Direction, from, to net.Conn) {
 	b := make([]byte, 4096)
 	for {
 		n, err := from.Read(b)
@@ -163,14 +163,14 @@
 		if !alive {
 			return
 		}
-		if n > 0 && flow == Passes {
+		if n > 0 && flow == Pass {
 			if _, failed := to.Write(b[:n]); failed != nil {
 				p.close()
 				return
 			}
 		}
 		if err != nil {
-			if half, ok := to.(*net.TCPConn); ok && flow == Passes {
+			if half, ok := to.(*net.TCPConn); ok && flow == Pass {
 				half.CloseWrite()
 			}
 			return
@@ -179,15 +179,15 @@
 }
 
 // wait waits while a direction is held or delayed. alive is false where the connection or the link has ended.
-func (l *Link) wait(p *pair, direction Direction) (flow Flow, alive bool) {
+func (l *Link) wait(p *relayedConn, direction Direction) (flow Flow, alive bool) {
 	l.mu.Lock()
 	delay := l.delay[direction]
 	l.mu.Unlock()
 	time.Sleep(delay)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for l.flow[direction] == Held && !l.closed && l.pairs[p] {
+	for l.flow[direction] == Hold && !l.closed && l.relayed[p] {
 		l.changed.Wait()
 	}
-	return l.flow[direction], !l.closed && l.pairs[p]
+	return l.flow[direction], !l.closed && l.relayed[p]
 }
--- a/internal/emulator/resp.go
+++ b/internal/emulator/resp.go
@@ -9,18 +9,18 @@
 )
 
 const (
-	mostValue = 64 << 10 // bytes of a bulk string
-	mostArgs  = 8        // of a command, or elements of an answer
-	mostLine  = 512      // bytes of a line
+	maxValueBytes = 64 << 10 // bytes of a bulk string
+	maxItems      = 8        // of a command, or elements of an answer
+	maxLineBytes  = 512      // bytes of a line
 )
 
-var errSyntax = errors.New("not RESP2 as the protocol has it")
+var errMalformed = errors.New("not RESP2 as the protocol has it")
 
 // respLine reads a line without its end. The bytes hold until the next read.
 func respLine(in *bufio.Reader) ([]byte, error) {
 	b, err := in.ReadSlice('\n')
-	if errors.Is(err, bufio.ErrBufferFull) || err == nil && (len(b) < 3 || len(b) > mostLine || b[len(b)-2] != '\r') {
-		return nil, errSyntax
+	if errors.Is(err, bufio.ErrBufferFull) || err == nil && (len(b) < 3 || len(b) > maxLineBytes || b[len(b)-2] != '\r') {
+		return nil, errMalformed
 	}
 	if err != nil {
 		return nil, err
@@ -32,14 +32,14 @@
 func respLength(text []byte, most int) (int, error) {
 	n, err := strconv.Atoi(string(text))
 	if err != nil || n < -1 || n > most {
-		return 0, errSyntax
+		return 0, errMalformed
 	}
 	return n, nil
 }
 
 // respBulk reads what follows the line of a bulk string.
 func respBulk(in *bufio.Reader, length []byte) (string, bool, error) {
-	n, err := respLength(length, mostValue)
+	n, err := respLength(length, maxValueBytes)
 	if err != nil || n < 0 {
 		return "", false, err
 	}
@@ -48,7 +48,7 @@
 		return "", false, err
 	}
 	if b[n] != '\r' || b[n+1] != '\n' {
-		return "", false, errSyntax
+		return "", false, errMalformed
 	}
 	return string(b[:n]), true, nil
 }
@@ -60,9 +60,9 @@
 		return nil, err
 	}
 	if head[0] != '*' {
-		return nil, errSyntax
+		return nil, errMalformed
 	}
-	n, err := respLength(head[1:], mostArgs)
+	n, err := respLength(head[1:], maxItems)
 	if err != nil || n < 1 {
 		return nil, cmpErr(err)
 	}
@@ -72,7 +72,7 @@
 			return nil, err
 		}
 		if head[0] != '$' {
-			return nil, errSyntax
+			return nil, errMalformed
 		}
 		text, given, err := respBulk(in, head[1:])
 		if err != nil || !given {
@@ -85,16 +85,16 @@
 
 func cmpErr(err error) error {
 	if err == nil {
-		return errSyntax
+		return errMalformed
 	}
 	return err
 }
 
 // reply is an answer: a line with its first character, or a value that is not null.
 type reply struct {
-	line  string // such as -BUSY 20
-	value string
-	isval bool
+	line    string // such as -BUSY 20
+	value   string
+	isValue bool
 }
 
 // readReply reads an answer of a door. Of an array the first element counts.
@@ -108,9 +108,9 @@
 		return reply{line: string(head)}, nil
 	case '$':
 		text, given, err := respBulk(in, head[1:])
-		return reply{value: text, isval: given}, err
+		return reply{value: text, isValue: given}, err
 	case '*':
-		n, err := respLength(head[1:], mostArgs)
+		n, err := respLength(head[1:], maxItems)
 		if err != nil {
 			return reply{}, err
 		}
@@ -118,7 +118,7 @@
 		for i := range n {
 			head, err := in.Peek(1)
 			if err == nil && head[0] == '*' {
-				err = errSyntax
+				err = errMalformed
 			}
 			if err != nil {
 				return reply{}, err
@@ -133,7 +133,7 @@
 		}
 		return first, nil
 	}
-	return reply{}, errSyntax
+	return reply{}, errMalformed
 }
 
 // appendCommand appends a command.
--- a/internal/emulator/standin.go
+++ b/internal/emulator/standin.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-const writeWithin = 2 * time.Second // a peer that takes nothing for so long has gone
+const writeTimeout = 2 * time.Second // a peer that takes nothing for so long has gone
 
 // Meter counts what passes a listener, as the stand-in sees it: bytes of TCP payload, without the kernel's headers.
 type Meter struct {
@@ -23,12 +23,12 @@
 // listener takes at most so many connections at once and counts their bytes. Further ones are reset.
 type listener struct {
 	net.Listener
-	meter *Meter
-	most  int64
+	meter    *Meter
+	maxConns int64
 
-	mu     sync.Mutex
-	all    map[*meteredConn]bool // nil: closed
-	ending sync.WaitGroup        // the connections' goroutines
+	mu         sync.Mutex
+	conns      map[*meteredConn]bool // nil: closed
+	goroutines sync.WaitGroup        // the connections' goroutines
 }
 
 // listen listens on a loopback address; others are refused.
@@ -44,7 +44,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &listener{Listener: ln, meter: meter, most: int64(most), all: map[*meteredConn]bool{}}, nil
+	return &listener{Listener: ln, meter: meter, maxConns: int64(most), conns: map[*meteredConn]bool{}}, nil
 }
 
 // Accept takes the next connection for which there is room.
@@ -54,10 +54,10 @@
 		if err != nil {
 			return nil, err
 		}
-		c := &meteredConn{Conn: nc, l: l}
+		c := &meteredConn{Conn: nc, listener: l}
 		l.mu.Lock()
-		if l.all != nil && int64(len(l.all)) < l.most {
-			l.all[c] = true
+		if l.conns != nil && int64(len(l.conns)) < l.maxConns {
+			l.conns[c] = true
 			l.mu.Unlock()
 			l.meter.Open.Add(1)
 			l.meter.Opened.Add(1)
@@ -71,7 +71,7 @@
 
 // serve hands each connection to a goroutine of its own until the listener is closed.
 func (l *listener) serve(one func(net.Conn)) {
-	l.ending.Go(func() {
+	l.goroutines.Go(func() {
 		for {
 			nc, err := l.Accept()
 			if errors.Is(err, net.ErrClosed) {
@@ -81,7 +81,7 @@
 				time.Sleep(10 * time.Millisecond)
 				continue
 			}
-			l.ending.Go(func() {
+			l.goroutines.Go(func() {
 				defer nc.Close()
 				one(nc)
 			})
@@ -93,41 +93,41 @@
 func (l *listener) Close() error {
 	err := l.Listener.Close()
 	l.mu.Lock()
-	all := l.all
-	l.all = nil
+	all := l.conns
+	l.conns = nil
 	l.mu.Unlock()
 	for c := range all {
 		c.Close()
 	}
-	l.ending.Wait()
+	l.goroutines.Wait()
 	return err
 }
 
 // meteredConn counts the bytes of one connection.
 type meteredConn struct {
 	net.Conn
-	l    *listener
-	once sync.Once
+	listener *listener
+	once     sync.Once
 }
 
 func (c *meteredConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.l.meter.Received.Add(int64(n))
+	c.listener.meter.Received.Add(int64(n))
 	return n, err
 }
 
 func (c *meteredConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.l.meter.Sent.Add(int64(n))
+	c.listener.meter.Sent.Add(int64(n))
 	return n, err
 }
 
 func (c *meteredConn) Close() error {
 	c.once.Do(func() {
-		c.l.mu.Lock()
-		delete(c.l.all, c)
-		c.l.mu.Unlock()
-		c.l.meter.Open.Add(-1)
+		c.listener.mu.Lock()
+		delete(c.listener.conns, c)
+		c.listener.mu.Unlock()
+		c.listener.meter.Open.Add(-1)
 	})
 	return c.Conn.Close()
 }
--- a/internal/emulator/standin_test.go
+++ b/internal/emulator/standin_test.go
@@ -65,7 +65,7 @@
 		"add " + strings.Repeat("n", 65) + " 1 5\r\n"} {
 		talk(t, c.Addr(), bad, "error\r\n", true)
 	}
-	talk(t, c.Addr(), strings.Repeat("a", 2*counterLine), "", true)
+	talk(t, c.Addr(), strings.Repeat("a", 2*maxCallBytes), "", true)
 	nums.TurnAway(true)
 	talk(t, c.Addr(), "add a 1 4000\r\n", "busy\r\n", false)
 	if all, busy := nums.Calls(); all != 4 || busy != 1 {
@@ -85,7 +85,7 @@
 	if v, _ := n.Add(now.Add(time.Second), "a", 1, time.Hour); v != 1 { // the life of a name counts from its start
 		t.Errorf("total %v, want 1", v)
 	}
-	n.Add(now.Add(2*mostKeep), "b", 1, time.Second)
+	n.Add(now.Add(2*maxTTL), "b", 1, time.Second)
 	if n.Names() != 1 {
 		t.Errorf("%d names, want 1", n.Names())
 	}
@@ -99,9 +99,9 @@
 }
 
 func TestAgent(t *testing.T) {
-	cat := NewCatalog([]Member{{Name: "a", Status: Serving}, {Name: "b", Status: Serving}})
-	told := make(chan Told, 8)
-	a, err := StartAgent("127.0.0.1:0", cat, func(w Told) { told <- w })
+	cat := NewCatalog([]Endpoint{{Name: "a", Status: Serving}, {Name: "b", Status: Serving}})
+	told := make(chan WatchSent, 8)
+	a, err := StartAgent("127.0.0.1:0", cat, func(w WatchSent) { told <- w })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -135,14 +135,14 @@
 		t.Errorf("the whole list is %+v", m)
 	}
 	watch, _ := get(url + "?stream=1&index=1")
-	cat.Apply(Member{Name: "b", Status: Draining})
+	cat.Apply(Endpoint{Name: "b", Status: Draining})
 	if m := next(watch); m.Snapshot || m.Index != 2 || len(m.Endpoints) != 1 || m.Endpoints[0].Status != Draining {
 		t.Errorf("the change is %+v", m)
 	}
-	if w := <-told; w.Entries != 1 || w.Whole || w.Index != 2 || w.Peer.Port() == 0 || w.Own.Port() == 0 {
+	if w := <-told; w.Entries != 1 || w.Snapshot || w.Index != 2 || w.GatewayAddr.Port() == 0 || w.AgentAddr.Port() == 0 {
 		t.Errorf("told %+v", w)
 	}
-	cat.Apply(Member{Name: "a", Status: Deleted}, Member{Name: "c", Status: Serving})
+	cat.Apply(Endpoint{Name: "a", Status: Deleted}, Endpoint{Name: "c", Status: Serving})
 	next(watch)
 	if m := next(watch); m.Index != 0 { // nothing changes for 2 s: an empty line
 		t.Errorf("instead of an empty line came %+v", m)
@@ -167,16 +167,16 @@
 		t.Fatal(err)
 	}
 	defer b.Close()
-	if b.Addr(2) == b.Addr(3) || b.Addr(2) != b.Addr(4) || b.Addr(0) == b.Addr(1) || b.Alone(2) || !b.Alone(1) {
+	if b.Addr(2) == b.Addr(3) || b.Addr(2) != b.Addr(4) || b.Addr(0) == b.Addr(1) || b.HasOwnListener(2) || !b.HasOwnListener(1) {
 		t.Error("the listeners are not shared as they should be")
 	}
 	for range 6 {
-		if i := b.machine(2); i != 2 && i != 4 {
+		if i := b.backendAt(2); i != 2 && i != 4 {
 			t.Errorf("backend %d at the address of 2 and 4", i)
 		}
 	}
-	conf := TrafficConfig{Doors: 3, Spread: 2, Customers: 30, Plans: []string{"p", "q"}, Rate: 100, Seed: 1,
-		Classes: []Class{{Name: "safe", Share: 1, Wait: patient}, {Name: "once", Effect: Unsafe, Share: 1, Wait: patient}}}
+	conf := TrafficConfig{Gateways: 3, GatewaysPerTenant: 2, Tenants: 30, Plans: []string{"p", "q"}, RequestsPerSecond: 100, Seed: 1,
+		Classes: []Class{{Name: "safe", Share: 1, ClientTimeout: patient}, {Name: "once", Idempotency: NonIdempotent, Share: 1, ClientTimeout: patient}}}
 	traffic := NewTraffic(conf, 2)
 	again := NewTraffic(conf, 2)
 	clients := NewClients(b.Addr(1), 4, 0)
@@ -186,57 +186,57 @@
 		if gap2, q2 := again.Next(); gap != gap2 || *q != *q2 {
 			t.Fatalf("the same seed gives %+v and %+v", q, q2)
 		}
-		if (2-q.First+3)%3 >= 2 || DoorOf(q.ID) != 2 {
+		if (2-q.FirstGateway+3)%3 >= 2 || GatewayOf(q.ID) != 2 {
 			t.Errorf("%+v reaches door 2", q)
 		}
 		how, took := clients.Do(context.Background(), q)
-		ledger.Ended(q, how)
-		if s := ledger.Service(q.ID); how != Served || s <= 0 || s > took {
+		ledger.RequestEnded(q, how)
+		if s := ledger.ServiceTime(q.ID); how != Served || s <= 0 || s > took {
 			t.Fatalf("ended as %v after %v, of which the backend took %v", how, took, s)
 		}
 		if i := <-seen; i != 1 {
 			t.Errorf("seen at %d", i)
 		}
 	}
-	if alone, all := b.Open(); alone[1] != 1 || all != 1 {
+	if alone, all := b.OpenConnections(); alone[1] != 1 || all != 1 {
 		t.Errorf("%v connections, %d in all; want one", alone, all)
 	}
-	if s := ledger.Sums(nil); s.Served != 20 || s.Ran != 20 || s.Runs != 20 || s.Phantom+s.Doubled+s.RanNotSaid+s.Wrong != 0 {
+	if s := ledger.Sums(nil); s.Served != 20 || s.Ran != 20 || s.Runs != 20 || s.Phantom+s.Doubled+s.RanNotServed+s.Wrong != 0 {
 		t.Errorf("sums %+v", s)
 	}
 	talk(t, b.Addr(0), "*1\r\n$4\r\nPING\r\n*2\r\n$6\r\nSELECT\r\n$1\r\n0\r\n*1\r\n$5\r\nHELLO\r\n", "+PONG\r\n+OK\r\n-ERR", false)
 	for _, bad := range []string{"PING\r\n", "*1\r\n$99999999\r\n", "*2\r\n$5\r\nQ.ASK\r\n$1\r\nx\r\n", "*1\r\n$4\r\nPINGxx"} {
 		talk(t, b.Addr(0), bad, "-SYNTAX\r\n", true)
 	}
-	if b.Syntax() != 4 {
-		t.Errorf("%d commands of no form, want 4", b.Syntax())
+	if b.Malformed() != 4 {
+		t.Errorf("%d commands of no form, want 4", b.Malformed())
 	}
 }
 
 func TestModelTurnsAwayWhoWouldWaitTooLong(t *testing.T) {
 	m, now := NewModel(1, 2, time.Second, 0, 1), time.Now()
 	for want := range 3 {
-		if _, ok := m.Begin(0, now); ok != (want < 2) {
+		if _, ok := m.StartAttempt(0, now); ok != (want < 2) {
 			t.Errorf("attempt %d begins: %v", want, ok)
 		}
 	}
-	if each, turned := m.Begun(); each[0] != 2 || turned != 1 {
+	if each, turned := m.Attempts(); each[0] != 2 || turned != 1 {
 		t.Errorf("begun %v, turned away %d", each, turned)
 	}
 }
 
 func TestLedgerFindsWhatMustNotHappen(t *testing.T) {
 	l := NewLedger()
-	once := &Request{ID: "0000000000000001", Effect: Unsafe}
-	l.Ran(once.ID)
-	l.Ran(once.ID)
-	l.Ended(once, Refused)
-	l.Ended(&Request{ID: "0000000100000002"}, Served)
+	once := &Request{ID: "0000000000000001", Idempotency: NonIdempotent}
+	l.AttemptStarted(once.ID)
+	l.AttemptStarted(once.ID)
+	l.RequestEnded(once, Rejected)
+	l.RequestEnded(&Request{ID: "0000000100000002"}, Served)
 	s := l.Sums(nil)
-	if s.Doubled != 1 || s.RefusedRan != 1 || s.Phantom != 1 || s.RanNotSaid != 1 {
+	if s.Doubled != 1 || s.RejectedRan != 1 || s.Phantom != 1 || s.RanNotServed != 1 {
 		t.Errorf("sums %+v", s)
 	}
-	if s := l.Sums(func(id string) bool { return DoorOf(id) == 1 }); s.Requests != 1 || s.Phantom != 1 {
+	if s := l.Sums(func(id string) bool { return GatewayOf(id) == 1 }); s.Requests != 1 || s.Phantom != 1 {
 		t.Errorf("sums of door 1 %+v", s)
 	}
 }
@@ -274,19 +274,19 @@
 	if says(nc, "one"); !hears(nc, "one", long) {
 		t.Error("it does not pass on")
 	}
-	link.Set(ToClient, Held)
+	link.Set(ToClient, Hold)
 	if says(nc, "two"); hears(nc, "two", short) {
 		t.Error("what is held comes")
 	}
-	link.Set(ToClient, Passes)
+	link.Set(ToClient, Pass)
 	if !hears(nc, "two", long) {
 		t.Error("what was held does not come")
 	}
-	link.Set(ToServer, Lost)
+	link.Set(ToServer, Drop)
 	if says(nc, "three"); hears(nc, "three", short) {
 		t.Error("what is lost comes")
 	}
-	link.Set(ToServer, Passes)
+	link.Set(ToServer, Pass)
 	link.Delay(ToServer, short)
 	begun := time.Now()
 	if says(nc, "four"); !hears(nc, "four", long) || time.Since(begun) < short {
@@ -306,12 +306,12 @@
 
 // A catalog that starts anew has a lower index, and a watch from the higher one gets the whole list.
 func TestCatalogStartsAnew(t *testing.T) {
-	c := NewCatalog([]Member{{Name: "a", Status: Serving}, {Name: "b", Status: Serving}})
-	index := c.Apply(Member{Name: "a", Status: Draining})
-	_, wake := c.Since(index)
-	c.StartAnew()
+	c := NewCatalog([]Endpoint{{Name: "a", Status: Serving}, {Name: "b", Status: Serving}})
+	index := c.Apply(Endpoint{Name: "a", Status: Draining})
+	_, wake := c.ChangesSince(index)
+	c.Restart()
 	<-wake
-	if m, _ := c.Since(index); !m.Snapshot || m.Index >= index || len(m.Endpoints) != 2 {
+	if m, _ := c.ChangesSince(index); !m.Snapshot || m.Index >= index || len(m.Endpoints) != 2 {
 		t.Errorf("after %d the watch gets %+v", index, m)
 	}
 }
--- a/internal/fleettest/audit_test.go
+++ b/internal/fleettest/audit_test.go
@@ -38,7 +38,7 @@
 	numbers  *emulator.Numbers
 	backends *emulator.Backends
 	ledger   *emulator.Ledger
-	members  []emulator.Member
+	members  []emulator.Endpoint
 	doors    []*auditDoor
 	dir      string
 	root     string
@@ -90,7 +90,7 @@
 	f.must(err)
 	t.Cleanup(f.backends.Close)
 	for i := range fleetBackends {
-		f.members = append(f.members, emulator.Member{Name: fmt.Sprint("s-", i), Address: f.backends.Addr(i),
+		f.members = append(f.members, emulator.Endpoint{Name: fmt.Sprint("s-", i), Address: f.backends.Addr(i),
 			Zone: zoneNames(2)[i%2], Type: "std", Status: emulator.Serving, Weight: 1})
 	}
 	for rank := range fleetDoors {
@@ -123,7 +123,7 @@
 func (f *auditFleet) saw(backend int, id string, first time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.attempts = append(f.attempts, seenAttempt{emulator.DoorOf(id), backend, first})
+	f.attempts = append(f.attempts, seenAttempt{emulator.GatewayOf(id), backend, first})
 }
 
 func (f *auditFleet) newDoor(rank int) *auditDoor {
@@ -154,7 +154,7 @@
 
 // configure writes the door's configuration.
 func (d *auditDoor) configure() {
-	known := d.catalog.Whole()
+	known := d.catalog.Snapshot()
 	if d.index != 0 {
 		known.Index = d.index
 	}
@@ -211,8 +211,8 @@
 
 // drive sends requests until halt is closed, and waits for their answers.
 func (d *auditDoor) drive(halt <-chan struct{}) {
-	traffic := emulator.NewTraffic(emulator.TrafficConfig{Doors: fleetDoors, Spread: fleetDoors, Customers: 40, Plans: plans,
-		Classes: classes, Rate: fleetRate, Seed: 3}, d.rank)
+	traffic := emulator.NewTraffic(emulator.TrafficConfig{Gateways: fleetDoors, GatewaysPerTenant: fleetDoors, Tenants: 40, Plans: plans,
+		Classes: classes, RequestsPerSecond: fleetRate, Seed: 3}, d.rank)
 	var out sync.WaitGroup
 	defer out.Wait()
 	for {
@@ -224,7 +224,7 @@
 		}
 		out.Go(func() {
 			how, _ := d.clients.Do(context.Background(), q)
-			d.fleet.ledger.Ended(q, how)
+			d.fleet.ledger.RequestEnded(q, how)
 		})
 	}
 }
@@ -235,8 +235,8 @@
 	f.t.Helper()
 	close(f.halt)
 	f.traffic.Wait()
-	sums := f.ledger.Sums(func(id string) bool { return emulator.DoorOf(id) != killed })
-	if sums.Unanswered > 0 || sums.Wrong > 0 || sums.Phantom > 0 || sums.Doubled > 0 || sums.RefusedRan > 0 {
+	sums := f.ledger.Sums(func(id string) bool { return emulator.GatewayOf(id) != killed })
+	if sums.Unanswered > 0 || sums.Wrong > 0 || sums.Phantom > 0 || sums.Doubled > 0 || sums.RejectedRan > 0 {
 		f.t.Errorf("requests: %+v", sums)
 	}
 	if sums.Served == 0 {
@@ -552,7 +552,7 @@
 				}
 			})
 		},
-		"calls arrive and answers do not": func(f *auditFleet) { f.doors[stale].counterLink.Set(emulator.ToClient, emulator.Lost) },
+		"calls arrive and answers do not": func(f *auditFleet) { f.doors[stale].counterLink.Set(emulator.ToClient, emulator.Drop) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := startFleet(t, nil)
@@ -635,11 +635,11 @@
 		d.log.wait(t, "version in force", func(fields map[string]string) bool { return fields["version"] == "4" })
 	}
 	for _, rank := range []int{0, 1} {
-		f.doors[rank].catalog.StartAnew()
+		f.doors[rank].catalog.Restart()
 	}
 	f.doors[0].log.waitStep(t, "behind") // three act on a version that was higher
 	for _, rank := range []int{2, 3, 4} {
-		f.doors[rank].catalog.StartAnew()
+		f.doors[rank].catalog.Restart()
 	}
 	for _, rank := range []int{0, 1} {
 		d := f.doors[rank]
--- a/internal/fleettest/hollow.go
+++ b/internal/fleettest/hollow.go
@@ -82,8 +82,8 @@
 func (h *hollow) run(ctx context.Context, begin, halt <-chan struct{}) {
 	alarm := time.NewTimer(0)
 	defer alarm.Stop()
-	h.take(h.w.catalog.Whole(), policy.CachedSnapshot)
-	_, wake := h.w.catalog.Since(h.index)
+	h.take(h.w.catalog.Snapshot(), policy.CachedSnapshot)
+	_, wake := h.w.catalog.ChangesSince(h.index)
 	for {
 		if !h.step(ctx) {
 			return
@@ -103,7 +103,7 @@
 			h.left = 0
 		case <-wake:
 			var m emulator.Members
-			if m, wake = h.w.catalog.Since(h.index); m.Snapshot {
+			if m, wake = h.w.catalog.ChangesSince(h.index); m.Snapshot {
 				h.take(m, policy.Snapshot)
 			} else if len(m.Endpoints) > 0 {
 				h.take(m, policy.Delta)
@@ -157,7 +157,7 @@
 			h.end(r.attempts[a.Attempt], policy.Cancelled)
 		}
 	case policy.Reject:
-		h.answer(h.requests[a.ID], emulator.Refused)
+		h.answer(h.requests[a.ID], emulator.Rejected)
 	case policy.Fail:
 		h.answer(h.requests[a.ID], emulator.Failed)
 	case policy.HealthCheck:
@@ -172,7 +172,7 @@
 	case policy.SetTimer:
 		h.timers.Add(a.At, func() { h.tell(policy.Timer{Cookie: a.Cookie}) })
 	case policy.FetchEndpoints:
-		h.after(refusedHop, func() { h.take(h.w.catalog.Whole(), policy.Snapshot) })
+		h.after(refusedHop, func() { h.take(h.w.catalog.Snapshot(), policy.Snapshot) })
 	}
 }
 
@@ -231,15 +231,15 @@
 	}
 	h.w.arrivals.Add(1)
 	h.lastID++
-	r := &hollowRequest{id: h.lastID, q: q, due: now + q.Wait}
+	r := &hollowRequest{id: h.lastID, q: q, due: now + q.ClientTimeout}
 	h.requests[r.id] = r
 	r.overdue = h.timers.Add(r.due, func() {
 		h.abandoned.Add(1)
 		h.leave(r, emulator.Failed)
 		h.tell(policy.ClientGone{ID: r.id})
 	})
-	h.tell(policy.Request{ID: r.id, Class: q.Class, Plan: q.Plan, Tenant: q.Customer, TimeLeft: q.Wait, Cost: 1,
-		Gateways: q.Spread})
+	h.tell(policy.Request{ID: r.id, Class: q.Class, Plan: q.Plan, Tenant: q.Tenant, TimeLeft: q.ClientTimeout, Cost: 1,
+		Gateways: q.Gateways})
 }
 
 // send starts an attempt, with the same conditions as a real door's.
@@ -258,15 +258,15 @@
 		return
 	}
 	h.w.reached(i, h.rank, wall)
-	done, ok := h.w.model.Begin(i, wall)
+	done, ok := h.w.model.StartAttempt(i, wall)
 	if !ok {
 		a.result = h.timers.Add(now+refusedHop, func() { h.end(a, policy.Rejected) })
 		return
 	}
-	h.w.ledger.Ran(r.q.ID)
+	h.w.ledger.AttemptStarted(r.q.ID)
 	if took := done.Sub(wall); now+took < until {
 		a.result = h.timers.Add(now+took, func() {
-			h.w.ledger.Took(r.q.ID, took)
+			h.w.ledger.AttemptServed(r.q.ID, took)
 			h.answer(r, emulator.Served)
 			h.end(a, policy.OK)
 		})
@@ -300,7 +300,7 @@
 func (h *hollow) leave(r *hollowRequest, how emulator.Ending) {
 	r.ended = true
 	h.timers.Stop(r.overdue)
-	h.w.ledger.Ended(r.q, how)
+	h.w.ledger.RequestEnded(r.q, how)
 	if how != emulator.Served {
 		for _, a := range r.attempts {
 			h.end(a, policy.Cancelled)
--- a/internal/fleettest/mixed_test.go
+++ b/internal/fleettest/mixed_test.go
@@ -127,10 +127,10 @@
 		all  int
 	}{{"real", r.Real, o.Requests}, {"hollow", r.Hollow, o.HollowDoors*o.Requests - int(r.Skipped)}} {
 		s := part.s
-		if s.Requests != part.all || s.Served+s.Refused+s.Failed != part.all || s.Served == 0 {
+		if s.Requests != part.all || s.Served+s.Rejected+s.Failed != part.all || s.Served == 0 {
 			t.Errorf("of %d requests of %s doors some have no final answer, or none was served: %+v", part.all, part.name, s)
 		}
-		if s.Phantom+s.Doubled+s.RefusedRan+s.Wrong+s.Lost != 0 || s.Ran != s.Served+s.RanNotSaid {
+		if s.Phantom+s.Doubled+s.RejectedRan+s.Wrong+s.NotKept != 0 || s.Ran != s.Served+s.RanNotServed {
 			t.Errorf("the backends of %s doors and their clients do not agree: %+v", part.name, s)
 		}
 	}
@@ -293,7 +293,7 @@
 			t.Errorf("rank %d is told %+v and %+v", rank, hollow, real.Transport)
 		}
 		for i, c := range classes {
-			if real.Transport.Classes[i] != c.Name || int(hollow.Classes[i].Idempotency) != int(c.Effect) {
+			if real.Transport.Classes[i] != c.Name || int(hollow.Classes[i].Idempotency) != int(c.Idempotency) {
 				t.Errorf("class %s is told as %+v", c.Name, hollow.Classes[i])
 			}
 		}
--- a/internal/fleettest/run.go
+++ b/internal/fleettest/run.go
@@ -147,7 +147,7 @@
 }
 
 func (w *world) count(doors []*realDoor) count {
-	c := count{at: time.Now(), arrivals: w.arrivals.Load(), conns: w.backends.Opened()}
+	c := count{at: time.Now(), arrivals: w.arrivals.Load(), conns: w.backends.ConnectionsAccepted()}
 	for _, d := range doors {
 		c.agentIn = append(c.agentIn, d.agent.Meter.Received.Load())
 		c.agentOut = append(c.agentOut, d.agent.Meter.Sent.Load())
@@ -266,7 +266,7 @@
 		return rates
 	}
 	if n > 0 {
-		w.row("whole list", "bytes", 1, []float64{float64(len(w.catalog.WholeJSON()))}, "body of GET /catalog/members")
+		w.row("whole list", "bytes", 1, []float64{float64(len(w.catalog.SnapshotJSON()))}, "body of GET /catalog/members")
 		w.row("from discovery", "bytes/s", n, each(from.agentOut, to.agentOut), "TCP payload at each door's agent, nothing changing")
 		w.row("to discovery", "bytes/s", n, each(from.agentIn, to.agentIn), "TCP payload at each door's agent")
 		w.row("to the counter", "bytes/s", n, each(from.counterIn, to.counterIn), "TCP payload by door")
@@ -355,7 +355,7 @@
 func newConnections() *connections { return &connections{} }
 
 func (c *connections) sample(b *emulator.Backends) {
-	alone, all := b.Open()
+	alone, all := b.OpenConnections()
 	c.samples++
 	c.all += all
 	for _, n := range alone {
@@ -406,8 +406,8 @@
 	slices.SortStableFunc(busiest, func(a, b int) int { return w.seen[b] - w.seen[a] })
 	clear(w.seen)
 	w.mu.Unlock()
-	changes := make([]emulator.Member, n)
-	back := make([]emulator.Member, n)
+	changes := make([]emulator.Endpoint, n)
+	back := make([]emulator.Endpoint, n)
 	d := &drain{backends: make(map[int]bool, n), last: map[int]time.Time{}}
 	for k, i := range busiest[:n] {
 		back[k], changes[k] = w.members[i], w.members[i]
@@ -415,12 +415,12 @@
 		d.backends[i] = true
 	}
 	// Which backends come first is told by what has come since the drain before, so their rate is known as well.
-	before, _ := w.model.Begun()
+	before, _ := w.model.Attempts()
 	start := time.Now()
 	if err := pause(ctx, rateTime); err != nil {
 		return err
 	}
-	after, _ := w.model.Begun()
+	after, _ := w.model.Attempts()
 	rate := 0
 	for i := range d.backends {
 		rate += after[i] - before[i]
--- a/internal/fleettest/settings.go
+++ b/internal/fleettest/settings.go
@@ -24,9 +24,9 @@
 )
 
 var classes = []emulator.Class{
-	{Name: "lookup", Effect: emulator.Safe, Share: 0.6, Wait: deadline},
-	{Name: "order", Effect: emulator.Keyed, Share: 0.25, Wait: deadline},
-	{Name: "settle", Effect: emulator.Unsafe, Share: 0.15, Wait: deadline},
+	{Name: "lookup", Idempotency: emulator.Idempotent, Share: 0.6, ClientTimeout: deadline},
+	{Name: "order", Idempotency: emulator.IdempotentWithKey, Share: 0.25, ClientTimeout: deadline},
+	{Name: "settle", Idempotency: emulator.NonIdempotent, Share: 0.15, ClientTimeout: deadline},
 }
 
 var plans = []string{"open", "starter", "team", "capped"}
--- a/internal/fleettest/world.go
+++ b/internal/fleettest/world.go
@@ -45,7 +45,7 @@
 	command  string
 	begun    time.Time
 	spot     map[string]int // number of a backend, by its name
-	members  []emulator.Member
+	members  []emulator.Endpoint
 	catalog  *emulator.Catalog
 	numbers  *emulator.Numbers
 	model    *emulator.Model
@@ -65,7 +65,7 @@
 	mu     sync.Mutex
 	seen   []int  // commands of real doors, by backend with a listener of its own
 	drain  *drain // the one that is being watched
-	told   []emulator.Told
+	told   []emulator.WatchSent
 	read   []time.Duration // from a change's being sent to its being read, by door
 	readBy string          // how that was found
 }
@@ -115,19 +115,19 @@
 	alone := min(o.Backends, mostAlone)
 	w.seen = make([]int, alone)
 	if w.backends, err = emulator.StartBackends("127.0.0.2", w.model, w.ledger, alone, sharing, connIdle,
-		func(i int, id string, first time.Time) { w.reached(i, emulator.DoorOf(id), first) }); err != nil {
+		func(i int, id string, first time.Time) { w.reached(i, emulator.GatewayOf(id), first) }); err != nil {
 		return nil, err
 	}
 	zones := zoneNames(o.Zones)
 	for i := range o.Backends {
 		name := fmt.Sprintf("s-%08x", uint32(i)*0x9e3779b1)
 		w.spot[name] = i
-		w.members = append(w.members, emulator.Member{Name: name, Address: w.backends.Addr(i), Zone: zones[i%o.Zones],
+		w.members = append(w.members, emulator.Endpoint{Name: name, Address: w.backends.Addr(i), Zone: zones[i%o.Zones],
 			Type: "std", Group: i / o.Zones % 64, Status: emulator.Serving, Weight: 1})
 	}
 	w.catalog = emulator.NewCatalog(w.members)
-	w.traffic = emulator.TrafficConfig{Doors: w.doors(), Spread: min(w.doors(), spread), Customers: o.Customers, Plans: plans,
-		Classes: classes, Rate: o.Rate, Seed: o.Seed}
+	w.traffic = emulator.TrafficConfig{Gateways: w.doors(), GatewaysPerTenant: min(w.doors(), spread), Tenants: o.Customers, Plans: plans,
+		Classes: classes, RequestsPerSecond: o.Rate, Seed: o.Seed}
 	for rank := range o.RealDoors {
 		d := &realDoor{w: w, rank: rank, added: newHistogram()}
 		w.real = append(w.real, d)
@@ -190,11 +190,11 @@
 	d.addr = ln.Addr().String()
 	ln.Close()
 	d.clients = emulator.NewClients(d.addr, mostConns, answerSlack)
-	bare, err := json.Marshal(emulator.Members{Snapshot: true, Endpoints: []emulator.Member{}})
+	bare, err := json.Marshal(emulator.Members{Snapshot: true, Endpoints: []emulator.Endpoint{}})
 	if err != nil {
 		return err
 	}
-	for file, known := range map[string][]byte{d.file(true): d.w.catalog.WholeJSON(), d.file(false): bare} {
+	for file, known := range map[string][]byte{d.file(true): d.w.catalog.SnapshotJSON(), d.file(false): bare} {
 		text, err := json.Marshal(doorConfig{Name: d.name(), Listen: d.addr, Discovery: d.agent.Addr(),
 			Seed: fmt.Sprintf("%016x", d.w.o.Seed+uint64(d.rank)), Counter: d.counter.Addr(), Known: known,
 			Limits:   doorLimits{Cores: 1, MemoryMB: d.w.o.MemoryMB, Sockets: 1024},
@@ -250,9 +250,9 @@
 }
 
 // tell takes note of a change of the list that the door was sent, and finds out when it was read.
-func (d *realDoor) tell(t emulator.Told) {
+func (d *realDoor) tell(t emulator.WatchSent) {
 	d.w.mu.Lock()
-	watched := d.w.drain != nil && !t.Whole && t.Entries == len(d.w.drain.backends) && len(d.w.told) < 1<<12
+	watched := d.w.drain != nil && !t.Snapshot && t.Entries == len(d.w.drain.backends) && len(d.w.told) < 1<<12
 	if watched {
 		d.w.told = append(d.w.told, t)
 	}
@@ -260,14 +260,14 @@
 	if !watched {
 		return
 	}
-	for time.Since(t.At) < readWithin {
-		n, way, err := unread(t.Peer, t.Own)
+	for time.Since(t.SentAt) < readWithin {
+		n, way, err := unread(t.GatewayAddr, t.AgentAddr)
 		if err != nil {
 			return
 		}
 		if n == 0 {
 			d.w.mu.Lock()
-			d.w.read, d.w.readBy = append(d.w.read, time.Since(t.At)), way
+			d.w.read, d.w.readBy = append(d.w.read, time.Since(t.SentAt)), way
 			d.w.mu.Unlock()
 			return
 		}
@@ -306,12 +306,12 @@
 		out.Go(func() {
 			defer func() { <-places }()
 			how, took := d.clients.Do(ctx, q)
-			d.w.ledger.Ended(q, how)
+			d.w.ledger.RequestEnded(q, how)
 			if !d.w.measuring.Load() {
 				return
 			}
 			d.answered.Add(1)
-			if service := d.w.ledger.Service(q.ID); how == emulator.Served && service > 0 {
+			if service := d.w.ledger.ServiceTime(q.ID); how == emulator.Served && service > 0 {
 				d.w.added.record(took - service)
 				d.added.record(took - service)
 			}
@@ -336,8 +336,8 @@
 			return
 		}
 		how, took := clients.Do(ctx, q)
-		w.ledger.Ended(q, how)
-		if service := w.ledger.Service(q.ID); how == emulator.Served && w.measuring.Load() {
+		w.ledger.RequestEnded(q, how)
+		if service := w.ledger.ServiceTime(q.ID); how == emulator.Served && w.measuring.Load() {
 			w.bare.record(took - service)
 		}
 	}
@@ -375,13 +375,13 @@
 
 // sum fills in the report what was counted.
 func (w *world) sum() {
-	w.report.Real = w.ledger.Sums(func(id string) bool { return emulator.DoorOf(id) < w.o.RealDoors })
+	w.report.Real = w.ledger.Sums(func(id string) bool { return emulator.GatewayOf(id) < w.o.RealDoors })
 	w.report.Hollow = w.ledger.Sums(func(id string) bool {
-		rank := emulator.DoorOf(id)
+		rank := emulator.GatewayOf(id)
 		return rank >= w.o.RealDoors && rank < w.doors()
 	})
-	w.report.Direct = w.ledger.Sums(func(id string) bool { return emulator.DoorOf(id) >= w.doors() })
-	begun, turned := w.model.Begun()
+	w.report.Direct = w.ledger.Sums(func(id string) bool { return emulator.GatewayOf(id) >= w.doors() })
+	begun, turned := w.model.Attempts()
 	for _, n := range begun {
 		w.report.Begun += n
 	}
