--- a/internal/emulator/catalog.go
+++ b/internal/emulator/catalog.go
@@ -6,7 +6,7 @@
 	"sync"
 )
 
-// Words of discovery for the state of a backend.
+// Discovery's words for the state of a backend.
 const (
 	Serving  = "SERVING"
 	Draining = "DRAINING"
@@ -25,32 +25,33 @@
 	SinceMS int64   `json:"since_ms"` // when it last started, Unix time in milliseconds; 0: long ago
 }
 
-// Members is the whole list, or the changes after some index.
+// Members is the whole list, or the changes after some index, in discovery's form.
 type Members struct {
 	Index     int64      `json:"index"`
 	Snapshot  bool       `json:"snapshot"`
 	Endpoints []Endpoint `json:"endpoints"`
 }
 
-const maxKeptChanges = 4096 // kept; a watch from before them gets the whole list
+// maxKeptChanges bounds the changes that a catalog keeps; a watch from before them gets the whole list.
+const maxKeptChanges = 4096
 
 // Catalog is the list of backends that agents tell, with its latest changes. It is safe for concurrent use.
 type Catalog struct {
-	mu           sync.Mutex
-	index        int64
-	position     map[string]int // of a name in members
+	mu           sync.Mutex // guards all below
+	index        int64      // of the last change
 	endpoints    []Endpoint
-	changes      []Endpoint // the last of them has the index
-	changed      chan struct{}
-	snapshotJSON []byte // the whole list as JSON; nil: to be made
+	position     map[string]int // in endpoints, by name
+	changes      []Endpoint     // the last of them has the index
+	changed      chan struct{}  // closed at the next change
+	snapshotJSON []byte         // the whole list; nil: to be made
 }
 
 // NewCatalog returns a catalog at index 1.
-func NewCatalog(members []Endpoint) *Catalog {
-	c := &Catalog{index: 1, position: make(map[string]int, len(members)), endpoints: slices.Clone(members),
+func NewCatalog(endpoints []Endpoint) *Catalog {
+	c := &Catalog{index: 1, position: make(map[string]int, len(endpoints)), endpoints: slices.Clone(endpoints),
 		changed: make(chan struct{})}
-	for i, m := range members {
-		c.position[m.Name] = i
+	for i, endpoint := range endpoints {
+		c.position[endpoint.Name] = i
 	}
 	return c
 }
@@ -59,20 +60,18 @@
 func (c *Catalog) Apply(changes ...Endpoint) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, m := range changes {
+	for _, endpoint := range changes {
 		c.index++
-		if i, known := c.position[m.Name]; known {
-			c.endpoints[i] = m
+		if i, known := c.position[endpoint.Name]; known {
+			c.endpoints[i] = endpoint
 		} else {
-			c.position[m.Name] = len(c.endpoints)
-			c.endpoints = append(c.endpoints, m)
+			c.position[endpoint.Name] = len(c.endpoints)
+			c.endpoints = append(c.endpoints, endpoint)
 		}
-		c.changes = append(c.changes, m)
+		c.changes = append(c.changes, endpoint)
 	}
 	c.changes = slices.Delete(c.changes, 0, max(0, len(c.changes)-maxKeptChanges))
-	c.snapshotJSON = nil
-	close(c.changed)
-	c.changed = make(chan struct{})
+	c.wakeWatches()
 	return c.index
 }
 
@@ -80,26 +79,33 @@
 func (c *Catalog) Restart() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.index, c.changes, c.snapshotJSON = 1, nil, nil
+	c.index, c.changes = 1, nil
+	c.wakeWatches()
+}
+
+// wakeWatches says that the list has changed. The caller holds mu.
+func (c *Catalog) wakeWatches() {
+	c.snapshotJSON = nil
 	close(c.changed)
 	c.changed = make(chan struct{})
 }
 
-// Snapshot returns the list without deleted backends.
+// Snapshot returns the whole list, without deleted backends.
 func (c *Catalog) Snapshot() Members {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.snapshot()
 }
 
+// snapshot is Snapshot for a caller that holds mu.
 func (c *Catalog) snapshot() Members {
-	m := Members{Index: c.index, Snapshot: true, Endpoints: make([]Endpoint, 0, len(c.endpoints))}
-	for _, e := range c.endpoints {
-		if e.Status != Deleted {
-			m.Endpoints = append(m.Endpoints, e)
+	all := Members{Index: c.index, Snapshot: true, Endpoints: make([]Endpoint, 0, len(c.endpoints))}
+	for _, endpoint := range c.endpoints {
+		if endpoint.Status != Deleted {
+			all.Endpoints = append(all.Endpoints, endpoint)
 		}
 	}
-	return m
+	return all
 }
 
 // SnapshotJSON returns the whole list as the agent sends it. The caller must not change it.
@@ -109,6 +115,7 @@
 	return c.cachedSnapshotJSON()
 }
 
+// cachedSnapshotJSON is SnapshotJSON for a caller that holds mu.
 func (c *Catalog) cachedSnapshotJSON() []byte {
 	if c.snapshotJSON == nil {
 		c.snapshotJSON, _ = json.Marshal(c.snapshot()) // of strings and finite numbers: it can't fail
@@ -116,37 +123,39 @@
 	return c.snapshotJSON
 }
 
-// ChangesSince returns what changed after an index, or the whole list where that is not known any more or was never had. The
-// channel is closed at the next change. Where nothing has changed the list has no entries.
+// ChangesSince returns what changed after an index, or the whole list where that is not known any more or was never had.
+// The channel is closed at the next change. Where nothing has changed the list has no entries.
 func (c *Catalog) ChangesSince(index int64) (Members, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if n := c.index - index; index > 0 && n >= 0 && n <= int64(len(c.changes)) {
-		return Members{Index: c.index, Endpoints: slices.Clone(c.changes[len(c.changes)-int(n):])}, c.changed
+	missed := c.index - index
+	if index > 0 && missed >= 0 && missed <= int64(len(c.changes)) {
+		changes := slices.Clone(c.changes[len(c.changes)-int(missed):])
+		return Members{Index: c.index, Endpoints: changes}, c.changed
 	}
 	return c.snapshot(), c.changed
 }
 
 // watchLine is what a watch is sent.
 type watchLine struct {
-	text    []byte // as JSON; nil: nothing to tell
-	index   int64  // after it
-	entries int
-	whole   bool
-	wake    <-chan struct{} // closed at the next change
+	text     []byte // as JSON; nil: nothing to tell
+	index    int64  // after it
+	entries  int
+	snapshot bool
+	changed  <-chan struct{} // closed at the next change
 }
 
-// line returns what a watch from an index is to be sent.
-func (c *Catalog) line(index int64) watchLine {
-	m, wake := c.ChangesSince(index)
-	l := watchLine{index: m.Index, entries: len(m.Endpoints), whole: m.Snapshot, wake: wake}
+// watchLine returns what a watch from an index is to be sent.
+func (c *Catalog) watchLine(index int64) watchLine {
+	update, changed := c.ChangesSince(index)
+	line := watchLine{index: update.Index, entries: len(update.Endpoints), snapshot: update.Snapshot, changed: changed}
 	switch {
-	case m.Snapshot:
+	case update.Snapshot:
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		l.text, l.index, l.wake = c.cachedSnapshotJSON(), c.index, c.changed
-	case len(m.Endpoints) > 0:
-		l.text, _ = json.Marshal(m)
+		line.text, line.index, line.changed = c.cachedSnapshotJSON(), c.index, c.changed
+	case len(update.Endpoints) > 0:
+		line.text, _ = json.Marshal(update)
 	}
-	return l
+	return line
 }
--- a/internal/emulator/ledger.go
+++ b/internal/emulator/ledger.go
@@ -8,6 +8,7 @@
 // Ending says how a request ended for its client.
 type Ending int
 
+// The ways in which a request can end.
 const (
 	Unanswered Ending = iota // no final answer, or one that breaks off
 	Served
@@ -16,40 +17,44 @@
 	Wrong // served with what was not made for this request
 )
 
-const maxLedgerEntries = 1 << 20 // requests that a ledger holds; further ones are only counted
+// maxLedgerEntries bounds the requests that a ledger holds; further ones are only counted.
+const maxLedgerEntries = 1 << 20
 
+// ledgerEntry is what is known of one request.
 type ledgerEntry struct {
-	effect  Idempotency
-	runs    int
-	service time.Duration
-	ended   bool
-	ending  Ending
+	idempotency Idempotency
+	runs        int // attempts that backends started
+	serviceTime time.Duration
+	ended       bool // at the client
+	ending      Ending
 }
 
 // Ledger keeps, by request, what the backends did and what the client was told. It is safe for concurrent use.
 type Ledger struct {
-	mu      sync.Mutex
+	mu      sync.Mutex // guards all below
 	entries map[string]*ledgerEntry
-	notKept int
+	notKept int // notes on requests beyond maxLedgerEntries
 }
 
 // NewLedger returns an empty ledger.
 func NewLedger() *Ledger { return &Ledger{entries: map[string]*ledgerEntry{}} }
 
+// entry returns the entry of a request, which nobody keeps if the ledger is full. The caller holds mu.
 func (l *Ledger) entry(id string) *ledgerEntry {
-	e := l.entries[id]
-	if e == nil {
-		e = &ledgerEntry{}
-		if len(l.entries) >= maxLedgerEntries {
-			l.notKept++
-			return e
-		}
-		l.entries[id] = e
+	entry := l.entries[id]
+	if entry != nil {
+		return entry
+	}
+	entry = &ledgerEntry{}
+	if len(l.entries) >= maxLedgerEntries {
+		l.notKept++
+		return entry
 	}
-	return e
+	l.entries[id] = entry
+	return entry
 }
 
-// AttemptStarted notes that a backend has begun an attempt.
+// AttemptStarted notes that a backend has started an attempt.
 func (l *Ledger) AttemptStarted(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -57,31 +62,32 @@
 }
 
 // AttemptServed notes how long a backend had an attempt, from the command's last byte to its answer.
-func (l *Ledger) AttemptServed(id string, service time.Duration) {
+func (l *Ledger) AttemptServed(id string, serviceTime time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.entry(id).service = service
+	l.entry(id).serviceTime = serviceTime
 }
 
-// ServiceTime returns the time that Took noted last for a request; 0: none.
+// ServiceTime returns the time that AttemptServed noted last for a request; 0: none.
 func (l *Ledger) ServiceTime(id string) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if e := l.entries[id]; e != nil {
-		return e.service
+	if entry := l.entries[id]; entry != nil {
+		return entry.serviceTime
 	}
 	return 0
 }
 
 // RequestEnded notes what the client was told.
-func (l *Ledger) RequestEnded(q *Request, how Ending) {
+func (l *Ledger) RequestEnded(request *Request, ending Ending) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	e := l.entry(q.ID)
-	e.effect, e.ended, e.ending = q.Idempotency, true, how
+	entry := l.entry(request.ID)
+	entry.idempotency, entry.ended, entry.ending = request.Idempotency, true, ending
 }
 
-// Sums compares what the backends did with what the clients were told, by the requests' ids.
+// Sums compares what the backends did with what the clients were told, by the requests' ids. Stored reports have the
+// names of the tags.
 type Sums struct {
 	Requests   int `json:"requests"` // that ended at a client
 	Served     int `json:"served"`
@@ -90,56 +96,67 @@
 	Unanswered int `json:"unanswered"`
 	Wrong      int `json:"wrong"` // served with another request's value
 
-	Runs         int `json:"runs"`        // attempts that backends began
-	Ran          int `json:"ran"`         // requests of which they began one or more
+	Runs         int `json:"runs"`        // attempts that backends started
+	Ran          int `json:"ran"`         // requests of which they started one or more
 	RanNotServed int `json:"ran_unsaid"`  // ... that were not served all the same
 	Phantom      int `json:"phantom"`     // served, but no backend ran them
-	Doubled      int `json:"doubled"`     // of an unsafe class, run more than once
-	RejectedRan  int `json:"refused_ran"` // of an unsafe class, run and yet refused
+	Doubled      int `json:"doubled"`     // of a non-idempotent class, run more than once
+	RejectedRan  int `json:"refused_ran"` // of a non-idempotent class, run and yet rejected
 	NotKept      int `json:"lost"`        // notes beyond what the ledger holds
 }
 
-// Sums returns the sums of the requests for which of holds; nil: all.
-func (l *Ledger) Sums(of func(id string) bool) Sums {
+// Sums returns the sums of the requests whose ids match; nil: all.
+func (l *Ledger) Sums(matches func(id string) bool) Sums {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s := Sums{NotKept: l.notKept}
-	for id, e := range l.entries {
-		if of != nil && !of(id) {
-			continue
-		}
-		s.Runs += e.runs
-		if e.runs > 0 {
-			s.Ran++
-			if e.ending != Served {
-				s.RanNotServed++
-			}
-		}
-		if !e.ended {
-			continue
+	sums := Sums{NotKept: l.notKept}
+	for id, entry := range l.entries {
+		if matches == nil || matches(id) {
+			sums.addRuns(entry)
+			sums.addEnding(entry)
 		}
-		s.Requests++
-		switch e.ending {
-		case Served:
-			s.Served++
-			if e.runs == 0 {
-				s.Phantom++
-			}
-		case Rejected:
-			s.Rejected++
-			if e.runs > 0 && e.effect == NonIdempotent {
-				s.RejectedRan++
-			}
-		case Failed:
-			s.Failed++
-		case Unanswered:
-			s.Unanswered++
-		case Wrong:
-			s.Wrong++
+	}
+	return sums
+}
+
+// addRuns counts what the backends did.
+func (s *Sums) addRuns(entry *ledgerEntry) {
+	s.Runs += entry.runs
+	if entry.runs == 0 {
+		return
+	}
+	s.Ran++
+	if entry.ending != Served {
+		s.RanNotServed++
+	}
+}
+
+// addEnding counts what the client was told, and what must not happen.
+func (s *Sums) addEnding(entry *ledgerEntry) {
+	if !entry.ended {
+		return
+	}
+	s.Requests++
+	mayRunOnce := entry.idempotency == NonIdempotent
+	if mayRunOnce && entry.runs > 1 {
+		s.Doubled++
+	}
+	switch entry.ending {
+	case Served:
+		s.Served++
+		if entry.runs == 0 {
+			s.Phantom++
 		}
-		if e.runs > 1 && e.effect == NonIdempotent {
-			s.Doubled++
+	case Rejected:
+		s.Rejected++
+		if mayRunOnce && entry.runs > 0 {
+			s.RejectedRan++
 		}
+	case Failed:
+		s.Failed++
+	case Unanswered:
+		s.Unanswered++
+	case Wrong:
+		s.Wrong++
 	}
-	return s
 }
--- a/internal/emulator/link.go
+++ b/internal/emulator/link.go
@@ -6,7 +6,10 @@
 	"time"
 )
 
-const maxLinkConns = 1024 // connections that a link holds
+const (
+	maxLinkConns = 1024
+	relayBuffer  = 4096
+)
 
 // Direction is one of the two ways through a link.
 type Direction int
@@ -23,18 +26,19 @@
 // Flows of a direction.
 const (
 	Pass Flow = iota
-	Hold      // kept until it passes again, as on a network that is cut: nobody is told
+	Hold      // kept until it passes again, as on a network that is partitioned: nobody is told
 	Drop      // read and thrown away
 )
 
-// Link is a relay on loopback between any two parties. It can hold, lose or delay one direction, and reset connections.
+// Link is a relay on loopback between any two parties. It can hold, drop or delay one direction, and reset connections.
+// Its goroutines end with Close.
 type Link struct {
 	Meter    Meter
 	listener *listener
 	target   string
 
-	mu      sync.Mutex
-	changed *sync.Cond
+	mu      sync.Mutex // guards all below
+	changed *sync.Cond // of mu: flow, closed or relayed has changed
 	flow    [2]Flow
 	delay   [2]time.Duration
 	closed  bool
@@ -45,7 +49,7 @@
 type relayedConn struct {
 	link           *Link
 	client, server net.Conn
-	once           sync.Once
+	closing        sync.Once
 }
 
 // StartLink listens on a loopback address and relays to another one.
@@ -56,7 +60,7 @@
 	if l.listener, err = listen(addr, maxLinkConns, &l.Meter); err != nil {
 		return nil, err
 	}
-	l.listener.serve(l.serve)
+	l.listener.serve(l.serveConn)
 	return l, nil
 }
 
@@ -71,14 +75,10 @@
 	l.changed.Broadcast()
 }
 
-// Cut holds both directions, or lets both pass again.
-func (l *Link) Cut(yes bool) {
-	flow := Pass
-	if yes {
-		flow = Hold
-	}
-	l.Set(ToServer, flow)
-	l.Set(ToClient, flow)
+// Partition holds both directions. Set lets them pass again.
+func (l *Link) Partition() {
+	l.Set(ToServer, Hold)
+	l.Set(ToClient, Hold)
 }
 
 // Delay lets one direction's bytes wait.
@@ -90,13 +90,17 @@
 
 // Reset resets all connections. New ones may come.
 func (l *Link) Reset() {
-	for _, p := range l.open() {
-		for _, nc := range []net.Conn{p.client, p.server} {
-			if tcp, ok := nc.(*net.TCPConn); ok {
-				tcp.SetLinger(0)
-			}
-		}
-		p.close()
+	for _, relayed := range l.openConns() {
+		resetOnClose(relayed.client)
+		resetOnClose(relayed.server)
+		relayed.close()
+	}
+}
+
+// resetOnClose makes the close of a TCP connection a reset.
+func resetOnClose(conn net.Conn) {
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		tcp.SetLinger(0)
 	}
 }
 
@@ -106,88 +110,88 @@
 	l.closed = true
 	l.changed.Broadcast()
 	l.mu.Unlock()
-	for _, p := range l.open() {
-		p.close()
+	for _, relayed := range l.openConns() {
+		relayed.close()
 	}
 	l.listener.Close()
 }
 
-func (l *Link) open() (all []*relayedConn) {
+func (l *Link) openConns() (open []*relayedConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for p := range l.relayed {
-		all = append(all, p)
+	for relayed := range l.relayed {
+		open = append(open, relayed)
 	}
-	return all
+	return open
 }
 
-// serve relays one connection until either side ends it. One to a server that can't be reached is reset.
-func (l *Link) serve(dialled net.Conn) {
-	outer := dialled
-	if metered, ok := dialled.(*meteredConn); ok {
-		outer = metered.Conn
+// serveConn relays one connection until either side ends it. One to a server that can't be reached is reset.
+func (l *Link) serveConn(accepted net.Conn) {
+	client := accepted
+	if metered, ok := accepted.(*meteredConn); ok { // SetLinger and CloseWrite are those of TCP
+		client = metered.Conn
 	}
-	own, err := net.DialTimeout("tcp", l.target, writeTimeout)
+	server, err := net.DialTimeout("tcp", l.target, writeTimeout)
 	if err != nil {
-		outer.(*net.TCPConn).SetLinger(0)
+		resetOnClose(client)
 		return
 	}
-	p := &relayedConn{link: l, client: outer, server: own}
+	relayed := &relayedConn{link: l, client: client, server: server}
 	l.mu.Lock()
-	l.relayed[p] = true
+	l.relayed[relayed] = true
 	l.mu.Unlock()
-	defer p.close()
+	defer relayed.close()
 	var both sync.WaitGroup
-	both.Go(func() { p.relay(ToServer, outer, own) })
-	both.Go(func() { p.relay(ToClient, own, outer) })
+	both.Go(func() { relayed.relay(ToServer, client, server) })
+	both.Go(func() { relayed.relay(ToClient, server, client) })
 	both.Wait()
 }
 
-func (p *relayedConn) close() {
-	p.once.Do(func() {
-		p.client.Close()
-		p.server.Close()
-		p.link.mu.Lock()
-		defer p.link.mu.Unlock()
-		delete(p.link.relayed, p)
-		p.link.changed.Broadcast()
+func (c *relayedConn) close() {
+	c.closing.Do(func() {
+		c.client.Close()
+		c.server.Close()
+		c.link.mu.Lock()
+		defer c.link.mu.Unlock()
+		delete(c.link.relayed, c)
+		c.link.changed.Broadcast()
 	})
 }
 
 // relay passes one direction on until its end. While it is held the end is held too.
-func (p *relayedConn) relay(direction Direction, from, to net.Conn) {
-	b := make([]byte, 4096)
+func (c *relayedConn) relay(direction Direction, from, to net.Conn) {
+	buffer := make([]byte, relayBuffer)
 	for {
-		n, err := from.Read(b)
-		flow, alive := p.link.wait(p, direction)
+		n, readErr := from.Read(buffer)
+		flow, alive := c.link.wait(c, direction)
 		if !alive {
 			return
 		}
 		if n > 0 && flow == Pass {
-			if _, failed := to.Write(b[:n]); failed != nil {
-				p.close()
+			if _, err := to.Write(buffer[:n]); err != nil {
+				c.close()
 				return
 			}
 		}
-		if err != nil {
-			if half, ok := to.(*net.TCPConn); ok && flow == Pass {
-				half.CloseWrite()
+		if readErr != nil {
+			if tcp, ok := to.(*net.TCPConn); ok && flow == Pass {
+				tcp.CloseWrite()
 			}
 			return
 		}
 	}
 }
 
-// wait waits while a direction is held or delayed. alive is false where the connection or the link has ended.
-func (l *Link) wait(p *relayedConn, direction Direction) (flow Flow, alive bool) {
+// wait waits while a direction is delayed or held. alive is false where the connection or the link has ended.
+func (l *Link) wait(relayed *relayedConn, direction Direction) (flow Flow, alive bool) {
 	l.mu.Lock()
 	delay := l.delay[direction]
 	l.mu.Unlock()
 	time.Sleep(delay)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for l.flow[direction] == Hold && !l.closed && l.relayed[p] {
+	for l.flow[direction] == Hold && !l.closed && l.relayed[relayed] {
 		l.changed.Wait()
 	}
-	return l.flow[direction], !l.closed && l.relayed[p]
+	return l.flow[direction], !l.closed && l.relayed[relayed]
 }
--- a/internal/emulator/resp.go
+++ b/internal/emulator/resp.go
@@ -8,139 +8,154 @@
 	"strconv"
 )
 
+// The emulator parses RESP2 by itself, on purpose: a parser shared with the gateway (internal/resp) would make the same
+// mistake on both sides of a test, and the mistake would not show.
+
+// Limits of what is read, each far above what the protocol needs.
 const (
-	maxValueBytes = 64 << 10 // bytes of a bulk string
+	maxValueBytes = 64 << 10 // of a bulk string
 	maxItems      = 8        // of a command, or elements of an answer
-	maxLineBytes  = 512      // bytes of a line
+	maxLineBytes  = 512
 )
 
-var errMalformed = errors.New("not RESP2 as the protocol has it")
+var errMalformed = errors.New("emulator: not RESP2 as the protocol has it")
 
-// respLine reads a line without its end. The bytes hold until the next read.
-func respLine(in *bufio.Reader) ([]byte, error) {
-	b, err := in.ReadSlice('\n')
-	if errors.Is(err, bufio.ErrBufferFull) || err == nil && (len(b) < 3 || len(b) > maxLineBytes || b[len(b)-2] != '\r') {
+// readLine reads a line without its end. The bytes are good until the next read.
+func readLine(in *bufio.Reader) ([]byte, error) {
+	line, err := in.ReadSlice('\n')
+	if errors.Is(err, bufio.ErrBufferFull) {
 		return nil, errMalformed
 	}
 	if err != nil {
 		return nil, err
 	}
-	return b[:len(b)-2], nil
+	if len(line) < 3 || len(line) > maxLineBytes || line[len(line)-2] != '\r' {
+		return nil, errMalformed
+	}
+	return line[:len(line)-2], nil
 }
 
-// respLength reads a figure such as that of *3, up to most; -1 stands for null.
-func respLength(text []byte, most int) (int, error) {
-	n, err := strconv.Atoi(string(text))
-	if err != nil || n < -1 || n > most {
+// parseLength reads the number of a header such as *3; -1 stands for null.
+func parseLength(text []byte, limit int) (int, error) {
+	length, err := strconv.Atoi(string(text))
+	if err != nil || length < -1 || length > limit {
 		return 0, errMalformed
 	}
-	return n, nil
+	return length, nil
 }
 
-// respBulk reads what follows the line of a bulk string.
-func respBulk(in *bufio.Reader, length []byte) (string, bool, error) {
-	n, err := respLength(length, maxValueBytes)
-	if err != nil || n < 0 {
+// readBulk reads what follows the header of a bulk string. given is false for null.
+func readBulk(in *bufio.Reader, lengthText []byte) (value string, given bool, err error) {
+	length, err := parseLength(lengthText, maxValueBytes)
+	if err != nil || length < 0 {
 		return "", false, err
 	}
-	b := make([]byte, n+2)
+	b := make([]byte, length+2)
 	if _, err := io.ReadFull(in, b); err != nil {
 		return "", false, err
 	}
-	if b[n] != '\r' || b[n+1] != '\n' {
+	if b[length] != '\r' || b[length+1] != '\n' {
 		return "", false, errMalformed
 	}
-	return string(b[:n]), true, nil
+	return string(b[:length]), true, nil
 }
 
-// readCommand reads an array of bulk strings.
+// readCommand reads an array of bulk strings. The error is errMalformed or that of the connection.
 func readCommand(in *bufio.Reader) ([]string, error) {
-	head, err := respLine(in)
+	header, err := readLine(in)
 	if err != nil {
 		return nil, err
 	}
-	if head[0] != '*' {
+	if header[0] != '*' {
 		return nil, errMalformed
 	}
-	n, err := respLength(head[1:], maxItems)
-	if err != nil || n < 1 {
-		return nil, cmpErr(err)
+	count, err := parseLength(header[1:], maxItems)
+	if err != nil {
+		return nil, err
+	}
+	if count < 1 {
+		return nil, errMalformed
 	}
-	args := make([]string, n)
+	args := make([]string, count)
 	for i := range args {
-		if head, err = respLine(in); err != nil {
+		if args[i], err = readArgument(in); err != nil {
 			return nil, err
 		}
-		if head[0] != '$' {
-			return nil, errMalformed
-		}
-		text, given, err := respBulk(in, head[1:])
-		if err != nil || !given {
-			return nil, cmpErr(err)
-		}
-		args[i] = text
 	}
 	return args, nil
 }
 
-func cmpErr(err error) error {
-	if err == nil {
-		return errMalformed
+// readArgument reads a bulk string that has to be given.
+func readArgument(in *bufio.Reader) (string, error) {
+	header, err := readLine(in)
+	if err != nil {
+		return "", err
+	}
+	if header[0] != '$' {
+		return "", errMalformed
+	}
+	value, given, err := readBulk(in, header[1:])
+	if err == nil && !given {
+		err = errMalformed
 	}
-	return err
+	return value, err
 }
 
-// reply is an answer: a line with its first character, or a value that is not null.
+// reply is an answer: a line with its first character, or a value.
 type reply struct {
 	line    string // such as -BUSY 20
 	value   string
-	isValue bool
+	isValue bool // and not null
 }
 
-// readReply reads an answer of a door. Of an array the first element counts.
+// readReply reads an answer of a gateway. Of an array the first element counts.
 func readReply(in *bufio.Reader) (reply, error) {
-	head, err := respLine(in)
+	header, err := readLine(in)
 	if err != nil {
 		return reply{}, err
 	}
-	switch head[0] {
+	switch header[0] {
 	case '+', '-', ':':
-		return reply{line: string(head)}, nil
+		return reply{line: string(header)}, nil
 	case '$':
-		text, given, err := respBulk(in, head[1:])
-		return reply{value: text, isValue: given}, err
+		value, given, err := readBulk(in, header[1:])
+		return reply{value: value, isValue: given}, err
 	case '*':
-		n, err := respLength(head[1:], maxItems)
+		return readArrayReply(in, header[1:])
+	}
+	return reply{}, errMalformed
+}
+
+// readArrayReply reads the elements of an array, which may be no arrays, and returns the first.
+func readArrayReply(in *bufio.Reader, countText []byte) (first reply, err error) {
+	count, err := parseLength(countText, maxItems)
+	if err != nil {
+		return reply{}, err
+	}
+	for i := range count {
+		next, err := in.Peek(1)
+		if err != nil {
+			return reply{}, err
+		}
+		if next[0] == '*' {
+			return reply{}, errMalformed
+		}
+		element, err := readReply(in)
 		if err != nil {
 			return reply{}, err
 		}
-		var first reply
-		for i := range n {
-			head, err := in.Peek(1)
-			if err == nil && head[0] == '*' {
-				err = errMalformed
-			}
-			if err != nil {
-				return reply{}, err
-			}
-			r, err := readReply(in)
-			if err != nil {
-				return reply{}, err
-			}
-			if i == 0 {
-				first = r
-			}
+		if i == 0 {
+			first = element
 		}
-		return first, nil
 	}
-	return reply{}, errMalformed
+	return first, nil
 }
 
 // appendCommand appends a command.
 func appendCommand(b []byte, args ...string) []byte {
 	b = fmt.Appendf(b, "*%d\r\n", len(args))
-	for _, a := range args {
-		b = fmt.Appendf(b, "$%d\r\n%s\r\n", len(a), a)
+	for _, arg := range args {
+		b = fmt.Appendf(b, "$%d\r\n%s\r\n", len(arg), arg)
 	}
 	return b
 }
--- a/internal/fleettest/audit_test.go
+++ b/internal/fleettest/audit_test.go
@@ -85,8 +85,10 @@
 		halt: make(chan struct{})}
 	f.command, err = runCommand(root)
 	f.must(err)
-	model := emulator.NewModel(fleetBackends, 8, 2*time.Millisecond, time.Second, 1)
-	f.backends, err = emulator.StartBackends("127.0.0.2", model, f.ledger, fleetBackends, 0, connIdle, f.saw)
+	model := emulator.NewModel(emulator.ModelConfig{Backends: fleetBackends, Concurrency: 8, MeanService: 2 * time.Millisecond,
+		MaxQueueTime: time.Second, Seed: 1})
+	f.backends, err = emulator.StartBackends(emulator.BackendsConfig{Host: "127.0.0.2", Dedicated: fleetBackends, IdleTimeout: connIdle,
+		OnCommand: f.saw}, model, f.ledger)
 	f.must(err)
 	t.Cleanup(f.backends.Close)
 	for i := range fleetBackends {
@@ -534,10 +536,10 @@
 func TestAuditWithoutEvidence(t *testing.T) {
 	const stale = 2
 	for name, fault := range map[string]func(f *auditFleet){
-		"one door is cut off from the counter": func(f *auditFleet) { f.doors[stale].counterLink.Cut(true) },
+		"one door is cut off from the counter": func(f *auditFleet) { f.doors[stale].counterLink.Partition() },
 		"the counter is gone": func(f *auditFleet) {
 			for _, d := range f.doors {
-				d.counterLink.Cut(true)
+				d.counterLink.Partition()
 			}
 		},
 		"the counter comes back empty": func(f *auditFleet) {
@@ -620,7 +622,7 @@
 	const liar = 4
 	f := startFleet(t, func(f *auditFleet) {
 		f.doors[liar].index = 4_000_000
-		f.doors[liar].agentLink.Cut(true)
+		f.doors[liar].agentLink.Partition()
 	})
 	f.staysInService()
 }
--- a/internal/fleettest/world.go
+++ b/internal/fleettest/world.go
@@ -95,7 +95,8 @@
 func newWorld(o Options) (w *world, err error) {
 	w = &world{o: o, begun: time.Now(), spot: make(map[string]int, o.Backends), numbers: emulator.NewNumbers(o.CounterRate),
 		ledger: emulator.NewLedger(), cores: make(chan struct{}, hollowCores),
-		model:      emulator.NewModel(o.Backends, o.Slots, o.Service, 10*o.Service, o.Seed),
+		model: emulator.NewModel(emulator.ModelConfig{Backends: o.Backends, Concurrency: o.Slots, MeanService: o.Service,
+			MaxQueueTime: 10 * o.Service, Seed: o.Seed}),
 		hollowLate: newHistogram(), late: newHistogram(), added: newHistogram(), bare: newHistogram(), stepped: newHistogram(),
 		report: &Report{RealDoors: o.RealDoors, HollowDoors: o.HollowDoors,
 			Doors: o.Doors, Backends: o.Backends, Customers: o.Customers,
@@ -114,8 +115,10 @@
 	}
 	alone := min(o.Backends, mostAlone)
 	w.seen = make([]int, alone)
-	if w.backends, err = emulator.StartBackends("127.0.0.2", w.model, w.ledger, alone, sharing, connIdle,
-		func(i int, id string, first time.Time) { w.reached(i, emulator.GatewayOf(id), first) }); err != nil {
+	if w.backends, err = emulator.StartBackends(emulator.BackendsConfig{Host: "127.0.0.2", Dedicated: alone, Shared: sharing,
+		IdleTimeout: connIdle, OnCommand: func(i int, id string, first time.Time) {
+			w.reached(i, emulator.GatewayOf(id), first)
+		}}, w.model, w.ledger); err != nil {
 		return nil, err
 	}
 	zones := zoneNames(o.Zones)
