--- a/internal/audit/doc.go
+++ b/internal/audit/doc.go
@@ -25,10 +25,12 @@
 //	event.go       the events and actions at the boundary
 //	versions.go    versionHistory: the version and the configuration in force, and the record of each
 //	records.go     the records on the log and the ring of the latest ones
+//	output.go      output: the time of a Step, its actions and records; shared by all parts
 //	calls.go       counterCalls: the counter calls that are out
 //	pacer.go       pacer: when a counter call may be made
 //	proposer.go    proposerOrder: which gateway proposes in a window
-//	round.go       round: propose, vote, compare
+//	ballot.go      ballot: proposals and votes at the counter
+//	round.go       round: when to propose, vote and compare; the verdict
 //	tally.go       tally: how many different gateways a total stands for; quorum; versions as totals
 //	staleness.go   staleness: the stages of a gateway that is behind, as one table
 //	slotlease.go   slotLease: the claim to a slot
--- a/internal/audit/staleness.go
+++ b/internal/audit/staleness.go
@@ -66,6 +66,7 @@
 // transitions is the whole state machine. What it has no row for changes nothing. The stage changes nowhere else than in
 // staleness.fire.
 var transitions = [...]transition{
+	// from, trigger, guard, to, onEntry
 	{inSync, quorumFound, slotOrNot, behind, nil},
 	{behind, stageTimedOut, slotOrNot, watchReopened, (*staleness).reopenWatch},
 	{watchReopened, stageTimedOut, slotOrNot, snapshotRequested, (*staleness).requestSnapshot},
