--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -47,7 +47,7 @@
 		e.reject(r, rejection{reason: OutOfService})
 		return
 	}
-	if r.deadlineBudget.Seconds() <= e.latency(r, nil)/2 {
+	if r.deadlineBudget.Seconds() <= e.expectedLatency(r)/2 {
 		e.reject(r, rejection{reason: DeadlineCannotBeMet})
 		return
 	}
@@ -170,7 +170,7 @@
 
 // tooLateToWait says whether a usual answer's time no longer fits into the deadline budget.
 func (e *Engine) tooLateToWait(r *request) bool {
-	return (e.now-r.arrivedAt).Seconds()+e.latency(r, nil) >= r.deadlineBudget.Seconds()*deadlineMargin
+	return (e.now-r.arrivedAt).Seconds()+e.expectedLatency(r) >= r.deadlineBudget.Seconds()*deadlineMargin
 }
 
 // priorityBand is the band of a request by its worth: each has half the worth of the one above it.
@@ -208,7 +208,7 @@
 func (e *Engine) atOnce(r *request, p *Plan) int {
 	share := float64(p.MaxConcurrent) / r.tenant.doors
 	if r.tenant.known && e.callShare > callsFew {
-		elsewhere := r.tenant.others / max(r.cost, 1) * e.latency(r, nil)
+		elsewhere := r.tenant.others / max(r.cost, 1) * e.expectedLatency(r)
 		share = max(share, float64(p.MaxConcurrent)-elsewhere-atOnceRoom-p.OverQuotaPenalty)
 	}
 	return max(1, int(share))
--- a/internal/policy/attempt.go
+++ b/internal/policy/attempt.go
@@ -43,7 +43,7 @@
 	limit := r.arrivedAt + r.deadlineBudget - e.now
 	if trial {
 		s.trying = true
-		limit = min(limit, time.Duration(trialWait*e.base[r.class]*float64(time.Second)))
+		limit = min(limit, time.Duration(trialWait*e.latencies.Mean(r.class)*float64(time.Second)))
 	}
 	if len(s.inFlight) == 0 {
 		s.heard = max(s.heard, e.now)
@@ -93,7 +93,7 @@
 		e.reject(r, rejection{reason: AttemptsExhausted})
 		return
 	}
-	if (e.now-r.arrivedAt).Seconds()+e.latency(r, nil) >= r.deadlineBudget.Seconds() {
+	if (e.now-r.arrivedAt).Seconds()+e.expectedLatency(r) >= r.deadlineBudget.Seconds() {
 		e.reject(r, rejection{reason: NoTimeForRetry})
 		return
 	}
--- a/internal/policy/coldstart.go
+++ b/internal/policy/coldstart.go
@@ -24,7 +24,7 @@
 	}
 	span := e.settings.OverloadWindow.Seconds()
 	budget := coldMargin * e.settings.OverloadMultiple * w * e.observedRate() * span *
-		s.weight / cmp.Or(e.weight, s.weight)
+		s.weight / cmp.Or(e.throughput.MeanWeight(), s.weight)
 	whole := max(1, math.Floor(budget)) // so many in a time as much longer or shorter: all doors round alike
 	if span *= whole / budget; budget < 1 {
 		span = min(span, max(e.settings.SlowStartDuration.Seconds(),
--- a/internal/policy/ejection.go
+++ b/internal/policy/ejection.go
@@ -32,7 +32,7 @@
 	sum := quietEach * float64(s.lost)
 	for _, a := range s.inFlight {
 		quiet := (e.now - max(a.sentAt, s.heard)).Seconds()
-		sum += min(quietEach, quiet/e.latency(a.request, s))
+		sum += min(quietEach, quiet/e.expectedLatencyAt(a.request, s))
 	}
 	if sum < quietSum || e.now-s.heard < quietLeast {
 		return
@@ -64,7 +64,7 @@
 	}
 	for _, a := range s.inFlight {
 		r := a.request
-		inTime := (e.now-r.arrivedAt).Seconds()+e.latency(r, nil) < r.deadlineBudget.Seconds()
+		inTime := (e.now-r.arrivedAt).Seconds()+e.expectedLatency(r) < r.deadlineBudget.Seconds()
 		if !r.ended && !r.streaming && inTime {
 			e.emit(CancelAttempt{a.request.id, a.number})
 		}
@@ -81,7 +81,7 @@
 func (e *Engine) trialServer(r *request) *backend {
 	if e.settings.AllowHealthChecks || e.settings.Classes[r.class].Idempotency != Idempotent ||
 		len(r.attempts) > 0 || e.settings.MaxAttempts < 2 ||
-		r.deadlineBudget.Seconds() < trialRoom*e.base[r.class] {
+		r.deadlineBudget.Seconds() < trialRoom*e.latencies.Mean(r.class) {
 		return nil
 	}
 	for _, s := range e.watched {
@@ -109,7 +109,8 @@
 	s.ejected, s.trying, s.fails, s.lost, s.heard = false, false, 0, 0, e.now
 	e.emit(Log{"used again: " + s.name})
 	if fresh {
-		s.slow, s.slots = 1, 1
+		s.latencyFactor.Reset()
+		s.slots = 1
 		e.markCold(s, e.now)
 	}
 	e.countWarm(s)
--- a/internal/policy/engine.go
+++ b/internal/policy/engine.go
@@ -5,14 +5,17 @@
 	"math/rand/v2"
 	"time"
 
+	"bellwood/internal/policy/latency"
+	"bellwood/internal/policy/throughput"
 	"bellwood/internal/subset"
 )
 
 // Engine decides for one gateway.
 type Engine struct {
 	settings         Settings
-	floor            []float64 // latency of each class on an idle fleet
 	rng              *rand.Rand
+	latencies        *latency.Estimator
+	throughput       throughput.Meter
 	now, startedAt   time.Duration
 	previousStep     time.Duration   // the Step before
 	maxTimeLeft      []time.Duration // by class, the most time that a client gave
@@ -31,9 +34,7 @@
 	extra            []*backend // in the subset by fillSubset
 	round            *subset.Round[*backend]
 	inService        int
-	warm             int     // usable and not cold ...
-	warmWeight       float64 // ... and their weights
-	lists            uint64  // lists and changes taken
+	lists            uint64 // lists and changes taken
 	roundRobin       int
 	doorsPerServer   float64 // doors that have one server in their subsets
 	queued           int     // requests in all queues
@@ -46,18 +47,11 @@
 	pendingCalls     map[uint64][]*call // counter calls out, by name in their order
 	callShare        float64            // part of the requests without tokens that call the counter
 	denied           []float64          // by plan, part of the calls that found no units for their request
-	fleet            float64            // the last answers of all servers, in their classes' means
-	fleetAt          time.Duration
 	counterAt        time.Duration
 	checkedAt        time.Duration // last check of what no event tells
-	base             []float64     // mean latency of each class, seconds
-	answers          []int
 	maxRequestWeight float64
 	maxClassWeight   float64 // of the classes'
 	mostCallSavings  float64 // by a counter call
-	rate             float64 // answers a second of a warm server
-	rateAt           time.Duration
-	weight           float64 // mean weight of the warm servers
 	listAt           time.Duration
 	listWait         time.Duration
 	listAsked        bool
@@ -71,10 +65,13 @@
 	}
 	e := &Engine{settings: set, rng: rand.New(rand.NewPCG(seed, 1)), backends: map[string]*backend{},
 		requests: map[uint64]*request{}, tenants: map[holder]*tenant{}, pendingCalls: map[uint64][]*call{}}
-	e.floor = make([]float64, len(set.Classes))
 	e.denied = make([]float64, len(set.Plans))
 	e.maxTimeLeft = make([]time.Duration, len(set.Classes))
-	e.base, e.answers = make([]float64, len(set.Classes)), make([]int, len(set.Classes))
+	objectives := make([]time.Duration, len(set.Classes))
+	for i, c := range set.Classes {
+		objectives[i] = cmp.Or(c.LatencyObjective, c.ClientTimeout)
+	}
+	e.latencies = latency.NewEstimator(objectives)
 	return e, nil
 }
 
@@ -84,7 +81,8 @@
 	e.actions = e.actions[:0]
 	e.previousStep, e.now = e.now, max(e.now, now)
 	if !e.running {
-		e.running, e.startedAt, e.rateAt, e.roundRobin = true, e.now, e.now, e.rng.IntN(1<<16)
+		e.running, e.startedAt, e.roundRobin = true, e.now, e.rng.IntN(1<<16)
+		e.throughput.Start(e.now)
 		e.prime()
 	}
 	for _, ev := range events {
@@ -130,12 +128,11 @@
 
 // prime sets what a door takes for granted before it has seen anything.
 func (e *Engine) prime() {
-	e.fleet, e.doorsPerServer = 1, float64(e.settings.Gateways)
+	e.doorsPerServer = float64(e.settings.Gateways)
 	if e.settings.SharedCounter {
 		e.callShare = 1
 	}
 	for i, c := range e.settings.Classes {
-		e.base[i] = max(0.001, cmp.Or(c.LatencyObjective, c.ClientTimeout).Seconds()*priorShare)
 		for j, p := range e.settings.Plans {
 			e.maxClassWeight = max(e.maxClassWeight, c.PriorityWeight)
 			e.mostCallSavings = max(e.mostCallSavings, e.callSavings(i, j))
--- a/internal/policy/fleet_test.go
+++ b/internal/policy/fleet_test.go
@@ -129,8 +129,8 @@
 		list[i].State = Terminated
 	}
 	d.Step(time.Second, []Event{EndpointUpdate{Backends: list[:20]}})
-	if len(d.subset)+len(d.ring)+d.inService+d.warm != 0 {
-		t.Fatalf("%d in the subset, %d known, %d in service, %d warm", len(d.subset), len(d.ring), d.inService, d.warm)
+	if len(d.subset)+len(d.ring)+d.inService+d.throughput.Warm() != 0 {
+		t.Fatalf("%d in the subset, %d known, %d in service, %d warm", len(d.subset), len(d.ring), d.inService, d.throughput.Warm())
 	}
 	d.Step(2*time.Second, []Event{EndpointUpdate{Backends: list[20:]}})
 	if sends := only[SendAttempt](d.Step(3*time.Second, []Event{ask(1, 0, 2), Timer{0}})); len(sends) != 1 {
@@ -172,8 +172,8 @@
 				warm++
 			}
 		}
-		if inside != len(d.subset) || warm != d.warm || listed != d.inService {
-			t.Fatalf("%s: subset of %d, %d, %d warm of %d, %d in service of %d", when, len(d.subset), inside, d.warm, warm,
+		if inside != len(d.subset) || warm != d.throughput.Warm() || listed != d.inService {
+			t.Fatalf("%s: subset of %d, %d, %d warm of %d, %d in service of %d", when, len(d.subset), inside, d.throughput.Warm(), warm,
 				d.inService, listed)
 		}
 	}
--- a/internal/policy/membership.go
+++ b/internal/policy/membership.go
@@ -51,7 +51,8 @@
 	}
 	s.namedIn = e.lists
 	if b.Started != s.started {
-		s.started, s.heard, s.slow = b.Started, e.now, 1
+		s.started, s.heard = b.Started, e.now
+		s.latencyFactor.Reset()
 		s.ejected, s.trying, s.fails, s.lost = false, false, 0, 0
 		if b.Started > 0 && e.now-b.Started < e.settings.SlowStartDuration {
 			s.slots = 1
--- a/internal/policy/queue.go
+++ b/internal/policy/queue.go
@@ -43,8 +43,8 @@
 // stale; under overload every answer then comes at the last moment, and each client's next try too late).
 func (e *Engine) rejectEarly(r *request, s *backend) bool {
 	if e.free(s) { // with many doors the queue is inside the servers, and latency tells of it (a departure)
-		lat := e.base[r.class] * max(1, e.fleet)
-		idle := cmp.Or(e.floor[r.class], lat)
+		lat := e.latencies.Mean(r.class) * max(1, e.latencies.FleetPressure())
+		idle := cmp.Or(e.latencies.Idle(r.class), lat)
 		part := (lat - idle) / max(1e-3, r.deadlineBudget.Seconds()*deadlineMargin-idle) *
 			(1 + rejectSlope*float64(r.level)/lowestLevel)
 		return e.rng.Float64() < min(1, 2*e.sparseness())*min(rejectMost, (part-rejectFrom)/(rejectAll-rejectFrom))
@@ -56,7 +56,7 @@
 	for l := 0; s.queued > 0 && l <= r.level; l++ {
 		ahead += s.count[l]
 	}
-	lat := e.latency(r, s)
+	lat := e.expectedLatencyAt(r, s)
 	share := patience * (1 - float64(r.level)/(2*priorityBands)) // the lower the level, the sooner
 	return (e.now-r.arrivedAt).Seconds()+float64(ahead)*lat/s.slots+lat >=
 		r.deadlineBudget.Seconds()*deadlineMargin*share
@@ -106,7 +106,7 @@
 	for l := range from.queue {
 		for from.count[l] > 0 {
 			r := from.head(l)
-			if (e.now-r.arrivedAt).Seconds()+e.latency(r, to) < r.deadlineBudget.Seconds()*deadlineMargin {
+			if (e.now-r.arrivedAt).Seconds()+e.expectedLatencyAt(r, to) < r.deadlineBudget.Seconds()*deadlineMargin {
 				break
 			}
 			e.reject(r, rejection{reason: StaleInQueue})
@@ -117,7 +117,8 @@
 		r := from.head(l)
 		sum += from.count[l]
 		ahead := float64(sum + len(to.inFlight))
-		if best != nil && ahead*e.latency(r, to)/to.slots >= r.deadlineBudget.Seconds()*deadlineMargin*patience {
+		if best != nil && ahead*e.expectedLatencyAt(r, to)/to.slots >=
+			r.deadlineBudget.Seconds()*deadlineMargin*patience {
 			break
 		}
 		if (best == nil || r.arrivedAt < best.arrivedAt) && e.mayRepeat(r, to) {
--- a/internal/policy/selection.go
+++ b/internal/policy/selection.go
@@ -47,7 +47,7 @@
 		if !inside && warm < 1 { // its cold budget is that of the doors that have it
 			continue
 		}
-		cost := (float64(len(s.inFlight)+s.queued) + 1) * s.slow / (s.weight * warm)
+		cost := (float64(len(s.inFlight)+s.queued) + 1) * s.latencyFactor.Value() / (s.weight * warm)
 		if s.zone != e.settings.Zone {
 			cost *= 1.05
 		}
--- a/internal/policy/server.go
+++ b/internal/policy/server.go
@@ -3,17 +3,13 @@
 // What a door knows of one server, and its bookkeeping. Nothing in this file decides.
 
 import (
-	"math"
 	"time"
 
+	"bellwood/internal/policy/latency"
+	"bellwood/internal/policy/throughput"
 	"bellwood/internal/subset"
 )
 
-// Tuned values. Where no source is named, they are ours and were compared on simulated days only.
-const (
-	rateOver = 3.0 // seconds over which the sends to a warm server are averaged
-)
-
 // backend is what a door knows of one backend. What choose looks at stands first and together: in a large
 // fleet looking at each server costs more than reckoning with what is found there.
 type backend struct {
@@ -25,7 +21,7 @@
 	queued                 int
 	inFlight               []*attempt
 	weight, slots          float64
-	slow                   float64
+	latencyFactor          latency.Factor
 	coldAt                 time.Duration
 	restUntil              time.Duration
 	coldSendAt             time.Duration   // no send while cold before this, where the share is under one
@@ -39,11 +35,11 @@
 	fails, lost            int           // broken connections in a row; time-outs since heard
 	heard                  time.Duration // last sign of life, or the moment it got work after having none
 	member                 subset.Member[*backend]
-	ringIndex, subsetIndex int     // places in Door.ring and Door.subset
-	extra                  bool    // in the subset by fillSubset
-	watched, inBacklog     bool    // in Door.watched; in Door.backlogged
-	leaving, counted       bool    // in Door.leaving; in Door.warm ...
-	countedAs              float64 // ... with this weight
+	ringIndex, subsetIndex int  // places in Door.ring and Door.subset
+	extra                  bool // in the subset by fillSubset
+	watched, inBacklog     bool // in Door.watched; in Door.backlogged
+	leaving                bool // in Engine.leaving
+	warmMark               throughput.Mark
 }
 
 // usable says whether new work may go to a server on the ordinary path. One new in the list has no slots yet.
@@ -95,51 +91,26 @@
 	}
 }
 
-// countWarm keeps the number of warm servers and the sum of their weights.
+// countWarm counts a backend anew among the warm ones: usable, and not warming up.
 func (e *Engine) countWarm(s *backend) {
-	if s.counted {
-		e.warm--
-		e.warmWeight -= s.countedAs
-	}
-	if s.counted = s.usable() && !s.cold; s.counted {
-		e.warm++
-		s.countedAs = s.weight
-		e.warmWeight += s.countedAs
-	}
-	if e.warm == 0 {
-		e.warmWeight = 0 // of rounding
-	}
+	e.throughput.Count(&s.warmMark, s.usable() && !s.cold, s.weight)
 }
 
-// recordAnswer keeps the mean rate of what a warm server carries: answers, as under overload more is sent.
-func (e *Engine) recordAnswer() {
-	if e.warm > 0 {
-		e.weight = e.warmWeight / float64(e.warm)
-	}
-	gap := (e.now - e.rateAt).Seconds() / rateOver
-	e.rate = e.rate*math.Exp(-gap) + 1/(rateOver*float64(max(1, e.warm)))
-	e.rateAt = e.now
-}
-
-// observedRate is this door's part, in answers a second, of what a warm server carries for the doors that
-// have it. While there is no warm one to tell, the last figure stands.
+// observedRate is the answers a second that a warm backend gives, divided by the gateways that use one: this
+// gateway's part of what it carries.
 func (e *Engine) observedRate() float64 {
-	if e.warm == 0 {
-		e.rateAt = e.now
-	}
-	gap := (e.now - e.rateAt).Seconds() / rateOver
-	return e.rate * math.Exp(-gap) * float64(e.settings.Gateways) / e.doorsPerServer
+	return e.throughput.PerBackend(e.now) * float64(e.settings.Gateways) / e.doorsPerServer
 }
 
-// sparseness says from 0 to 1 how little a door learns of one server by its own sends.
+// sparseness says from 0 to 1 how little this gateway learns of one backend by its own attempts.
 func (e *Engine) sparseness() float64 { return 1 - min(1, e.observedRate()/evidence) }
 
-// latency is the time an answer takes, by recent ones: the class's mean times the server's slowness.
-func (e *Engine) latency(r *request, s *backend) float64 {
-	if s != nil {
-		return e.base[r.class] * s.slow
-	}
-	return e.base[r.class]
+// expectedLatency is how many seconds an answer to a request takes.
+func (e *Engine) expectedLatency(r *request) float64 { return e.latencies.Mean(r.class) }
+
+// expectedLatencyAt is how many seconds it takes at a backend.
+func (e *Engine) expectedLatencyAt(r *request, s *backend) float64 {
+	return e.latencies.Mean(r.class) * s.latencyFactor.Value()
 }
 
 // mostRefuse says whether half of the subset's servers have turned the last request away.
