--- a/internal/policy/ejection.go
+++ b/internal/policy/ejection.go
@@ -110,7 +110,7 @@
 	e.emit(Log{"used again: " + s.name})
 	if fresh {
 		s.latencyFactor.Reset()
-		s.slots = 1
+		s.limiter.Restart()
 		e.markCold(s, e.now)
 	}
 	e.countWarm(s)
--- a/internal/policy/fleet_test.go
+++ b/internal/policy/fleet_test.go
@@ -315,7 +315,7 @@
 	set.SharedCounter, set.Gateways, set.Plans[3].MaxConcurrent = false, 1, 1
 	d := open(t, set, backends(1)...)
 	s := d.backends["b0"]
-	s.slots = 1
+	s.limiter.Restart()
 	of := func(id uint64, customer string) Request {
 		r := ask(id, 2, 3)
 		r.Tenant = customer
--- a/internal/policy/membership.go
+++ b/internal/policy/membership.go
@@ -43,7 +43,7 @@
 		if b.State != InService {
 			return
 		}
-		s = &backend{name: b.Name, started: -1, slots: -1}
+		s = &backend{name: b.Name, started: -1}
 		s.member.Value = s
 		e.backends[b.Name] = s
 		s.ringIndex = len(e.ring)
@@ -55,7 +55,7 @@
 		s.latencyFactor.Reset()
 		s.ejected, s.trying, s.fails, s.lost = false, false, 0, 0
 		if b.Started > 0 && e.now-b.Started < e.settings.SlowStartDuration {
-			s.slots = 1
+			s.limiter.Restart()
 			e.markCold(s, b.Started)
 		}
 	}
--- a/internal/policy/queue.go
+++ b/internal/policy/queue.go
@@ -42,7 +42,8 @@
 // refused while the client can still try again in time (a departure: the paper lets it wait until it is
 // stale; under overload every answer then comes at the last moment, and each client's next try too late).
 func (e *Engine) rejectEarly(r *request, s *backend) bool {
-	if e.free(s) { // with many doors the queue is inside the servers, and latency tells of it (a departure)
+	if e.hasFreeSlot(s) {
+		// With many gateways the queue is inside the backends, and latency tells of it (a departure).
 		lat := e.latencies.Mean(r.class) * max(1, e.latencies.FleetPressure())
 		idle := cmp.Or(e.latencies.Idle(r.class), lat)
 		part := (lat - idle) / max(1e-3, r.deadlineBudget.Seconds()*deadlineMargin-idle) *
@@ -58,25 +59,22 @@
 	}
 	lat := e.expectedLatencyAt(r, s)
 	share := patience * (1 - float64(r.level)/(2*priorityBands)) // the lower the level, the sooner
-	return (e.now-r.arrivedAt).Seconds()+float64(ahead)*lat/s.slots+lat >=
+	return (e.now-r.arrivedAt).Seconds()+float64(ahead)*lat/s.limiter.Limit()+lat >=
 		r.deadlineBudget.Seconds()*deadlineMargin*share
 }
 
-// free says whether a server has a free slot. Less than one slot means a pause between sends: with many doors
-// even one request each can be too much, and what a server turns away costs it work as well.
-func (e *Engine) free(s *backend) bool {
-	return len(s.inFlight) < max(1, int(s.slots)) && e.now >= s.restUntil
-}
+// hasFreeSlot says whether one more attempt may be sent to a backend.
+func (e *Engine) hasFreeSlot(s *backend) bool { return s.limiter.HasFree(e.now, len(s.inFlight)) }
 
 // fill releases requests to a server while it has a slot. With nothing queued it helps the longest queue.
 func (e *Engine) fill(s *backend) {
-	for s.usable() && e.free(s) && !e.coldBudgetSpent(s) {
+	for s.usable() && e.hasFreeSlot(s) && !e.coldBudgetSpent(s) {
 		from := s
 		if s.queued == 0 && (e.queued == 0 || !s.inSubset) {
 			return
 		} else if s.queued == 0 {
 			for _, o := range e.backlogged {
-				if o.queued > from.queued && !e.free(o) {
+				if o.queued > from.queued && !e.hasFreeSlot(o) {
 					from = o
 				}
 			}
@@ -88,7 +86,8 @@
 		if r == nil {
 			return
 		}
-		if r.queuedOn != from || !e.free(s) || e.coldBudgetSpent(s) { // its refusals let others come here meanwhile
+		// Its rejections let others come here meanwhile.
+		if r.queuedOn != from || !e.hasFreeSlot(s) || e.coldBudgetSpent(s) {
 			continue
 		}
 		e.unqueue(r)
@@ -117,7 +116,7 @@
 		r := from.head(l)
 		sum += from.count[l]
 		ahead := float64(sum + len(to.inFlight))
-		if best != nil && ahead*e.expectedLatencyAt(r, to)/to.slots >=
+		if best != nil && ahead*e.expectedLatencyAt(r, to)/to.limiter.Limit() >=
 			r.deadlineBudget.Seconds()*deadlineMargin*patience {
 			break
 		}
--- a/internal/policy/selection.go
+++ b/internal/policy/selection.go
@@ -54,8 +54,8 @@
 		if chance > 0 {
 			cost *= 1 - chance + chance*e.rng.ExpFloat64()
 		}
-		if !e.free(s) {
-			cost = cost*10/min(1, s.slots) + costBusy
+		if !e.hasFreeSlot(s) {
+			cost = cost*10/min(1, s.limiter.Limit()) + costBusy
 		}
 		if inside {
 			most--
--- a/internal/policy/server.go
+++ b/internal/policy/server.go
@@ -5,6 +5,7 @@
 import (
 	"time"
 
+	"bellwood/internal/policy/concurrency"
 	"bellwood/internal/policy/latency"
 	"bellwood/internal/policy/throughput"
 	"bellwood/internal/subset"
@@ -20,10 +21,10 @@
 	zone, cell             int
 	queued                 int
 	inFlight               []*attempt
-	weight, slots          float64
+	weight                 float64
+	limiter                concurrency.Limiter
 	latencyFactor          latency.Factor
 	coldAt                 time.Duration
-	restUntil              time.Duration
 	coldSendAt             time.Duration   // no send while cold before this, where the share is under one
 	recent                 []time.Duration // sends of the last cold window
 	name                   string
@@ -43,7 +44,7 @@
 }
 
 // usable says whether new work may go to a server on the ordinary path. One new in the list has no slots yet.
-func (s *backend) usable() bool { return s.listed && !s.ejected && s.slots > 0 }
+func (s *backend) usable() bool { return s.listed && !s.ejected && s.limiter.Ready() }
 
 // watch has the check look at a server.
 func (e *Engine) watch(s *backend) {
--- a/internal/policy/subset.go
+++ b/internal/policy/subset.go
@@ -37,8 +37,8 @@
 		if s.listed && !s.member.Seated() {
 			e.round.Add(&s.member, s.name)
 		}
-		if s.slots < 0 {
-			s.slots = max(slotsLeast, slotsStart/e.doorsPerServer)
+		if !s.limiter.Ready() {
+			s.limiter.Start(e.doorsPerServer)
 			e.countWarm(s)
 		}
 	}
