--- a/internal/policy/attempt.go
+++ b/internal/policy/attempt.go
@@ -8,7 +8,7 @@
 )
 
 // send is the one place that sends. The guards come last here, whatever was decided before.
-func (e *Engine) send(r *request, s *backend, trial bool) {
+func (e *Engine) send(r *request, s *backend, kind attemptKind) {
 	p := &e.settings.Plans[r.plan]
 	switch {
 	case !s.listed: // drain: nothing new from the moment it is told
@@ -39,19 +39,19 @@
 		}
 	}
 	e.release(r)
-	a := &attempt{request: r, number: len(r.attempts), backend: s, sentAt: e.now, trial: trial, inFlight: true}
+	a := &attempt{request: r, number: len(r.attempts), backend: s, sentAt: e.now, kind: kind, inFlight: true}
 	limit := r.arrivedAt + r.deadlineBudget - e.now
-	if trial {
-		s.trying = true
-		limit = min(limit, time.Duration(trialWait*e.latencies.Mean(r.class)*float64(time.Second)))
+	if kind == probeRequest {
+		s.detector.StartProbe()
+		limit = min(limit, e.probeTimeLimit(r))
 	}
 	if len(s.inFlight) == 0 {
-		s.heard = max(s.heard, e.now)
+		s.detector.RecordWork(e.now)
 	}
 	r.attempts = append(r.attempts, a)
 	r.attemptsInFlight++
 	s.inFlight = append(s.inFlight, a)
-	e.watch(s)
+	e.watched.add(s)
 	if s.cold {
 		s.recent = append(s.recent, e.now)
 	}
@@ -93,13 +93,18 @@
 		e.reject(r, rejection{reason: AttemptsExhausted})
 		return
 	}
-	if (e.now-r.arrivedAt).Seconds()+e.expectedLatency(r) >= r.deadlineBudget.Seconds() {
+	if !e.hasTimeForAttempt(r) {
 		e.reject(r, rejection{reason: NoTimeForRetry})
 		return
 	}
 	e.dispatch(r)
 }
 
+// hasTimeForAttempt says whether an attempt that starts now would be answered before the deadline.
+func (e *Engine) hasTimeForAttempt(r *request) bool {
+	return (e.now-r.arrivedAt).Seconds()+e.expectedLatency(r) < r.deadlineBudget.Seconds()
+}
+
 // mayRepeat says whether a request that may have run can go to a server (rule 2).
 func (e *Engine) mayRepeat(r *request, s *backend) bool {
 	if !r.endedInDoubt {
--- a/internal/policy/check.go
+++ b/internal/policy/check.go
@@ -12,13 +12,14 @@
 // periodicCheck looks for what no event tells: silence, waiting customers, free slots.
 func (e *Engine) periodicCheck() {
 	e.emit(SetTimer{e.now + checkInterval, 0})
-	for _, s := range e.watched {
-		if e.now-e.checkedAt < stalledAfter { // else this door stood still, and what came meanwhile is not yet read
-			e.detectSilence(s)
+	// A gateway that stood still has not yet read what came meanwhile.
+	if e.now-e.checkedAt < stalledAfter {
+		for _, b := range e.watched {
+			e.checkHealth(b)
 		}
 	}
 	e.checkedAt = e.now
-	e.pruneWatched()
+	e.watched.prune()
 	e.endColdStarts()
 	stuck := e.unplaced
 	e.unplaced = nil
--- a/internal/policy/door_test.go
+++ b/internal/policy/door_test.go
@@ -370,12 +370,12 @@
 	for i, status := range []Status{ConnectionReset, ConnectionReset, OK, ConnectFailed, ConnectionReset, ConnectFailed} {
 		now := time.Duration(i) * 100 * ms
 		sends := only[SendAttempt](d.Step(now, []Event{ask(uint64(i+1), 0, 2)}))
-		if len(sends) != 1 || s.ejected {
-			t.Fatalf("before outcome %d: sent %v, left out %v", i, sends, s.ejected)
+		if len(sends) != 1 || s.detector.Ejected() {
+			t.Fatalf("before outcome %d: sent %v, left out %v", i, sends, s.detector.Ejected())
 		}
 		d.Step(now+10*ms, []Event{AttemptResult{ID: sends[0].ID, Backend: "b0", Status: status, Latency: 10 * ms, RequestClosed: status == OK}})
 	}
-	if !s.ejected {
+	if !s.detector.Ejected() {
 		t.Error("three in a row, and it is still used")
 	}
 }
--- a/internal/policy/engine.go
+++ b/internal/policy/engine.go
@@ -26,7 +26,7 @@
 	backends         map[string]*backend
 	ring             []*backend
 	subset           []*backend // those that this door uses while it can
-	watched          []*backend // those with attempts out or ejected: the check looks at these
+	watched          watchList
 	backlogged       []*backend // those with something queued, and maybe others
 	leaving          []*backend // no longer in service, still to be forgotten
 	relisted         []*backend // come or gone since the subset was assigned last
--- /dev/null
+++ b/internal/policy/healthcheck.go
@@ -0,0 +1,157 @@
+package policy
+
+// Outlier ejection: silent and broken backends are left out, probed, and taken back. See package outlier
+// for when a backend counts as one.
+
+import (
+	"iter"
+	"time"
+)
+
+const (
+	// probeBudget is how many latencies of time a request must have left to serve as a probe of an ejected
+	// backend ...
+	probeBudget = 7.0
+	// probeTimeout ... and how many of them the probe may take; the rest is for another attempt.
+	probeTimeout = 4.0
+)
+
+// watchList holds the backends that the periodic check looks at: those with attempts in flight or ejected,
+// and for a while others.
+type watchList []*backend
+
+// add has the periodic check look at a backend.
+func (w *watchList) add(b *backend) {
+	if !b.watched {
+		b.watched = true
+		*w = append(*w, b)
+	}
+}
+
+// prune drops those that need no look any more.
+func (w *watchList) prune() {
+	kept := (*w)[:0]
+	for _, b := range *w {
+		if b.watched = len(b.inFlight) > 0 || b.detector.Ejected() && b.listed; b.watched {
+			kept = append(kept, b)
+		}
+	}
+	clear((*w)[len(kept):])
+	*w = kept
+}
+
+// checkHealth ejects a backend that has fallen silent, and checks an ejected one when that is due.
+func (e *Engine) checkHealth(b *backend) {
+	switch {
+	case b.detector.Ejected():
+		e.sendHealthCheck(b)
+	case b.detector.Silent(e.now, e.waits(b)) && e.othersRespond(b):
+		e.eject(b)
+	}
+}
+
+// waits yields the attempts in flight at a backend: when each was sent, and how many seconds an answer
+// takes.
+func (e *Engine) waits(b *backend) iter.Seq2[time.Duration, float64] {
+	return func(yield func(time.Duration, float64) bool) {
+		for _, a := range b.inFlight {
+			if !yield(a.sentAt, e.expectedLatencyAt(a.request, b)) {
+				return
+			}
+		}
+	}
+}
+
+// othersRespond says whether a quarter of the backends, or more, answer while one is silent. Else the
+// fault is not that backend's.
+func (e *Engine) othersRespond(silent *backend) bool {
+	responding := 0
+	for _, b := range e.subset {
+		if b.usable() && b.detector.RespondsWhileSilent(e.now, &silent.detector) {
+			responding++
+		}
+	}
+	for _, b := range e.watched {
+		if !b.inSubset && b.usable() && b.detector.RespondsWhileSilent(e.now, &silent.detector) {
+			responding++
+		}
+	}
+	return 4*responding >= len(e.subset) && responding > 0
+}
+
+// eject stops new work to a backend, moves its queue on and cancels what could still be served elsewhere.
+func (e *Engine) eject(b *backend) {
+	b.detector.Eject(e.now, e.doorsPerServer, e.rng)
+	e.countWarm(b)
+	e.watched.add(b)
+	e.emit(Log{"no longer used: " + b.name})
+	e.moveQueue(b)
+	if !e.settings.AllowCancel {
+		return
+	}
+	for _, a := range b.inFlight {
+		if !a.request.ended && !a.request.streaming && e.hasTimeForAttempt(a.request) {
+			e.emit(CancelAttempt{a.request.id, a.number})
+		}
+	}
+}
+
+// sendHealthCheck checks an ejected backend, if the settings allow it and it is due.
+func (e *Engine) sendHealthCheck(b *backend) {
+	if b.listed && e.settings.AllowHealthChecks && b.detector.ProbeDue(e.now) {
+		b.detector.StartProbe()
+		e.emit(HealthCheck{b.name})
+	}
+}
+
+// healthChecked takes the result of a health check. A backend that comes back from a long silence may have
+// started anew: it starts slowly.
+func (e *Engine) healthChecked(ev HealthCheckResult) {
+	b := e.backends[ev.Backend]
+	if b == nil || !b.detector.Ejected() {
+		return
+	}
+	if ev.Status != OK {
+		b.detector.ProbeFailed(e.now, e.doorsPerServer)
+		return
+	}
+	mayHaveRestarted := b.detector.MayHaveRestarted(e.now)
+	e.restore(b)
+	if mayHaveRestarted {
+		b.latencyFactor.Reset()
+		b.limiter.Restart()
+		e.markCold(b, e.now)
+	}
+	e.countWarm(b)
+}
+
+// restore takes a backend into use again; the caller counts it.
+func (e *Engine) restore(b *backend) {
+	b.detector.Reset(e.now)
+	e.emit(Log{"used again: " + b.name})
+}
+
+// backendToProbe finds an ejected backend that is due to be probed, and that a request can probe: without
+// health checks, each probe is an idempotent request on its first attempt with time for another.
+func (e *Engine) backendToProbe(r *request) *backend {
+	if e.settings.AllowHealthChecks || !e.mayProbe(r) {
+		return nil
+	}
+	for _, b := range e.watched {
+		if b.listed && b.inSubset && b.detector.ProbeDue(e.now) && !e.coldBudgetSpent(b) {
+			return b
+		}
+	}
+	return nil
+}
+
+// mayProbe says whether a request loses nothing when its first attempt has no answer.
+func (e *Engine) mayProbe(r *request) bool {
+	return e.settings.Classes[r.class].Idempotency == Idempotent && len(r.attempts) == 0 &&
+		e.settings.MaxAttempts >= 2 && r.deadlineBudget.Seconds() >= probeBudget*e.expectedLatency(r)
+}
+
+// probeTimeLimit is how long a probe request may take.
+func (e *Engine) probeTimeLimit(r *request) time.Duration {
+	return time.Duration(probeTimeout * e.expectedLatency(r) * float64(time.Second))
+}
--- a/internal/policy/membership.go
+++ b/internal/policy/membership.go
@@ -51,9 +51,9 @@
 	}
 	s.namedIn = e.lists
 	if b.Started != s.started {
-		s.started, s.heard = b.Started, e.now
+		s.started = b.Started
 		s.latencyFactor.Reset()
-		s.ejected, s.trying, s.fails, s.lost = false, false, 0, 0
+		s.detector.Reset(e.now)
 		if b.Started > 0 && e.now-b.Started < e.settings.SlowStartDuration {
 			s.limiter.Restart()
 			e.markCold(s, b.Started)
--- a/internal/policy/queue.go
+++ b/internal/policy/queue.go
@@ -17,8 +17,8 @@
 
 // dispatch queues a request at a server and releases what may go.
 func (e *Engine) dispatch(r *request) {
-	if t := e.trialServer(r); t != nil {
-		e.send(r, t, true)
+	if b := e.backendToProbe(r); b != nil {
+		e.send(r, b, probeRequest)
 		return
 	}
 	s := e.choose(r)
@@ -91,7 +91,7 @@
 			continue
 		}
 		e.unqueue(r)
-		e.send(r, s, false)
+		e.send(r, s, ordinary)
 	}
 }
 
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -32,10 +32,18 @@
 	number   int
 	backend  *backend
 	sentAt   time.Duration
-	trial    bool
+	kind     attemptKind
 	inFlight bool
 }
 
+// attemptKind says what an attempt is for.
+type attemptKind int
+
+const (
+	ordinary     attemptKind = iota // to have the request served
+	probeRequest                    // also to find out whether an ejected backend answers again
+)
+
 func (e *Engine) forget(r *request) {
 	if r.ended && r.attemptsInFlight == 0 {
 		delete(e.requests, r.id)
--- a/internal/policy/server.go
+++ b/internal/policy/server.go
@@ -7,6 +7,7 @@
 
 	"bellwood/internal/policy/concurrency"
 	"bellwood/internal/policy/latency"
+	"bellwood/internal/policy/outlier"
 	"bellwood/internal/policy/throughput"
 	"bellwood/internal/subset"
 )
@@ -16,8 +17,8 @@
 type backend struct {
 	inSubset               bool // one of those that this door uses while it can: see assignSubset
 	listed                 bool // in service, by the list
-	cold, ejected          bool
-	trying, refusedLast    bool // a trial is out; it turned the last request away unseen
+	cold                   bool
+	detector               outlier.Detector
 	zone, cell             int
 	queued                 int
 	inFlight               []*attempt
@@ -31,10 +32,6 @@
 	*levels                // nil until something is queued: most servers never have anything
 	started                time.Duration
 	namedIn                uint64 // the list that named it last
-	trialAt                time.Duration
-	trialPause             time.Duration
-	fails, lost            int           // broken connections in a row; time-outs since heard
-	heard                  time.Duration // last sign of life, or the moment it got work after having none
 	member                 subset.Member[*backend]
 	ringIndex, subsetIndex int  // places in Door.ring and Door.subset
 	extra                  bool // in the subset by fillSubset
@@ -44,27 +41,7 @@
 }
 
 // usable says whether new work may go to a server on the ordinary path. One new in the list has no slots yet.
-func (s *backend) usable() bool { return s.listed && !s.ejected && s.limiter.Ready() }
-
-// watch has the check look at a server.
-func (e *Engine) watch(s *backend) {
-	if !s.watched {
-		s.watched = true
-		e.watched = append(e.watched, s)
-	}
-}
-
-// pruneWatched drops those that need no look any more.
-func (e *Engine) pruneWatched() {
-	kept := e.watched[:0]
-	for _, s := range e.watched {
-		if s.watched = len(s.inFlight) > 0 || s.ejected && s.listed; s.watched {
-			kept = append(kept, s)
-		}
-	}
-	clear(e.watched[len(kept):])
-	e.watched = kept
-}
+func (s *backend) usable() bool { return s.listed && !s.detector.Ejected() && s.limiter.Ready() }
 
 // markCold counts a server as cold since a time.
 func (e *Engine) markCold(s *backend, since time.Duration) {
@@ -103,6 +80,9 @@
 	return e.throughput.PerBackend(e.now) * float64(e.settings.Gateways) / e.doorsPerServer
 }
 
+// evidence is how many answers a second of each backend make what is known of it current.
+const evidence = 1.0
+
 // sparseness says from 0 to 1 how little this gateway learns of one backend by its own attempts.
 func (e *Engine) sparseness() float64 { return 1 - min(1, e.observedRate()/evidence) }
 
@@ -114,17 +94,6 @@
 	return e.latencies.Mean(r.class) * s.latencyFactor.Value()
 }
 
-// mostRefuse says whether half of the subset's servers have turned the last request away.
-func (e *Engine) mostRefuse() bool {
-	turned := 0
-	for _, s := range e.subset {
-		if s.refusedLast {
-			turned++
-		}
-	}
-	return 2*turned >= len(e.subset)
-}
-
 // prune forgets servers that are gone and owe no outcome.
 func (e *Engine) prune() {
 	kept := e.leaving[:0]
