--- a/internal/policy/attempt.go
+++ b/internal/policy/attempt.go
@@ -52,9 +52,7 @@
 	r.attemptsInFlight++
 	s.inFlight = append(s.inFlight, a)
 	e.watched.add(s)
-	if s.cold {
-		s.recent = append(s.recent, e.now)
-	}
+	s.slowStart.RecordAttempt(e.now)
 	e.emit(SendAttempt{ID: r.id, Backend: s.name, Timeout: limit, SendBefore: e.repeatBefore(r)})
 }
 
--- a/internal/policy/check.go
+++ b/internal/policy/check.go
@@ -20,7 +20,7 @@
 	}
 	e.checkedAt = e.now
 	e.watched.prune()
-	e.endColdStarts()
+	e.endSlowStarts()
 	stuck := e.unplaced
 	e.unplaced = nil
 	for _, r := range stuck {
--- a/internal/policy/engine.go
+++ b/internal/policy/engine.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"bellwood/internal/policy/latency"
+	"bellwood/internal/policy/slowstart"
 	"bellwood/internal/policy/throughput"
 	"bellwood/internal/subset"
 )
@@ -26,6 +27,7 @@
 	backends         map[string]*backend
 	ring             []*backend
 	subset           []*backend // those that this door uses while it can
+	slowStart        slowstart.Settings
 	watched          watchList
 	backlogged       []*backend // those with something queued, and maybe others
 	leaving          []*backend // no longer in service, still to be forgotten
@@ -66,6 +68,12 @@
 	e := &Engine{settings: set, rng: rand.New(rand.NewPCG(seed, 1)), backends: map[string]*backend{},
 		requests: map[uint64]*request{}, tenants: map[holder]*tenant{}, pendingCalls: map[uint64][]*call{}}
 	e.denied = make([]float64, len(set.Plans))
+	e.slowStart = slowstart.Settings{
+		MinShare:         set.SlowStartMinShare,
+		Duration:         set.SlowStartDuration,
+		OverloadMultiple: set.OverloadMultiple,
+		OverloadWindow:   set.OverloadWindow,
+	}
 	e.maxTimeLeft = make([]time.Duration, len(set.Classes))
 	objectives := make([]time.Duration, len(set.Classes))
 	for i, c := range set.Classes {
--- a/internal/policy/fleet_test.go
+++ b/internal/policy/fleet_test.go
@@ -168,7 +168,7 @@
 			if s.listed {
 				listed++
 			}
-			if s.usable() && !s.cold {
+			if s.usable() && !s.slowStart.Warming() {
 				warm++
 			}
 		}
--- a/internal/policy/healthcheck.go
+++ b/internal/policy/healthcheck.go
@@ -120,7 +120,7 @@
 	if mayHaveRestarted {
 		b.latencyFactor.Reset()
 		b.limiter.Restart()
-		e.markCold(b, e.now)
+		e.beginSlowStart(b, e.now)
 	}
 	e.countWarm(b)
 }
@@ -138,7 +138,7 @@
 		return nil
 	}
 	for _, b := range e.watched {
-		if b.listed && b.inSubset && b.detector.ProbeDue(e.now) && !e.coldBudgetSpent(b) {
+		if b.listed && b.inSubset && b.detector.ProbeDue(e.now) && !e.slowStartSpent(b) {
 			return b
 		}
 	}
--- a/internal/policy/membership.go
+++ b/internal/policy/membership.go
@@ -56,7 +56,7 @@
 		s.detector.Reset(e.now)
 		if b.Started > 0 && e.now-b.Started < e.settings.SlowStartDuration {
 			s.limiter.Restart()
-			e.markCold(s, b.Started)
+			e.beginSlowStart(s, b.Started)
 		}
 	}
 	s.zone, s.cell, s.weight = b.Zone, b.Cell, cmp.Or(max(0, b.Weight), 1)
--- a/internal/policy/queue.go
+++ b/internal/policy/queue.go
@@ -68,7 +68,7 @@
 
 // fill releases requests to a server while it has a slot. With nothing queued it helps the longest queue.
 func (e *Engine) fill(s *backend) {
-	for s.usable() && e.hasFreeSlot(s) && !e.coldBudgetSpent(s) {
+	for s.usable() && e.hasFreeSlot(s) && !e.slowStartSpent(s) {
 		from := s
 		if s.queued == 0 && (e.queued == 0 || !s.inSubset) {
 			return
@@ -87,7 +87,7 @@
 			return
 		}
 		// Its rejections let others come here meanwhile.
-		if r.queuedOn != from || !e.hasFreeSlot(s) || e.coldBudgetSpent(s) {
+		if r.queuedOn != from || !e.hasFreeSlot(s) || e.slowStartSpent(s) {
 			continue
 		}
 		e.unqueue(r)
--- a/internal/policy/selection.go
+++ b/internal/policy/selection.go
@@ -59,7 +59,7 @@
 		}
 		if inside {
 			most--
-			if e.coldBudgetSpent(s) {
+			if e.slowStartSpent(s) {
 				cost += costCold
 			}
 		} else {
--- /dev/null
+++ b/internal/policy/slowstart.go
@@ -0,0 +1,64 @@
+package policy
+
+// Slow start: what a backend that was started lately may get. See package slowstart for the budget.
+
+import (
+	"time"
+
+	"bellwood/internal/policy/slowstart"
+)
+
+// evidence is how many answers a second of each backend make what is known of it current.
+const evidence = 1.0
+
+// beginSlowStart counts a backend as warming up since a time.
+func (e *Engine) beginSlowStart(b *backend, since time.Duration) {
+	b.slowStart.Begin(since)
+	e.slowStarting = append(e.slowStarting, b)
+	e.countWarm(b)
+}
+
+// endSlowStarts counts as warm those whose time to warm up is over, the oldest first.
+func (e *Engine) endSlowStarts() {
+	for len(e.slowStarting) > 0 && e.capacityShare(e.slowStarting[0]) >= 1 {
+		e.slowStarting = e.slowStarting[1:]
+	}
+}
+
+// capacityShare is the share of its capacity that a backend has at least; 1 if it is warm.
+func (e *Engine) capacityShare(b *backend) float64 {
+	share := b.slowStart.CapacityShare(e.now, &e.slowStart)
+	if !b.slowStart.Warming() {
+		e.countWarm(b)
+	}
+	return share
+}
+
+// slowStartSpent says whether a backend is warming up and has had its budget.
+func (e *Engine) slowStartSpent(b *backend) bool {
+	share := e.capacityShare(b)
+	if share >= 1 {
+		return false
+	}
+	return b.slowStart.Spent(e.now, &e.slowStart, slowstart.Load{
+		Share:      share,
+		PerBackend: e.observedRate(),
+		Weight:     b.weight,
+		MeanWeight: e.throughput.MeanWeight(),
+		Gateways:   e.doorsPerServer,
+	}, e.rng)
+}
+
+// countWarm counts a backend anew among the warm ones: usable, and not warming up.
+func (e *Engine) countWarm(b *backend) {
+	e.throughput.Count(&b.warmMark, b.usable() && !b.slowStart.Warming(), b.weight)
+}
+
+// observedRate is the answers a second that a warm backend gives to all gateways, divided by those that
+// use it: this gateway's part of what it carries.
+func (e *Engine) observedRate() float64 {
+	return e.throughput.PerBackend(e.now) * float64(e.settings.Gateways) / e.doorsPerServer
+}
+
+// sparseness says from 0 to 1 how little this gateway learns of one backend by its own attempts.
+func (e *Engine) sparseness() float64 { return 1 - min(1, e.observedRate()/evidence) }
