--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -82,7 +82,7 @@
 // deadlineCannotBeMet says whether less than half of a usual answer's time is left. Half, as some answers are
 // faster.
 func (e *Engine) deadlineCannotBeMet(r *request) bool {
-	return r.deadlineBudget.Seconds() <= e.latency(r, nil)/2
+	return r.deadlineBudget.Seconds() <= e.expectedLatency(r)/2
 }
 
 // serve decides for a tenant's requests in the order they came, until one has to wait: for the counter's
@@ -187,7 +187,7 @@
 
 // tooLateToWait says whether a usual answer's time no longer fits into the deadline budget.
 func (e *Engine) tooLateToWait(r *request) bool {
-	return (e.now-r.arrivedAt).Seconds()+e.latency(r, nil) >= r.deadlineBudget.Seconds()*deadlineMargin
+	return (e.now-r.arrivedAt).Seconds()+e.expectedLatency(r) >= r.deadlineBudget.Seconds()*deadlineMargin
 }
 
 // concurrencyLimitReached says whether a tenant has as many requests in flight here as it may.
@@ -206,7 +206,7 @@
 	plan := &e.settings.Plans[r.plan]
 	share := float64(plan.MaxConcurrent) / r.tenant.gateways
 	if _, known := r.tenant.lease.KnownLevel(); known && e.counter.share.Responds() {
-		elsewhere := r.tenant.lease.OthersRate() / max(r.cost, 1) * e.latency(r, nil)
+		elsewhere := r.tenant.lease.OthersRate() / max(r.cost, 1) * e.expectedLatency(r)
 		share = max(share, float64(plan.MaxConcurrent)-elsewhere-othersInFlightRoom-plan.OverQuotaPenalty)
 	}
 	return max(1, int(share))
--- a/internal/policy/membership.go
+++ b/internal/policy/membership.go
@@ -43,7 +43,7 @@
 		if b.State != InService {
 			return
 		}
-		s = &backend{name: b.Name, started: -1, slots: -1}
+		s = &backend{name: b.Name, started: -1}
 		s.member.Value = s
 		e.backends[b.Name] = s
 		s.ringIndex = len(e.ring)
@@ -51,10 +51,11 @@
 	}
 	s.namedIn = e.lists
 	if b.Started != s.started {
-		s.started, s.heard, s.slow = b.Started, e.now, 1
-		s.ejected, s.trying, s.fails, s.lost = false, false, 0, 0
+		s.started = b.Started
+		s.latencyFactor.Reset()
+		s.detector.Reset(e.now)
 		if b.Started > 0 && e.now-b.Started < e.settings.SlowStartDuration {
-			s.slots = 1
+			s.limiter.Restart()
 			e.markCold(s, b.Started)
 		}
 	}
--- a/internal/policy/queue.go
+++ b/internal/policy/queue.go
@@ -17,8 +17,8 @@
 
 // dispatch queues a request at a server and releases what may go.
 func (e *Engine) dispatch(r *request) {
-	if t := e.trialServer(r); t != nil {
-		e.send(r, t, true)
+	if b := e.backendToProbe(r); b != nil {
+		e.send(r, b, probeRequest)
 		return
 	}
 	s := e.choose(r)
@@ -42,9 +42,10 @@
 // refused while the client can still try again in time (a departure: the paper lets it wait until it is
 // stale; under overload every answer then comes at the last moment, and each client's next try too late).
 func (e *Engine) rejectEarly(r *request, s *backend) bool {
-	if e.free(s) { // with many doors the queue is inside the servers, and latency tells of it (a departure)
-		lat := e.base[r.class] * max(1, e.fleet)
-		idle := cmp.Or(e.floor[r.class], lat)
+	if e.hasFreeSlot(s) {
+		// With many gateways the queue is inside the backends, and latency tells of it (a departure).
+		lat := e.latencies.Mean(r.class) * max(1, e.latencies.FleetPressure())
+		idle := cmp.Or(e.latencies.Idle(r.class), lat)
 		part := (lat - idle) / max(1e-3, r.deadlineBudget.Seconds()*deadlineMargin-idle) *
 			(1 + rejectSlope*float64(r.level)/lowestLevel)
 		return e.rng.Float64() < min(1, 2*e.sparseness())*min(rejectMost, (part-rejectFrom)/(rejectAll-rejectFrom))
@@ -56,27 +57,24 @@
 	for l := 0; s.queued > 0 && l <= r.level; l++ {
 		ahead += s.count[l]
 	}
-	lat := e.latency(r, s)
+	lat := e.expectedLatencyAt(r, s)
 	share := patience * (1 - float64(r.level)/(2*priorityBands)) // the lower the level, the sooner
-	return (e.now-r.arrivedAt).Seconds()+float64(ahead)*lat/s.slots+lat >=
+	return (e.now-r.arrivedAt).Seconds()+float64(ahead)*lat/s.limiter.Limit()+lat >=
 		r.deadlineBudget.Seconds()*deadlineMargin*share
 }
 
-// free says whether a server has a free slot. Less than one slot means a pause between sends: with many doors
-// even one request each can be too much, and what a server turns away costs it work as well.
-func (e *Engine) free(s *backend) bool {
-	return len(s.inFlight) < max(1, int(s.slots)) && e.now >= s.restUntil
-}
+// hasFreeSlot says whether one more attempt may be sent to a backend.
+func (e *Engine) hasFreeSlot(s *backend) bool { return s.limiter.HasFree(e.now, len(s.inFlight)) }
 
 // fill releases requests to a server while it has a slot. With nothing queued it helps the longest queue.
 func (e *Engine) fill(s *backend) {
-	for s.usable() && e.free(s) && !e.coldBudgetSpent(s) {
+	for s.usable() && e.hasFreeSlot(s) && !e.coldBudgetSpent(s) {
 		from := s
 		if s.queued == 0 && (e.queued == 0 || !s.inSubset) {
 			return
 		} else if s.queued == 0 {
 			for _, o := range e.backlogged {
-				if o.queued > from.queued && !e.free(o) {
+				if o.queued > from.queued && !e.hasFreeSlot(o) {
 					from = o
 				}
 			}
@@ -88,11 +86,12 @@
 		if r == nil {
 			return
 		}
-		if r.queuedOn != from || !e.free(s) || e.coldBudgetSpent(s) { // its refusals let others come here meanwhile
+		// Its rejections let others come here meanwhile.
+		if r.queuedOn != from || !e.hasFreeSlot(s) || e.coldBudgetSpent(s) {
 			continue
 		}
 		e.unqueue(r)
-		e.send(r, s, false)
+		e.send(r, s, ordinary)
 	}
 }
 
@@ -106,7 +105,7 @@
 	for l := range from.queue {
 		for from.count[l] > 0 {
 			r := from.head(l)
-			if (e.now-r.arrivedAt).Seconds()+e.latency(r, to) < r.deadlineBudget.Seconds()*deadlineMargin {
+			if (e.now-r.arrivedAt).Seconds()+e.expectedLatencyAt(r, to) < r.deadlineBudget.Seconds()*deadlineMargin {
 				break
 			}
 			e.reject(r, rejection{reason: StaleInQueue})
@@ -117,7 +116,8 @@
 		r := from.head(l)
 		sum += from.count[l]
 		ahead := float64(sum + len(to.inFlight))
-		if best != nil && ahead*e.latency(r, to)/to.slots >= r.deadlineBudget.Seconds()*deadlineMargin*patience {
+		if best != nil && ahead*e.expectedLatencyAt(r, to)/to.limiter.Limit() >=
+			r.deadlineBudget.Seconds()*deadlineMargin*patience {
 			break
 		}
 		if (best == nil || r.arrivedAt < best.arrivedAt) && e.mayRepeat(r, to) {
--- a/internal/policy/selection.go
+++ b/internal/policy/selection.go
@@ -47,15 +47,15 @@
 		if !inside && warm < 1 { // its cold budget is that of the doors that have it
 			continue
 		}
-		cost := (float64(len(s.inFlight)+s.queued) + 1) * s.slow / (s.weight * warm)
+		cost := (float64(len(s.inFlight)+s.queued) + 1) * s.latencyFactor.Value() / (s.weight * warm)
 		if s.zone != e.settings.Zone {
 			cost *= 1.05
 		}
 		if chance > 0 {
 			cost *= 1 - chance + chance*e.rng.ExpFloat64()
 		}
-		if !e.free(s) {
-			cost = cost*10/min(1, s.slots) + costBusy
+		if !e.hasFreeSlot(s) {
+			cost = cost*10/min(1, s.limiter.Limit()) + costBusy
 		}
 		if inside {
 			most--
--- a/internal/policy/server.go
+++ b/internal/policy/server.go
@@ -3,71 +3,45 @@
 // What a door knows of one server, and its bookkeeping. Nothing in this file decides.
 
 import (
-	"math"
 	"time"
 
+	"bellwood/internal/policy/concurrency"
+	"bellwood/internal/policy/latency"
+	"bellwood/internal/policy/outlier"
+	"bellwood/internal/policy/throughput"
 	"bellwood/internal/subset"
 )
 
-// Tuned values. Where no source is named, they are ours and were compared on simulated days only.
-const (
-	rateOver = 3.0 // seconds over which the sends to a warm server are averaged
-)
-
 // backend is what a door knows of one backend. What choose looks at stands first and together: in a large
 // fleet looking at each server costs more than reckoning with what is found there.
 type backend struct {
 	inSubset               bool // one of those that this door uses while it can: see assignSubset
 	listed                 bool // in service, by the list
-	cold, ejected          bool
-	trying, refusedLast    bool // a trial is out; it turned the last request away unseen
+	cold                   bool
+	detector               outlier.Detector
 	zone, cell             int
 	queued                 int
 	inFlight               []*attempt
-	weight, slots          float64
-	slow                   float64
+	weight                 float64
+	limiter                concurrency.Limiter
+	latencyFactor          latency.Factor
 	coldAt                 time.Duration
-	restUntil              time.Duration
 	coldSendAt             time.Duration   // no send while cold before this, where the share is under one
 	recent                 []time.Duration // sends of the last cold window
 	name                   string
 	*levels                // nil until something is queued: most servers never have anything
 	started                time.Duration
 	namedIn                uint64 // the list that named it last
-	trialAt                time.Duration
-	trialPause             time.Duration
-	fails, lost            int           // broken connections in a row; time-outs since heard
-	heard                  time.Duration // last sign of life, or the moment it got work after having none
 	member                 subset.Member[*backend]
-	ringIndex, subsetIndex int     // places in Door.ring and Door.subset
-	extra                  bool    // in the subset by fillSubset
-	watched, inBacklog     bool    // in Door.watched; in Door.backlogged
-	leaving, counted       bool    // in Door.leaving; in Door.warm ...
-	countedAs              float64 // ... with this weight
+	ringIndex, subsetIndex int  // places in Door.ring and Door.subset
+	extra                  bool // in the subset by fillSubset
+	watched, inBacklog     bool // in Door.watched; in Door.backlogged
+	leaving                bool // in Engine.leaving
+	warmMark               throughput.Mark
 }
 
 // usable says whether new work may go to a server on the ordinary path. One new in the list has no slots yet.
-func (s *backend) usable() bool { return s.listed && !s.ejected && s.slots > 0 }
-
-// watch has the check look at a server.
-func (e *Engine) watch(s *backend) {
-	if !s.watched {
-		s.watched = true
-		e.watched = append(e.watched, s)
-	}
-}
-
-// pruneWatched drops those that need no look any more.
-func (e *Engine) pruneWatched() {
-	kept := e.watched[:0]
-	for _, s := range e.watched {
-		if s.watched = len(s.inFlight) > 0 || s.ejected && s.listed; s.watched {
-			kept = append(kept, s)
-		}
-	}
-	clear(e.watched[len(kept):])
-	e.watched = kept
-}
+func (s *backend) usable() bool { return s.listed && !s.detector.Ejected() && s.limiter.Ready() }
 
 // markCold counts a server as cold since a time.
 func (e *Engine) markCold(s *backend, since time.Duration) {
@@ -95,62 +69,29 @@
 	}
 }
 
-// countWarm keeps the number of warm servers and the sum of their weights.
+// countWarm counts a backend anew among the warm ones: usable, and not warming up.
 func (e *Engine) countWarm(s *backend) {
-	if s.counted {
-		e.warm--
-		e.warmWeight -= s.countedAs
-	}
-	if s.counted = s.usable() && !s.cold; s.counted {
-		e.warm++
-		s.countedAs = s.weight
-		e.warmWeight += s.countedAs
-	}
-	if e.warm == 0 {
-		e.warmWeight = 0 // of rounding
-	}
-}
-
-// recordAnswer keeps the mean rate of what a warm server carries: answers, as under overload more is sent.
-func (e *Engine) recordAnswer() {
-	if e.warm > 0 {
-		e.weight = e.warmWeight / float64(e.warm)
-	}
-	gap := (e.now - e.rateAt).Seconds() / rateOver
-	e.rate = e.rate*math.Exp(-gap) + 1/(rateOver*float64(max(1, e.warm)))
-	e.rateAt = e.now
+	e.throughput.Count(&s.warmMark, s.usable() && !s.cold, s.weight)
 }
 
-// observedRate is this door's part, in answers a second, of what a warm server carries for the doors that
-// have it. While there is no warm one to tell, the last figure stands.
+// observedRate is the answers a second that a warm backend gives, divided by the gateways that use one: this
+// gateway's part of what it carries.
 func (e *Engine) observedRate() float64 {
-	if e.warm == 0 {
-		e.rateAt = e.now
-	}
-	gap := (e.now - e.rateAt).Seconds() / rateOver
-	return e.rate * math.Exp(-gap) * float64(e.settings.Gateways) / e.doorsPerServer
+	return e.throughput.PerBackend(e.now) * float64(e.settings.Gateways) / e.doorsPerServer
 }
 
-// sparseness says from 0 to 1 how little a door learns of one server by its own sends.
+// evidence is how many answers a second of each backend make what is known of it current.
+const evidence = 1.0
+
+// sparseness says from 0 to 1 how little this gateway learns of one backend by its own attempts.
 func (e *Engine) sparseness() float64 { return 1 - min(1, e.observedRate()/evidence) }
 
-// latency is the time an answer takes, by recent ones: the class's mean times the server's slowness.
-func (e *Engine) latency(r *request, s *backend) float64 {
-	if s != nil {
-		return e.base[r.class] * s.slow
-	}
-	return e.base[r.class]
-}
+// expectedLatency is how many seconds an answer to a request takes.
+func (e *Engine) expectedLatency(r *request) float64 { return e.latencies.Mean(r.class) }
 
-// mostRefuse says whether half of the subset's servers have turned the last request away.
-func (e *Engine) mostRefuse() bool {
-	turned := 0
-	for _, s := range e.subset {
-		if s.refusedLast {
-			turned++
-		}
-	}
-	return 2*turned >= len(e.subset)
+// expectedLatencyAt is how many seconds it takes at a backend.
+func (e *Engine) expectedLatencyAt(r *request, s *backend) float64 {
+	return e.latencies.Mean(r.class) * s.latencyFactor.Value()
 }
 
 // prune forgets servers that are gone and owe no outcome.
