--- a/internal/policy/engine.go
+++ b/internal/policy/engine.go
@@ -41,19 +41,13 @@
 	doorsPerServer   float64 // doors that have one server in their subsets
 	queued           int     // requests in all queues
 	requests         map[uint64]*request
-	tenants          map[holder]*tenant
-	order            []*tenant
-	sweep            int
-	waiters          []*tenant
+	tenants          tenantRegistry
 	unplaced         []*request
-	pendingCalls     map[uint64][]*call // counter calls out, by name in their order
-	callShare        float64            // part of the requests without tokens that call the counter
-	denied           []float64          // by plan, part of the calls that found no units for their request
-	counterAt        time.Duration
+	counter          counterCalls
+	asks             askEstimates
 	checkedAt        time.Duration // last check of what no event tells
 	maxRequestWeight float64
 	maxClassWeight   float64 // of the classes'
-	mostCallSavings  float64 // by a counter call
 	listAt           time.Duration
 	listWait         time.Duration
 	listAsked        bool
@@ -66,8 +60,8 @@
 		return nil, err
 	}
 	e := &Engine{settings: set, rng: rand.New(rand.NewPCG(seed, 1)), backends: map[string]*backend{},
-		requests: map[uint64]*request{}, tenants: map[holder]*tenant{}, pendingCalls: map[uint64][]*call{}}
-	e.denied = make([]float64, len(set.Plans))
+		requests: map[uint64]*request{}, tenants: newTenantRegistry(), counter: newCounterCalls(set.SharedCounter),
+		asks: newAskEstimates(&set)}
 	e.slowStart = slowstart.Settings{
 		MinShare:         set.SlowStartMinShare,
 		Duration:         set.SlowStartDuration,
@@ -100,7 +94,7 @@
 		case AttemptResult:
 			e.attemptEnded(ev)
 		case CounterResult:
-			e.counted(ev)
+			e.counterAnswered(ev)
 		case Timer:
 			e.timer(ev.Cookie)
 		case EndpointUpdate:
@@ -137,13 +131,9 @@
 // prime sets what a door takes for granted before it has seen anything.
 func (e *Engine) prime() {
 	e.doorsPerServer = float64(e.settings.Gateways)
-	if e.settings.SharedCounter {
-		e.callShare = 1
-	}
-	for i, c := range e.settings.Classes {
-		for j, p := range e.settings.Plans {
+	for _, c := range e.settings.Classes {
+		for _, p := range e.settings.Plans {
 			e.maxClassWeight = max(e.maxClassWeight, c.PriorityWeight)
-			e.mostCallSavings = max(e.mostCallSavings, e.callSavings(i, j))
 			weight := c.PriorityWeight * p.WeightFactor * max(1, e.settings.MaxRequestCost)
 			e.maxRequestWeight = max(e.maxRequestWeight, weight)
 		}
