--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -40,7 +40,7 @@
 		e.reject(r, rejection{reason: DeadlineCannotBeMet})
 		return
 	}
-	e.emit(SetTimer{e.now + r.deadlineBudget - e.settings.TimerResolution, r.id<<1 | 1})
+	e.emit(SetTimer{e.now + r.deadlineBudget - e.settings.TimerResolution, deadlineCookie(r.id)})
 	t := r.tenant
 	t.lastSeen = e.now
 	t.lease.NoteDemand(e.now, r.cost)
@@ -215,7 +215,7 @@
 // priorityBand is the band of a request by its worth: each has half the worth of the one above it.
 func (e *Engine) priorityBand(r *request) int {
 	worth := max(1e-9, e.settings.Classes[r.class].PriorityWeight*e.settings.Plans[r.plan].WeightFactor*r.cost)
-	return min(priorityBands-1, max(0, int(math.Log2(e.maxRequestWeight/worth))))
+	return min(priorityBands-1, max(0, int(math.Log2(e.weights.maxRequest/worth))))
 }
 
 // payQuota promotes a request whose cost the lease pays (stage 2 of the paper). A request that is not
@@ -269,7 +269,7 @@
 		return
 	}
 	r.ended = true
-	e.unqueue(r)
+	e.queues.remove(r)
 	e.releaseHardLimit(r)
 	e.cancelAttempts(r)
 	if len(r.attempts) == 0 && r.quota.promoted && e.settings.Plans[r.plan].Rate > 0 {
@@ -291,3 +291,19 @@
 		}
 	}
 }
+
+// requestWeights are the greatest weights that the settings allow.
+type requestWeights struct {
+	maxRequest float64 // of a request: its class's weight, its plan's factor and its cost
+	maxClass   float64 // of a class
+}
+
+func newRequestWeights(set *Settings) (w requestWeights) {
+	for _, c := range set.Classes {
+		w.maxClass = max(w.maxClass, c.PriorityWeight)
+		for _, p := range set.Plans {
+			w.maxRequest = max(w.maxRequest, c.PriorityWeight*p.WeightFactor*max(1, set.MaxRequestCost))
+		}
+	}
+	return w
+}
--- a/internal/policy/attempt.go
+++ b/internal/policy/attempt.go
@@ -1,32 +1,16 @@
 package policy
 
-// Attempts: the guards before each, their outcomes, and retries.
+// Attempts: the guards before each, and what follows from its result.
 
-import (
-	"slices"
-	"time"
-)
-
-// send is the one place that sends. The guards come last here, whatever was decided before.
-func (e *Engine) send(r *request, s *backend, kind attemptKind) {
-	switch {
-	case !s.listed: // drain: nothing new from the moment it is told
+// send starts an attempt. It is the one place that does, and the guards are here, whatever was decided
+// before.
+func (e *Engine) send(r *request, b *backend, kind attemptKind) {
+	if !b.listed { // nothing new from the moment it is known to be draining
 		e.dispatch(r)
 		return
-	case e.suspended:
-		e.reject(r, rejection{reason: OutOfService})
-		return
-	case r.attemptsInFlight > 0:
-		e.reject(r, rejection{reason: AttemptInFlight})
-		return
-	case len(r.attempts) >= e.settings.MaxAttempts:
-		e.reject(r, rejection{reason: AttemptsExhausted})
-		return
-	case !e.mayRepeat(r, s):
-		e.reject(r, rejection{reason: NoBackendForRetry})
-		return
-	case e.now >= r.arrivedAt+r.deadlineBudget:
-		e.reject(r, rejection{reason: DeadlinePassed})
+	}
+	if reason, forbidden := e.attemptForbidden(r, b); forbidden {
+		e.reject(r, rejection{reason: reason})
 		return
 	}
 	if len(r.attempts) == 0 && !e.spendHardLimit(r) {
@@ -34,42 +18,52 @@
 		return
 	}
 	e.releaseHardLimit(r)
-	a := &attempt{request: r, number: len(r.attempts), backend: s, sentAt: e.now, kind: kind, inFlight: true}
-	limit := r.arrivedAt + r.deadlineBudget - e.now
+	timeout := r.arrivedAt + r.deadlineBudget - e.now
 	if kind == probeRequest {
-		s.detector.StartProbe()
-		limit = min(limit, e.probeTimeLimit(r))
+		b.detector.StartProbe()
+		timeout = min(timeout, e.probeTimeLimit(r))
 	}
-	if len(s.inFlight) == 0 {
-		s.detector.RecordWork(e.now)
+	if len(b.inFlight) == 0 {
+		b.detector.RecordWork(e.now)
 	}
-	r.attempts = append(r.attempts, a)
-	r.attemptsInFlight++
-	s.inFlight = append(s.inFlight, a)
-	e.watched.add(s)
-	s.slowStart.RecordAttempt(e.now)
-	e.emit(SendAttempt{ID: r.id, Backend: s.name, Timeout: limit, SendBefore: e.repeatBefore(r)})
+	r.addAttempt(b, kind, e.now)
+	e.watched.add(b)
+	b.slowStart.RecordAttempt(e.now)
+	e.emit(SendAttempt{ID: r.id, Backend: b.name, Timeout: timeout, SendBefore: e.sendBefore(r)})
 }
 
-// attemptEnded takes the end of an attempt.
-func (e *Engine) attemptEnded(ev AttemptResult) {
-	r := e.requests[ev.ID]
-	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) || !r.attempts[ev.Attempt].inFlight {
-		return
+// attemptForbidden says why a request may not have an attempt at a backend that is in service.
+func (e *Engine) attemptForbidden(r *request, b *backend) (reason RejectReason, forbidden bool) {
+	switch {
+	case e.suspended:
+		return OutOfService, true
+	case r.attemptsInFlight > 0:
+		return AttemptInFlight, true
+	case len(r.attempts) >= e.settings.MaxAttempts:
+		return AttemptsExhausted, true
+	case !e.mayRepeat(r, b):
+		return NoBackendForRetry, true
+	case e.now >= r.arrivedAt+r.deadlineBudget:
+		return DeadlinePassed, true
 	}
-	a := r.attempts[ev.Attempt]
-	a.inFlight = false
-	r.attemptsInFlight--
-	s := a.backend
-	s.inFlight = slices.DeleteFunc(s.inFlight, func(o *attempt) bool { return o == a })
-	if !r.endedInDoubt && ev.Status != Rejected && ev.Status != ConnectFailed && ev.Status != NotSent {
-		r.endedInDoubt, r.doubtSince, r.doubtOn = true, a.sentAt, s
+	return 0, false
+}
+
+// attemptEnded takes the result of an attempt: what it tells of the backend, what it means for the
+// request, and what may be sent to the backend instead.
+func (e *Engine) attemptEnded(result AttemptResult) {
+	r := e.requests[result.ID]
+	if r == nil {
+		return
 	}
-	e.learn(s, a, ev)
-	if ev.Status == OK && e.settings.CostSettledOnResponse && ev.Cost > 0 && r.quota.promoted {
-		r.tenant.lease.CorrectCost(r.cost, ev.Cost)
+	a := r.attemptInFlight(result.Attempt)
+	if a == nil {
+		return
 	}
-	if ev.RequestClosed || ev.Status == OK {
+	a.land(result.Status)
+	e.learn(a, result)
+	e.settleCost(r, result)
+	if result.RequestClosed || result.Status == OK {
 		e.end(r)
 	}
 	if r.ended {
@@ -77,20 +71,22 @@
 	} else if !r.streaming && r.attemptsInFlight == 0 {
 		e.retry(r)
 	}
-	e.fill(s)
+	e.fill(a.backend)
 }
 
-// retry sends a request on again where its class allows it and an answer could still be in time.
-func (e *Engine) retry(r *request) {
-	if len(r.attempts) >= e.settings.MaxAttempts {
-		e.reject(r, rejection{reason: AttemptsExhausted})
-		return
+// settleCost corrects what a request has paid by its true cost, where only the answer tells it.
+func (e *Engine) settleCost(r *request, result AttemptResult) {
+	told := result.Status == OK && e.settings.CostSettledOnResponse && result.Cost > 0
+	if told && r.quota.promoted {
+		r.tenant.lease.CorrectCost(r.cost, result.Cost)
 	}
-	if !e.hasTimeForAttempt(r) {
-		e.reject(r, rejection{reason: NoTimeForRetry})
-		return
+}
+
+// firstByte takes that a streamed answer has begun: its deadline no longer runs, and it is not tried again.
+func (e *Engine) firstByte(ev FirstByte) {
+	if r := e.requests[ev.ID]; r != nil {
+		r.streaming = true
 	}
-	e.dispatch(r)
 }
 
 // hasTimeForAttempt says whether an attempt that starts now would be answered before the deadline.
@@ -98,23 +94,16 @@
 	return (e.now-r.arrivedAt).Seconds()+e.expectedLatency(r) < r.deadlineBudget.Seconds()
 }
 
-// mayRepeat says whether a request that may have run can go to a server (rule 2).
-func (e *Engine) mayRepeat(r *request, s *backend) bool {
-	if !r.endedInDoubt {
-		return true
-	}
-	cl := &e.settings.Classes[r.class]
-	if cl.Idempotency != IdempotentWithKey {
-		return cl.Idempotency == Idempotent
+// deadlinePassed rejects a request whose deadline has come, unless its answer has begun.
+func (e *Engine) deadlinePassed(id uint64) {
+	if r := e.requests[id]; r != nil && !r.streaming {
+		e.reject(r, rejection{reason: DeadlinePassed})
 	}
-	return e.now < r.doubtSince+cl.DedupWindow && (cl.DedupScope == DedupAllBackends ||
-		s.zone == r.doubtOn.zone && (cl.DedupScope == DedupZone || s.cell == r.doubtOn.cell))
 }
 
-// repeatBefore is when a repeat must have gone out, where repeats are dropped for a while only.
-func (e *Engine) repeatBefore(r *request) time.Duration {
-	if cl := &e.settings.Classes[r.class]; r.endedInDoubt && cl.Idempotency == IdempotentWithKey {
-		return r.doubtSince + cl.DedupWindow
+// clientGone ends a request that nobody waits for any more.
+func (e *Engine) clientGone(ev ClientGone) {
+	if r := e.requests[ev.ID]; r != nil {
+		e.end(r)
 	}
-	return 0
 }
--- /dev/null
+++ b/internal/policy/backend.go
@@ -0,0 +1,55 @@
+package policy
+
+import (
+	"time"
+
+	"bellwood/internal/policy/concurrency"
+	"bellwood/internal/policy/latency"
+	"bellwood/internal/policy/outlier"
+	"bellwood/internal/policy/slowstart"
+	"bellwood/internal/policy/throughput"
+)
+
+// backend is what the engine knows of one backend. Each part belongs to the type that it names. What
+// choose looks at stands first and together: in a large fleet, looking at each backend costs more than
+// reckoning with what is found.
+type backend struct {
+	membership    // of the endpointRegistry
+	detector      outlier.Detector
+	limiter       concurrency.Limiter
+	latencyFactor latency.Factor
+	weight        float64 // by the endpoint list; over 0
+	zone, cell    int     // by the endpoint list
+	queue         requestQueue
+	inFlight      []*attempt
+	slowStart     slowstart.Budget
+	subsetPlace   // of the backendSubset
+	warmMark      throughput.Mark
+	watched       bool // in Engine.watched
+	name          string
+	started       time.Duration // by the endpoint list; neverStarted before its first entry
+}
+
+// neverStarted is no start of a backend.
+const neverStarted = -1
+
+func newBackend(name string) *backend {
+	b := &backend{name: name, started: neverStarted}
+	b.member.Value = b
+	return b
+}
+
+// usable says whether new work may go to a backend, probes aside. One new in the list has no concurrency
+// limit yet.
+func (b *backend) usable() bool { return b.listed && !b.detector.Ejected() && b.limiter.Ready() }
+
+// hasFreeSlot says whether a backend's concurrency limit allows one more attempt.
+func (b *backend) hasFreeSlot(now time.Duration) bool { return b.limiter.HasFree(now, len(b.inFlight)) }
+
+// expectedLatency is how many seconds an answer to a request takes.
+func (e *Engine) expectedLatency(r *request) float64 { return e.latencies.Mean(r.class) }
+
+// expectedLatencyAt is how many seconds it takes at a backend.
+func (e *Engine) expectedLatencyAt(r *request, b *backend) float64 {
+	return e.latencies.Mean(r.class) * b.latencyFactor.Value()
+}
--- a/internal/policy/cold_test.go
+++ b/internal/policy/cold_test.go
@@ -152,7 +152,7 @@
 			f.do(i, r)
 		}
 		for i, d := range f.doors {
-			if d.queued > 0 || len(d.unplaced) > 0 || f.step%4 == 0 && len(f.doors) < 100 {
+			if d.queues.length > 0 || len(d.queues.unplaced) > 0 || f.step%4 == 0 && len(f.doors) < 100 {
 				f.do(i, Timer{0})
 			}
 		}
--- /dev/null
+++ b/internal/policy/dispatch.go
@@ -0,0 +1,199 @@
+package policy
+
+// Dispatch: from a request that may go on to the attempt that is sent. A request joins the queue of the
+// backend that choose names, and leaves it when that backend, or one that has nothing else to do, has a
+// free slot (stage 4 of the paper).
+
+import "cmp"
+
+const (
+	// deadlineMargin is the share of the deadline budget that waiting and answer may take by estimate: f
+	// of EQ 3 and EQ 4 of the paper.
+	deadlineMargin = 0.9
+	// maxQueueShare is the share of that time that a request may be expected to take when it joins a
+	// queue, and that the requests of the open levels may take.
+	maxQueueShare = 0.5
+
+	// Where the backends' latency tells of queues inside of them, requests are rejected by chance: none
+	// while these take less than minShedShare of the deadline budget, and more and more until at
+	// fullShedShare all are but a few, whose answers tell when it is over.
+	minShedShare  = 0.25
+	fullShedShare = 0.6
+	maxShedChance = 0.97
+	// shedLevelSlope is what the lowest level adds to that share, as a multiple.
+	shedLevelSlope = 1.5
+)
+
+// dispatch queues a request at a backend, and releases what may go.
+func (e *Engine) dispatch(r *request) {
+	if b := e.backendToProbe(r); b != nil {
+		e.send(r, b, probeRequest)
+		return
+	}
+	b := e.choose(r)
+	switch {
+	case b == nil && !r.endedInDoubt:
+		e.queues.addUnplaced(r)
+	case b == nil:
+		e.reject(r, rejection{reason: NoBackendForRetry})
+	case e.isOverload(r, b):
+		e.reject(r, rejection{reason: Overloaded})
+	default:
+		e.queues.push(r, b)
+		e.fill(b)
+	}
+}
+
+// isOverload says whether a request is better rejected than queued at a backend: now, while its client can
+// still try again in time (a departure: the paper lets it wait until it is stale; under overload every
+// answer then comes at the last moment, and each client's next try too late).
+func (e *Engine) isOverload(r *request, b *backend) bool {
+	if b.hasFreeSlot(e.now) {
+		return e.shedByLatency(r)
+	}
+	return len(r.attempts) == 0 && e.waitsTooLong(r, b)
+}
+
+// shedByLatency decides by chance whether a request is rejected for the latency of all backends: with many
+// gateways the queue is inside the backends (a departure: the paper has one balancer). It draws one random
+// number.
+func (e *Engine) shedByLatency(r *request) bool {
+	latency := e.expectedLatency(r) * max(1, e.latencies.FleetPressure())
+	idle := cmp.Or(e.latencies.Idle(r.class), latency)
+	share := (latency - idle) / max(1e-3, r.deadlineBudget.Seconds()*deadlineMargin-idle) *
+		(1 + shedLevelSlope*float64(r.level)/lowestLevel)
+	drawn := e.rng.Float64()
+	chance := min(maxShedChance, (share-minShedShare)/(fullShedShare-minShedShare))
+	return drawn < min(1, 2*e.sparseness())*chance
+}
+
+// waitsTooLong is EQ 4 of the paper seen from the back of the queue: the wait for those of the same level
+// and above, and the answer, would take most of the deadline budget. The lower the level, the less they
+// may take.
+func (e *Engine) waitsTooLong(r *request, b *backend) bool {
+	ahead := 1 + b.queue.countUpTo(r.level)
+	latency := e.expectedLatencyAt(r, b)
+	share := maxQueueShare * (1 - float64(r.level)/(2*priorityBands))
+	return (e.now-r.arrivedAt).Seconds()+float64(ahead)*latency/b.limiter.Limit()+latency >=
+		r.deadlineBudget.Seconds()*deadlineMargin*share
+}
+
+// fill sends queued requests to a backend while it has room for them.
+func (e *Engine) fill(b *backend) {
+	for b.usable() && e.hasRoom(b) {
+		from := e.queueToServe(b)
+		if from == nil {
+			return
+		}
+		r := e.pick(from, b)
+		if r == nil {
+			return
+		}
+		if r.queuedOn != from || !e.hasRoom(b) { // what pick rejected has let others come here meanwhile
+			continue
+		}
+		e.queues.remove(r)
+		e.send(r, b, ordinary)
+	}
+}
+
+// hasRoom says whether a backend has a free slot, and budget if it is warming up.
+func (e *Engine) hasRoom(b *backend) bool { return b.hasFreeSlot(e.now) && !e.slowStartSpent(b) }
+
+// queueToServe returns the backend from whose queue another takes its next request: its own, or if that is
+// empty, the longest of those that have no free slot. It is nil if nothing waits.
+func (e *Engine) queueToServe(b *backend) *backend {
+	if b.queue.length > 0 {
+		return b
+	}
+	if e.queues.length == 0 || !b.inSubset {
+		return nil
+	}
+	var longest *backend
+	length := 0
+	for _, other := range e.queues.backlogged {
+		if other.queue.length > length && !other.hasFreeSlot(e.now) {
+			longest, length = other, other.queue.length
+		}
+	}
+	return longest
+}
+
+// pick chooses a request from the queue of one backend for a slot of another, mostly the same: the oldest
+// of those in front of the open levels. It rejects what is stale.
+func (e *Engine) pick(from, to *backend) *request {
+	var oldest *request
+	waiting := 0
+	for level := range lowestLevel + 1 {
+		e.rejectStale(from, to, level)
+		if from.queue.count(level) == 0 {
+			continue
+		}
+		r := from.queue.first(level)
+		waiting += from.queue.count(level)
+		if oldest != nil && !e.levelIsOpen(r, to, waiting) {
+			break
+		}
+		if (oldest == nil || r.arrivedAt < oldest.arrivedAt) && e.mayRepeat(r, to) {
+			oldest = r
+		}
+	}
+	return oldest
+}
+
+// rejectStale rejects what can no longer be answered in time, up to the first of a level that can (EQ 3 of
+// the paper; a departure: in the promoted levels too, as what can't be in time only delays the rest).
+func (e *Engine) rejectStale(from, to *backend, level int) {
+	for from.queue.count(level) > 0 {
+		r := from.queue.first(level)
+		if (e.now-r.arrivedAt).Seconds()+e.expectedLatencyAt(r, to) < r.deadlineBudget.Seconds()*deadlineMargin {
+			return
+		}
+		e.reject(r, rejection{reason: StaleInQueue})
+	}
+}
+
+// levelIsOpen says whether a level is served beside the ones above it: while all that wait down to it, and
+// what is in flight, would take less than a share of the deadline budget (EQ 4 of the paper). The first
+// level with a request is always open.
+func (e *Engine) levelIsOpen(first *request, to *backend, waiting int) bool {
+	ahead := float64(waiting + len(to.inFlight))
+	return ahead*e.expectedLatencyAt(first, to)/to.limiter.Limit() <
+		first.deadlineBudget.Seconds()*deadlineMargin*maxQueueShare
+}
+
+// fillAll releases what is queued: first each backend its own, then those with nothing queued help.
+func (e *Engine) fillAll() {
+	for _, backends := range [2][]*backend{e.queues.backlogged, e.subset.backends} {
+		for _, b := range backends {
+			if e.queues.length == 0 {
+				break
+			}
+			e.fill(b)
+		}
+	}
+	e.queues.prune()
+}
+
+// dispatchUnplaced dispatches again what had no backend.
+func (e *Engine) dispatchUnplaced() {
+	for _, r := range e.queues.takeUnplaced() {
+		if !r.ended {
+			e.dispatch(r)
+		}
+	}
+}
+
+// moveQueue dispatches anew what is queued at a backend that is no longer usable. All is taken out first:
+// dispatching one request may release others.
+func (e *Engine) moveQueue(b *backend) {
+	moving := b.queue.requests()
+	for _, r := range moving {
+		e.queues.remove(r)
+	}
+	for _, r := range moving {
+		if !r.ended {
+			e.dispatch(r)
+		}
+	}
+}
--- a/internal/policy/door_test.go
+++ b/internal/policy/door_test.go
@@ -387,7 +387,7 @@
 	set := basic()
 	set.MaxAttempts, set.SharedCounter = 1, false
 	d := open(t, set, backends(1)...)
-	s := d.backends["b0"]
+	s := d.endpoints.byName["b0"]
 	for i, status := range []Status{ConnectionReset, ConnectionReset, OK, ConnectFailed, ConnectionReset, ConnectFailed} {
 		now := time.Duration(i) * 100 * ms
 		sends := only[SendAttempt](d.Step(now, []Event{ask(uint64(i+1), 0, 2)}))
@@ -404,18 +404,18 @@
 // What was queued and has ended must leave nothing behind at a server from which nobody picks.
 func TestQueuesLeaveNothingBehind(t *testing.T) {
 	d := open(t, basic(), backends(1)...)
-	s := d.backends["b0"]
+	s := d.endpoints.byName["b0"]
 	var all []*request
 	for i := range 3 {
 		r := &request{id: uint64(i), level: 2}
-		d.push(r, s)
+		d.queues.push(r, s)
 		all = append(all, r)
 	}
 	for _, r := range all {
-		d.unqueue(r)
+		d.queues.remove(r)
 	}
-	if len(s.queue[2]) != 0 || s.queued != 0 || d.queued != 0 {
-		t.Errorf("%d places are kept, %d and %d counted", len(s.queue[2]), s.queued, d.queued)
+	if len(s.queue.levels.entries[2]) != 0 || s.queue.length != 0 || d.queues.length != 0 {
+		t.Errorf("%d places are kept, %d and %d counted", len(s.queue.levels.entries[2]), s.queue.length, d.queues.length)
 	}
 }
 
--- a/internal/policy/engine.go
+++ b/internal/policy/engine.go
@@ -6,142 +6,141 @@
 	"time"
 
 	"bellwood/internal/policy/latency"
-	"bellwood/internal/policy/slowstart"
 	"bellwood/internal/policy/throughput"
-	"bellwood/internal/subset"
 )
 
-// Engine decides for one gateway.
+// Engine decides for one gateway. It is the order in which its parts act; the state is theirs.
 type Engine struct {
-	settings         Settings
-	rng              *rand.Rand
-	latencies        *latency.Estimator
-	throughput       throughput.Meter
-	now, startedAt   time.Duration
-	previousStep     time.Duration   // the Step before
-	maxTimeLeft      []time.Duration // by class, the most time that a client gave
-	running          bool
-	suspended        bool
-	actions          []Action
-	rejections       rejectionCounts
-	backends         map[string]*backend
-	ring             []*backend
-	subset           []*backend // those that this door uses while it can
-	slowStart        slowstart.Settings
-	watched          watchList
-	backlogged       []*backend // those with something queued, and maybe others
-	leaving          []*backend // no longer in service, still to be forgotten
-	relisted         []*backend // come or gone since the subset was assigned last
-	slowStarting     []*backend // those that were cold, the oldest first
-	extra            []*backend // in the subset by fillSubset
-	round            *subset.Round[*backend]
-	inService        int
-	lists            uint64 // lists and changes taken
-	roundRobin       int
-	doorsPerServer   float64 // doors that have one server in their subsets
-	queued           int     // requests in all queues
-	requests         map[uint64]*request
-	tenants          tenantRegistry
-	unplaced         []*request
-	counter          counterCalls
-	asks             askEstimates
-	checkedAt        time.Duration // last check of what no event tells
-	maxRequestWeight float64
-	maxClassWeight   float64 // of the classes'
-	listAt           time.Duration
-	listWait         time.Duration
-	listAsked        bool
+	settings Settings
+	rng      *rand.Rand // all random numbers come from here, in the order of the events
+
+	now          time.Duration // of the Step that runs
+	previousStep time.Duration // of the Step before
+	startedAt    time.Duration // of the first Step
+	checkedAt    time.Duration // of the last periodic check
+	started      bool
+	suspended    bool
+	actions      []Action // of the Step that runs
+
+	requests   map[uint64]*request
+	rejections rejectionCounts
+	weights    requestWeights
+
+	tenants tenantRegistry
+	counter counterCalls
+	asks    askEstimates
+
+	endpoints  endpointRegistry
+	polling    endpointPolling
+	subset     backendSubset
+	latencies  *latency.Estimator
+	throughput throughput.Meter
+	slowStarts slowStarts
+	watched    watchList
+
+	queues     priorityQueues
+	roundRobin int // the turn of choose
+
+	maxTimeLeft []time.Duration // by class, the most time that a client gave
 }
 
-// New makes an engine that knows nothing yet. The seed is for its random numbers. An error names the field of
-// Settings that the engine can't work with.
+// The cookies of the engine's timers. A request's is odd.
+const (
+	checkCookie = 0 // the periodic check
+	pollCookie  = 2 // the endpoint list is asked for again
+)
+
+// deadlineCookie is the cookie of the timer for a request's deadline.
+func deadlineCookie(id uint64) uint64 { return id<<1 | 1 }
+
+// New makes an engine that knows nothing yet. The seed is for its random numbers. An error names the field
+// of Settings that the engine can't work with.
 func New(set Settings, seed uint64) (*Engine, error) {
 	if err := set.check(); err != nil {
 		return nil, err
 	}
-	e := &Engine{settings: set, rng: rand.New(rand.NewPCG(seed, 1)), backends: map[string]*backend{},
-		requests: map[uint64]*request{}, tenants: newTenantRegistry(), counter: newCounterCalls(set.SharedCounter),
-		asks: newAskEstimates(&set)}
-	e.slowStart = slowstart.Settings{
-		MinShare:         set.SlowStartMinShare,
-		Duration:         set.SlowStartDuration,
-		OverloadMultiple: set.OverloadMultiple,
-		OverloadWindow:   set.OverloadWindow,
-	}
-	e.maxTimeLeft = make([]time.Duration, len(set.Classes))
 	objectives := make([]time.Duration, len(set.Classes))
 	for i, c := range set.Classes {
 		objectives[i] = cmp.Or(c.LatencyObjective, c.ClientTimeout)
 	}
-	e.latencies = latency.NewEstimator(objectives)
-	return e, nil
+	return &Engine{
+		settings:    set,
+		rng:         rand.New(rand.NewPCG(seed, 1)),
+		requests:    map[uint64]*request{},
+		weights:     newRequestWeights(&set),
+		tenants:     newTenantRegistry(),
+		counter:     newCounterCalls(set.SharedCounter),
+		asks:        newAskEstimates(&set),
+		endpoints:   newEndpointRegistry(),
+		subset:      newBackendSubset(&set),
+		latencies:   latency.NewEstimator(objectives),
+		slowStarts:  newSlowStarts(&set),
+		maxTimeLeft: make([]time.Duration, len(set.Classes)),
+	}, nil
 }
 
-// Step takes what happened at time now, in order, and returns what to do, in order. The slice is the caller's
-// until the next Step.
+// Step takes what happened at time now, in order, and returns what to do, in order. The slice is the
+// caller's until the next Step.
 func (e *Engine) Step(now time.Duration, events []Event) []Action {
 	e.actions = e.actions[:0]
 	e.previousStep, e.now = e.now, max(e.now, now)
-	if !e.running {
-		e.running, e.startedAt, e.roundRobin = true, e.now, e.rng.IntN(1<<16)
-		e.throughput.Start(e.now)
-		e.prime()
+	if !e.started {
+		e.start()
 	}
 	for _, ev := range events {
-		switch ev := ev.(type) {
-		case Request:
-			e.admit(ev)
-		case AttemptResult:
-			e.attemptEnded(ev)
-		case CounterResult:
-			e.counterAnswered(ev)
-		case Timer:
-			e.timer(ev.Cookie)
-		case EndpointUpdate:
-			e.endpointsUpdated(ev)
-		case HealthCheckResult:
-			e.healthChecked(ev)
-		case ClientGone:
-			if r := e.requests[ev.ID]; r != nil {
-				e.end(r)
-			}
-		case Suspend:
-			e.suspend(ev.On)
-		case FirstByte:
-			if r := e.requests[ev.ID]; r != nil {
-				r.streaming = true
-			}
-		}
+		e.take(ev)
 	}
 	return e.actions
 }
 
-// timer takes the request's own timer, the periodic check and the list's.
-func (e *Engine) timer(cookie uint64) {
-	if cookie == 0 {
-		e.periodicCheck()
-	} else if cookie == 2 {
-		e.listAsked = false
+// start begins the work, with the first Step.
+func (e *Engine) start() {
+	e.started, e.startedAt = true, e.now
+	e.roundRobin = e.rng.IntN(1 << 16) // gateways that start together don't all begin with the same backend
+	e.throughput.Start(e.now)
+	e.emit(SetTimer{e.now + checkInterval, checkCookie})
+	if e.settings.PollEndpoints {
 		e.emit(WatchEndpoints{})
-	} else if r := e.requests[cookie>>1]; r != nil && !r.streaming {
-		e.reject(r, rejection{reason: DeadlinePassed})
 	}
 }
 
-// prime sets what a door takes for granted before it has seen anything.
-func (e *Engine) prime() {
-	e.doorsPerServer = float64(e.settings.Gateways)
-	for _, c := range e.settings.Classes {
-		for _, p := range e.settings.Plans {
-			e.maxClassWeight = max(e.maxClassWeight, c.PriorityWeight)
-			weight := c.PriorityWeight * p.WeightFactor * max(1, e.settings.MaxRequestCost)
-			e.maxRequestWeight = max(e.maxRequestWeight, weight)
-		}
+// take hands an event to the rule for it.
+func (e *Engine) take(ev Event) {
+	switch ev := ev.(type) {
+	case Request:
+		e.admit(ev)
+	case AttemptResult:
+		e.attemptEnded(ev)
+	case FirstByte:
+		e.firstByte(ev)
+	case ClientGone:
+		e.clientGone(ev)
+	case CounterResult:
+		e.counterAnswered(ev)
+	case Timer:
+		e.timerDue(ev)
+	case EndpointUpdate:
+		e.endpointsUpdated(ev)
+	case HealthCheckResult:
+		e.healthChecked(ev)
+	case Suspend:
+		e.suspend(ev.On)
+	case PeerMessage: // for another kind of engine
 	}
-	e.emit(SetTimer{e.now + checkInterval, 0})
-	if e.settings.PollEndpoints {
+}
+
+// timerDue takes the engine's own timers and those of the requests' deadlines.
+func (e *Engine) timerDue(ev Timer) {
+	switch ev.Cookie {
+	case checkCookie:
+		e.periodicCheck()
+	case pollCookie:
+		e.polling.retried()
 		e.emit(WatchEndpoints{})
+	default:
+		e.deadlinePassed(ev.Cookie >> 1)
 	}
 }
 
+// emit adds an action to those of the Step that runs.
 func (e *Engine) emit(a Action) { e.actions = append(e.actions, a) }
--- a/internal/policy/event.go
+++ b/internal/policy/event.go
@@ -44,6 +44,9 @@
 	NotSent                       // not sent; it never ran
 )
 
+// mayHaveRun says whether a backend may have acted on an attempt that ended so.
+func (s Status) mayHaveRun() bool { return s != Rejected && s != ConnectFailed && s != NotSent }
+
 // FirstByte says that a streamed answer has begun; its deadline no longer runs.
 type FirstByte struct {
 	ID      uint64
--- a/internal/policy/fleet_test.go
+++ b/internal/policy/fleet_test.go
@@ -23,8 +23,8 @@
 	load, fewest = map[string]float64{}, 1<<30
 	for _, d := range all {
 		left := 0
-		for _, s := range d.subset {
-			load[s.name] += 1 / float64(len(d.subset))
+		for _, s := range d.subset.backends {
+			load[s.name] += 1 / float64(len(d.subset.backends))
 			if s.zone != lost {
 				left++
 			}
@@ -55,7 +55,7 @@
 		if most := busiest(load, servers); len(load) != servers || most > 1.25 {
 			t.Errorf("%d servers: %d in use, the busiest gets %.2f of the mean", servers, len(load), most)
 		}
-		if fewest < subsetLeast/2 {
+		if fewest < minSubset/2 {
 			t.Errorf("%d servers: a door has %d left when a zone is lost", servers, fewest)
 		}
 		before := make([]map[*backend]bool, len(all))
@@ -63,7 +63,7 @@
 		for step := range 10 {
 			for i, d := range all {
 				before[i] = map[*backend]bool{}
-				for _, s := range d.subset {
+				for _, s := range d.subset.backends {
 					before[i][s] = true
 				}
 				now := time.Duration(step+1) * time.Second
@@ -74,8 +74,8 @@
 					b.Name = fmt.Sprint("new", step)
 					d.Step(now, []Event{EndpointUpdate{Backends: []Backend{b}}})
 				}
-				same := len(d.subset) == len(before[i])
-				for _, s := range d.subset {
+				same := len(d.subset.backends) == len(before[i])
+				for _, s := range d.subset.backends {
 					same = same && before[i][s]
 				}
 				if !same {
@@ -111,11 +111,11 @@
 		now += ms
 	}
 	fresh := open(t, set, list[100:]...)
-	if len(old.subset) != len(fresh.subset) || len(old.ring) != 500 || old.inService != 500 {
-		t.Fatalf("subsets of %d and %d, %d known", len(old.subset), len(fresh.subset), len(old.ring))
+	if len(old.subset.backends) != len(fresh.subset.backends) || len(old.endpoints.all) != 500 || old.endpoints.inService != 500 {
+		t.Fatalf("subsets of %d and %d, %d known", len(old.subset.backends), len(fresh.subset.backends), len(old.endpoints.all))
 	}
-	for _, s := range fresh.subset {
-		if !old.backends[s.name].inSubset {
+	for _, s := range fresh.subset.backends {
+		if !old.endpoints.byName[s.name].inSubset {
 			t.Errorf("%s is in a fresh door's subset only", s.name)
 		}
 	}
@@ -129,8 +129,8 @@
 		list[i].State = Terminated
 	}
 	d.Step(time.Second, []Event{EndpointUpdate{Backends: list[:20]}})
-	if len(d.subset)+len(d.ring)+d.inService+d.throughput.Warm() != 0 {
-		t.Fatalf("%d in the subset, %d known, %d in service, %d warm", len(d.subset), len(d.ring), d.inService, d.throughput.Warm())
+	if len(d.subset.backends)+len(d.endpoints.all)+d.endpoints.inService+d.throughput.Warm() != 0 {
+		t.Fatalf("%d in the subset, %d known, %d in service, %d warm", len(d.subset.backends), len(d.endpoints.all), d.endpoints.inService, d.throughput.Warm())
 	}
 	d.Step(2*time.Second, []Event{EndpointUpdate{Backends: list[20:]}})
 	if sends := only[SendAttempt](d.Step(3*time.Second, []Event{ask(1, 0, 2), Timer{0}})); len(sends) != 1 {
@@ -141,11 +141,11 @@
 // Where every server of the subset is ejected, requests go to others, in a list of any length.
 func TestOthersServeWhereNoNearOneCan(t *testing.T) {
 	d := open(t, crowd(grandDoors), grand(2000)...)
-	for _, s := range append([]*backend(nil), d.subset...) {
+	for _, s := range append([]*backend(nil), d.subset.backends...) {
 		d.eject(s)
 	}
 	acts := d.Step(10*ms, []Event{ask(1, 0, 2)}) // before any trial is due
-	if sends := only[SendAttempt](acts); len(sends) != 1 || d.backends[sends[0].Backend].inSubset {
+	if sends := only[SendAttempt](acts); len(sends) != 1 || d.endpoints.byName[sends[0].Backend].inSubset {
 		t.Errorf("actions: %v", acts)
 	}
 }
@@ -158,8 +158,8 @@
 	check := func(when string) {
 		t.Helper()
 		inside, warm, listed := 0, 0, 0
-		for i, s := range d.ring {
-			if s.ringIndex != i || s.inSubset && d.subset[s.subsetIndex] != s {
+		for i, s := range d.endpoints.all {
+			if s.index != i || s.inSubset && d.subset.backends[s.subsetIndex] != s {
 				t.Fatalf("%s: %s is not at its place", when, s.name)
 			}
 			if s.inSubset {
@@ -172,9 +172,9 @@
 				warm++
 			}
 		}
-		if inside != len(d.subset) || warm != d.throughput.Warm() || listed != d.inService {
-			t.Fatalf("%s: subset of %d, %d, %d warm of %d, %d in service of %d", when, len(d.subset), inside, d.throughput.Warm(), warm,
-				d.inService, listed)
+		if inside != len(d.subset.backends) || warm != d.throughput.Warm() || listed != d.endpoints.inService {
+			t.Fatalf("%s: subset of %d, %d, %d warm of %d, %d in service of %d", when, len(d.subset.backends), inside, d.throughput.Warm(), warm,
+				d.endpoints.inService, listed)
 		}
 	}
 	now := time.Second
@@ -189,7 +189,7 @@
 		case 2:
 			b.State = Draining
 		case 3:
-			d.eject(d.backends[d.subset[step%len(d.subset)].name])
+			d.eject(d.endpoints.byName[d.subset.backends[step%len(d.subset.backends)].name])
 		}
 		evs := []Event{ask(uint64(step), 0, 2), Timer{0}}
 		if step%5 < 3 || step%3 == 0 {
@@ -229,8 +229,8 @@
 						meets[name]++
 					}
 					d.Step(ms, []Event{EndpointUpdate{Backends: []Backend{gone}}})
-					same := len(one) == len(d.subset)
-					for _, s := range d.subset {
+					same := len(one) == len(d.subset.backends)
+					for _, s := range d.subset.backends {
 						same = same && one[s.name] > 0
 					}
 					if !same {
@@ -314,7 +314,7 @@
 	set := basic()
 	set.SharedCounter, set.Gateways, set.Plans[3].MaxConcurrent = false, 1, 1
 	d := open(t, set, backends(1)...)
-	s := d.backends["b0"]
+	s := d.endpoints.byName["b0"]
 	s.limiter.Restart()
 	of := func(id uint64, customer string) Request {
 		r := ask(id, 2, 3)
@@ -324,15 +324,15 @@
 	first := only[SendAttempt](d.Step(0, []Event{of(1, "x")}))
 	d.Step(ms, []Event{of(2, "a"), of(3, "b")}) // queued, and too old when the slot is free
 	acts := d.Step(400*ms, []Event{of(4, "a"), of(5, "b")})
-	if len(first) != 1 || len(acts) != 2 || s.queued != 2 || len(s.inFlight) != 1 { // only their timers are set
-		t.Fatalf("%d sent, %d queued, then %v", len(first), s.queued, acts)
+	if len(first) != 1 || len(acts) != 2 || s.queue.length != 2 || len(s.inFlight) != 1 { // only their timers are set
+		t.Fatalf("%d sent, %d queued, then %v", len(first), s.queue.length, acts)
 	}
 	acts = d.Step(490*ms, []Event{AttemptResult{ID: 1, Backend: "b0", Status: Failed, Latency: 490 * ms}})
 	if n := len(only[Reject](acts)); n != 2 {
 		t.Errorf("%d refused: %v", n, acts)
 	}
-	if sends := only[SendAttempt](acts); len(sends) != 1 || len(s.inFlight) != 1 || s.queued != 1 {
-		t.Errorf("%d sends for one slot, %d left in the queue: %v", len(sends), s.queued, acts)
+	if sends := only[SendAttempt](acts); len(sends) != 1 || len(s.inFlight) != 1 || s.queue.length != 1 {
+		t.Errorf("%d sends for one slot, %d left in the queue: %v", len(sends), s.queue.length, acts)
 	}
 }
 
--- a/internal/policy/hardlimit.go
+++ b/internal/policy/hardlimit.go
@@ -25,7 +25,7 @@
 // less leaves the room to what is worth more.
 func (e *Engine) maxHardLimitWait(r *request) float64 {
 	weight := e.settings.Classes[r.class].PriorityWeight
-	return r.deadlineBudget.Seconds() * hardLimitWaitShare * weight / e.maxClassWeight
+	return r.deadlineBudget.Seconds() * hardLimitWaitShare * weight / e.weights.maxClass
 }
 
 // hardLimitQueueWait is the time in seconds until this gateway's share has room for a request that would join
--- a/internal/policy/healthcheck.go
+++ b/internal/policy/healthcheck.go
@@ -66,7 +66,7 @@
 // fault is not that backend's.
 func (e *Engine) othersRespond(silent *backend) bool {
 	responding := 0
-	for _, b := range e.subset {
+	for _, b := range e.subset.backends {
 		if b.usable() && b.detector.RespondsWhileSilent(e.now, &silent.detector) {
 			responding++
 		}
@@ -76,12 +76,12 @@
 			responding++
 		}
 	}
-	return 4*responding >= len(e.subset) && responding > 0
+	return 4*responding >= len(e.subset.backends) && responding > 0
 }
 
 // eject stops new work to a backend, moves its queue on and cancels what could still be served elsewhere.
 func (e *Engine) eject(b *backend) {
-	b.detector.Eject(e.now, e.doorsPerServer, e.rng)
+	b.detector.Eject(e.now, e.subset.gatewaysPerBackend, e.rng)
 	e.countWarm(b)
 	e.watched.add(b)
 	e.emit(Log{"no longer used: " + b.name})
@@ -107,12 +107,12 @@
 // healthChecked takes the result of a health check. A backend that comes back from a long silence may have
 // started anew: it starts slowly.
 func (e *Engine) healthChecked(ev HealthCheckResult) {
-	b := e.backends[ev.Backend]
+	b := e.endpoints.byName[ev.Backend]
 	if b == nil || !b.detector.Ejected() {
 		return
 	}
 	if ev.Status != OK {
-		b.detector.ProbeFailed(e.now, e.doorsPerServer)
+		b.detector.ProbeFailed(e.now, e.subset.gatewaysPerBackend)
 		return
 	}
 	mayHaveRestarted := b.detector.MayHaveRestarted(e.now)
--- a/internal/policy/rejection_test.go
+++ b/internal/policy/rejection_test.go
@@ -97,7 +97,7 @@
 			d := open(t, basic(), backends(4)...)
 			s := only[SendAttempt](d.Step(ms, []Event{ask(1, 0, 2)}))[0]
 			d.actions = nil
-			d.send(d.requests[1], d.backends[s.Backend], ordinary)
+			d.send(d.requests[1], d.endpoints.byName[s.Backend], ordinary)
 			return d, d.actions
 		}},
 	{name: "every attempt finds no connection", reason: AttemptsExhausted,
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -1,30 +1,39 @@
 package policy
 
-import "time"
+import (
+	"slices"
+	"time"
+)
 
+// request is a request that has no final answer yet, or an attempt in flight.
 type request struct {
-	id                        uint64
-	class, plan               int
-	tenant                    *tenant
-	cost                      float64
-	arrivedAt, deadlineBudget time.Duration // arrival; useful time left then
-	level                     int
-	quota                     quotaState
-	hardLimit                 hardLimitState
-	queueEntry                *entry // place in a queue of on
-	queuedOn                  *backend
-	attempts                  []*attempt
-	attemptsInFlight          int
-	endedInDoubt, ended       bool
-	doubtSince                time.Duration
-	doubtOn                   *backend
-	streaming                 bool
-	clientRetry               bool // the client's repeat
+	id             uint64
+	class, plan    int // indexes of Settings.Classes and Settings.Plans
+	tenant         *tenant
+	cost           float64 // units
+	arrivedAt      time.Duration
+	deadlineBudget time.Duration // from arrivedAt on; a later answer is of no use (see Engine.deadlineBudget)
+	clientRetry    bool          // a client's repeat of a request that was rejected or failed
+	level          int           // priority level; 0 is the highest
+	quota          quotaState
+	hardLimit      hardLimitState
+
+	queueEntry *queueEntry // of the priorityQueues; nil: not queued
+	queuedOn   *backend    // where; nil: not queued
+
+	attempts         []*attempt // by their numbers
+	attemptsInFlight int
+	endedInDoubt     bool          // an attempt ended, and the backend may have acted on it:
+	doubtSince       time.Duration // when the first such attempt was sent ...
+	doubtOn          *backend      // ... and where
+	streaming        bool          // the answer has begun
+	ended            bool          // it has its final answer, or its client is gone
 }
 
+// attempt is an attempt to have a request served by a backend.
 type attempt struct {
 	request  *request
-	number   int
+	number   int // 0, 1, 2, ... of the request's attempts
 	backend  *backend
 	sentAt   time.Duration
 	kind     attemptKind
@@ -39,6 +48,34 @@
 	probeRequest                    // also to find out whether an ejected backend answers again
 )
 
+// addAttempt puts an attempt in flight.
+func (r *request) addAttempt(b *backend, kind attemptKind, now time.Duration) {
+	a := &attempt{request: r, number: len(r.attempts), backend: b, sentAt: now, kind: kind, inFlight: true}
+	r.attempts = append(r.attempts, a)
+	r.attemptsInFlight++
+	b.inFlight = append(b.inFlight, a)
+}
+
+// attemptInFlight returns the attempt of a number, or nil if there is none in flight.
+func (r *request) attemptInFlight(number int) *attempt {
+	if number < 0 || number >= len(r.attempts) || !r.attempts[number].inFlight {
+		return nil
+	}
+	return r.attempts[number]
+}
+
+// land takes an attempt that has ended out of what is in flight, and notes whether it may have run.
+func (a *attempt) land(status Status) {
+	r := a.request
+	a.inFlight = false
+	r.attemptsInFlight--
+	a.backend.inFlight = slices.DeleteFunc(a.backend.inFlight, func(other *attempt) bool { return other == a })
+	if !r.endedInDoubt && status.mayHaveRun() {
+		r.endedInDoubt, r.doubtSince, r.doubtOn = true, a.sentAt, a.backend
+	}
+}
+
+// forget drops a request that has its final answer and no attempt in flight.
 func (e *Engine) forget(r *request) {
 	if r.ended && r.attemptsInFlight == 0 {
 		delete(e.requests, r.id)
--- a/internal/policy/result.go
+++ b/internal/policy/result.go
@@ -12,7 +12,8 @@
 const minLatency = 1e-3
 
 // learn takes what a result tells of its backend.
-func (e *Engine) learn(b *backend, a *attempt, result AttemptResult) {
+func (e *Engine) learn(a *attempt, result AttemptResult) {
+	b := a.backend
 	took := max(minLatency, result.Latency.Seconds())
 	ratio := e.latencies.Ratio(a.request.class, took)
 	e.learnPressure(b, result.Status, ratio)
@@ -36,7 +37,7 @@
 		e.learnAnswer(b, a.request, took)
 	}
 	if a.kind == probeRequest && b.detector.Ejected() {
-		b.detector.ProbeFailed(e.now, e.doorsPerServer)
+		b.detector.ProbeFailed(e.now, e.subset.gatewaysPerBackend)
 	}
 	b.limiter.Pause(e.now, e.expectedLatencyAt(a.request, b))
 }
@@ -55,12 +56,12 @@
 // mostReject says whether half of the subset's backends, or more, rejected their last request.
 func (e *Engine) mostReject() bool {
 	rejecting := 0
-	for _, b := range e.subset {
+	for _, b := range e.subset.backends {
 		if b.detector.LastRejected() {
 			rejecting++
 		}
 	}
-	return 2*rejecting >= len(e.subset)
+	return 2*rejecting >= len(e.subset.backends)
 }
 
 // learnFailure takes a broken connection. One alone says nothing of its backend.
@@ -91,12 +92,12 @@
 		e.throughput.RecordAnswer(e.now)
 	}
 	e.latencies.RecordAnswer(r.class, took)
-	e.latencies.RecordIdle(r.class, b.limiter.IsLow(e.doorsPerServer))
+	e.latencies.RecordIdle(r.class, b.limiter.IsLow(e.subset.gatewaysPerBackend))
 	b.limiter.RecordAnswer(concurrency.Answer{
 		Latency:  e.expectedLatencyAt(r, b),
 		Budget:   r.deadlineBudget.Seconds() * deadlineMargin,
 		Idle:     e.latencies.Idle(r.class),
 		InFlight: len(b.inFlight),
-		Gateways: e.doorsPerServer,
+		Gateways: e.subset.gatewaysPerBackend,
 	})
 }
--- a/internal/policy/slowstart.go
+++ b/internal/policy/slowstart.go
@@ -11,23 +11,40 @@
 // evidence is how many answers a second of each backend make what is known of it current.
 const evidence = 1.0
 
+// slowStarts knows how backends warm up, and which do.
+type slowStarts struct {
+	settings slowstart.Settings
+	warming  []*backend // the oldest first; some may be warm
+}
+
+func newSlowStarts(set *Settings) slowStarts {
+	return slowStarts{settings: slowstart.Settings{
+		MinShare:         set.SlowStartMinShare,
+		Duration:         set.SlowStartDuration,
+		OverloadMultiple: set.OverloadMultiple,
+		OverloadWindow:   set.OverloadWindow,
+	}}
+}
+
 // beginSlowStart counts a backend as warming up since a time.
 func (e *Engine) beginSlowStart(b *backend, since time.Duration) {
 	b.slowStart.Begin(since)
-	e.slowStarting = append(e.slowStarting, b)
+	e.slowStarts.warming = append(e.slowStarts.warming, b)
 	e.countWarm(b)
 }
 
 // endSlowStarts counts as warm those whose time to warm up is over, the oldest first.
 func (e *Engine) endSlowStarts() {
-	for len(e.slowStarting) > 0 && e.capacityShare(e.slowStarting[0]) >= 1 {
-		e.slowStarting = e.slowStarting[1:]
+	warming := e.slowStarts.warming
+	for len(warming) > 0 && e.capacityShare(warming[0]) >= 1 {
+		warming = warming[1:]
 	}
+	e.slowStarts.warming = warming
 }
 
 // capacityShare is the share of its capacity that a backend has at least; 1 if it is warm.
 func (e *Engine) capacityShare(b *backend) float64 {
-	share := b.slowStart.CapacityShare(e.now, &e.slowStart)
+	share := b.slowStart.CapacityShare(e.now, &e.slowStarts.settings)
 	if !b.slowStart.Warming() {
 		e.countWarm(b)
 	}
@@ -40,12 +57,12 @@
 	if share >= 1 {
 		return false
 	}
-	return b.slowStart.Spent(e.now, &e.slowStart, slowstart.Load{
+	return b.slowStart.Spent(e.now, &e.slowStarts.settings, slowstart.Load{
 		Share:      share,
 		PerBackend: e.observedRate(),
 		Weight:     b.weight,
 		MeanWeight: e.throughput.MeanWeight(),
-		Gateways:   e.doorsPerServer,
+		Gateways:   e.subset.gatewaysPerBackend,
 	}, e.rng)
 }
 
@@ -57,7 +74,7 @@
 // observedRate is the answers a second that a warm backend gives to all gateways, divided by those that
 // use it: this gateway's part of what it carries.
 func (e *Engine) observedRate() float64 {
-	return e.throughput.PerBackend(e.now) * float64(e.settings.Gateways) / e.doorsPerServer
+	return e.throughput.PerBackend(e.now) * float64(e.settings.Gateways) / e.subset.gatewaysPerBackend
 }
 
 // sparseness says from 0 to 1 how little this gateway learns of one backend by its own attempts.
--- a/internal/policy/subset.go
+++ b/internal/policy/subset.go
@@ -1,98 +1,209 @@
 package policy
 
-// The servers that a door uses while it can.
+// The subset: the backends that this gateway uses while it can.
 
-import "math"
+import (
+	"math"
+	"math/bits"
+
+	"github.com/cespare/xxhash/v2"
+
+	"bellwood/internal/subset"
+)
 
 const (
-	doorsPerServerMost = 16.0            // doors that have one server in their subsets: even in sum
-	subsetLeast        = 8               // servers of a subset at least, so that one lost is no great part
-	subsetMany         = 4 * subsetLeast // so many are of all zones by chance alone
-	subsetSlack        = 0.0625          // what a door may have over the mean of them: few change when one goes
-	roundStays         = 0.6             // part of subsetLeast at which the doors of a round become fewer
+	// maxGatewaysPerBackend is how many gateways have one backend in their subsets, as a mean: even in sum.
+	maxGatewaysPerBackend = 16.0
+	// minSubset is the least size of a subset, so that one backend lost is no great part.
+	minSubset = 8
+	// mixedSubset is the size from which a subset has backends of all zones by chance alone.
+	mixedSubset = 4 * minSubset
+	// subsetSlack is what a gateway may have over the mean size, as a share: so few change when a backend
+	// goes.
+	subsetSlack = 0.0625
+	// keepSeatsShare is the share of minSubset down to which the gateways of a round stay as many.
+	keepSeatsShare = 0.6
 )
 
-// assignSubset picks the door's subset: the servers that it uses while it can (a departure: many doors; were
-// each to use all, a server's connections and handshakes would grow with the doors, and each door would meet
-// it too seldom to know it). The doors of one round share out the whole list, so every server is in as many
-// subsets. They do so by consistent hashing with bounded loads: a change of the list moves few.
-func (e *Engine) assignSubset() {
-	seats := max(1, int(math.Round(float64(e.settings.Gateways)/doorsPerServerMost)))
-	fits := max(1, coarseSeats((e.inService+subsetLeast/2)/subsetLeast))
-	if e.round != nil && float64(e.inService) >= roundStays*subsetLeast*float64(e.round.Seats()) {
-		fits = max(fits, e.round.Seats())
-	}
-	seats = min(seats, fits)
-	each := max(float64(e.inService)/float64(seats), float64(min(subsetLeast, e.inService)))
-	e.doorsPerServer = max(1, float64(e.settings.Gateways)*each/float64(max(1, e.inService)))
-	for _, s := range e.relisted {
-		if !s.listed && s.member.Seated() {
-			e.round.Remove(&s.member)
+// backendSubset is the subset of one gateway (the paper knows one balancer: were each of many gateways to
+// use all backends, a backend's connections and handshakes would grow with the gateways, and each gateway
+// would meet it too seldom to know it). The gateways of one round share out the whole list, so every
+// backend is in as many subsets. They do so by consistent hashing with bounded loads: a change of the list
+// moves few.
+type backendSubset struct {
+	gateways           int
+	gatewayIndex       int
+	backends           []*backend
+	extra              []*backend // those by fill
+	round              *subset.Round[*backend]
+	gatewaysPerBackend float64 // that have one backend in their subsets, as a mean; 1 at least
+}
+
+// subsetPlace is what the subset keeps with each backend.
+type subsetPlace struct {
+	inSubset    bool
+	extra       bool // in the subset by fill
+	subsetIndex int  // in backendSubset.backends
+	member      subset.Member[*backend]
+}
+
+func newBackendSubset(set *Settings) backendSubset {
+	return backendSubset{gateways: set.Gateways, gatewayIndex: set.GatewayIndex,
+		gatewaysPerBackend: float64(set.Gateways)}
+}
+
+// assign makes the subset follow the endpoint list, of which these backends have changed.
+func (s *backendSubset) assign(endpoints *endpointRegistry, changed []*backend) {
+	seats := s.seats(endpoints.inService)
+	inService := float64(endpoints.inService)
+	size := max(inService/float64(seats), float64(min(minSubset, endpoints.inService)))
+	s.gatewaysPerBackend = max(1, float64(s.gateways)*size/max(1, inService))
+	for _, b := range changed {
+		if !b.listed && b.member.Seated() {
+			s.round.Remove(&b.member)
 		}
 	}
-	if e.round == nil || e.round.Seats() != seats {
-		e.newRound(seats)
+	if s.round == nil || s.round.Seats() != seats {
+		s.beginRound(endpoints, seats)
 	}
-	for _, s := range e.relisted {
-		if s.listed && !s.member.Seated() {
-			e.round.Add(&s.member, s.name)
+	for _, b := range changed {
+		if b.listed && !b.member.Seated() {
+			s.round.Add(&b.member, b.name)
 		}
-		if !s.limiter.Ready() {
-			s.limiter.Start(e.doorsPerServer)
-			e.countWarm(s)
+	}
+	s.fill(endpoints)
+}
+
+// seats is how many gateways share out the list: so many that each backend is in some
+// maxGatewaysPerBackend subsets, but not so many that these would have under minSubset backends. A list
+// that shrinks a little changes nothing.
+func (s *backendSubset) seats(inService int) int {
+	wanted := max(1, int(math.Round(float64(s.gateways)/maxGatewaysPerBackend)))
+	fitting := max(1, coarse((inService+minSubset/2)/minSubset))
+	if s.round != nil && float64(inService) >= keepSeatsShare*minSubset*float64(s.round.Seats()) {
+		fitting = max(fitting, s.round.Seats())
+	}
+	return min(wanted, fitting)
+}
+
+// coarse rounds a number of seats down to three binary digits: a list that grows then changes it seldom,
+// and each change deals all backends out anew.
+func coarse(seats int) int {
+	drop := max(0, bits.Len(uint(seats))-3)
+	return seats >> drop << drop
+}
+
+// beginRound deals all backends out anew over so many seats.
+func (s *backendSubset) beginRound(endpoints *endpointRegistry, seats int) {
+	for _, b := range endpoints.all {
+		if b.member.Seated() {
+			b.member = subset.Member[*backend]{Value: b}
+			if b.inSubset && !b.extra {
+				s.set(b, false)
+			}
+		}
+	}
+	s.round = subset.New(uint64(s.gatewayIndex/seats), seats, s.gatewayIndex%seats, subsetSlack, s.moved)
+	for _, b := range endpoints.all {
+		if b.listed {
+			s.round.Add(&b.member, b.name)
 		}
 	}
-	e.relisted = e.relisted[:0]
-	e.fillSubset()
 }
 
-// fillSubset gives a door that was dealt too few servers some more, by an order of its own: too few in all,
+// moved takes from the round that a backend has come to this gateway's seat or left it. One that is in the
+// subset by fill stays; that it is there by the round, or by nothing, fill finds.
+func (s *backendSubset) moved(b *backend, in bool) {
+	if !b.extra {
+		s.set(b, in)
+	}
+	b.extra = false
+}
+
+// set puts a backend into the subset or takes it out.
+func (s *backendSubset) set(b *backend, in bool) {
+	if b.inSubset == in {
+		return
+	}
+	if b.inSubset = in; in {
+		b.subsetIndex = len(s.backends)
+		s.backends = append(s.backends, b)
+		return
+	}
+	last := len(s.backends) - 1
+	s.backends[b.subsetIndex], s.backends[last].subsetIndex = s.backends[last], b.subsetIndex
+	s.backends[last] = nil
+	s.backends = s.backends[:last]
+}
+
+// fill gives a gateway that was dealt too few backends some more, by an order of its own: too few in all,
 // or too few outside some zone, which may be lost.
-func (e *Engine) fillSubset() {
-	for _, s := range e.extra {
-		if s.extra {
-			s.extra = false
-			e.setInSubset(s, false)
+func (s *backendSubset) fill(endpoints *endpointRegistry) {
+	for _, b := range s.extra {
+		if b.extra {
+			b.extra = false
+			s.set(b, false)
 		}
 	}
-	e.extra = e.extra[:0]
-	for zone, short := e.subsetShortage(); short; zone, short = e.subsetShortage() {
-		var best *backend
-		first := uint64(math.MaxUint64)
-		for _, s := range e.ring {
-			if s.listed && !s.inSubset && s.zone != zone {
-				if at := e.ownOrder(s); best == nil || at < first {
-					best, first = s, at
-				}
-			}
-		}
-		if best == nil { // there are none besides
+	s.extra = s.extra[:0]
+	for zone, short := s.shortage(endpoints.inService); short; zone, short = s.shortage(endpoints.inService) {
+		b := s.firstOutside(endpoints, zone)
+		if b == nil { // there are none besides
 			return
 		}
-		best.extra = true
-		e.extra = append(e.extra, best)
-		e.setInSubset(best, true)
+		b.extra = true
+		s.extra = append(s.extra, b)
+		s.set(b, true)
 	}
 }
 
-// subsetShortage says whether a subset has too few servers: outside of a zone, or (-1) in all.
-func (e *Engine) subsetShortage() (zone int, short bool) {
-	if len(e.subset) < min(subsetLeast, e.inService) {
-		return -1, true
+// noZone is the zone of no backend.
+const noZone = -1
+
+// shortage says whether the subset has too few backends: outside of a zone, or in all (noZone).
+func (s *backendSubset) shortage(inService int) (zone int, short bool) {
+	if len(s.backends) < min(minSubset, inService) {
+		return noZone, true
 	}
-	if len(e.subset) >= subsetMany {
-		return 0, false
+	if len(s.backends) >= mixedSubset {
+		return noZone, false
 	}
-	for _, s := range e.subset {
-		in := 0
-		for _, o := range e.subset {
-			if o.zone == s.zone {
-				in++
-			}
+	for _, b := range s.backends {
+		if s.sizeOutside(b.zone) < minSubset/2 {
+			return b.zone, true
 		}
-		if len(e.subset)-in < subsetLeast/2 {
-			return s.zone, true
+	}
+	return noZone, false
+}
+
+// sizeOutside is how many backends of the subset are outside a zone.
+func (s *backendSubset) sizeOutside(zone int) int {
+	outside := 0
+	for _, b := range s.backends {
+		if b.zone != zone {
+			outside++
+		}
+	}
+	return outside
+}
+
+// firstOutside is the first backend in this gateway's order that is not in the subset and outside a zone;
+// nil if there is none.
+func (s *backendSubset) firstOutside(endpoints *endpointRegistry, zone int) *backend {
+	var first *backend
+	firstPlace := uint64(math.MaxUint64)
+	for _, b := range endpoints.all {
+		if !b.listed || b.inSubset || b.zone == zone {
+			continue
+		}
+		if place := s.ownOrder(b); first == nil || place < firstPlace {
+			first, firstPlace = b, place
 		}
 	}
-	return 0, false
+	return first
+}
+
+// ownOrder is a backend's place in this gateway's own order.
+func (s *backendSubset) ownOrder(b *backend) uint64 {
+	return subset.Mix(xxhash.Sum64String(b.name), uint64(s.gatewayIndex)<<32)
 }
