--- a/internal/policy/cold_test.go
+++ b/internal/policy/cold_test.go
@@ -47,11 +47,11 @@
 )
 
 func newFleet(doors, servers int, seed uint64) *fleet {
-	set := basic()
+	set := testSettings()
 	set.Gateways, set.SharedCounter = doors, false
 	set.Classes[0].LatencyObjective, set.Classes[0].ClientTimeout = 1200*ms, 5*time.Second
 	set.OverloadMultiple, set.OverloadWindow, set.SlowStartMinShare, set.SlowStartDuration = 3, 3*time.Second, 0.18, 18*time.Second
-	f := &fleet{set: set, rng: rand.New(rand.NewPCG(seed, 9)), backends: backends(servers),
+	f := &fleet{set: set, rng: rand.New(rand.NewPCG(seed, 9)), backends: testBackends(servers),
 		machines: make([]machine, servers), share: make([]float64, doors), due: make([][]reply, fleetAhead)}
 	for i := range f.machines {
 		f.machines[i].capacity = 30
@@ -94,7 +94,7 @@
 func (f *fleet) do(door int, ev Event) {
 	now := f.now()
 	d := f.doors[door]
-	for _, s := range only[SendAttempt](d.Step(now, []Event{ev})) {
+	for _, s := range actionsOf[SendAttempt](d.Step(now, []Event{ev})) {
 		k, _ := strconv.Atoi(s.Backend[1:])
 		m := &f.machines[k]
 		p := f.present(m, now)
@@ -147,7 +147,7 @@
 			}
 			f.id++
 			f.offered++
-			r := ask(f.id, 0, 2)
+			r := testRequest(f.id, 0, 2)
 			r.TimeLeft = 5 * time.Second
 			f.do(i, r)
 		}
@@ -190,7 +190,7 @@
 	{name: "restarted", trouble: func(f *fleet) { f.restart(len(f.backends)-1, len(f.backends)) }},
 	{name: "new", trouble: func(f *fleet) {
 		n := len(f.backends)
-		f.backends = append(f.backends, backends(n + 1)[n])
+		f.backends = append(f.backends, testBackends(n + 1)[n])
 		f.machines = append(f.machines, machine{capacity: f.machines[0].capacity})
 		f.restart(n, n+1)
 	}},
--- a/internal/policy/door_test.go
+++ b/internal/policy/door_test.go
@@ -14,8 +14,8 @@
 
 const ms = time.Millisecond
 
-// basic is a deployment with a hard plan, a soft one with a ceiling, and one without quota.
-func basic() Settings {
+// testSettings is a deployment with a hard plan, a soft one with a ceiling, and one without quota.
+func testSettings() Settings {
 	return Settings{
 		Gateways: 2, TimerResolution: 2 * ms, MaxAttempts: 3, AllowCancel: true, SendRetryAfter: true, MaxRetryAfter: time.Second,
 		ResponseGrace: 8 * ms, DrainGrace: 500 * ms, OverloadMultiple: 3, OverloadWindow: 2 * time.Second, SlowStartMinShare: 0.25,
@@ -34,7 +34,7 @@
 	}
 }
 
-func open(t testing.TB, set Settings, list ...Backend) *Engine {
+func newTestEngine(t testing.TB, set Settings, list ...Backend) *Engine {
 	t.Helper()
 	d, err := New(set, 7)
 	if err != nil {
@@ -44,15 +44,15 @@
 	return d
 }
 
-func backends(n int) (list []Backend) {
+func testBackends(n int) (list []Backend) {
 	for i := range n {
 		list = append(list, Backend{Name: fmt.Sprint("b", i), Cell: i / 2, Weight: 1})
 	}
 	return list
 }
 
-// only picks the actions of one kind.
-func only[A Action](acts []Action) (got []A) {
+// actionsOf picks the actions of one kind.
+func actionsOf[A Action](acts []Action) (got []A) {
 	for _, a := range acts {
 		if a, ok := a.(A); ok {
 			got = append(got, a)
@@ -61,11 +61,11 @@
 	return got
 }
 
-func ask(id uint64, class, plan int) Request {
+func testRequest(id uint64, class, plan int) Request {
 	return Request{ID: id, Class: class, Plan: plan, Tenant: "c", TimeLeft: 2 * time.Second, Cost: 1}
 }
 
-func served(s SendAttempt, n int, took time.Duration) AttemptResult {
+func servedResult(s SendAttempt, n int, took time.Duration) AttemptResult {
 	return AttemptResult{ID: s.ID, Attempt: n, Backend: s.Backend, Status: OK, Latency: took, RequestClosed: true}
 }
 
@@ -76,7 +76,7 @@
 		"rate": func(s *Settings) { s.Plans[0].Rate = -1 }, "aim": func(s *Settings) { s.Classes[0].LatencyObjective = -1 },
 		"window": func(s *Settings) { s.OverloadWindow = -1 },
 	} {
-		set := basic()
+		set := testSettings()
 		if spoil(&set); true {
 			if _, err := New(set, 1); err == nil {
 				t.Errorf("%s: no error", name)
@@ -86,25 +86,25 @@
 }
 
 func TestNewCustomerSpendsBurstOverDoors(t *testing.T) {
-	set := basic()
+	set := testSettings()
 	set.SharedCounter = false
-	d := open(t, set, backends(8)...)
+	d := newTestEngine(t, set, testBackends(8)...)
 	sent, refused := 0, 0
 	for i := range 8 {
-		acts := d.Step(ms, []Event{ask(uint64(i), 0, 0)})
-		sent += len(only[SendAttempt](acts))
-		refused += len(only[Reject](acts))
+		acts := d.Step(ms, []Event{testRequest(uint64(i), 0, 0)})
+		sent += len(actionsOf[SendAttempt](acts))
+		refused += len(actionsOf[Reject](acts))
 	}
 	if sent != 4 || refused != 4 {
 		t.Errorf("sent %d, refused %d of 8; want 4 and 4", sent, refused)
 	}
 }
 
-// drain spends a customer's fallback share and returns the counter call that the next request waits for.
-func drain(t *testing.T, d *Engine, now time.Duration) AddToCounter {
+// spendFallback spends a customer's fallback share and returns the counter call that the next request waits for.
+func spendFallback(t *testing.T, d *Engine, now time.Duration) AddToCounter {
 	t.Helper()
 	for i := range 20 {
-		if c := only[AddToCounter](d.Step(now, []Event{ask(uint64(100+i), 0, 0)})); len(c) == 1 {
+		if c := actionsOf[AddToCounter](d.Step(now, []Event{testRequest(uint64(100+i), 0, 0)})); len(c) == 1 {
 			return c[0]
 		}
 	}
@@ -113,38 +113,38 @@
 }
 
 func TestLeasePromotes(t *testing.T) {
-	d := open(t, basic(), backends(8)...)
-	c := drain(t, d, ms)
-	d.Step(2*ms, []Event{ask(1, 0, 0), ask(2, 0, 0), ask(3, 0, 0), ask(4, 0, 0), ask(5, 0, 0)})
+	d := newTestEngine(t, testSettings(), testBackends(8)...)
+	c := spendFallback(t, d, ms)
+	d.Step(2*ms, []Event{testRequest(1, 0, 0), testRequest(2, 0, 0), testRequest(3, 0, 0), testRequest(4, 0, 0), testRequest(5, 0, 0)})
 	acts := d.Step(4*ms, []Event{CounterResult{c.Name, OK, c.Amount}})
-	if len(only[SendAttempt](acts)) == 0 {
+	if len(actionsOf[SendAttempt](acts)) == 0 {
 		t.Errorf("a grant sent nothing on: %v", acts)
 	}
 }
 
 func TestFullStoreRefusesHardPlan(t *testing.T) {
-	d := open(t, basic(), backends(8)...)
-	c := drain(t, d, ms)
-	d.Step(2*ms, []Event{ask(1, 0, 0), ask(2, 0, 0), ask(3, 0, 0), ask(4, 0, 0), ask(5, 0, 0)})
+	d := newTestEngine(t, testSettings(), testBackends(8)...)
+	c := spendFallback(t, d, ms)
+	d.Step(2*ms, []Event{testRequest(1, 0, 0), testRequest(2, 0, 0), testRequest(3, 0, 0), testRequest(4, 0, 0), testRequest(5, 0, 0)})
 	acts := d.Step(4*ms, []Event{CounterResult{c.Name, OK, c.Amount + 30}})
-	if len(only[Reject](acts)) == 0 || len(only[SendAttempt](acts)) != 0 {
+	if len(actionsOf[Reject](acts)) == 0 || len(actionsOf[SendAttempt](acts)) != 0 {
 		t.Errorf("a spent store let requests in: %v", acts)
 	}
 }
 
 func TestSilentCounter(t *testing.T) {
-	d := open(t, basic(), backends(8)...)
-	now, c := ms, drain(t, d, ms)
+	d := newTestEngine(t, testSettings(), testBackends(8)...)
+	now, c := ms, spendFallback(t, d, ms)
 	for i := range 12 {
 		now += 60 * ms
-		acts := d.Step(now, []Event{CounterResult{c.Name, TimedOut, 0}, ask(uint64(10+i), 0, 0)})
-		if got := only[AddToCounter](acts); len(got) == 1 {
+		acts := d.Step(now, []Event{CounterResult{c.Name, TimedOut, 0}, testRequest(uint64(10+i), 0, 0)})
+		if got := actionsOf[AddToCounter](acts); len(got) == 1 {
 			c = got[0]
 		}
 	}
 	now += 3 * time.Second
-	acts := d.Step(now, []Event{ask(20, 0, 0)})
-	if len(only[SendAttempt](acts)) != 1 {
+	acts := d.Step(now, []Event{testRequest(20, 0, 0)})
+	if len(actionsOf[SendAttempt](acts)) != 1 {
 		t.Errorf("the fallback share did not fill while the counter was silent: %v", acts)
 	}
 }
@@ -158,69 +158,69 @@
 // emptied lets the counter lose its numbers, after which the other doors add some units.
 func emptied(t *testing.T, others float64, granted bool) {
 	t.Helper()
-	d := open(t, basic(), backends(8)...)
-	c := drain(t, d, ms)
-	for _, back := range only[AddToCounter](d.Step(3*ms, []Event{CounterResult{c.Name, OK, 30}})) {
+	d := newTestEngine(t, testSettings(), testBackends(8)...)
+	c := spendFallback(t, d, ms)
+	for _, back := range actionsOf[AddToCounter](d.Step(3*ms, []Event{CounterResult{c.Name, OK, 30}})) {
 		d.Step(5*ms, []Event{CounterResult{back.Name, OK, 30 + back.Amount}}) // what the store did not hold
 	}
 	now := 9 * time.Second
 	var again []AddToCounter
 	for i := range 6 {
-		again = append(again, only[AddToCounter](d.Step(now, []Event{ask(uint64(50+i), 0, 0)}))...)
+		again = append(again, actionsOf[AddToCounter](d.Step(now, []Event{testRequest(uint64(50+i), 0, 0)}))...)
 	}
 	if len(again) == 0 {
 		t.Fatal("no call after the store has filled again")
 	}
 	acts := d.Step(now+2*ms, []Event{CounterResult{again[0].Name, OK, again[0].Amount + others}})
-	if granted != (len(only[SendAttempt](acts)) > 0) {
+	if granted != (len(actionsOf[SendAttempt](acts)) > 0) {
 		t.Errorf("others added %v to an emptied counter: %v", others, acts)
 	}
 }
 
 func TestSoftPlanDropsToTheLowestLevel(t *testing.T) {
-	set := basic()
+	set := testSettings()
 	set.SharedCounter = false
 	set.Plans[1].HardLimitRate = 0
-	d := open(t, set, backends(20)...)
+	d := newTestEngine(t, set, testBackends(20)...)
 	var evs []Event
 	for i := range 15 {
-		evs = append(evs, ask(uint64(i), 0, 1))
+		evs = append(evs, testRequest(uint64(i), 0, 1))
 	}
 	acts := d.Step(ms, evs)
-	if len(only[Reject](acts)) != 0 {
+	if len(actionsOf[Reject](acts)) != 0 {
 		t.Errorf("a soft plan was refused beyond its quota: %v", acts)
 	}
 }
 
 func TestStaleIsRefused(t *testing.T) {
-	d := open(t, basic(), backends(1)...)
-	sends := only[SendAttempt](d.Step(ms, []Event{ask(1, 0, 0), ask(2, 0, 0), ask(3, 0, 0), ask(4, 1, 0)}))
+	d := newTestEngine(t, testSettings(), testBackends(1)...)
+	sends := actionsOf[SendAttempt](d.Step(ms, []Event{testRequest(1, 0, 0), testRequest(2, 0, 0), testRequest(3, 0, 0), testRequest(4, 1, 0)}))
 	if len(sends) != 2 {
 		t.Fatalf("%d of 4 sent to one backend at once", len(sends))
 	}
-	acts := d.Step(480*ms, []Event{served(sends[0], 0, 479*ms), served(sends[1], 0, 479*ms)})
-	if n := len(only[Reject](acts)); n != 2 || len(only[SendAttempt](acts)) != 0 {
+	acts := d.Step(480*ms, []Event{servedResult(sends[0], 0, 479*ms), servedResult(sends[1], 0, 479*ms)})
+	if n := len(actionsOf[Reject](acts)); n != 2 || len(actionsOf[SendAttempt](acts)) != 0 {
 		t.Errorf("stale requests: %v, want two refusals", acts)
 	}
 }
 
 func TestHighWorthGoesFirstUnderBacklog(t *testing.T) {
-	set := basic()
+	set := testSettings()
 	set.Plans[0].Burst = 20
-	d := open(t, set, backends(1)...)
-	first := only[SendAttempt](d.Step(ms, []Event{ask(1, 0, 0), ask(2, 0, 0), ask(3, 0, 0), ask(4, 0, 0)}))
-	d.Step(2*ms, []Event{ask(5, 1, 0)})
-	next := only[SendAttempt](d.Step(151*ms, []Event{served(first[0], 0, 150*ms), served(first[1], 0, 150*ms)}))
+	d := newTestEngine(t, set, testBackends(1)...)
+	first := actionsOf[SendAttempt](d.Step(ms, []Event{testRequest(1, 0, 0), testRequest(2, 0, 0), testRequest(3, 0, 0), testRequest(4, 0, 0)}))
+	d.Step(2*ms, []Event{testRequest(5, 1, 0)})
+	next := actionsOf[SendAttempt](d.Step(151*ms, []Event{servedResult(first[0], 0, 150*ms), servedResult(first[1], 0, 150*ms)}))
 	if len(next) == 0 || next[0].ID != 5 {
 		t.Errorf("after %v went %v, want the request with the most worth", first, next)
 	}
 }
 
 func TestDrain(t *testing.T) {
-	d := open(t, basic(), backends(2)...)
+	d := newTestEngine(t, testSettings(), testBackends(2)...)
 	d.Step(ms, []Event{EndpointUpdate{Kind: Delta, Backends: []Backend{{Name: "b0", State: Draining}}}})
 	for i := range 20 {
-		for _, s := range only[SendAttempt](d.Step(time.Duration(i+2)*ms, []Event{ask(uint64(i), 0, 2)})) {
+		for _, s := range actionsOf[SendAttempt](d.Step(time.Duration(i+2)*ms, []Event{testRequest(uint64(i), 0, 2)})) {
 			if s.Backend == "b0" {
 				t.Fatal("sent to a draining backend")
 			}
@@ -229,15 +229,15 @@
 }
 
 func TestQueueMovesOnFromAGoneBackend(t *testing.T) { // a panic of the first version
-	d := open(t, basic(), backends(3)...)
+	d := newTestEngine(t, testSettings(), testBackends(3)...)
 	var evs []Event
 	for i := range 30 {
-		evs = append(evs, ask(uint64(i), i%2, 2))
+		evs = append(evs, testRequest(uint64(i), i%2, 2))
 	}
 	d.Step(ms, evs)
-	acts := d.Step(2*ms, []Event{EndpointUpdate{Kind: Snapshot, Backends: backends(2)}})
+	acts := d.Step(2*ms, []Event{EndpointUpdate{Kind: Snapshot, Backends: testBackends(2)}})
 	acts = append(acts, d.Step(3*ms, []Event{EndpointUpdate{Kind: Snapshot}})...)
-	for _, s := range only[SendAttempt](acts) {
+	for _, s := range actionsOf[SendAttempt](acts) {
 		if s.Backend == "b2" {
 			t.Error("sent to a gone backend")
 		}
@@ -246,10 +246,10 @@
 
 func TestNoEffectTwice(t *testing.T) {
 	for class, st := range map[int]Status{1: Failed, 2: ConnectionReset} {
-		d := open(t, basic(), backends(4)...)
-		s := only[SendAttempt](d.Step(ms, []Event{ask(1, class, 2)}))[0]
+		d := newTestEngine(t, testSettings(), testBackends(4)...)
+		s := actionsOf[SendAttempt](d.Step(ms, []Event{testRequest(1, class, 2)}))[0]
 		acts := d.Step(20*ms, []Event{AttemptResult{ID: 1, Backend: s.Backend, Status: st, Latency: 19 * ms}})
-		again, failed := only[SendAttempt](acts), only[Fail](acts)
+		again, failed := actionsOf[SendAttempt](acts), actionsOf[Fail](acts)
 		if class == 2 && (len(again) != 0 || len(failed) != 1) {
 			t.Errorf("an unsafe request that may have run: %v", acts)
 		}
@@ -261,17 +261,17 @@
 }
 
 func TestColdBackendGetsLess(t *testing.T) {
-	list := backends(4)
+	list := testBackends(4)
 	list[0].Started = 99 * time.Second
-	d, _ := New(basic(), 7)
+	d, _ := New(testSettings(), 7)
 	d.Step(100*time.Second, []Event{EndpointUpdate{Kind: CachedSnapshot, Backends: list}})
 	got, now := map[string]int{}, 100*time.Second
 	for i := range 150 {
 		now += 10 * ms
-		for _, s := range only[SendAttempt](d.Step(now, []Event{ask(uint64(i), 0, 2)})) {
+		for _, s := range actionsOf[SendAttempt](d.Step(now, []Event{testRequest(uint64(i), 0, 2)})) {
 			got[s.Backend]++
 			now += ms
-			d.Step(now, []Event{served(s, 0, ms)})
+			d.Step(now, []Event{servedResult(s, 0, ms)})
 		}
 	}
 	if got["b0"]*2 > got["b1"] {
@@ -280,15 +280,15 @@
 }
 
 func TestCeilingShareOfAFreshDoor(t *testing.T) {
-	set := basic()
+	set := testSettings()
 	set.SharedCounter = false
-	d := open(t, set, backends(40)...)
+	d := newTestEngine(t, set, testBackends(40)...)
 	sent := 0
 	for i := range 1000 {
 		now := time.Duration(i+1) * ms
-		for _, s := range only[SendAttempt](d.Step(now, []Event{ask(uint64(i), 0, 1)})) {
+		for _, s := range actionsOf[SendAttempt](d.Step(now, []Event{testRequest(uint64(i), 0, 1)})) {
 			sent++
-			d.Step(now, []Event{served(s, 0, 0)})
+			d.Step(now, []Event{servedResult(s, 0, 0)})
 		}
 	}
 	if sent > 10 {
@@ -297,29 +297,29 @@
 }
 
 func TestAtOnceShare(t *testing.T) {
-	d := open(t, basic(), backends(10)...)
+	d := newTestEngine(t, testSettings(), testBackends(10)...)
 	var evs []Event
 	for i := range 10 {
-		evs = append(evs, ask(uint64(i), 0, 3))
+		evs = append(evs, testRequest(uint64(i), 0, 3))
 	}
-	if n := len(only[SendAttempt](d.Step(ms, evs))); n != 2 {
+	if n := len(actionsOf[SendAttempt](d.Step(ms, evs))); n != 2 {
 		t.Errorf("%d attempts out for a cap of 4 over 2 doors", n)
 	}
 }
 
 func TestAtOnceFollowsTheOtherDoors(t *testing.T) {
-	set := basic()
+	set := testSettings()
 	for others, want := range map[float64]int{0: 3, 200: 2} {
-		d := open(t, set, backends(10)...)
-		for _, s := range only[SendAttempt](d.Step(ms, []Event{ask(1, 0, 3)})) {
-			d.Step(51*ms, []Event{served(s, 0, 50*ms)})
+		d := newTestEngine(t, set, testBackends(10)...)
+		for _, s := range actionsOf[SendAttempt](d.Step(ms, []Event{testRequest(1, 0, 3)})) {
+			d.Step(51*ms, []Event{servedResult(s, 0, 50*ms)})
 		}
 		learnOthersRate(t, &d.tenants.byKey[tenantKey{"c", 3}].lease, set.Plans[3], others, 52*ms)
 		var evs []Event
 		for i := range 10 {
-			evs = append(evs, ask(uint64(100+i), 0, 3))
+			evs = append(evs, testRequest(uint64(100+i), 0, 3))
 		}
-		if n := len(only[SendAttempt](d.Step(52*ms, evs))); n != want {
+		if n := len(actionsOf[SendAttempt](d.Step(52*ms, evs))); n != want {
 			t.Errorf("others add %v a second: %d attempts out, want %d", others, n, want)
 		}
 	}
@@ -344,7 +344,7 @@
 }
 
 func TestSilentBackendIsLeft(t *testing.T) {
-	d := open(t, basic(), backends(4)...)
+	d := newTestEngine(t, testSettings(), testBackends(4)...)
 	now, id := ms, uint64(0)
 	var open, lost []SendAttempt
 	var openAt, lostAt []time.Duration
@@ -352,9 +352,9 @@
 	for range 400 {
 		now += 5 * ms
 		id++
-		evs := []Event{ask(id, 0, 2), Timer{0}}
+		evs := []Event{testRequest(id, 0, 2), Timer{0}}
 		for len(open) > 0 && now >= openAt[0]+40*ms {
-			evs = append(evs, served(open[0], 0, 40*ms))
+			evs = append(evs, servedResult(open[0], 0, 40*ms))
 			open, openAt = open[1:], openAt[1:]
 		}
 		for len(lost) > 0 && now >= lostAt[0]+lost[0].Timeout {
@@ -362,10 +362,10 @@
 			lost, lostAt = lost[1:], lostAt[1:]
 		}
 		acts := d.Step(now, evs)
-		for _, l := range only[Log](acts) {
+		for _, l := range actionsOf[Log](acts) {
 			left = left || l.Text == "no longer used: b0"
 		}
-		for _, s := range only[SendAttempt](acts) {
+		for _, s := range actionsOf[SendAttempt](acts) {
 			if s.Backend != "b0" {
 				open, openAt = append(open, s), append(openAt, now)
 			} else {
@@ -384,13 +384,13 @@
 // A broken connection now and then, from any server alike, must not leave servers out: each time their queues and
 // attempts would be moved. Several in a row must, and an answer between them counts.
 func TestBrokenConnections(t *testing.T) {
-	set := basic()
+	set := testSettings()
 	set.MaxAttempts, set.SharedCounter = 1, false
-	d := open(t, set, backends(1)...)
+	d := newTestEngine(t, set, testBackends(1)...)
 	s := d.backends["b0"]
 	for i, status := range []Status{ConnectionReset, ConnectionReset, OK, ConnectFailed, ConnectionReset, ConnectFailed} {
 		now := time.Duration(i) * 100 * ms
-		sends := only[SendAttempt](d.Step(now, []Event{ask(uint64(i+1), 0, 2)}))
+		sends := actionsOf[SendAttempt](d.Step(now, []Event{testRequest(uint64(i+1), 0, 2)}))
 		if len(sends) != 1 || s.detector.Ejected() {
 			t.Fatalf("before outcome %d: sent %v, left out %v", i, sends, s.detector.Ejected())
 		}
@@ -403,7 +403,7 @@
 
 // What was queued and has ended must leave nothing behind at a server from which nobody picks.
 func TestQueuesLeaveNothingBehind(t *testing.T) {
-	d := open(t, basic(), backends(1)...)
+	d := newTestEngine(t, testSettings(), testBackends(1)...)
 	s := d.backends["b0"]
 	var all []*request
 	for i := range 3 {
@@ -420,32 +420,32 @@
 }
 
 func TestOddEvents(t *testing.T) {
-	d := open(t, basic())
-	if acts := d.Step(ms, []Event{ask(1, 0, 2), AttemptResult{ID: 9}, AttemptResult{ID: 1, Attempt: 3}, ClientGone{77}, Timer{55}, Timer{2},
-		CounterResult{Name: 5}, FirstByte{ID: 4}, HealthCheckResult{Backend: "x"}, PeerMessage{}, EndpointUpdate{Kind: UpdateFailed}}); len(only[SendAttempt](acts)) != 0 {
+	d := newTestEngine(t, testSettings())
+	if acts := d.Step(ms, []Event{testRequest(1, 0, 2), AttemptResult{ID: 9}, AttemptResult{ID: 1, Attempt: 3}, ClientGone{77}, Timer{55}, Timer{2},
+		CounterResult{Name: 5}, FirstByte{ID: 4}, HealthCheckResult{Backend: "x"}, PeerMessage{}, EndpointUpdate{Kind: UpdateFailed}}); len(actionsOf[SendAttempt](acts)) != 0 {
 		t.Errorf("sent without a backend: %v", acts)
 	}
-	if acts := d.Step(500*ms, []Event{Timer{1<<1 | 1}}); len(only[Reject](acts)) != 1 {
+	if acts := d.Step(500*ms, []Event{Timer{1<<1 | 1}}); len(actionsOf[Reject](acts)) != 1 {
 		t.Errorf("no final answer without a backend: %v", acts)
 	}
 	if acts := d.Step(501*ms, []Event{Timer{1<<1 | 1}, ClientGone{1}}); len(acts) != 0 {
 		t.Errorf("a second answer: %v", acts)
 	}
-	short := ask(2, 0, 2)
+	short := testRequest(2, 0, 2)
 	short.TimeLeft = 0
-	if acts := d.Step(502*ms, []Event{short, Request{ID: 3, Class: 99}}); len(only[Reject](acts)) != 2 {
+	if acts := d.Step(502*ms, []Event{short, Request{ID: 3, Class: 99}}); len(actionsOf[Reject](acts)) != 2 {
 		t.Errorf("no time left, unknown class: %v", acts)
 	}
 }
 
 func TestStateIsForgotten(t *testing.T) {
-	set := basic()
-	d := open(t, set, backends(4)...)
+	set := testSettings()
+	d := newTestEngine(t, set, testBackends(4)...)
 	for i := range 500 {
-		r := ask(uint64(i), 0, 0)
+		r := testRequest(uint64(i), 0, 0)
 		r.Tenant = fmt.Sprint("once", i)
-		for _, s := range only[SendAttempt](d.Step(ms, []Event{r})) {
-			d.Step(ms, []Event{served(s, 0, 0)})
+		for _, s := range actionsOf[SendAttempt](d.Step(ms, []Event{r})) {
+			d.Step(ms, []Event{servedResult(s, 0, 0)})
 		}
 		d.Step(ms, []Event{ClientGone{r.ID}})
 	}
@@ -460,16 +460,16 @@
 // A customer far beyond its ceiling keeps no line in which all that goes out is nearly late: what would wait long
 // is refused at once, with the time to stay away; and the less it is worth, the sooner.
 func TestLineForTheCeilingStaysShort(t *testing.T) {
-	set := basic()
+	set := testSettings()
 	set.SharedCounter = false
-	d := open(t, set, backends(2)...)
+	d := newTestEngine(t, set, testBackends(2)...)
 	waits := map[int]int{}
 	id, told := uint64(1), 0
 	for class := range 2 {
 		for range 60 {
 			acts := d.Step(time.Second, []Event{Request{ID: id, Class: class, Plan: 1, Tenant: "c", TimeLeft: 2 * time.Second,
 				Cost: 1}})
-			if refused := only[Reject](acts); len(refused) == 0 && len(only[SendAttempt](acts)) == 0 && d.requests[id].queuedOn == nil {
+			if refused := actionsOf[Reject](acts); len(refused) == 0 && len(actionsOf[SendAttempt](acts)) == 0 && d.requests[id].queuedOn == nil {
 				waits[class]++
 			} else if len(refused) > 0 && refused[0].RetryAfter > 0 {
 				told++
@@ -488,9 +488,9 @@
 // ordeal plays a random but legal order of events and checks what must hold after any of them.
 func ordeal(t testing.TB, seed uint64) (all []Action) {
 	rng := rand.New(rand.NewPCG(seed, 2))
-	set := basic()
-	list := backends(5)
-	d := open(t, set, list...)
+	set := testSettings()
+	list := testBackends(5)
+	d := newTestEngine(t, set, list...)
 	type sent struct {
 		SendAttempt
 		no int
@@ -649,18 +649,18 @@
 
 // A repeat of a keyed request must go out while repeats are dropped, however late its connection comes up.
 func TestRepeatsEndWithTheWindow(t *testing.T) {
-	d := open(t, basic(), backends(4)...)
-	first := only[SendAttempt](d.Step(ms, []Event{ask(1, 1, 2)}))[0]
+	d := newTestEngine(t, testSettings(), testBackends(4)...)
+	first := actionsOf[SendAttempt](d.Step(ms, []Event{testRequest(1, 1, 2)}))[0]
 	if first.SendBefore != 0 {
 		t.Errorf("the first attempt is bounded: %v", first)
 	}
 	full := AttemptResult{ID: 1, Backend: first.Backend, Status: Rejected, Latency: ms}
-	again := only[SendAttempt](d.Step(10*ms, []Event{full}))
+	again := actionsOf[SendAttempt](d.Step(10*ms, []Event{full}))
 	if len(again) != 1 || again[0].SendBefore != 0 {
 		t.Fatalf("nothing has run, and it is bounded: %v", again)
 	}
-	again = only[SendAttempt](d.Step(30*ms, []Event{AttemptResult{ID: 1, Attempt: 1, Backend: again[0].Backend, Status: Failed}}))
-	if want := 10*ms + basic().Classes[1].DedupWindow; len(again) != 1 || again[0].SendBefore != want {
+	again = actionsOf[SendAttempt](d.Step(30*ms, []Event{AttemptResult{ID: 1, Attempt: 1, Backend: again[0].Backend, Status: Failed}}))
+	if want := 10*ms + testSettings().Classes[1].DedupWindow; len(again) != 1 || again[0].SendBefore != want {
 		t.Errorf("%v, want one bounded by %v", again, want)
 	}
 }
@@ -671,50 +671,50 @@
 	var later []Event // what would release it
 	for name, wait := range map[string]func() *Engine{
 		"counter": func() *Engine {
-			d := open(t, basic(), backends(8)...)
-			c := drain(t, d, ms)
-			d.Step(2*ms, []Event{ask(99, 0, 0)})
+			d := newTestEngine(t, testSettings(), testBackends(8)...)
+			c := spendFallback(t, d, ms)
+			d.Step(2*ms, []Event{testRequest(99, 0, 0)})
 			later = []Event{CounterResult{c.Name, OK, c.Amount}}
 			return d
 		},
 		"no backend": func() *Engine {
-			d := open(t, basic())
-			d.Step(2*ms, []Event{ask(99, 0, 2)})
-			later = []Event{EndpointUpdate{Kind: Snapshot, Backends: backends(2)}}
+			d := newTestEngine(t, testSettings())
+			d.Step(2*ms, []Event{testRequest(99, 0, 2)})
+			later = []Event{EndpointUpdate{Kind: Snapshot, Backends: testBackends(2)}}
 			return d
 		},
 		"queue": func() *Engine {
-			set := basic()
+			set := testSettings()
 			set.Plans[0].Burst = 20
-			d := open(t, set, backends(1)...)
-			first := only[SendAttempt](d.Step(ms, []Event{ask(1, 0, 0), ask(2, 0, 0)}))
-			d.Step(2*ms, []Event{ask(99, 0, 0)})
+			d := newTestEngine(t, set, testBackends(1)...)
+			first := actionsOf[SendAttempt](d.Step(ms, []Event{testRequest(1, 0, 0), testRequest(2, 0, 0)}))
+			d.Step(2*ms, []Event{testRequest(99, 0, 0)})
 			for _, s := range first {
-				later = append(later, served(s, 0, 2*ms))
+				later = append(later, servedResult(s, 0, 2*ms))
 			}
 			return d
 		},
 		"further attempt": func() *Engine {
-			d := open(t, basic(), backends(1)...)
-			s := only[SendAttempt](d.Step(ms, []Event{ask(99, 0, 2)}))[0]
+			d := newTestEngine(t, testSettings(), testBackends(1)...)
+			s := actionsOf[SendAttempt](d.Step(ms, []Event{testRequest(99, 0, 2)}))[0]
 			gone := EndpointUpdate{Kind: Snapshot}
 			d.Step(2*ms, []Event{gone, AttemptResult{ID: 99, Backend: s.Backend, Status: ConnectFailed}})
-			later = []Event{EndpointUpdate{Kind: Snapshot, Backends: backends(2)}}
+			later = []Event{EndpointUpdate{Kind: Snapshot, Backends: testBackends(2)}}
 			return d
 		},
 		"ceiling": func() *Engine {
-			set := basic()
+			set := testSettings()
 			set.SharedCounter = false
-			d := open(t, set, backends(8)...)
-			d.Step(2*ms, []Event{ask(99, 1, 1)}) // a fresh door's share of the ceiling is empty
+			d := newTestEngine(t, set, testBackends(8)...)
+			d.Step(2*ms, []Event{testRequest(99, 1, 1)}) // a fresh door's share of the ceiling is empty
 			return d
 		},
 		"cap": func() *Engine {
-			d := open(t, basic(), backends(8)...)
-			first := only[SendAttempt](d.Step(ms, []Event{ask(1, 0, 3), ask(2, 0, 3)}))
-			d.Step(2*ms, []Event{ask(99, 0, 3)})
+			d := newTestEngine(t, testSettings(), testBackends(8)...)
+			first := actionsOf[SendAttempt](d.Step(ms, []Event{testRequest(1, 0, 3), testRequest(2, 0, 3)}))
+			d.Step(2*ms, []Event{testRequest(99, 0, 3)})
 			for _, s := range first {
-				later = append(later, served(s, 0, 2*ms))
+				later = append(later, servedResult(s, 0, 2*ms))
 			}
 			return d
 		},
@@ -730,7 +730,7 @@
 			}
 			sent := false
 			for now := 4 * ms; now < 400*ms; now += checkInterval {
-				for _, s := range only[SendAttempt](d.Step(now, append(later, Timer{0}))) {
+				for _, s := range actionsOf[SendAttempt](d.Step(now, append(later, Timer{0}))) {
 					sent = sent || s.ID == 99
 				}
 				later = nil
@@ -747,24 +747,24 @@
 
 // While it is suspended a door refuses at once what waits and what comes, and lets go on what is out.
 func TestSuspend(t *testing.T) {
-	d := open(t, basic(), backends(1)...)
-	out := only[SendAttempt](d.Step(ms, []Event{ask(1, 0, 3)}))
+	d := newTestEngine(t, testSettings(), testBackends(1)...)
+	out := actionsOf[SendAttempt](d.Step(ms, []Event{testRequest(1, 0, 3)}))
 	if len(out) != 1 {
 		t.Fatal("nothing is sent")
 	}
 	id, queued := uint64(1), 0
 	for ; queued == 0 && id < 100; id++ { // up to one that waits for a slot
-		acts := d.Step(ms, []Event{ask(id+1, 0, 3)})
-		queued = 1 - len(only[SendAttempt](acts)) - len(only[Reject](acts))
+		acts := d.Step(ms, []Event{testRequest(id+1, 0, 3)})
+		queued = 1 - len(actionsOf[SendAttempt](acts)) - len(actionsOf[Reject](acts))
 	}
-	if refused := only[Reject](d.Step(2*ms, []Event{Suspend{On: true}})); len(refused) != 1 || refused[0].ID != id {
+	if refused := actionsOf[Reject](d.Step(2*ms, []Event{Suspend{On: true}})); len(refused) != 1 || refused[0].ID != id {
 		t.Errorf("refused %v of what waits, want %d", refused, id)
 	}
-	acts := d.Step(3*ms, []Event{ask(1000, 0, 2), served(out[0], 0, ms)})
-	if len(only[SendAttempt](acts)) > 0 || len(only[Reject](acts)) != 1 {
+	acts := d.Step(3*ms, []Event{testRequest(1000, 0, 2), servedResult(out[0], 0, ms)})
+	if len(actionsOf[SendAttempt](acts)) > 0 || len(actionsOf[Reject](acts)) != 1 {
 		t.Errorf("while suspended: %v", acts)
 	}
-	if acts = d.Step(4*ms, []Event{Suspend{}, ask(1001, 0, 2)}); len(only[SendAttempt](acts)) != 1 {
+	if acts = d.Step(4*ms, []Event{Suspend{}, testRequest(1001, 0, 2)}); len(actionsOf[SendAttempt](acts)) != 1 {
 		t.Errorf("after it: %v", acts)
 	}
 }
--- a/internal/policy/fleet_test.go
+++ b/internal/policy/fleet_test.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// grand is the fleet to carry: backends over 7 zones.
-func grand(n int) []Backend {
-	list := backends(n)
+// largeEndpointList is the fleet to carry: backends over 7 zones.
+func largeEndpointList(n int) []Backend {
+	list := testBackends(n)
 	for i := range list {
 		list[i].Name, list[i].Zone = fmt.Sprintf("s-%08x", i*2654435761), i%7
 	}
 	return list
 }
 
-const grandDoors = 810
+const largeGateways = 810
 
 // shares gives by backend the part of a door's traffic that it gets from all doors, were each to share its traffic
 // out evenly, and the fewest servers left of a subset when a zone is lost.
@@ -39,17 +39,17 @@
 	for _, v := range load {
 		most = max(most, v)
 	}
-	return most * float64(servers) / grandDoors
+	return most * float64(servers) / largeGateways
 }
 
 func TestSubsetsOfManyDoors(t *testing.T) {
 	for _, servers := range []int{200, 600} {
-		list := grand(servers)
-		all := make([]*Engine, grandDoors)
+		list := largeEndpointList(servers)
+		all := make([]*Engine, largeGateways)
 		for i := range all {
-			set := crowd(grandDoors)
+			set := crowd(largeGateways)
 			set.GatewayIndex = i
-			all[i] = open(t, set, list...)
+			all[i] = newTestEngine(t, set, list...)
 		}
 		load, fewest := shares(all, 3)
 		if most := busiest(load, servers); len(load) != servers || most > 1.25 {
@@ -83,9 +83,9 @@
 				}
 			}
 		}
-		if mean := float64(changed) / 10; mean > 0.12*grandDoors {
+		if mean := float64(changed) / 10; mean > 0.12*largeGateways {
 			t.Errorf("%d servers: %.0f of %d doors change their subset when one backend comes or goes",
-				servers, mean, grandDoors)
+				servers, mean, largeGateways)
 		} else {
 			t.Logf("%d servers: %.0f doors change, busiest %.2f, fewest without a zone %d", servers, mean,
 				busiest(load, servers), fewest)
@@ -99,10 +99,10 @@
 
 // The subset follows from the list alone, not from how it came to be.
 func TestSubsetAfterAReplacement(t *testing.T) {
-	list := grand(600)
+	list := largeEndpointList(600)
 	set := crowd(100)
 	set.GatewayIndex = 42
-	old := open(t, set, list[:500]...)
+	old := newTestEngine(t, set, list[:500]...)
 	now := time.Second
 	for i := range 100 {
 		gone := list[i]
@@ -110,7 +110,7 @@
 		old.Step(now, []Event{EndpointUpdate{Backends: []Backend{gone}}, EndpointUpdate{Backends: list[500+i : 501+i]}})
 		now += ms
 	}
-	fresh := open(t, set, list[100:]...)
+	fresh := newTestEngine(t, set, list[100:]...)
 	if len(old.subset) != len(fresh.subset) || len(old.ring) != 500 || old.inService != 500 {
 		t.Fatalf("subsets of %d and %d, %d known", len(old.subset), len(fresh.subset), len(old.ring))
 	}
@@ -123,8 +123,8 @@
 
 // A door that loses every server and gets others works on.
 func TestListEmptiesAndFills(t *testing.T) {
-	list := grand(40)
-	d := open(t, crowd(100), list[:20]...)
+	list := largeEndpointList(40)
+	d := newTestEngine(t, crowd(100), list[:20]...)
 	for i := range list[:20] {
 		list[i].State = Terminated
 	}
@@ -133,28 +133,28 @@
 		t.Fatalf("%d in the subset, %d known, %d in service, %d warm", len(d.subset), len(d.ring), d.inService, d.throughput.Warm())
 	}
 	d.Step(2*time.Second, []Event{EndpointUpdate{Backends: list[20:]}})
-	if sends := only[SendAttempt](d.Step(3*time.Second, []Event{ask(1, 0, 2), Timer{0}})); len(sends) != 1 {
+	if sends := actionsOf[SendAttempt](d.Step(3*time.Second, []Event{testRequest(1, 0, 2), Timer{0}})); len(sends) != 1 {
 		t.Errorf("%d sends", len(sends))
 	}
 }
 
 // Where every server of the subset is ejected, requests go to others, in a list of any length.
 func TestOthersServeWhereNoNearOneCan(t *testing.T) {
-	d := open(t, crowd(grandDoors), grand(2000)...)
+	d := newTestEngine(t, crowd(largeGateways), largeEndpointList(2000)...)
 	for _, s := range append([]*backend(nil), d.subset...) {
 		d.eject(s)
 	}
-	acts := d.Step(10*ms, []Event{ask(1, 0, 2)}) // before any trial is due
-	if sends := only[SendAttempt](acts); len(sends) != 1 || d.backends[sends[0].Backend].inSubset {
+	acts := d.Step(10*ms, []Event{testRequest(1, 0, 2)}) // before any trial is due
+	if sends := actionsOf[SendAttempt](acts); len(sends) != 1 || d.backends[sends[0].Backend].inSubset {
 		t.Errorf("actions: %v", acts)
 	}
 }
 
 // What is counted along the way stays what a count of all would give.
 func TestCountsAlongTheWay(t *testing.T) {
-	list := grand(60)
+	list := largeEndpointList(60)
 	set := crowd(30)
-	d := open(t, set, list...)
+	d := newTestEngine(t, set, list...)
 	check := func(when string) {
 		t.Helper()
 		inside, warm, listed := 0, 0, 0
@@ -191,16 +191,16 @@
 		case 3:
 			d.eject(d.backends[d.subset[step%len(d.subset)].name])
 		}
-		evs := []Event{ask(uint64(step), 0, 2), Timer{0}}
+		evs := []Event{testRequest(uint64(step), 0, 2), Timer{0}}
 		if step%5 < 3 || step%3 == 0 {
 			evs = append(evs, EndpointUpdate{Backends: []Backend{b}})
 		}
 		if step%50 == 49 {
 			evs = append(evs, EndpointUpdate{Kind: Snapshot, Backends: list[step/50:]})
 		}
-		for i, s := range only[SendAttempt](d.Step(now, evs)) {
+		for i, s := range actionsOf[SendAttempt](d.Step(now, evs)) {
 			if i%2 == 0 {
-				d.Step(now+20*ms, []Event{served(s, 0, 20*ms)})
+				d.Step(now+20*ms, []Event{servedResult(s, 0, 20*ms)})
 			}
 		}
 		check(fmt.Sprint("step ", step))
@@ -213,15 +213,15 @@
 func BenchmarkSubsets(b *testing.B) {
 	for _, servers := range []int{200, 1000, 3000, 11000} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
-			list := grand(servers)
+			list := largeEndpointList(servers)
 			gone := list[servers/2]
 			gone.State = Terminated
 			for b.Loop() {
 				load, meets, changed, fewest := map[string]float64{}, map[string]float64{}, 0, 1<<30
-				for i := range grandDoors { // one by one: not all fit
-					set := crowd(grandDoors)
+				for i := range largeGateways { // one by one: not all fit
+					set := crowd(largeGateways)
 					set.GatewayIndex = i
-					d := open(b, set, list...)
+					d := newTestEngine(b, set, list...)
 					one, left := shares([]*Engine{d}, 3)
 					fewest = min(fewest, left)
 					for name, v := range one {
@@ -257,9 +257,9 @@
 // BenchmarkDoor tells what one of 810 doors spends by the length of the list.
 func BenchmarkDoor(b *testing.B) {
 	for _, servers := range []int{14, 200, 1000, 3000, 11000} {
-		list := grand(servers)
+		list := largeEndpointList(servers)
 		fresh := func() *Engine {
-			set := crowd(grandDoors)
+			set := crowd(largeGateways)
 			set.SharedCounter = false
 			set.GatewayIndex = 17
 			d, _ := New(set, 1)
@@ -270,8 +270,8 @@
 			d, now := fresh(), time.Duration(0)
 			for i := 0; b.Loop(); i++ {
 				now += 8 * ms
-				for _, s := range only[SendAttempt](d.Step(now, []Event{ask(uint64(i), 0, 2)})) {
-					d.Step(now+5*ms, []Event{served(s, 0, 50*ms)})
+				for _, s := range actionsOf[SendAttempt](d.Step(now, []Event{testRequest(uint64(i), 0, 2)})) {
+					d.Step(now+5*ms, []Event{servedResult(s, 0, 50*ms)})
 				}
 			}
 		})
@@ -311,27 +311,27 @@
 // A refusal frees a place among its customer's attempts, so another request may come to the same slot while the
 // one that is to have it is still being picked: the slot goes to one of them.
 func TestOneSlotIsGivenOnce(t *testing.T) {
-	set := basic()
+	set := testSettings()
 	set.SharedCounter, set.Gateways, set.Plans[3].MaxConcurrent = false, 1, 1
-	d := open(t, set, backends(1)...)
+	d := newTestEngine(t, set, testBackends(1)...)
 	s := d.backends["b0"]
 	s.limiter.Restart()
 	of := func(id uint64, customer string) Request {
-		r := ask(id, 2, 3)
+		r := testRequest(id, 2, 3)
 		r.Tenant = customer
 		return r
 	}
-	first := only[SendAttempt](d.Step(0, []Event{of(1, "x")}))
+	first := actionsOf[SendAttempt](d.Step(0, []Event{of(1, "x")}))
 	d.Step(ms, []Event{of(2, "a"), of(3, "b")}) // queued, and too old when the slot is free
 	acts := d.Step(400*ms, []Event{of(4, "a"), of(5, "b")})
 	if len(first) != 1 || len(acts) != 2 || s.queued != 2 || len(s.inFlight) != 1 { // only their timers are set
 		t.Fatalf("%d sent, %d queued, then %v", len(first), s.queued, acts)
 	}
 	acts = d.Step(490*ms, []Event{AttemptResult{ID: 1, Backend: "b0", Status: Failed, Latency: 490 * ms}})
-	if n := len(only[Reject](acts)); n != 2 {
+	if n := len(actionsOf[Reject](acts)); n != 2 {
 		t.Errorf("%d refused: %v", n, acts)
 	}
-	if sends := only[SendAttempt](acts); len(sends) != 1 || len(s.inFlight) != 1 || s.queued != 1 {
+	if sends := actionsOf[SendAttempt](acts); len(sends) != 1 || len(s.inFlight) != 1 || s.queued != 1 {
 		t.Errorf("%d sends for one slot, %d left in the queue: %v", len(sends), s.queued, acts)
 	}
 }
@@ -340,13 +340,13 @@
 // and their pauses leave time for a third within the 6 s after which a change counts as told; also after a long outage.
 func TestFailedListIsAskedForAgainSoon(t *testing.T) {
 	const most = 750 * time.Millisecond
-	set := basic()
+	set := testSettings()
 	set.PollEndpoints = true
-	d := open(t, set, backends(2)...)
+	d := newTestEngine(t, set, testBackends(2)...)
 	now := time.Second
 	for i := range 20 {
 		at := time.Duration(0)
-		for _, s := range only[SetTimer](d.Step(now, []Event{EndpointUpdate{Kind: UpdateFailed}})) {
+		for _, s := range actionsOf[SetTimer](d.Step(now, []Event{EndpointUpdate{Kind: UpdateFailed}})) {
 			if s.Cookie == 2 {
 				at = s.At
 			}
@@ -355,7 +355,7 @@
 			t.Fatalf("after failure %d it is asked for again after %v", i+1, at-now)
 		}
 		now = at + 2*time.Second
-		if acts := d.Step(at, []Event{Timer{2}}); len(only[WatchEndpoints](acts)) != 1 {
+		if acts := d.Step(at, []Event{Timer{2}}); len(actionsOf[WatchEndpoints](acts)) != 1 {
 			t.Fatalf("after failure %d it is not asked for: %v", i+1, acts)
 		}
 	}
--- a/internal/policy/rejection_test.go
+++ b/internal/policy/rejection_test.go
@@ -17,128 +17,128 @@
 var rejectionScenes = []rejectionScene{
 	{name: "a class that the settings do not have", reason: UnknownClassOrPlan,
 		play: func(t *testing.T) (*Engine, []Action) {
-			d := open(t, basic(), backends(1)...)
+			d := newTestEngine(t, testSettings(), testBackends(1)...)
 			return d, d.Step(ms, []Event{Request{ID: 1, Class: 99, TimeLeft: time.Second}})
 		}},
 	{name: "arrival while suspended", reason: OutOfService,
 		play: func(t *testing.T) (*Engine, []Action) {
-			d := open(t, basic(), backends(1)...)
-			return d, d.Step(ms, []Event{Suspend{On: true}, ask(1, 0, 2)})
+			d := newTestEngine(t, testSettings(), testBackends(1)...)
+			return d, d.Step(ms, []Event{Suspend{On: true}, testRequest(1, 0, 2)})
 		}},
 	{name: "suspended while it waits for a backend", reason: OutOfService,
 		play: func(t *testing.T) (*Engine, []Action) {
-			d := open(t, basic())
-			return d, d.Step(ms, []Event{ask(1, 0, 2), Suspend{On: true}})
+			d := newTestEngine(t, testSettings())
+			return d, d.Step(ms, []Event{testRequest(1, 0, 2), Suspend{On: true}})
 		}},
 	{name: "no time left on arrival", reason: DeadlineCannotBeMet,
 		play: func(t *testing.T) (*Engine, []Action) {
-			d := open(t, basic(), backends(1)...)
-			r := ask(1, 0, 2)
+			d := newTestEngine(t, testSettings(), testBackends(1)...)
+			r := testRequest(1, 0, 2)
 			r.TimeLeft = 0
 			return d, d.Step(ms, []Event{r})
 		}},
 	{name: "many wait for the hard limit", reason: HardLimitQueueTooLong,
 		play: func(t *testing.T) (*Engine, []Action) {
-			set := basic()
+			set := testSettings()
 			set.SharedCounter = false
-			d := open(t, set, backends(8)...)
-			return d, d.Step(ms, asks(1, 20, 0, 1))
+			d := newTestEngine(t, set, testBackends(8)...)
+			return d, d.Step(ms, testRequests(1, 20, 0, 1))
 		}},
 	{name: "late while as many as may be are in flight", reason: OverConcurrencyLimit,
 		play: func(t *testing.T) (*Engine, []Action) {
-			d := open(t, basic(), backends(8)...)
-			d.Step(ms, asks(1, 3, 0, 3))
+			d := newTestEngine(t, testSettings(), testBackends(8)...)
+			d.Step(ms, testRequests(1, 3, 0, 3))
 			return d, d.Step(480*ms, []Event{Timer{0}})
 		}},
 	{name: "late for a hard limit whose share holds no request", reason: OverHardLimit,
 		play: func(t *testing.T) (*Engine, []Action) {
-			set := basic()
+			set := testSettings()
 			set.SharedCounter = false
 			set.Plans[1].HardLimitBurst, set.Plans[1].OverQuotaPenalty = 1, 0.5
-			d := open(t, set, backends(8)...)
-			d.Step(ms, []Event{ask(1, 1, 1)})
+			d := newTestEngine(t, set, testBackends(8)...)
+			d.Step(ms, []Event{testRequest(1, 1, 1)})
 			return d, d.Step(540*ms, []Event{Timer{0}})
 		}},
 	{name: "a hard limit that does not fill in time", reason: OverHardLimit,
 		play: func(t *testing.T) (*Engine, []Action) {
-			set := basic()
+			set := testSettings()
 			set.SharedCounter = false
 			set.Plans[1].HardLimitBurst = 1
-			d := open(t, set, backends(8)...)
-			d.Step(ms, []Event{ask(1, 1, 1)})
+			d := newTestEngine(t, set, testBackends(8)...)
+			d.Step(ms, []Event{testRequest(1, 1, 1)})
 			return d, d.Step(540*ms, []Event{Timer{0}})
 		}},
 	{name: "a new tenant beyond its burst", reason: OverQuota,
 		play: func(t *testing.T) (*Engine, []Action) {
-			set := basic()
+			set := testSettings()
 			set.SharedCounter = false
-			d := open(t, set, backends(8)...)
-			return d, d.Step(ms, asks(1, 8, 0, 0))
+			d := newTestEngine(t, set, testBackends(8)...)
+			return d, d.Step(ms, testRequests(1, 8, 0, 0))
 		}},
 	{name: "a long queue at the only backend", reason: Overloaded,
 		play: func(t *testing.T) (*Engine, []Action) {
-			d := open(t, basic(), backends(1)...)
-			return d, d.Step(ms, asks(1, 30, 0, 2))
+			d := newTestEngine(t, testSettings(), testBackends(1)...)
+			return d, d.Step(ms, testRequests(1, 30, 0, 2))
 		}},
 	{name: "a slot becomes free when it is too late", reason: StaleInQueue,
 		play: func(t *testing.T) (*Engine, []Action) {
-			d := open(t, basic(), backends(1)...)
-			sends := only[SendAttempt](d.Step(ms, asks(1, 3, 0, 0)))
-			return d, d.Step(480*ms, []Event{served(sends[0], 0, 479*ms), served(sends[1], 0, 479*ms)})
+			d := newTestEngine(t, testSettings(), testBackends(1)...)
+			sends := actionsOf[SendAttempt](d.Step(ms, testRequests(1, 3, 0, 0)))
+			return d, d.Step(480*ms, []Event{servedResult(sends[0], 0, 479*ms), servedResult(sends[1], 0, 479*ms)})
 		}},
 	{name: "it may have run and must not run twice", reason: NoBackendForRetry, fails: true,
 		play: func(t *testing.T) (*Engine, []Action) {
-			d := open(t, basic(), backends(4)...)
-			s := only[SendAttempt](d.Step(ms, []Event{ask(1, 2, 2)}))[0]
-			return d, d.Step(20*ms, []Event{ended(s, 0, ConnectionReset)})
+			d := newTestEngine(t, testSettings(), testBackends(4)...)
+			s := actionsOf[SendAttempt](d.Step(ms, []Event{testRequest(1, 2, 2)}))[0]
+			return d, d.Step(20*ms, []Event{unservedResult(s, 0, ConnectionReset)})
 		}},
 	{name: "an attempt is in flight", reason: AttemptInFlight, // no event leads there: send guards itself
 		play: func(t *testing.T) (*Engine, []Action) {
-			d := open(t, basic(), backends(4)...)
-			s := only[SendAttempt](d.Step(ms, []Event{ask(1, 0, 2)}))[0]
+			d := newTestEngine(t, testSettings(), testBackends(4)...)
+			s := actionsOf[SendAttempt](d.Step(ms, []Event{testRequest(1, 0, 2)}))[0]
 			d.actions = nil
 			d.send(d.requests[1], d.backends[s.Backend], ordinary)
 			return d, d.actions
 		}},
 	{name: "every attempt finds no connection", reason: AttemptsExhausted,
 		play: func(t *testing.T) (*Engine, []Action) {
-			d := open(t, basic(), backends(4)...)
-			acts := d.Step(ms, []Event{ask(1, 0, 2)})
-			for no := range basic().MaxAttempts {
-				acts = d.Step(time.Duration(no+2)*ms, []Event{ended(only[SendAttempt](acts)[0], no, ConnectFailed)})
+			d := newTestEngine(t, testSettings(), testBackends(4)...)
+			acts := d.Step(ms, []Event{testRequest(1, 0, 2)})
+			for no := range testSettings().MaxAttempts {
+				acts = d.Step(time.Duration(no+2)*ms, []Event{unservedResult(actionsOf[SendAttempt](acts)[0], no, ConnectFailed)})
 			}
 			return d, acts
 		}},
 	{name: "the first attempt fails late", reason: NoTimeForRetry,
 		play: func(t *testing.T) (*Engine, []Action) {
-			d := open(t, basic(), backends(4)...)
-			s := only[SendAttempt](d.Step(ms, []Event{ask(1, 0, 2)}))[0]
-			return d, d.Step(490*ms, []Event{ended(s, 0, Rejected)})
+			d := newTestEngine(t, testSettings(), testBackends(4)...)
+			s := actionsOf[SendAttempt](d.Step(ms, []Event{testRequest(1, 0, 2)}))[0]
+			return d, d.Step(490*ms, []Event{unservedResult(s, 0, Rejected)})
 		}},
 	{name: "no backend until the deadline", reason: DeadlinePassed,
 		play: func(t *testing.T) (*Engine, []Action) {
-			d := open(t, basic())
-			timers := only[SetTimer](d.Step(ms, []Event{ask(1, 0, 2)}))
+			d := newTestEngine(t, testSettings())
+			timers := actionsOf[SetTimer](d.Step(ms, []Event{testRequest(1, 0, 2)}))
 			return d, d.Step(500*ms, []Event{Timer{timers[len(timers)-1].Cookie}})
 		}},
 	{name: "the deadline of an attempt in flight that must not run twice", reason: DeadlinePassed, fails: true,
 		play: func(t *testing.T) (*Engine, []Action) {
-			d := open(t, basic(), backends(4)...)
-			timers := only[SetTimer](d.Step(ms, []Event{ask(1, 2, 2)}))
+			d := newTestEngine(t, testSettings(), testBackends(4)...)
+			timers := actionsOf[SetTimer](d.Step(ms, []Event{testRequest(1, 2, 2)}))
 			return d, d.Step(600*ms, []Event{Timer{timers[len(timers)-1].Cookie}})
 		}},
 }
 
-// asks gives n requests with ids from first on.
-func asks(first uint64, n, class, plan int) (events []Event) {
+// testRequests gives n requests with ids from first on.
+func testRequests(first uint64, n, class, plan int) (events []Event) {
 	for i := range uint64(n) {
-		events = append(events, ask(first+i, class, plan))
+		events = append(events, testRequest(first+i, class, plan))
 	}
 	return events
 }
 
-// ended is the end of an attempt that was not served.
-func ended(s SendAttempt, attempt int, status Status) AttemptResult {
+// unservedResult is the end of an attempt that was not served.
+func unservedResult(s SendAttempt, attempt int, status Status) AttemptResult {
 	return AttemptResult{ID: s.ID, Attempt: attempt, Backend: s.Backend, Status: status, Latency: ms}
 }
 
@@ -148,7 +148,7 @@
 	for _, scene := range rejectionScenes {
 		t.Run(scene.name, func(t *testing.T) {
 			d, acts := scene.play(t)
-			rejects, fails := len(only[Reject](acts)), len(only[Fail](acts))
+			rejects, fails := len(actionsOf[Reject](acts)), len(actionsOf[Fail](acts))
 			if scene.fails && (fails == 0 || rejects > 0) || !scene.fails && (rejects == 0 || fails > 0) {
 				t.Errorf("%d rejects, %d fails in %v", rejects, fails, acts)
 			}
--- a/internal/policy/size_test.go
+++ b/internal/policy/size_test.go
@@ -12,7 +12,7 @@
 
 // crowd is a deployment with more doors than a customer's burst has units.
 func crowd(doors int) Settings {
-	set := basic()
+	set := testSettings()
 	set.Gateways = doors
 	return set
 }
@@ -22,7 +22,7 @@
 	const doors, warm = 100, 9
 	set := crowd(doors)
 	set.SharedCounter = false
-	list := backends(warm + 1)
+	list := testBackends(warm + 1)
 	all := make([]*Engine, doors)
 	for i := range all {
 		set.GatewayIndex = i
@@ -45,13 +45,13 @@
 				evs = append(evs, EndpointUpdate{Kind: Delta, Backends: list[:warm]})
 			}
 			id := uint64(tick*doors + i)
-			for _, s := range only[SendAttempt](d.Step(now, append(evs, ask(id, 0, 2), Timer{0}))) {
+			for _, s := range actionsOf[SendAttempt](d.Step(now, append(evs, testRequest(id, 0, 2), Timer{0}))) {
 				if s.Backend == list[warm].Name && now < start+set.SlowStartDuration {
 					cold = append(cold, now)
 				} else if now < start {
 					carried++
 				}
-				d.Step(now+50*ms, []Event{served(s, 0, 50*ms)})
+				d.Step(now+50*ms, []Event{servedResult(s, 0, 50*ms)})
 			}
 		}
 	}
@@ -73,20 +73,20 @@
 // With a share of under one unit the counter is asked for a single request, and its level alone decides.
 func TestThinCustomerAsksTheCounter(t *testing.T) {
 	for total, want := range map[float64]int{1: 1, 30: 0} {
-		d := open(t, crowd(100), backends(8)...)
-		calls := only[AddToCounter](d.Step(ms, []Event{ask(1, 0, 0)}))
+		d := newTestEngine(t, crowd(100), testBackends(8)...)
+		calls := actionsOf[AddToCounter](d.Step(ms, []Event{testRequest(1, 0, 0)}))
 		if len(calls) != 1 || calls[0].Amount != 1 {
 			t.Fatalf("calls: %v, want one of a unit", calls)
 		}
 		acts := d.Step(3*ms, []Event{CounterResult{calls[0].Name, OK, total}})
-		if n := len(only[SendAttempt](acts)); n != want {
+		if n := len(actionsOf[SendAttempt](acts)); n != want {
 			t.Errorf("total %v: %d sent, want %d", total, n, want)
 		}
 		if want == 0 {
-			if back := only[AddToCounter](acts); len(back) != 1 || back[0].Amount != -1 {
+			if back := actionsOf[AddToCounter](acts); len(back) != 1 || back[0].Amount != -1 {
 				t.Errorf("what the store did not hold was not given back: %v", acts)
 			}
-			if more := only[AddToCounter](d.Step(4*ms, []Event{ask(2, 0, 0)})); len(more) != 0 {
+			if more := actionsOf[AddToCounter](d.Step(4*ms, []Event{testRequest(2, 0, 0)})); len(more) != 0 {
 				t.Errorf("a store just seen empty was asked again: %v", more)
 			}
 		}
@@ -95,13 +95,13 @@
 
 // A counter that fails is asked by fewer requests, and by each door rarely, however many there are.
 func TestSwampedCounterIsSpared(t *testing.T) {
-	d := open(t, crowd(300), backends(8)...)
+	d := newTestEngine(t, crowd(300), testBackends(8)...)
 	late := 0
 	for i := range 2000 {
-		r := ask(uint64(i), 0, 0)
+		r := testRequest(uint64(i), 0, 0)
 		r.Tenant = fmt.Sprint("c", i)
 		now := time.Duration(i+1) * 10 * ms
-		for _, c := range only[AddToCounter](d.Step(now, []Event{r, Timer{0}})) {
+		for _, c := range actionsOf[AddToCounter](d.Step(now, []Event{r, Timer{0}})) {
 			if i > 1000 {
 				late++
 			}
@@ -115,67 +115,67 @@
 
 // What the store seems to have gained over its burst is put right, once.
 func TestOverflowIsAddedToTheCounter(t *testing.T) {
-	d := open(t, crowd(100), backends(8)...)
+	d := newTestEngine(t, crowd(100), testBackends(8)...)
 	now := 20 * time.Second
-	calls := only[AddToCounter](d.Step(now, []Event{ask(1, 0, 0)}))
+	calls := actionsOf[AddToCounter](d.Step(now, []Event{testRequest(1, 0, 0)}))
 	acts := d.Step(now+2*ms, []Event{CounterResult{calls[0].Name, OK, 1}})
-	fixes := only[AddToCounter](acts)
-	if len(fixes) != 1 || fixes[0].Amount < 30 || len(only[SendAttempt](acts)) != 1 {
+	fixes := actionsOf[AddToCounter](acts)
+	if len(fixes) != 1 || fixes[0].Amount < 30 || len(actionsOf[SendAttempt](acts)) != 1 {
 		t.Errorf("20 s of overflow at 2 a second: %v", acts)
 	}
 }
 
 // A door that stood still finds time-outs of its own making; no backend is left for it.
 func TestOwnStallIsNoSilence(t *testing.T) {
-	d := open(t, basic(), backends(4)...)
+	d := newTestEngine(t, testSettings(), testBackends(4)...)
 	var sends []SendAttempt
 	now := ms
 	for i := range 40 {
 		now += 20 * ms
-		sends = append(sends, only[SendAttempt](d.Step(now, []Event{ask(uint64(i), 0, 2), Timer{0}}))...)
+		sends = append(sends, actionsOf[SendAttempt](d.Step(now, []Event{testRequest(uint64(i), 0, 2), Timer{0}}))...)
 		if len(sends) > 14 {
-			d.Step(now, []Event{served(sends[0], 0, 40*ms)})
+			d.Step(now, []Event{servedResult(sends[0], 0, 40*ms)})
 			sends = sends[1:]
 		}
 	}
 	now += 2 * time.Second
-	evs := []Event{served(sends[0], 0, 40*ms), Timer{0}}
+	evs := []Event{servedResult(sends[0], 0, 40*ms), Timer{0}}
 	for _, s := range sends[1:] {
-		evs = append(evs, served(s, 0, 40*ms))
+		evs = append(evs, servedResult(s, 0, 40*ms))
 	}
-	if logs := only[Log](d.Step(now, evs)); len(logs) != 0 {
+	if logs := actionsOf[Log](d.Step(now, evs)); len(logs) != 0 {
 		t.Errorf("after a stall of this door: %v", logs)
 	}
 }
 
 // What came while the door stood still and is past use is refused, not sent.
 func TestOldRequestAfterAStall(t *testing.T) {
-	d := open(t, basic(), backends(4)...)
-	d.Step(ms, []Event{ask(1, 0, 2)})
-	old := ask(2, 0, 2)
+	d := newTestEngine(t, testSettings(), testBackends(4)...)
+	d.Step(ms, []Event{testRequest(1, 0, 2)})
+	old := testRequest(2, 0, 2)
 	old.TimeLeft = 2*time.Second - 490*ms
-	if acts := d.Step(time.Second, []Event{old}); len(only[SendAttempt](acts)) != 0 || len(only[Reject](acts)) != 1 {
+	if acts := d.Step(time.Second, []Event{old}); len(actionsOf[SendAttempt](acts)) != 0 || len(actionsOf[Reject](acts)) != 1 {
 		t.Errorf("a request that has waited for 490 of its 500 ms: %v", acts)
 	}
 }
 
 // Servers that turn all away get a trickle, further attempts included.
 func TestRefusingServersAreSpared(t *testing.T) {
-	d := open(t, crowd(100), backends(30)...)
+	d := newTestEngine(t, crowd(100), testBackends(30)...)
 	sent, attempts := 0, map[uint64]int{}
 	for i := range 3000 {
 		now := time.Duration(i+1) * 200 * ms
-		todo := only[SendAttempt](d.Step(now, []Event{ask(uint64(i), 0, 2), Timer{0}}))
+		todo := actionsOf[SendAttempt](d.Step(now, []Event{testRequest(uint64(i), 0, 2), Timer{0}}))
 		for len(todo) > 0 { // ends: a request has three attempts at most
 			s := todo[0]
 			st := AttemptResult{ID: s.ID, Attempt: attempts[s.ID], Backend: s.Backend, Status: Rejected, Latency: ms}
 			if i < 100 {
-				st = served(s, attempts[s.ID], 40*ms)
+				st = servedResult(s, attempts[s.ID], 40*ms)
 			} else if i > 1500 {
 				sent++
 			}
 			attempts[s.ID]++
-			todo = append(todo[1:], only[SendAttempt](d.Step(now+ms, []Event{st}))...)
+			todo = append(todo[1:], actionsOf[SendAttempt](d.Step(now+ms, []Event{st}))...)
 		}
 	}
 	if sent == 0 || sent > 300 {
@@ -188,11 +188,11 @@
 	const doors, servers = 80, 60
 	set := crowd(doors)
 	set.SharedCounter = false
-	list := backends(servers)
+	list := testBackends(servers)
 	all := make([]*Engine, doors)
 	for i := range all {
 		set.GatewayIndex = i
-		all[i] = open(t, set, list...)
+		all[i] = newTestEngine(t, set, list...)
 	}
 	used := make([]map[string]bool, doors)
 	run := func(from time.Duration) map[string]int {
@@ -201,9 +201,9 @@
 			used[i] = map[string]bool{}
 			for n := range 200 {
 				now := from + time.Duration(n)*200*ms
-				for _, s := range only[SendAttempt](d.Step(now, []Event{ask(uint64(from)+uint64(n), 0, 2), Timer{0}})) {
+				for _, s := range actionsOf[SendAttempt](d.Step(now, []Event{testRequest(uint64(from)+uint64(n), 0, 2), Timer{0}})) {
 					used[i][s.Backend] = true
-					d.Step(now+50*ms, []Event{served(s, 0, 50*ms)})
+					d.Step(now+50*ms, []Event{servedResult(s, 0, 50*ms)})
 				}
 			}
 			for name := range used[i] {
@@ -270,7 +270,7 @@
 	all, answers := make([]*Engine, doors), make([]map[time.Duration][]Event, doors)
 	for i := range all {
 		set.GatewayIndex = i
-		all[i], answers[i] = open(t, set, backends(30)...), map[time.Duration][]Event{}
+		all[i], answers[i] = newTestEngine(t, set, testBackends(30)...), map[time.Duration][]Event{}
 	}
 	rng := rand.New(rand.NewPCG(1, 2))
 	asked, sent, half := 0, 0, busyCounter{}
@@ -280,7 +280,7 @@
 		}
 		due := map[int][]Event{}
 		if rng.Float64() < 0.9 { // 180 a second from all, 0.75 from each customer, whose rate is 2
-			r := ask(uint64(now), 0, 0)
+			r := testRequest(uint64(now), 0, 0)
 			r.Tenant = fmt.Sprint("c", rng.IntN(customers))
 			due[rng.IntN(doors)] = []Event{r}
 			asked++
@@ -296,7 +296,7 @@
 				case SendAttempt:
 					sent++
 					at := now + 50*ms
-					answers[i][at] = append(answers[i][at], served(a, 0, 50*ms))
+					answers[i][at] = append(answers[i][at], servedResult(a, 0, 50*ms))
 				case AddToCounter:
 					at, ev := counter.call(now, set.CounterTimeout, a)
 					at = max(now+step, at.Truncate(step))
@@ -326,7 +326,7 @@
 	all, answers := make([]*Engine, doors), make([]map[time.Duration][]Event, doors)
 	for i := range all {
 		set.GatewayIndex = i
-		all[i], answers[i] = open(t, set, backends(30)...), map[time.Duration][]Event{}
+		all[i], answers[i] = newTestEngine(t, set, testBackends(30)...), map[time.Duration][]Event{}
 	}
 	rng := rand.New(rand.NewPCG(3, 4))
 	p := set.Plans[1]
@@ -341,7 +341,7 @@
 			evs := answers[i][now]
 			delete(answers[i], now)
 			if i == due {
-				evs = append(evs, ask(uint64(now), 0, 1))
+				evs = append(evs, testRequest(uint64(now), 0, 1))
 			}
 			if now%(20*ms) == 0 {
 				evs = append(evs, Timer{0})
@@ -355,7 +355,7 @@
 					store = min(p.HardLimitBurst, store+p.HardLimitRate*(now-at).Seconds()) - 1
 					at, least = now, min(least, store)
 					sent++
-					answers[i][now+50*ms] = append(answers[i][now+50*ms], served(a, 0, 50*ms))
+					answers[i][now+50*ms] = append(answers[i][now+50*ms], servedResult(a, 0, 50*ms))
 				case AddToCounter:
 					done, ev := counter.call(now, set.CounterTimeout, a)
 					done = max(now+step, done.Truncate(step))
@@ -386,9 +386,9 @@
 	set := crowd(13)
 	set.MaxRequestCost = 1
 	set.Plans[1] = Plan{Rate: 100, Burst: 100, WeightFactor: 1, OverQuotaPenalty: 0.5, HardLimitRate: 13, HardLimitBurst: 13}
-	d := open(t, set, backends(30)...)
-	acts := d.Step(2*time.Second, []Event{ask(1, 0, 1)})
-	if len(only[SendAttempt](acts)) != 1 || len(only[AddToCounter](acts)) != 0 {
+	d := newTestEngine(t, set, testBackends(30)...)
+	acts := d.Step(2*time.Second, []Event{testRequest(1, 0, 1)})
+	if len(actionsOf[SendAttempt](acts)) != 1 || len(actionsOf[AddToCounter](acts)) != 0 {
 		t.Errorf("with a share of one unit, long filled: %v", acts)
 	}
 }
@@ -397,19 +397,19 @@
 func TestCallsThatSaveNothing(t *testing.T) {
 	set := crowd(80)
 	set.Plans[0].OverQuotaPenalty, set.Plans[1].OverQuotaPenalty, set.Plans[3].OverQuotaPenalty = 0, 0, 0
-	d := open(t, set, backends(30)...)
+	d := newTestEngine(t, set, testBackends(30)...)
 	for i := range 8 { // a few calls fail, so not all requests call from then on
-		r := ask(uint64(i), 0, 0)
+		r := testRequest(uint64(i), 0, 0)
 		r.Tenant = fmt.Sprint("c", i)
-		for _, c := range only[AddToCounter](d.Step(time.Duration(i+1)*ms, []Event{r})) {
+		for _, c := range actionsOf[AddToCounter](d.Step(time.Duration(i+1)*ms, []Event{r})) {
 			d.Step(time.Duration(i+1)*ms, []Event{CounterResult{Name: c.Name, Status: Rejected}})
 		}
 	}
 	calls := 0
 	for i := range 25 {
-		r := ask(uint64(100+i), 0, 0)
+		r := testRequest(uint64(100+i), 0, 0)
 		r.Tenant = fmt.Sprint("d", i)
-		calls += len(only[AddToCounter](d.Step(time.Second+time.Duration(i)*ms, []Event{r})))
+		calls += len(actionsOf[AddToCounter](d.Step(time.Second+time.Duration(i)*ms, []Event{r})))
 	}
 	if calls == 0 || calls > 15 {
 		t.Errorf("%d calls for 25 requests at a counter that bears a part of them", calls)
@@ -418,9 +418,9 @@
 
 // What the store holds under a request's units stays there: at many doors such parts would add up.
 func TestNoPartOfAUnitIsLeased(t *testing.T) {
-	d := open(t, crowd(100), backends(8)...)
-	c := only[AddToCounter](d.Step(ms, []Event{ask(1, 0, 0)}))[0]
-	back := only[AddToCounter](d.Step(3*ms, []Event{CounterResult{c.Name, OK, 8.4}})) // of a burst of 8, 0.6 was left
+	d := newTestEngine(t, crowd(100), testBackends(8)...)
+	c := actionsOf[AddToCounter](d.Step(ms, []Event{testRequest(1, 0, 0)}))[0]
+	back := actionsOf[AddToCounter](d.Step(3*ms, []Event{CounterResult{c.Name, OK, 8.4}})) // of a burst of 8, 0.6 was left
 	if len(back) != 1 || back[0].Amount != -1 {
 		t.Errorf("given back: %v, want the whole unit", back)
 	}
@@ -430,14 +430,14 @@
 // some of them turning all away, and returns how many requests were refused.
 func idleDay(t *testing.T, seed uint64, turns func(backend string) bool) (refused int) {
 	set := crowd(80)
-	d := open(t, set, backends(60)...)
+	d := newTestEngine(t, set, testBackends(60)...)
 	rng := rand.New(rand.NewPCG(seed, 5))
 	due, tries := map[time.Duration][]Event{}, map[uint64]int{}
 	for now := ms; now < 20*time.Second; now += ms {
 		evs := due[now]
 		delete(due, now)
 		if now%(200*ms) == 0 {
-			evs = append(evs, ask(uint64(now), 0, 2))
+			evs = append(evs, testRequest(uint64(now), 0, 2))
 		}
 		if now%(20*ms) == 0 {
 			evs = append(evs, Timer{0})
@@ -446,10 +446,10 @@
 			continue
 		}
 		acts := d.Step(now, evs)
-		refused += len(only[Reject](acts))
-		for _, s := range only[SendAttempt](acts) {
+		refused += len(actionsOf[Reject](acts))
+		for _, s := range actionsOf[SendAttempt](acts) {
 			took := max(ms, time.Duration(rng.ExpFloat64()*60)*ms)
-			ev := served(s, tries[s.ID], took)
+			ev := servedResult(s, tries[s.ID], took)
 			if turns(s.Backend) {
 				took = ms
 				ev = AttemptResult{ID: s.ID, Attempt: tries[s.ID], Backend: s.Backend, Status: Rejected, Latency: ms}
@@ -476,10 +476,10 @@
 // What goes on unasked follows what the calls of its plan find: none where they find the stores empty and what is
 // beyond costs, all where it costs nothing or where the counter is silent.
 func TestCreditFollowsTheCalls(t *testing.T) {
-	set := basic()
+	set := testSettings()
 	set.Plans[2] = Plan{Rate: 2, Burst: 8, WeightFactor: 1, OverQuotaValue: 0.1}
 	let := func(plan int, found float64, share float64) int {
-		d := open(t, set, backends(8)...)
+		d := newTestEngine(t, set, testBackends(8)...)
 		for i := range 60 {
 			c := d.newTenant(tenantKey{fmt.Sprint(i), plan}, 2)
 			d.counter.add(1, &counterCall{tenant: c, forTokens: lease.Call{Cost: 1, Block: 1, Amount: 1}})
@@ -506,7 +506,7 @@
 			t.Errorf("%+v: %d of 1000 went on", c, n)
 		}
 	}
-	d := open(t, set, backends(8)...)
+	d := newTestEngine(t, set, testBackends(8)...)
 	d.callEstimates.emptyShare[0] = 0.15
 	n := 0
 	for range 1000 {
@@ -522,9 +522,9 @@
 // A request in a customer's name that names another plan has a store of its own: the customer's call that is out
 // is settled by the customer's plan.
 func TestPlansOfOneCustomerAreApart(t *testing.T) {
-	d := open(t, basic(), backends(8)...)
-	c := drain(t, d, ms)
-	other := ask(50, 0, 1)
+	d := newTestEngine(t, testSettings(), testBackends(8)...)
+	c := spendFallback(t, d, ms)
+	other := testRequest(50, 0, 1)
 	d.Step(2*ms, []Event{other})
 	mine, its := d.tenants.byKey[tenantKey{"c", 0}], d.tenants.byKey[tenantKey{"c", 1}]
 	if mine == nil || its == nil || mine.key.plan != 0 || its.key.plan != 1 {
@@ -533,7 +533,7 @@
 	d.Step(3*ms, []Event{CounterResult{c.Name, OK, c.Amount}})
 	level, known := mine.lease.KnownLevel()
 	_, itsKnown := its.lease.KnownLevel()
-	if most := basic().Plans[0].Burst; !known || level > most || itsKnown {
+	if most := testSettings().Plans[0].Burst; !known || level > most || itsKnown {
 		t.Errorf("%+v, %+v", mine, its)
 	}
 	if quotaNumber(mine.key, 1) == quotaNumber(its.key, 1) {
