--- a/internal/policy/engine.go
+++ b/internal/policy/engine.go
@@ -26,9 +26,9 @@
 	rejections rejectionCounts
 	weights    requestWeights
 
-	tenants tenantRegistry
-	counter counterCalls
-	asks    askEstimates
+	tenants       tenantRegistry
+	counter       counterCalls
+	callEstimates callEstimates
 
 	endpoints  endpointRegistry
 	polling    endpointPolling
@@ -64,18 +64,18 @@
 		objectives[i] = cmp.Or(c.LatencyObjective, c.ClientTimeout)
 	}
 	return &Engine{
-		settings:    set,
-		rng:         rand.New(rand.NewPCG(seed, 1)),
-		requests:    map[uint64]*request{},
-		weights:     newRequestWeights(&set),
-		tenants:     newTenantRegistry(),
-		counter:     newCounterCalls(set.SharedCounter),
-		asks:        newAskEstimates(&set),
-		endpoints:   newEndpointRegistry(),
-		subset:      newBackendSubset(&set),
-		latencies:   latency.NewEstimator(objectives),
-		slowStarts:  newSlowStarts(&set),
-		maxTimeLeft: make([]time.Duration, len(set.Classes)),
+		settings:      set,
+		rng:           rand.New(rand.NewPCG(seed, 1)),
+		requests:      map[uint64]*request{},
+		weights:       newRequestWeights(&set),
+		tenants:       newTenantRegistry(),
+		counter:       newCounterCalls(set.SharedCounter),
+		callEstimates: newCallEstimates(&set),
+		endpoints:     newEndpointRegistry(),
+		subset:        newBackendSubset(&set),
+		latencies:     latency.NewEstimator(objectives),
+		slowStarts:    newSlowStarts(&set),
+		maxTimeLeft:   make([]time.Duration, len(set.Classes)),
 	}, nil
 }
 
