--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -40,7 +40,7 @@
 		e.reject(r, rejection{reason: DeadlineCannotBeMet})
 		return
 	}
-	e.emit(SetTimer{e.now + r.deadlineBudget - e.settings.TimerResolution, r.id<<1 | 1})
+	e.emit(SetTimer{e.now + r.deadlineBudget - e.settings.TimerResolution, deadlineCookie(r.id)})
 	r.tenant.noteRequest(e.now, r.cost)
 	// The queue for the hard limit must stay short, or each request that still leaves it is nearly late.
 	if wait := e.hardLimitQueueWait(r); wait > e.maxHardLimitWait(r) && !e.mayBorrow(r) {
@@ -225,7 +225,7 @@
 func (e *Engine) priorityBand(r *request) int {
 	class, plan := &e.settings.Classes[r.class], &e.settings.Plans[r.plan]
 	weight := max(minRequestWeight, class.PriorityWeight*plan.WeightFactor*r.cost)
-	return min(priorityBands-1, max(0, int(math.Log2(e.maxRequestWeight/weight))))
+	return min(priorityBands-1, max(0, int(math.Log2(e.weights.maxRequest/weight))))
 }
 
 // payQuota promotes a request whose cost the lease pays (stage 2 of the paper). A request that is not
@@ -279,7 +279,7 @@
 		return
 	}
 	r.ended = true
-	e.unqueue(r)
+	e.queues.remove(r)
 	e.releaseHardLimit(r)
 	e.cancelAttempts(r)
 	if e.paidInVain(r) {
@@ -302,3 +302,19 @@
 		}
 	}
 }
+
+// requestWeights are the greatest weights that the settings allow.
+type requestWeights struct {
+	maxRequest float64 // of a request: its class's weight, its plan's factor and its cost
+	maxClass   float64 // of a class
+}
+
+func newRequestWeights(set *Settings) (w requestWeights) {
+	for _, c := range set.Classes {
+		w.maxClass = max(w.maxClass, c.PriorityWeight)
+		for _, p := range set.Plans {
+			w.maxRequest = max(w.maxRequest, c.PriorityWeight*p.WeightFactor*max(1, set.MaxRequestCost))
+		}
+	}
+	return w
+}
