--- /dev/null
+++ b/internal/policy/clientgone_test.go
@@ -0,0 +1,100 @@
+package policy
+
+import "testing"
+
+// waitingScene plays an engine until request 99 waits, and returns the events that would release it.
+type waitingScene struct {
+	name string
+	play func(t *testing.T) (engine *Engine, release []Event)
+}
+
+var waitingScenes = []waitingScene{
+	{"for the counter", func(t *testing.T) (*Engine, []Event) {
+		engine := newTestEngine(t, testSettings(), testBackends(8)...)
+		call := spendFallback(t, engine, ms)
+		engine.Step(2*ms, []Event{testRequest(99, idempotentClass, hardPlan)})
+		return engine, []Event{CounterResult{call.Name, OK, call.Amount}}
+	}},
+	{"for a backend to be known", func(t *testing.T) (*Engine, []Event) {
+		engine := newTestEngine(t, testSettings())
+		engine.Step(2*ms, []Event{testRequest(99, idempotentClass, noQuotaPlan)})
+		return engine, []Event{EndpointUpdate{Kind: Snapshot, Backends: testBackends(2)}}
+	}},
+	{"in a backend's queue", func(t *testing.T) (*Engine, []Event) {
+		settings := testSettings()
+		settings.Plans[hardPlan].Burst = 20
+		engine := newTestEngine(t, settings, testBackends(1)...)
+		first := sendsOf(engine.Step(ms, testRequests(1, 2, idempotentClass, hardPlan)))
+		engine.Step(2*ms, []Event{testRequest(99, idempotentClass, hardPlan)})
+		return engine, servedResults(first)
+	}},
+	{"before its next attempt", func(t *testing.T) (*Engine, []Event) {
+		engine := newTestEngine(t, testSettings(), testBackends(1)...)
+		s := sendsOf(engine.Step(ms, []Event{testRequest(99, idempotentClass, noQuotaPlan)}))[0]
+		removed := EndpointUpdate{Kind: Snapshot}
+		engine.Step(2*ms, []Event{removed, AttemptResult{ID: 99, Backend: s.Backend, Status: ConnectFailed}})
+		return engine, []Event{EndpointUpdate{Kind: Snapshot, Backends: testBackends(2)}}
+	}},
+	{"for the hard limit's share to fill", func(t *testing.T) (*Engine, []Event) {
+		engine := newTestEngine(t, withoutCounter(), testBackends(8)...)
+		engine.Step(2*ms, []Event{testRequest(99, withKeyClass, softPlan)}) // a fresh gateway's share is empty
+		return engine, nil
+	}},
+	{"for another request in flight to end", func(t *testing.T) (*Engine, []Event) {
+		engine := newTestEngine(t, testSettings(), testBackends(8)...)
+		first := sendsOf(engine.Step(ms, testRequests(1, 2, idempotentClass, concurrentPlan)))
+		engine.Step(2*ms, []Event{testRequest(99, idempotentClass, concurrentPlan)})
+		return engine, servedResults(first)
+	}},
+}
+
+// servedResults are the responses to first attempts, after 2 ms.
+func servedResults(sends []SendAttempt) (events []Event) {
+	for _, s := range sends {
+		events = append(events, servedResult(s, 0, 2*ms))
+	}
+	return events
+}
+
+// A request whose client has gone is not sent, wherever it waited. With a client that stays it is.
+func TestRequestOfAGoneClientIsNotSent(t *testing.T) {
+	for _, scene := range waitingScenes {
+		t.Run(scene.name+", client gone", func(t *testing.T) {
+			engine, release := scene.play(t)
+			checkWaits(t, engine)
+			engine.Step(3*ms, []Event{ClientGone{99}})
+			if isSent(engine, release) {
+				t.Error("it is sent")
+			}
+			if engine.requests[99] != nil {
+				t.Error("it is kept")
+			}
+		})
+		t.Run(scene.name+", client stays", func(t *testing.T) {
+			engine, release := scene.play(t)
+			checkWaits(t, engine)
+			if !isSent(engine, release) {
+				t.Error("it is not sent")
+			}
+		})
+	}
+}
+
+func checkWaits(t *testing.T, engine *Engine) {
+	t.Helper()
+	if r := engine.requests[99]; r == nil || r.attemptsInFlight > 0 {
+		t.Fatal("it does not wait")
+	}
+}
+
+// isSent plays on with what would release request 99 and says whether it is sent.
+func isSent(engine *Engine, release []Event) bool {
+	sent := false
+	for now := 4 * ms; now < 400*ms; now += checkInterval {
+		for _, s := range sendsOf(engine.Step(now, append(release, Timer{0}))) {
+			sent = sent || s.ID == 99
+		}
+		release = nil
+	}
+	return sent
+}
--- /dev/null
+++ b/internal/policy/endpoints_test.go
@@ -0,0 +1,144 @@
+package policy
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+func TestNothingIsSentToADrainingBackend(t *testing.T) {
+	engine := newTestEngine(t, testSettings(), testBackends(2)...)
+	engine.Step(ms, []Event{EndpointUpdate{Kind: Delta, Backends: []Backend{{Name: "b0", State: Draining}}}})
+	for i := range 20 {
+		actions := engine.Step(time.Duration(i+2)*ms, []Event{testRequest(uint64(i), idempotentClass, noQuotaPlan)})
+		for _, s := range sendsOf(actions) {
+			if s.Backend == "b0" {
+				t.Fatal("sent to a draining backend")
+			}
+		}
+	}
+}
+
+func TestWarmingBackendGetsLess(t *testing.T) {
+	list := testBackends(4)
+	list[0].Started = 99 * time.Second
+	engine, _ := New(testSettings(), 7)
+	engine.Step(100*time.Second, []Event{EndpointUpdate{Kind: CachedSnapshot, Backends: list}})
+	sent, now := map[string]int{}, 100*time.Second
+	for i := range 150 {
+		now += 10 * ms
+		for _, s := range sendsOf(engine.Step(now, []Event{testRequest(uint64(i), idempotentClass, noQuotaPlan)})) {
+			sent[s.Backend]++
+			now += ms
+			engine.Step(now, []Event{servedResult(s, 0, ms)})
+		}
+	}
+	if sent["b0"]*2 > sent["b1"] {
+		t.Errorf("the warming backend got %d, a warm one %d", sent["b0"], sent["b1"])
+	}
+}
+
+// A gateway that loses every backend and gets others works on.
+func TestEndpointListEmptiesAndFills(t *testing.T) {
+	list := largeEndpointList(40)
+	engine := newTestEngine(t, crowd(100), list[:20]...)
+	for i := range list[:20] {
+		list[i].State = Terminated
+	}
+	engine.Step(time.Second, []Event{EndpointUpdate{Backends: list[:20]}})
+	subset, known := len(engine.subset.backends), len(engine.endpoints.all)
+	inService, warm := engine.endpoints.inService, engine.throughput.Warm()
+	if subset+known+inService+warm != 0 {
+		t.Fatalf("%d in the subset, %d known, %d in service, %d warm", subset, known, inService, warm)
+	}
+	engine.Step(2*time.Second, []Event{EndpointUpdate{Backends: list[20:]}})
+	actions := engine.Step(3*time.Second, []Event{testRequest(1, idempotentClass, noQuotaPlan), Timer{0}})
+	if sends := sendsOf(actions); len(sends) != 1 {
+		t.Errorf("%d sends", len(sends))
+	}
+}
+
+// A list that could not be had is polled again so soon that two polls which come to nothing, each after 2 s at most,
+// and their pauses leave time for a third within the 6 s after which a change counts as told; also after a long outage.
+func TestFailedListIsPolledAgainSoon(t *testing.T) {
+	const maxPause = 750 * time.Millisecond
+	settings := testSettings()
+	settings.PollEndpoints = true
+	engine := newTestEngine(t, settings, testBackends(2)...)
+	now := time.Second
+	for i := range 20 {
+		at := time.Duration(0)
+		for _, s := range actionsOf[SetTimer](engine.Step(now, []Event{EndpointUpdate{Kind: UpdateFailed}})) {
+			if s.Cookie == 2 {
+				at = s.At
+			}
+		}
+		if at == 0 || at > now+maxPause {
+			t.Fatalf("after failure %d it is polled again after %v", i+1, at-now)
+		}
+		now = at + 2*time.Second
+		if actions := engine.Step(at, []Event{Timer{2}}); len(actionsOf[WatchEndpoints](actions)) != 1 {
+			t.Fatalf("after failure %d it is not polled: %v", i+1, actions)
+		}
+	}
+}
+
+// What is counted along the way stays what a count of all would give: here over updates, restarts, ejections and
+// requests of all kinds.
+func TestCountsStayWhatACountOfAllGives(t *testing.T) {
+	list := largeEndpointList(60)
+	engine := newTestEngine(t, crowd(30), list...)
+	now := time.Second
+	for step := range 600 {
+		now += 97 * ms
+		b := list[step*7%60]
+		switch step % 5 {
+		case 0:
+			b.State = Terminated
+		case 1:
+			b.Started = now
+		case 2:
+			b.State = Draining
+		case 3:
+			engine.eject(engine.subset.backends[step%len(engine.subset.backends)])
+		}
+		events := []Event{testRequest(uint64(step), idempotentClass, noQuotaPlan), Timer{0}}
+		if step%5 < 3 || step%3 == 0 {
+			events = append(events, EndpointUpdate{Backends: []Backend{b}})
+		}
+		if step%50 == 49 {
+			events = append(events, EndpointUpdate{Kind: Snapshot, Backends: list[step/50:]})
+		}
+		for i, s := range sendsOf(engine.Step(now, events)) {
+			if i%2 == 0 {
+				engine.Step(now+20*ms, []Event{servedResult(s, 0, 20*ms)})
+			}
+		}
+		checkCounts(t, engine, fmt.Sprint("step ", step))
+	}
+}
+
+// checkCounts compares what the engine counts of its backends with a count of all.
+func checkCounts(t *testing.T, engine *Engine, when string) {
+	t.Helper()
+	inSubset, warm, listed := 0, 0, 0
+	for i, b := range engine.endpoints.all {
+		if b.index != i || b.inSubset && engine.subset.backends[b.subsetIndex] != b {
+			t.Fatalf("%s: %s is not at its place", when, b.name)
+		}
+		if b.inSubset {
+			inSubset++
+		}
+		if b.listed {
+			listed++
+		}
+		if b.usable() && !b.slowStart.Warming() {
+			warm++
+		}
+	}
+	subset, inService := len(engine.subset.backends), engine.endpoints.inService
+	if inSubset != subset || warm != engine.throughput.Warm() || listed != inService {
+		t.Fatalf("%s: subset of %d, %d, %d warm of %d, %d in service of %d", when, subset, inSubset,
+			engine.throughput.Warm(), warm, inService, listed)
+	}
+}
--- a/internal/policy/example_test.go
+++ b/internal/policy/example_test.go
@@ -7,8 +7,9 @@
 	"bellwood/internal/policy"
 )
 
+// An engine is told what happens and answers what to do: here the list of backends and a request for one of them.
 func Example() {
-	door, err := policy.New(policy.Settings{
+	engine, err := policy.New(policy.Settings{
 		Gateways: 1, MaxAttempts: 2,
 		Classes: []policy.Class{{PriorityWeight: 1, LatencyObjective: 300 * time.Millisecond, ClientTimeout: time.Second}},
 		Plans:   []policy.Plan{{Rate: 10, Burst: 20, WeightFactor: 1}},
@@ -17,13 +18,13 @@
 		fmt.Println(err)
 		return
 	}
-	acts := door.Step(0, []policy.Event{
+	actions := engine.Step(0, []policy.Event{
 		policy.EndpointUpdate{Kind: policy.Snapshot, Backends: []policy.Backend{{Name: "10.0.0.1:80", Weight: 1}}},
 		policy.Request{ID: 7, Tenant: "ann", TimeLeft: time.Second, Cost: 1},
 	})
-	for _, a := range acts {
-		if s, ok := a.(policy.SendAttempt); ok {
-			fmt.Println("send", s.ID, "to", s.Backend, "for", s.Timeout)
+	for _, action := range actions {
+		if send, ok := action.(policy.SendAttempt); ok {
+			fmt.Println("send", send.ID, "to", send.Backend, "for", send.Timeout)
 		}
 	}
 	// Output: send 7 to 10.0.0.1:80 for 300ms
--- /dev/null
+++ b/internal/policy/hardlimit_test.go
@@ -0,0 +1,47 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+func TestFreshGatewayStartsWithAnEmptyShareOfTheHardLimit(t *testing.T) {
+	engine := newTestEngine(t, withoutCounter(), testBackends(40)...)
+	sent := 0
+	for i := range 1000 {
+		now := time.Duration(i+1) * ms
+		for _, s := range sendsOf(engine.Step(now, []Event{testRequest(uint64(i), idempotentClass, softPlan)})) {
+			sent++
+			engine.Step(now, []Event{servedResult(s, 0, 0)})
+		}
+	}
+	if sent > 10 {
+		t.Errorf("%d units in the first second of a fresh gateway; its share of the hard limit is 10", sent)
+	}
+}
+
+// A tenant far over its hard limit has no queue in which all that goes out is nearly late: what would wait long is
+// rejected at once, with advice when to come back; and the less it is worth, the sooner.
+func TestQueueForTheHardLimitStaysShort(t *testing.T) {
+	engine := newTestEngine(t, withoutCounter(), testBackends(2)...)
+	waiting := map[int]int{} // by class
+	id, advised := uint64(1), 0
+	for class := range 2 {
+		for range 60 {
+			actions := engine.Step(time.Second, []Event{testRequest(id, class, softPlan)})
+			rejects := rejectsOf(actions)
+			if len(rejects) == 0 && len(sendsOf(actions)) == 0 && engine.requests[id].queuedOn == nil {
+				waiting[class]++
+			} else if len(rejects) > 0 && rejects[0].RetryAfter > 0 {
+				advised++
+			}
+			id++
+		}
+	}
+	if advised == 0 {
+		t.Error("nobody was told when to come back")
+	}
+	if waiting[0] > 1 || waiting[1] < 1 || waiting[1] > 2 {
+		t.Errorf("by class, %v wait", waiting)
+	}
+}
--- /dev/null
+++ b/internal/policy/randomevents_test.go
@@ -0,0 +1,279 @@
+package policy
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"reflect"
+	"testing"
+	"time"
+)
+
+// randomRun plays a random but legal order of events and checks what must hold after any of them. It stands for the
+// caller: it ends the attempts that the engine sends, answers its counter calls and lets its timers fall due.
+type randomRun struct {
+	t         testing.TB
+	seed      uint64
+	rng       *rand.Rand
+	settings  Settings
+	list      []Backend
+	engine    *Engine
+	now       time.Duration
+	lastID    uint64
+	suspended bool
+
+	inFlight []randomAttempt
+	calls    []AddToCounter
+	timers   []SetTimer
+	totals   map[uint64]float64 // of the counter, by name
+	draining map[string]bool    // backends that are not in service
+
+	deadlines        map[uint64]time.Duration // of requests without a final answer
+	classes          map[uint64]int
+	attempts         map[uint64]int
+	attemptsInFlight map[uint64]int
+	mayHaveRunOn     map[uint64]string // the backend of an attempt that may have run
+
+	actions []Action // all so far
+}
+
+type randomAttempt struct {
+	SendAttempt
+	number int
+	sentAt time.Duration
+}
+
+const (
+	randomSteps    = 600
+	lastRandomStep = 400 // in which requests still arrive
+)
+
+// playRandomEvents plays the events of a seed to their end and returns all actions.
+func playRandomEvents(t testing.TB, seed uint64) []Action {
+	t.Helper()
+	settings, list := testSettings(), testBackends(5)
+	run := &randomRun{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 2)), settings: settings, list: list,
+		engine: newTestEngine(t, settings, list...), totals: map[uint64]float64{}, draining: map[string]bool{},
+		deadlines: map[uint64]time.Duration{}, classes: map[uint64]int{}, attempts: map[uint64]int{},
+		attemptsInFlight: map[uint64]int{}, mayHaveRunOn: map[uint64]string{}}
+	for step := range randomSteps {
+		run.step(step)
+	}
+	return run.actions
+}
+
+func (r *randomRun) step(step int) {
+	r.t.Helper()
+	r.now += time.Duration(r.rng.IntN(12)) * ms
+	var events []Event
+	events = append(events, r.arrivals(step)...)
+	events = append(events, r.attemptResults()...)
+	events = append(events, r.counterResults()...)
+	events = append(r.endpointUpdates(), events...)
+	events = append(r.suspensions(), events...)
+	events = append(events, r.dueTimers()...)
+	actions := append([]Action(nil), r.engine.Step(r.now, events)...)
+	r.actions = append(r.actions, actions...)
+	for _, action := range actions {
+		r.take(action)
+	}
+	for id, deadline := range r.deadlines {
+		if r.now > deadline+20*ms {
+			r.t.Fatalf("seed %d: request %d is lost", r.seed, id)
+		}
+	}
+}
+
+func (r *randomRun) arrivals(step int) (events []Event) {
+	for range r.rng.IntN(4) {
+		if step > lastRandomStep {
+			break
+		}
+		r.lastID++
+		request := Request{ID: r.lastID, Class: r.rng.IntN(3), Plan: r.rng.IntN(4), Tenant: fmt.Sprint("c", r.rng.IntN(6)),
+			TimeLeft: time.Duration(r.rng.IntN(2000)) * ms, Cost: 1 + float64(r.rng.IntN(3)), Gateways: r.rng.IntN(3)}
+		r.deadlines[r.lastID], r.classes[r.lastID] = r.now+request.TimeLeft, request.Class
+		events = append(events, request)
+	}
+	return events
+}
+
+// attemptResults ends some attempts, half of them by a response and the others in any way.
+func (r *randomRun) attemptResults() (events []Event) {
+	for i := 0; i < len(r.inFlight); i++ {
+		if r.rng.IntN(8) != 0 {
+			continue
+		}
+		a := r.inFlight[i]
+		r.inFlight = append(r.inFlight[:i], r.inFlight[i+1:]...)
+		status := Status(r.rng.IntN(8))
+		if r.rng.IntN(2) == 0 {
+			status = OK
+		}
+		r.attemptsInFlight[a.ID]--
+		_, open := r.deadlines[a.ID]
+		if status == OK {
+			delete(r.deadlines, a.ID)
+		} else if status != Rejected && status != ConnectFailed && status != NotSent {
+			r.mayHaveRunOn[a.ID] = a.Backend
+		}
+		events = append(events, AttemptResult{ID: a.ID, Attempt: a.number, Backend: a.Backend, Status: status,
+			Latency: r.now - a.sentAt, RequestClosed: status == OK || !open})
+	}
+	return events
+}
+
+// counterResults answers some calls. Now and then the counter loses a number.
+func (r *randomRun) counterResults() (events []Event) {
+	for len(r.calls) > 0 && r.rng.IntN(2) == 0 {
+		call := r.calls[0]
+		r.calls = r.calls[1:]
+		status := []Status{OK, OK, OK, TimedOut, Rejected}[r.rng.IntN(5)]
+		if status != Rejected {
+			r.totals[call.Name] += call.Amount
+		}
+		if r.rng.IntN(50) == 0 {
+			r.totals[call.Name] = 0
+		}
+		events = append(events, CounterResult{call.Name, status, r.totals[call.Name]})
+	}
+	return events
+}
+
+func (r *randomRun) endpointUpdates() []Event {
+	if r.rng.IntN(40) != 0 {
+		return nil
+	}
+	b := r.list[r.rng.IntN(len(r.list))]
+	b.State = BackendState(r.rng.IntN(3))
+	b.Started = r.now * time.Duration(r.rng.IntN(2))
+	r.draining[b.Name] = b.State != InService
+	return []Event{EndpointUpdate{Kind: Delta, Backends: []Backend{b}}}
+}
+
+func (r *randomRun) suspensions() []Event {
+	meanSteps := 100
+	if r.suspended {
+		meanSteps = 10
+	}
+	if r.rng.IntN(meanSteps) != 0 {
+		return nil
+	}
+	r.suspended = !r.suspended
+	return []Event{Suspend{On: r.suspended}}
+}
+
+func (r *randomRun) dueTimers() (events []Event) {
+	pending := r.timers[:0]
+	for _, timer := range r.timers {
+		if timer.At <= r.now {
+			events = append(events, Timer{timer.Cookie})
+		} else {
+			pending = append(pending, timer)
+		}
+	}
+	r.timers = pending
+	return events
+}
+
+// take does what an action asks for, after it has checked that the engine may ask for it.
+func (r *randomRun) take(action Action) {
+	r.t.Helper()
+	switch action := action.(type) {
+	case SendAttempt:
+		r.checkSend(action)
+		r.inFlight = append(r.inFlight, randomAttempt{action, r.attempts[action.ID], r.now})
+		r.attempts[action.ID]++
+	case Reject:
+		r.checkReject(action)
+		delete(r.deadlines, action.ID)
+	case Fail:
+		if !r.isOpen(action.ID) {
+			r.t.Fatalf("seed %d: failed after the end: %v", r.seed, action)
+		}
+		delete(r.deadlines, action.ID)
+	case AddToCounter:
+		r.calls = append(r.calls, action)
+	case SetTimer:
+		if action.At <= r.now {
+			action.At = r.now + ms
+		}
+		r.timers = append(r.timers, action)
+	}
+}
+
+// isOpen says whether a request has no final answer yet.
+func (r *randomRun) isOpen(id uint64) bool {
+	_, open := r.deadlines[id]
+	return open
+}
+
+func (r *randomRun) checkSend(s SendAttempt) {
+	r.t.Helper()
+	if !r.isOpen(s.ID) {
+		r.t.Fatalf("seed %d: sent after the end: %v", r.seed, s)
+	}
+	if r.suspended {
+		r.t.Fatalf("seed %d: sent while suspended: %v", r.seed, s)
+	}
+	if r.draining[s.Backend] {
+		r.t.Fatalf("seed %d: sent to a backend that is draining: %v", r.seed, s)
+	}
+	if r.mayRunTwice(s) {
+		r.t.Fatalf("seed %d: an effect twice: %v", r.seed, s)
+	}
+	if r.attemptsInFlight[s.ID]++; r.attemptsInFlight[s.ID] > 1 || r.attempts[s.ID] >= r.settings.MaxAttempts {
+		r.t.Fatalf("seed %d: too many attempts: %v", r.seed, s)
+	}
+}
+
+// mayRunTwice says whether an attempt could repeat an effect: the request may have run and must not run twice, or
+// goes to a backend that does not drop repeats together with the one where it may have run.
+func (r *randomRun) mayRunTwice(s SendAttempt) bool {
+	ranOn, mayHaveRun := r.mayHaveRunOn[s.ID]
+	if !mayHaveRun {
+		return false
+	}
+	switch r.classes[s.ID] {
+	case nonIdempotentClass:
+		return true
+	case withKeyClass:
+		return cellOf(r.list, ranOn) != cellOf(r.list, s.Backend)
+	}
+	return false
+}
+
+func (r *randomRun) checkReject(reject Reject) {
+	r.t.Helper()
+	if !r.isOpen(reject.ID) {
+		r.t.Fatalf("seed %d: rejected after the end: %v", r.seed, reject)
+	}
+	_, mayHaveRun := r.mayHaveRunOn[reject.ID]
+	if (mayHaveRun || r.attemptsInFlight[reject.ID] > 0) && r.classes[reject.ID] != idempotentClass {
+		r.t.Fatalf("seed %d: rejected what may have run: %v", r.seed, reject)
+	}
+}
+
+func cellOf(list []Backend, name string) int {
+	for _, b := range list {
+		if b.Name == name {
+			return b.Cell
+		}
+	}
+	return -1
+}
+
+// The same settings, seed and events give the same actions.
+func TestSameEventsGiveTheSameActions(t *testing.T) {
+	for seed := range uint64(30) {
+		if !reflect.DeepEqual(playRandomEvents(t, seed), playRandomEvents(t, seed)) {
+			t.Errorf("seed %d: two runs differ", seed)
+		}
+	}
+}
+
+func FuzzRandomEvents(f *testing.F) {
+	for seed := range uint64(100) {
+		f.Add(seed + 1000)
+	}
+	f.Fuzz(func(t *testing.T, seed uint64) { playRandomEvents(t, seed) })
+}
--- a/internal/policy/rejection_test.go
+++ b/internal/policy/rejection_test.go
@@ -83,19 +83,19 @@
 	{name: "a slot becomes free when it is too late", reason: StaleInQueue,
 		play: func(t *testing.T) (*Engine, []Action) {
 			d := newTestEngine(t, testSettings(), testBackends(1)...)
-			sends := actionsOf[SendAttempt](d.Step(ms, testRequests(1, 3, 0, 0)))
+			sends := sendsOf(d.Step(ms, testRequests(1, 3, 0, 0)))
 			return d, d.Step(480*ms, []Event{servedResult(sends[0], 0, 479*ms), servedResult(sends[1], 0, 479*ms)})
 		}},
 	{name: "it may have run and must not run twice", reason: NoBackendForRetry, fails: true,
 		play: func(t *testing.T) (*Engine, []Action) {
 			d := newTestEngine(t, testSettings(), testBackends(4)...)
-			s := actionsOf[SendAttempt](d.Step(ms, []Event{testRequest(1, 2, 2)}))[0]
+			s := sendsOf(d.Step(ms, []Event{testRequest(1, 2, 2)}))[0]
 			return d, d.Step(20*ms, []Event{unservedResult(s, 0, ConnectionReset)})
 		}},
 	{name: "an attempt is in flight", reason: AttemptInFlight, // no event leads there: send guards itself
 		play: func(t *testing.T) (*Engine, []Action) {
 			d := newTestEngine(t, testSettings(), testBackends(4)...)
-			s := actionsOf[SendAttempt](d.Step(ms, []Event{testRequest(1, 0, 2)}))[0]
+			s := sendsOf(d.Step(ms, []Event{testRequest(1, 0, 2)}))[0]
 			d.actions = nil
 			d.send(d.requests[1], d.endpoints.byName[s.Backend], ordinary)
 			return d, d.actions
@@ -105,14 +105,14 @@
 			d := newTestEngine(t, testSettings(), testBackends(4)...)
 			acts := d.Step(ms, []Event{testRequest(1, 0, 2)})
 			for no := range testSettings().MaxAttempts {
-				acts = d.Step(time.Duration(no+2)*ms, []Event{unservedResult(actionsOf[SendAttempt](acts)[0], no, ConnectFailed)})
+				acts = d.Step(time.Duration(no+2)*ms, []Event{unservedResult(sendsOf(acts)[0], no, ConnectFailed)})
 			}
 			return d, acts
 		}},
 	{name: "the first attempt fails late", reason: NoTimeForRetry,
 		play: func(t *testing.T) (*Engine, []Action) {
 			d := newTestEngine(t, testSettings(), testBackends(4)...)
-			s := actionsOf[SendAttempt](d.Step(ms, []Event{testRequest(1, 0, 2)}))[0]
+			s := sendsOf(d.Step(ms, []Event{testRequest(1, 0, 2)}))[0]
 			return d, d.Step(490*ms, []Event{unservedResult(s, 0, Rejected)})
 		}},
 	{name: "no backend until the deadline", reason: DeadlinePassed,
@@ -129,26 +129,13 @@
 		}},
 }
 
-// testRequests gives n requests with ids from first on.
-func testRequests(first uint64, n, class, plan int) (events []Event) {
-	for i := range uint64(n) {
-		events = append(events, testRequest(first+i, class, plan))
-	}
-	return events
-}
-
-// unservedResult is the end of an attempt that was not served.
-func unservedResult(s SendAttempt, attempt int, status Status) AttemptResult {
-	return AttemptResult{ID: s.ID, Attempt: attempt, Backend: s.Backend, Status: status, Latency: ms}
-}
-
 // Every rejection carries the reason of the rule that gave it, and is answered once.
 func TestRejectionCarriesItsReason(t *testing.T) {
 	seen := map[RejectReason]bool{}
 	for _, scene := range rejectionScenes {
 		t.Run(scene.name, func(t *testing.T) {
 			d, acts := scene.play(t)
-			rejects, fails := len(actionsOf[Reject](acts)), len(actionsOf[Fail](acts))
+			rejects, fails := len(rejectsOf(acts)), len(actionsOf[Fail](acts))
 			if scene.fails && (fails == 0 || rejects > 0) || !scene.fails && (rejects == 0 || fails > 0) {
 				t.Errorf("%d rejects, %d fails in %v", rejects, fails, acts)
 			}
--- /dev/null
+++ b/internal/policy/subset_test.go
@@ -0,0 +1,193 @@
+package policy
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// sharesOfTraffic gives by backend the part of a gateway's traffic that it gets from all gateways, were each to share
+// its traffic out evenly, and the size of the smallest subset when a zone is lost.
+func sharesOfTraffic(gateways []*Engine, lostZone int) (load map[string]float64, smallest int) {
+	load, smallest = map[string]float64{}, 1<<30
+	for _, engine := range gateways {
+		left := 0
+		for _, b := range engine.subset.backends {
+			load[b.name] += 1 / float64(len(engine.subset.backends))
+			if b.zone != lostZone {
+				left++
+			}
+		}
+		smallest = min(smallest, left)
+	}
+	return load, smallest
+}
+
+// busiest is the load of the busiest backend over the mean, for largeGateways.
+func busiest(load map[string]float64, backends int) float64 {
+	highest := 0.0
+	for _, share := range load {
+		highest = max(highest, share)
+	}
+	return highest * float64(backends) / largeGateways
+}
+
+// largeFleet has largeGateways engines with their subsets of a list.
+func largeFleet(t *testing.T, list []Backend) []*Engine {
+	t.Helper()
+	gateways := make([]*Engine, largeGateways)
+	for i := range gateways {
+		settings := crowd(largeGateways)
+		settings.GatewayIndex = i
+		gateways[i] = newTestEngine(t, settings, list...)
+	}
+	return gateways
+}
+
+// checkShares holds the subsets to using every backend, and none far more than the mean.
+func checkShares(t *testing.T, when string, load map[string]float64, backends int) {
+	t.Helper()
+	if highest := busiest(load, backends); len(load) != backends || highest > 1.25 {
+		t.Errorf("%s: %d in use, the busiest gets %.2f of the mean", when, len(load), highest)
+	}
+}
+
+func TestSubsetsOfManyGateways(t *testing.T) {
+	for _, backends := range []int{200, 600} {
+		t.Run(fmt.Sprint(backends, " backends"), func(t *testing.T) {
+			list := largeEndpointList(backends)
+			gateways := largeFleet(t, list)
+			load, smallest := sharesOfTraffic(gateways, 3)
+			checkShares(t, "at first", load, backends)
+			if smallest < minSubset/2 {
+				t.Errorf("a gateway has %d backends left when a zone is lost", smallest)
+			}
+			changed := 0
+			for step := range 10 {
+				changed += replaceOne(gateways, list[step], step)
+			}
+			if mean := float64(changed) / 10; mean > 0.12*largeGateways {
+				t.Errorf("%.0f of %d gateways change their subset when one backend comes or goes", mean, largeGateways)
+			} else {
+				t.Logf("%.0f gateways change, busiest %.2f, smallest without a zone %d", mean, busiest(load, backends),
+					smallest)
+			}
+			load, _ = sharesOfTraffic(gateways, 3)
+			checkShares(t, "after changes", load, backends)
+		})
+	}
+}
+
+// replaceOne tells all gateways that a backend has terminated or, in odd steps, that a new one has come, and returns
+// how many change their subsets.
+func replaceOne(gateways []*Engine, b Backend, step int) (changed int) {
+	if step%2 == 0 {
+		b.State = Terminated
+	} else {
+		b.Name = fmt.Sprint("new", step)
+	}
+	for _, engine := range gateways {
+		before := map[*backend]bool{}
+		for _, b := range engine.subset.backends {
+			before[b] = true
+		}
+		engine.Step(time.Duration(step+1)*time.Second, []Event{EndpointUpdate{Backends: []Backend{b}}})
+		same := len(engine.subset.backends) == len(before)
+		for _, b := range engine.subset.backends {
+			same = same && before[b]
+		}
+		if !same {
+			changed++
+		}
+	}
+	return changed
+}
+
+// The subset follows from the list alone, not from how it came to be.
+func TestSubsetFollowsFromTheListAlone(t *testing.T) {
+	list := largeEndpointList(600)
+	settings := crowd(100)
+	settings.GatewayIndex = 42
+	old := newTestEngine(t, settings, list[:500]...)
+	now := time.Second
+	for i := range 100 {
+		removed := list[i]
+		removed.State = Terminated
+		old.Step(now, []Event{EndpointUpdate{Backends: []Backend{removed}},
+			EndpointUpdate{Backends: list[500+i : 501+i]}})
+		now += ms
+	}
+	fresh := newTestEngine(t, settings, list[100:]...)
+	oldSubset, freshSubset := old.subset.backends, fresh.subset.backends
+	if len(oldSubset) != len(freshSubset) || len(old.endpoints.all) != 500 || old.endpoints.inService != 500 {
+		t.Fatalf("subsets of %d and %d, %d known", len(oldSubset), len(freshSubset), len(old.endpoints.all))
+	}
+	for _, b := range freshSubset {
+		if !old.endpoints.byName[b.name].inSubset {
+			t.Errorf("%s is in a fresh gateway's subset only", b.name)
+		}
+	}
+}
+
+// Where every backend of the subset is ejected, requests go to others, in a list of any length.
+func TestOthersServeWhereNoneOfTheSubsetCan(t *testing.T) {
+	engine := newTestEngine(t, crowd(largeGateways), largeEndpointList(2000)...)
+	for _, b := range append([]*backend(nil), engine.subset.backends...) {
+		engine.eject(b)
+	}
+	actions := engine.Step(10*ms, []Event{testRequest(1, idempotentClass, noQuotaPlan)}) // before any probe is due
+	if sends := sendsOf(actions); len(sends) != 1 || engine.endpoints.byName[sends[0].Backend].inSubset {
+		t.Errorf("actions: %v", actions)
+	}
+}
+
+// BenchmarkSubsets tells how evenly all 810 gateways share out the fleet, by their subsets alone: the busiest backend
+// over the mean, the fewest and the most gateways that have one backend, the gateways whose subset one departure
+// changes, and what is left of the smallest subset when a zone is lost.
+func BenchmarkSubsets(b *testing.B) {
+	for _, backends := range []int{200, 1000, 3000, 11000} {
+		b.Run(fmt.Sprint(backends), func(b *testing.B) {
+			for b.Loop() {
+				measureSubsets(b, backends)
+			}
+		})
+	}
+}
+
+func measureSubsets(b *testing.B, backends int) {
+	list := largeEndpointList(backends)
+	removed := list[backends/2]
+	removed.State = Terminated
+	load, users, changed, smallest := map[string]float64{}, map[string]float64{}, 0, 1<<30
+	for i := range largeGateways { // one by one: not all fit
+		settings := crowd(largeGateways)
+		settings.GatewayIndex = i
+		engine := newTestEngine(b, settings, list...)
+		own, left := sharesOfTraffic([]*Engine{engine}, 3)
+		smallest = min(smallest, left)
+		for name, share := range own {
+			load[name] += share
+			users[name]++
+		}
+		engine.Step(ms, []Event{EndpointUpdate{Backends: []Backend{removed}}})
+		same := len(own) == len(engine.subset.backends)
+		for _, b := range engine.subset.backends {
+			same = same && own[b.name] > 0
+		}
+		if !same {
+			changed++
+		}
+	}
+	fewest, most := 1e9, 0.0
+	for _, n := range users {
+		fewest, most = min(fewest, n), max(most, n)
+	}
+	if len(users) < backends {
+		fewest = 0
+	}
+	b.ReportMetric(busiest(load, backends), "busiest/mean")
+	b.ReportMetric(fewest, "gateways-min")
+	b.ReportMetric(most, "gateways-max")
+	b.ReportMetric(float64(changed), "changed/departure")
+	b.ReportMetric(float64(smallest), "left-without-a-zone")
+}
