--- a/internal/policy/fleet_test.go
+++ b/internal/policy/fleet_test.go
@@ -47,7 +47,7 @@
 		list := largeEndpointList(servers)
 		all := make([]*Engine, largeGateways)
 		for i := range all {
-			set := crowd(largeGateways)
+			set := manyGateways(largeGateways)
 			set.GatewayIndex = i
 			all[i] = newTestEngine(t, set, list...)
 		}
@@ -100,7 +100,7 @@
 // The subset follows from the list alone, not from how it came to be.
 func TestSubsetAfterAReplacement(t *testing.T) {
 	list := largeEndpointList(600)
-	set := crowd(100)
+	set := manyGateways(100)
 	set.GatewayIndex = 42
 	old := newTestEngine(t, set, list[:500]...)
 	now := time.Second
@@ -124,7 +124,7 @@
 // A door that loses every server and gets others works on.
 func TestListEmptiesAndFills(t *testing.T) {
 	list := largeEndpointList(40)
-	d := newTestEngine(t, crowd(100), list[:20]...)
+	d := newTestEngine(t, manyGateways(100), list[:20]...)
 	for i := range list[:20] {
 		list[i].State = Terminated
 	}
@@ -140,7 +140,7 @@
 
 // Where every server of the subset is ejected, requests go to others, in a list of any length.
 func TestOthersServeWhereNoNearOneCan(t *testing.T) {
-	d := newTestEngine(t, crowd(largeGateways), largeEndpointList(2000)...)
+	d := newTestEngine(t, manyGateways(largeGateways), largeEndpointList(2000)...)
 	for _, s := range append([]*backend(nil), d.subset.backends...) {
 		d.eject(s)
 	}
@@ -153,7 +153,7 @@
 // What is counted along the way stays what a count of all would give.
 func TestCountsAlongTheWay(t *testing.T) {
 	list := largeEndpointList(60)
-	set := crowd(30)
+	set := manyGateways(30)
 	d := newTestEngine(t, set, list...)
 	check := func(when string) {
 		t.Helper()
@@ -219,7 +219,7 @@
 			for b.Loop() {
 				load, meets, changed, fewest := map[string]float64{}, map[string]float64{}, 0, 1<<30
 				for i := range largeGateways { // one by one: not all fit
-					set := crowd(largeGateways)
+					set := manyGateways(largeGateways)
 					set.GatewayIndex = i
 					d := newTestEngine(b, set, list...)
 					one, left := shares([]*Engine{d}, 3)
@@ -259,7 +259,7 @@
 	for _, servers := range []int{14, 200, 1000, 3000, 11000} {
 		list := largeEndpointList(servers)
 		fresh := func() *Engine {
-			set := crowd(largeGateways)
+			set := manyGateways(largeGateways)
 			set.SharedCounter = false
 			set.GatewayIndex = 17
 			d, _ := New(set, 1)
--- /dev/null
+++ b/internal/policy/stall_test.go
@@ -0,0 +1,43 @@
+package policy
+
+import (
+	"testing"
+	"time"
+)
+
+// A gateway that stood still finds time-outs of its own making when it goes on; it ejects no backend for them.
+func TestOwnStallIsNoSilenceOfBackends(t *testing.T) {
+	e := newTestEngine(t, testSettings(), testBackends(4)...)
+	var inFlight []SendAttempt
+	now := ms
+	for i := range 40 {
+		now += 20 * ms
+		acts := e.Step(now, []Event{testRequest(uint64(i), 0, 2), Timer{0}})
+		inFlight = append(inFlight, actionsOf[SendAttempt](acts)...)
+		if len(inFlight) > 14 {
+			e.Step(now, []Event{servedResult(inFlight[0], 0, 40*ms)})
+			inFlight = inFlight[1:]
+		}
+	}
+
+	now += 2 * time.Second
+	events := []Event{servedResult(inFlight[0], 0, 40*ms), Timer{0}}
+	for _, sent := range inFlight[1:] {
+		events = append(events, servedResult(sent, 0, 40*ms))
+	}
+	if logs := actionsOf[Log](e.Step(now, events)); len(logs) != 0 {
+		t.Errorf("after a stall of this gateway: %v", logs)
+	}
+}
+
+// What came while the gateway stood still and is past use is rejected, not sent.
+func TestRequestThatWaitedOutAStallIsRejected(t *testing.T) {
+	e := newTestEngine(t, testSettings(), testBackends(4)...)
+	e.Step(ms, []Event{testRequest(1, 0, 2)})
+	old := testRequest(2, 0, 2)
+	old.TimeLeft = 2*time.Second - 490*ms
+	acts := e.Step(time.Second, []Event{old})
+	if len(actionsOf[SendAttempt](acts)) != 0 || len(actionsOf[Reject](acts)) != 1 {
+		t.Errorf("a request that has waited for 490 of its 500 ms: %v", acts)
+	}
+}
