--- a/internal/policy/endpoints_test.go
+++ b/internal/policy/endpoints_test.go
@@ -41,7 +41,7 @@
 // A gateway that loses every backend and gets others works on.
 func TestEndpointListEmptiesAndFills(t *testing.T) {
 	list := largeEndpointList(40)
-	engine := newTestEngine(t, crowd(100), list[:20]...)
+	engine := newTestEngine(t, manyGateways(100), list[:20]...)
 	for i := range list[:20] {
 		list[i].State = Terminated
 	}
@@ -87,7 +87,7 @@
 // requests of all kinds.
 func TestCountsStayWhatACountOfAllGives(t *testing.T) {
 	list := largeEndpointList(60)
-	engine := newTestEngine(t, crowd(30), list...)
+	engine := newTestEngine(t, manyGateways(30), list...)
 	now := time.Second
 	for step := range 600 {
 		now += 97 * ms
--- a/internal/policy/enginebench_test.go
+++ b/internal/policy/enginebench_test.go
@@ -25,7 +25,7 @@
 
 // benchmarkEngine is an engine of a large fleet without a counter, which has had its list.
 func benchmarkEngine(list []Backend) *Engine {
-	settings := crowd(largeGateways)
+	settings := manyGateways(largeGateways)
 	settings.SharedCounter = false
 	settings.GatewayIndex = 17
 	engine, _ := New(settings, 1)
--- a/internal/policy/helpers_test.go
+++ b/internal/policy/helpers_test.go
@@ -52,6 +52,13 @@
 	return settings
 }
 
+// manyGateways is a deployment with more gateways than a tenant's burst has units.
+func manyGateways(gateways int) Settings {
+	set := testSettings()
+	set.Gateways = gateways
+	return set
+}
+
 // newTestEngine has been told of the backends at time 0.
 func newTestEngine(t testing.TB, settings Settings, list ...Backend) *Engine {
 	t.Helper()
--- a/internal/policy/subset_test.go
+++ b/internal/policy/subset_test.go
@@ -37,7 +37,7 @@
 	t.Helper()
 	gateways := make([]*Engine, largeGateways)
 	for i := range gateways {
-		settings := crowd(largeGateways)
+		settings := manyGateways(largeGateways)
 		settings.GatewayIndex = i
 		gateways[i] = newTestEngine(t, settings, list...)
 	}
@@ -106,7 +106,7 @@
 // The subset follows from the list alone, not from how it came to be.
 func TestSubsetFollowsFromTheListAlone(t *testing.T) {
 	list := largeEndpointList(600)
-	settings := crowd(100)
+	settings := manyGateways(100)
 	settings.GatewayIndex = 42
 	old := newTestEngine(t, settings, list[:500]...)
 	now := time.Second
@@ -131,7 +131,7 @@
 
 // Where every backend of the subset is ejected, requests go to others, in a list of any length.
 func TestOthersServeWhereNoneOfTheSubsetCan(t *testing.T) {
-	engine := newTestEngine(t, crowd(largeGateways), largeEndpointList(2000)...)
+	engine := newTestEngine(t, manyGateways(largeGateways), largeEndpointList(2000)...)
 	for _, b := range append([]*backend(nil), engine.subset.backends...) {
 		engine.eject(b)
 	}
@@ -160,7 +160,7 @@
 	removed.State = Terminated
 	load, users, changed, smallest := map[string]float64{}, map[string]float64{}, 0, 1<<30
 	for i := range largeGateways { // one by one: not all fit
-		settings := crowd(largeGateways)
+		settings := manyGateways(largeGateways)
 		settings.GatewayIndex = i
 		engine := newTestEngine(b, settings, list...)
 		own, left := sharesOfTraffic([]*Engine{engine}, 3)
@@ -191,3 +191,75 @@
 	b.ReportMetric(float64(changed), "changed/departure")
 	b.ReportMetric(float64(smallest), "left-without-a-zone")
 }
+
+// backendsUsed plays 200 requests through each gateway and returns, by gateway, the backends that got them.
+func backendsUsed(gateways []*Engine, from time.Duration) (used []map[string]bool) {
+	for _, e := range gateways {
+		names := map[string]bool{}
+		for n := range 200 {
+			now := from + time.Duration(n)*200*ms
+			events := []Event{testRequest(uint64(from)+uint64(n), idempotentClass, noQuotaPlan), Timer{0}}
+			for _, sent := range sendsOf(e.Step(now, events)) {
+				names[sent.Backend] = true
+				e.Step(now+50*ms, []Event{servedResult(sent, 0, 50*ms)})
+			}
+		}
+		used = append(used, names)
+	}
+	return used
+}
+
+// gatewaysOf counts by backend the gateways that use it.
+func gatewaysOf(used []map[string]bool) map[string]int {
+	count := map[string]int{}
+	for _, names := range used {
+		for name := range names {
+			count[name]++
+		}
+	}
+	return count
+}
+
+// Each of many gateways uses a few backends, each backend serves as many gateways, and one that goes moves few of
+// them.
+func TestManyGatewaysShareOutTheBackends(t *testing.T) {
+	const gateways, backends = 80, 60
+	set := manyGateways(gateways)
+	set.SharedCounter = false
+	list := testBackends(backends)
+	all := make([]*Engine, gateways)
+	for i := range all {
+		set.GatewayIndex = i
+		all[i] = newTestEngine(t, set, list...)
+	}
+	before := backendsUsed(all, ms)
+	for name, n := range gatewaysOf(before) {
+		if n < 8 || n > 24 {
+			t.Errorf("%s serves %d of the gateways", name, n)
+		}
+	}
+
+	gone := list[7]
+	gone.State = Terminated
+	for _, e := range all {
+		e.Step(50*time.Second, []Event{EndpointUpdate{Kind: Delta, Backends: []Backend{gone}}})
+	}
+	after := backendsUsed(all, 60*time.Second)
+	if count := gatewaysOf(after); len(count) != backends-1 || count[gone.Name] != 0 {
+		t.Errorf("%d backends in use after one of %d has gone", len(count), backends)
+	}
+	moved := 0
+	for i, names := range after {
+		if len(names) > 20 {
+			t.Errorf("gateway %d uses %d backends", i, len(names))
+		}
+		for name := range names {
+			if !before[i][name] {
+				moved++
+			}
+		}
+	}
+	if moved > 3*gateways {
+		t.Errorf("%d new pairs of gateway and backend after one has gone", moved)
+	}
+}
