--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -14,7 +14,6 @@
 
 import (
 	"maps"
-	"math"
 	"slices"
 	"time"
 )
@@ -47,7 +46,7 @@
 		e.reject(r, rejection{HardLimitQueueTooLong, time.Duration(wait * float64(time.Second))})
 		return
 	}
-	r.tenant.waiting = append(r.tenant.waiting, r)
+	r.tenant.addWaiting(r)
 	e.serve(r.tenant)
 }
 
@@ -178,56 +177,6 @@
 	return (e.now-r.arrivedAt).Seconds()+e.expectedLatency(r) >= r.deadlineBudget.Seconds()*deadlineMargin
 }
 
-// concurrencyLimitReached says whether a tenant has as many requests in flight here as it may.
-func (e *Engine) concurrencyLimitReached(r *request) bool {
-	return e.settings.Plans[r.plan].MaxConcurrent > 0 && r.tenant.inFlight >= e.maxInFlight(r)
-}
-
-// countInFlight counts a request against its plan's limit until stopCountingInFlight.
-func (e *Engine) countInFlight(r *request) {
-	if e.settings.Plans[r.plan].MaxConcurrent > 0 {
-		r.quota.inFlight = true
-		r.tenant.inFlight++
-	}
-}
-
-// stopCountingInFlight lets the tenant's next request have the place of one that has ended.
-func (e *Engine) stopCountingInFlight(r *request) {
-	if r.quota.inFlight {
-		r.quota.inFlight = false
-		r.tenant.inFlight--
-		e.serve(r.tenant)
-	}
-}
-
-// othersInFlightMargin is how many requests the other gateways may have in flight beyond what their mean
-// demand says.
-const othersInFlightMargin = 0.5
-
-// maxInFlight is how many of a tenant's requests may be in flight here: this gateway's even share of the
-// limit, or where the counter tells that the other gateways have less, what their demand leaves (a departure:
-// traffic is uneven). The more it costs to be over, the more room is left to them.
-func (e *Engine) maxInFlight(r *request) int {
-	plan := &e.settings.Plans[r.plan]
-	share := float64(plan.MaxConcurrent) / r.tenant.gateways
-	if _, known := r.tenant.lease.KnownLevel(); known && e.counterResponds() {
-		elsewhere := r.tenant.lease.OthersRate() / max(r.cost, 1) * e.expectedLatency(r)
-		share = max(share, float64(plan.MaxConcurrent)-elsewhere-othersInFlightMargin-plan.OverQuotaPenalty)
-	}
-	return max(1, int(share))
-}
-
-// minRequestWeight stands for a request without weight or cost, of which there is no logarithm.
-const minRequestWeight = 1e-9
-
-// priorityBand is the band of a request by its weight, which is that of its class and plan times its cost.
-// Each band has half the weight of the one above it.
-func (e *Engine) priorityBand(r *request) int {
-	class, plan := &e.settings.Classes[r.class], &e.settings.Plans[r.plan]
-	weight := max(minRequestWeight, class.PriorityWeight*plan.WeightFactor*r.cost)
-	return min(priorityBands-1, max(0, int(math.Log2(e.weights.maxRequest/weight))))
-}
-
 // payQuota promotes a request whose cost the lease pays (stage 2 of the paper). A request that is not
 // promoted, as its plan guarantees nothing or nobody has looked whether the bucket holds its cost, goes to
 // the band of the same worth among the lower levels.
@@ -271,50 +220,3 @@
 		}
 	}
 }
-
-// end ends a request, whatever its answer: it leaves its queue, what is in flight is called off, and what it
-// holds of its tenant's quota and limits goes back.
-func (e *Engine) end(r *request) {
-	if r.ended {
-		return
-	}
-	r.ended = true
-	e.queues.remove(r)
-	e.releaseHardLimit(r)
-	e.cancelAttempts(r)
-	if e.paidInVain(r) {
-		r.tenant.lease.Refund(r.cost)
-	}
-	e.stopCountingInFlight(r)
-	e.forget(r)
-}
-
-// paidInVain says whether a request was paid for and never sent.
-func (e *Engine) paidInVain(r *request) bool {
-	return len(r.attempts) == 0 && r.quota.promoted && e.settings.Plans[r.plan].Rate > 0
-}
-
-// cancelAttempts calls off what is in flight. A response that has begun to stream goes on.
-func (e *Engine) cancelAttempts(r *request) {
-	for _, a := range r.attempts {
-		if a.inFlight && e.settings.AllowCancel && !r.streaming {
-			e.emit(CancelAttempt{r.id, a.number})
-		}
-	}
-}
-
-// requestWeights are the greatest weights that the settings allow.
-type requestWeights struct {
-	maxRequest float64 // of a request: its class's weight, its plan's factor and its cost
-	maxClass   float64 // of a class
-}
-
-func newRequestWeights(set *Settings) (w requestWeights) {
-	for _, c := range set.Classes {
-		w.maxClass = max(w.maxClass, c.PriorityWeight)
-		for _, p := range set.Plans {
-			w.maxRequest = max(w.maxRequest, c.PriorityWeight*p.WeightFactor*max(1, set.MaxRequestCost))
-		}
-	}
-	return w
-}
--- a/internal/policy/dispatch.go
+++ b/internal/policy/dispatch.go
@@ -31,27 +31,30 @@
 		return
 	}
 	b := e.choose(r)
-	switch {
-	case b == nil && !r.endedInDoubt:
+	if b == nil && !r.endedInDoubt {
 		e.queues.addUnplaced(r)
-	case b == nil:
+		return
+	}
+	if b == nil {
 		e.reject(r, rejection{reason: NoBackendForRetry})
-	case e.isOverload(r, b):
-		e.reject(r, rejection{reason: Overloaded})
-	default:
-		e.queues.push(r, b)
-		e.fill(b)
+		return
+	}
+	if reason, overload := e.overload(r, b); overload {
+		e.reject(r, rejection{reason: reason})
+		return
 	}
+	e.queues.push(r, b)
+	e.fill(b)
 }
 
-// isOverload says whether a request is better rejected than queued at a backend: now, while its client can
-// still try again in time (a departure: the paper lets it wait until it is stale; under overload every
-// answer then comes at the last moment, and each client's next try too late).
-func (e *Engine) isOverload(r *request, b *backend) bool {
+// overload says whether, and by which of two rules, a request is better rejected than queued at a backend:
+// now, while its client can still try again in time (a departure: the paper lets it wait until it is stale;
+// under overload every answer then comes at the last moment, and each client's next try too late).
+func (e *Engine) overload(r *request, b *backend) (reason RejectReason, overload bool) {
 	if b.hasFreeSlot(e.now) {
-		return e.shedByLatency(r)
+		return BackendsOverloaded, e.shedByLatency(r)
 	}
-	return len(r.attempts) == 0 && e.waitsTooLong(r, b)
+	return QueueTooLong, len(r.attempts) == 0 && e.waitsTooLong(r, b)
 }
 
 // shedByLatency decides by chance whether a request is rejected for the latency of all backends: with many
--- a/internal/policy/hardlimit.go
+++ b/internal/policy/hardlimit.go
@@ -82,12 +82,18 @@
 	return true
 }
 
-// mayBorrow says whether a request may borrow its cost out of the hard limit's common part. Of clients'
-// retries only a share may, as most are of what lacked units before.
+// mayBorrow says whether a request may borrow its cost out of the hard limit's common part: there is one, not
+// known to be spent, the request has not tried yet, and the counter answers. Of clients' retries only a share
+// may, as most are of what lacked units before.
 func (e *Engine) mayBorrow(r *request) bool {
-	return r.tenant.hardLimit.IsShared() && !r.hardLimit.borrowRequested &&
-		e.counterResponds() && e.mayCallCounter() && !r.tenant.hardLimit.CommonPartSpent(e.now) &&
-		(!r.clientRetry || e.rng.Float64() < e.counter.callShare())
+	limit := &r.tenant.hardLimit
+	if !limit.IsShared() || r.hardLimit.borrowRequested {
+		return false
+	}
+	if !e.counterResponds() || !e.mayCallCounter() || limit.CommonPartSpent(e.now) {
+		return false
+	}
+	return !r.clientRetry || e.rng.Float64() < e.counter.callShare()
 }
 
 // borrow calls the counter for a request's cost out of the common part.
--- a/internal/policy/rejection.go
+++ b/internal/policy/rejection.go
@@ -15,12 +15,12 @@
 const (
 	// UnknownClassOrPlan: the request names a class or a plan that the settings do not have (admit).
 	UnknownClassOrPlan RejectReason = iota
-	// OutOfService: the gateway is suspended; nothing is sent on (admit, suspend, send).
+	// OutOfService: the gateway is suspended; nothing is sent on (admit, suspend, attemptForbidden).
 	OutOfService
 	// DeadlineCannotBeMet: on arrival less than half of a usual answer's time is left (admit).
 	DeadlineCannotBeMet
 	// HardLimitQueueTooLong: the tenant's requests that wait for its hard limit would let this one wait for more
-	// than its part of the deadline budget (admit).
+	// than its part of the deadline budget (admit, hardLimitQueueWait).
 	HardLimitQueueTooLong
 	// OverConcurrencyLimit: the tenant's requests in flight kept this one waiting until it was too late, and its
 	// plan earns nothing beyond the quota (checkLimits, placeOverQuota).
@@ -29,25 +29,28 @@
 	// not fill in time (checkLimits, placeOverQuota, send).
 	OverHardLimit
 	// OverQuota: neither the lease nor this gateway's own share pays for the request, and its plan earns nothing
-	// beyond the quota (spend, placeOverQuota).
+	// beyond the quota (payCost, placeOverQuota).
 	OverQuota
-	// Overloaded: the backends' latency, or the queue of the chosen one, says that the answer would come too
-	// late (rejectEarly, EQ 4 of the paper seen from the back of the queue).
-	Overloaded
-	// StaleInQueue: the time in the queue and a usual answer's time together reach the deadline (pick, EQ 3 of
-	// the paper).
+	// BackendsOverloaded: latency says that the backends hold queues of their own; a part of the requests is
+	// rejected by chance, more at lower levels (overload, shedByLatency).
+	BackendsOverloaded
+	// QueueTooLong: by what waits before the request at the chosen backend, its answer would come too late
+	// (overload, waitsTooLong: EQ 4 of the paper seen from the back of the queue).
+	QueueTooLong
+	// StaleInQueue: the time in the queue and a usual answer's time together reach the deadline (pick,
+	// rejectStale: EQ 3 of the paper).
 	StaleInQueue
-	// NoBackendForRetry: the request may have run, and no backend is in use that may be sent it again (place,
-	// send).
+	// NoBackendForRetry: the request may have run, and no backend is in use that may be sent it again
+	// (dispatch, attemptForbidden).
 	NoBackendForRetry
-	// AttemptInFlight: an attempt is still in flight, so another may not start (send).
+	// AttemptInFlight: an attempt is still in flight, so another may not start (attemptForbidden).
 	AttemptInFlight
-	// AttemptsExhausted: the request has had all its attempts (retry, send).
+	// AttemptsExhausted: the request has had all its attempts (retry, attemptForbidden).
 	AttemptsExhausted
 	// NoTimeForRetry: an attempt failed, and a usual answer's time no longer fits before the deadline (retry).
 	NoTimeForRetry
 	// DeadlinePassed: the deadline came while the request waited, be it for an attempt in flight, for a quota or
-	// for a backend, of which there may be none at all (timer, send).
+	// for a backend, of which there may be none at all (deadlinePassed, attemptForbidden).
 	DeadlinePassed
 
 	rejectReasons // how many there are
@@ -70,8 +73,10 @@
 		return "over hard limit"
 	case OverQuota:
 		return "over quota"
-	case Overloaded:
-		return "overloaded"
+	case BackendsOverloaded:
+		return "backends overloaded"
+	case QueueTooLong:
+		return "queue too long"
 	case StaleInQueue:
 		return "stale in queue"
 	case NoBackendForRetry:
--- a/internal/policy/rejection_test.go
+++ b/internal/policy/rejection_test.go
@@ -69,7 +69,17 @@
 			engine := newTestEngine(t, withoutCounter(), testBackends(8)...)
 			return engine, engine.Step(ms, testRequests(1, 8, idempotentClass, hardPlan))
 		}},
-	{name: "a long queue at the only backend", reason: Overloaded,
+	{name: "backends answer far slower than when idle", reason: BackendsOverloaded,
+		play: func(t *testing.T) (*Engine, []Action) {
+			engine := newTestEngine(t, manyGateways(80), testBackends(60)...)
+			first := sendsOf(engine.Step(ms, []Event{testRequest(1, idempotentClass, noQuotaPlan)}))[0]
+			engine.Step(51*ms, []Event{servedResult(first, 0, 50*ms)})
+			for now := 100 * ms; now < 5*time.Second; now += 100 * ms {
+				engine.latencies.RecordRejection(now)
+			}
+			return engine, engine.Step(5*time.Second, testRequests(2, 20, idempotentClass, noQuotaPlan))
+		}},
+	{name: "a long queue at the only backend", reason: QueueTooLong,
 		play: func(t *testing.T) (*Engine, []Action) {
 			engine := newTestEngine(t, testSettings(), testBackends(1)...)
 			return engine, engine.Step(ms, testRequests(1, 30, idempotentClass, noQuotaPlan))
--- a/internal/policy/tenants.go
+++ b/internal/policy/tenants.go
@@ -60,8 +60,14 @@
 	return t.waiting[0]
 }
 
+// addWaiting lets a request wait behind those that wait already.
+func (t *tenant) addWaiting(r *request) { t.waiting = append(t.waiting, r) }
+
 func (t *tenant) removeFirstWaiting() { t.waiting = t.waiting[1:] }
 
+// noLongerNoted lets noteWaiting note a tenant again.
+func (t *tenant) noLongerNoted() { t.inWaiting = false }
+
 // isIdle says whether nothing is lost when the tenant is forgotten.
 func (t *tenant) isIdle(now time.Duration) bool {
 	return now-t.lastSeen > tenantIdleTime && !t.lease.AwaitsAnswer() && t.inFlight == 0
@@ -98,9 +104,6 @@
 	return taken
 }
 
-// noLongerNoted lets noteWaiting note a tenant again.
-func (t *tenant) noLongerNoted() { t.inWaiting = false }
-
 // evictIdle looks at a few tenants and forgets those that are idle.
 func (t *tenantRegistry) evictIdle(now time.Duration) {
 	for i := 0; i < evictionsPerCheck && len(t.order) > 0; i++ {
--- /dev/null
+++ b/internal/policy/tenants_test.go
@@ -0,0 +1,97 @@
+package policy
+
+import (
+	"fmt"
+	"testing"
+	"time"
+)
+
+// registryOf has tenants that were seen last at the given times.
+func registryOf(lastSeen ...time.Duration) (tenantRegistry, []*tenant) {
+	registry := newTenantRegistry()
+	var added []*tenant
+	for i, at := range lastSeen {
+		t := &tenant{key: tenantKey{fmt.Sprint("t", i), hardPlan}, lastSeen: at}
+		registry.add(t)
+		added = append(added, t)
+	}
+	return registry, added
+}
+
+func TestEvictionForgetsIdleTenantsOnly(t *testing.T) {
+	registry, added := registryOf(0, time.Second, 0, 0)
+	added[2].inFlight = 1
+	added[3].lease.BeginCall(0, 1, 1)
+	registry.evictIdle(tenantIdleTime)
+	if len(registry.byKey) != 4 {
+		t.Errorf("%d tenants are left of 4 that were seen within the idle time", len(registry.byKey))
+	}
+	registry.evictIdle(tenantIdleTime + 1)
+	if len(registry.byKey) != 3 || len(registry.order) != 3 || registry.byKey[added[0].key] != nil {
+		t.Errorf("left: %v; want all but the first, as one was seen of late, one has a request in flight and one "+
+			"awaits the counter", registry.byKey)
+	}
+}
+
+func TestEvictionLooksAtAFewTenantsEachTime(t *testing.T) {
+	registry, _ := registryOf(make([]time.Duration, 3*evictionsPerCheck)...)
+	for left := 3 * evictionsPerCheck; left > 0; left -= evictionsPerCheck {
+		if len(registry.byKey) != left {
+			t.Errorf("%d tenants are left, want %d", len(registry.byKey), left)
+		}
+		registry.evictIdle(time.Hour)
+	}
+	if len(registry.byKey) != 0 {
+		t.Errorf("%d tenants are left, want none", len(registry.byKey))
+	}
+}
+
+func TestWaitingTenantsAreNotedOnce(t *testing.T) {
+	registry, added := registryOf(0, 0)
+	registry.noteWaiting(added[0])
+	registry.noteWaiting(added[1])
+	registry.noteWaiting(added[0])
+	if taken := registry.takeWaiting(); len(taken) != 2 || taken[0] != added[0] || taken[1] != added[1] {
+		t.Errorf("taken: %v", taken)
+	}
+	registry.noteWaiting(added[0]) // it counts as noted until it is served
+	added[1].noLongerNoted()
+	registry.noteWaiting(added[1])
+	if taken := registry.takeWaiting(); len(taken) != 1 || taken[0] != added[1] {
+		t.Errorf("taken: %v", taken)
+	}
+}
+
+func TestFirstWaitingPassesOverWhatHasEnded(t *testing.T) {
+	var tenant tenant
+	if tenant.firstWaiting() != nil {
+		t.Error("somebody waits at a new tenant")
+	}
+	ended, waits := &request{ended: true}, &request{}
+	tenant.addWaiting(ended)
+	tenant.addWaiting(waits)
+	if got := tenant.firstWaiting(); got != waits {
+		t.Errorf("first: %v", got)
+	}
+	tenant.removeFirstWaiting()
+	if tenant.firstWaiting() != nil {
+		t.Error("it is still there")
+	}
+}
+
+// Calls for one number are answered in their order; calls for others don't matter.
+func TestAnswersBelongToCallsInTheirOrder(t *testing.T) {
+	calls := newCounterCalls(true)
+	first, second, other := &counterCall{}, &counterCall{}, &counterCall{}
+	calls.add(1, first)
+	calls.add(2, other)
+	calls.add(1, second)
+	for i, want := range []*counterCall{first, second, nil} {
+		if got := calls.take(1); got != want {
+			t.Errorf("answer %d: %p, want %p", i, got, want)
+		}
+	}
+	if calls.take(2) != other || len(calls.inFlight) != 0 {
+		t.Errorf("in flight: %v", calls.inFlight)
+	}
+}
