--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -1,9 +1,9 @@
-// Package subset deals the backends of a fleet out to doors: each backend has one seat in a round, and each
-// door of the round takes those of one seat. It is consistent hashing with bounded loads (V. Mirrokni, M.
-// Thorup and M. Zadimoghaddam, SODA 2018): a backend takes the first seat of its own order that has room or
-// holds a backend of lower priority, which then moves on. Who sits where follows from the backends that are
-// there alone, not from the order in which they came; so all doors that have the same list deal alike, and
-// a backend that comes or goes moves few others.
+// Package subset deals the backends of a fleet out to gateways: each backend has one seat in a round, and
+// each gateway of the round takes those of one seat. It is consistent hashing with bounded loads (V.
+// Mirrokni, M. Thorup and M. Zadimoghaddam, SODA 2018): a backend takes the first seat of its own order
+// that has room or holds a backend of lower priority, which then moves on. Who sits where follows from the
+// backends that are there alone, not from the order in which they came; so all gateways that have the same
+// list deal alike, and a backend that comes or goes moves few others.
 package subset
 
 import (
@@ -14,13 +14,13 @@
 
 // Member is a backend's place in one Round. It belongs to the Round from Add to Remove.
 type Member[T any] struct {
-	Value    T
-	priority uint64
-	start    int // its order of seats: start, start+stride, start+2*stride, ...
-	stride   int
-	try      int // the place in that order at which it sits
-	seat     int
-	seated   bool
+	Value     T
+	priority  uint64
+	firstSeat int // its order of seats is firstSeat, firstSeat+stride, firstSeat+2*stride, ..., modulo the seats
+	stride    int
+	choice    int // the place in that order of the seat that it has
+	seat      int
+	seated    bool
 }
 
 // Seated says whether the member is in a Round.
@@ -29,56 +29,57 @@
 // Round is one dealing out of the whole list. The zero value is not usable. A Round is not safe for
 // concurrent use.
 type Round[T any] struct {
-	number uint64
-	mine   int
-	slack  float64
-	moved  func(T, bool)
-	size   int          // members
-	most   int          // members that a seat may hold
-	held   [][]place[T] // by seat
-	turned [][]place[T] // by seat: who would rather sit there
+	number    uint64
+	ownSeat   int
+	slack     float64
+	moved     func(T, bool)
+	size      int          // members
+	capacity  int          // members that a seat may hold
+	occupants [][]place[T] // by seat
+	displaced [][]place[T] // by seat: who has it earlier in its order than the seat that it has
 }
 
 // place keeps the priority beside the member: looking for the lowest is most of the work.
 type place[T any] struct {
 	priority uint64
-	m        *Member[T]
+	member   *Member[T]
 }
 
 // New makes an empty round. Rounds of other numbers deal otherwise. No seat holds over 1+slack times the
-// mean, rounded up; a larger slack moves fewer members when one comes or goes, and deals less evenly. Moved
-// is called with the value of each member that comes to the seat mine (true) or leaves it (false).
-func New[T any](number uint64, seats, mine int, slack float64, moved func(T, bool)) *Round[T] {
-	return &Round[T]{number: number, mine: mine, slack: slack, moved: moved,
-		held: make([][]place[T], seats), turned: make([][]place[T], seats)}
+// mean, rounded up; a larger slack moves fewer members when one comes or goes, and deals less evenly.
+// Moved is called with the value of each member that comes to ownSeat (true) or leaves it (false), from
+// Add and Remove.
+func New[T any](number uint64, seats, ownSeat int, slack float64, moved func(T, bool)) *Round[T] {
+	return &Round[T]{number: number, ownSeat: ownSeat, slack: slack, moved: moved,
+		occupants: make([][]place[T], seats), displaced: make([][]place[T], seats)}
 }
 
 // Seats is the number of seats, from the call of New.
-func (r *Round[T]) Seats() int { return len(r.held) }
+func (r *Round[T]) Seats() int { return len(r.occupants) }
 
-// Add takes a member in, by the name that every door knows it by.
+// Add takes a member in, by the name that every gateway knows it by.
 func (r *Round[T]) Add(m *Member[T], name string) {
-	seats := uint64(len(r.held))
-	h := Mix(xxhash.Sum64String(name), r.number)
-	m.priority, m.try, m.seated = h, 0, true
-	m.start, m.stride = int(Mix(h, 1)%seats), 1
+	seats := uint64(len(r.occupants))
+	hash := Mix(xxhash.Sum64String(name), r.number)
+	m.priority, m.choice, m.seated = hash, 0, true
+	m.firstSeat, m.stride = int(Mix(hash, 1)%seats), 1
 	if seats > 2 {
-		m.stride += int(Mix(h, 2) % (seats - 1))
-		for gcd(m.stride, len(r.held)) > 1 { // else its order would not come to all seats
-			m.stride = m.stride%(len(r.held)-1) + 1
+		m.stride += int(Mix(hash, 2) % (seats - 1))
+		for gcd(m.stride, len(r.occupants)) > 1 { // else its order would not come to all seats
+			m.stride = m.stride%(len(r.occupants)-1) + 1
 		}
 	}
 	r.resize(r.size + 1)
 	r.settle(m)
 }
 
-// Remove takes a member out.
+// Remove takes a member out. One that is not in a round stays out.
 func (r *Round[T]) Remove(m *Member[T]) {
 	if !m.seated {
 		return
 	}
-	for t := range m.try {
-		r.takeBack(m, t)
+	for choice := range m.choice {
+		r.withdraw(m, choice)
 	}
 	m.seated = false
 	r.leave(m)
@@ -89,117 +90,126 @@
 // resize keeps the number of members, and makes what each seat may hold follow it.
 func (r *Round[T]) resize(size int) {
 	r.size = size
-	most := int(math.Ceil(float64(size) * (1 + r.slack) / float64(len(r.held))))
-	for r.most < most {
-		r.most++
-		for seat := range r.held {
+	capacity := int(math.Ceil(float64(size) * (1 + r.slack) / float64(len(r.occupants))))
+	for r.capacity < capacity {
+		r.capacity++
+		for seat := range r.occupants {
 			r.fill(seat)
 		}
 	}
-	for r.most > most {
-		r.most--
-		for seat := range r.held {
-			if len(r.held[seat]) > r.most {
-				m := r.held[seat][lowest(r.held[seat])].m
-				r.leave(m)
-				r.turnAway(m, seat)
-				r.settle(m)
+	for r.capacity > capacity {
+		r.capacity--
+		for seat := range r.occupants {
+			if len(r.occupants[seat]) > r.capacity {
+				weakest := r.occupants[seat][lowestPriority(r.occupants[seat])].member
+				r.leave(weakest)
+				r.displace(weakest, seat)
+				r.settle(weakest)
 			}
 		}
 	}
 }
 
-// settle finds a seat for a member that has none, from its try on, and for whom it sends on.
+// settle finds a seat for a member that has none, from its present choice on, and for whom it displaces.
 func (r *Round[T]) settle(m *Member[T]) {
 	for {
-		seat := r.seatAt(m, m.try)
-		if len(r.held[seat]) < r.most {
+		seat := r.seatAt(m, m.choice)
+		if len(r.occupants[seat]) < r.capacity {
 			r.join(m, seat)
 			return
 		}
-		if i := lowest(r.held[seat]); r.held[seat][i].priority < m.priority {
-			weaker := r.held[seat][i].m
+		if i := lowestPriority(r.occupants[seat]); r.occupants[seat][i].priority < m.priority {
+			weaker := r.occupants[seat][i].member
 			r.leave(weaker)
 			r.join(m, seat)
 			m = weaker
 		}
-		r.turnAway(m, seat)
+		r.displace(m, seat)
 	}
 }
 
-// turnAway notes that a seat has no room for a member, which goes on to the next of its order.
-func (r *Round[T]) turnAway(m *Member[T], seat int) {
-	r.turned[seat] = append(r.turned[seat], place[T]{m.priority, m})
-	m.try++
+// displace notes that a seat has no room for a member, which goes on to the next of its order.
+func (r *Round[T]) displace(m *Member[T], seat int) {
+	r.displaced[seat] = append(r.displaced[seat], place[T]{m.priority, m})
+	m.choice++
 }
 
-// fill gives room on a seat to the first of those that would rather sit there; so there is room where that
-// one sat.
+// fill gives room on a seat to the first of those that it displaced; so there is room where that one sat,
+// and so on.
 func (r *Round[T]) fill(seat int) {
-	for len(r.held[seat]) < r.most && len(r.turned[seat]) > 0 {
-		best := 0
-		for i, p := range r.turned[seat] {
-			if p.priority > r.turned[seat][best].priority {
-				best = i
-			}
-		}
-		m := r.turned[seat][best].m
+	for len(r.occupants[seat]) < r.capacity && len(r.displaced[seat]) > 0 {
+		m := r.displaced[seat][highestPriority(r.displaced[seat])].member
 		r.leave(m)
-		for r.seatAt(m, m.try-1) != seat {
-			m.try--
-			r.takeBack(m, m.try)
+		for r.seatAt(m, m.choice-1) != seat {
+			m.choice--
+			r.withdraw(m, m.choice)
 		}
-		m.try--
-		r.takeBack(m, m.try)
+		m.choice--
+		r.withdraw(m, m.choice)
 		left := m.seat
 		r.join(m, seat)
 		seat = left
 	}
 }
 
-func (r *Round[T]) seatAt(m *Member[T], try int) int { return (m.start + try*m.stride) % len(r.held) }
+// seatAt is the seat at a place of a member's order.
+func (r *Round[T]) seatAt(m *Member[T], choice int) int {
+	return (m.firstSeat + choice*m.stride) % len(r.occupants)
+}
 
-// takeBack takes a member out of those that the seat of an earlier try has turned away.
-func (r *Round[T]) takeBack(m *Member[T], try int) {
-	seat := r.seatAt(m, try)
-	r.turned[seat] = without(r.turned[seat], m)
+// withdraw takes a member out of those that the seat of an earlier choice has displaced.
+func (r *Round[T]) withdraw(m *Member[T], choice int) {
+	seat := r.seatAt(m, choice)
+	r.displaced[seat] = without(r.displaced[seat], m)
 }
 
 func (r *Round[T]) join(m *Member[T], seat int) {
 	m.seat = seat
-	r.held[seat] = append(r.held[seat], place[T]{m.priority, m})
-	if seat == r.mine {
+	r.occupants[seat] = append(r.occupants[seat], place[T]{m.priority, m})
+	if seat == r.ownSeat {
 		r.moved(m.Value, true)
 	}
 }
 
 func (r *Round[T]) leave(m *Member[T]) {
-	r.held[m.seat] = without(r.held[m.seat], m)
-	if m.seat == r.mine {
+	r.occupants[m.seat] = without(r.occupants[m.seat], m)
+	if m.seat == r.ownSeat {
 		r.moved(m.Value, false)
 	}
 }
 
-func without[T any](all []place[T], m *Member[T]) []place[T] {
-	for i := range all {
-		if all[i].m == m {
-			last := len(all) - 1
-			all[i], all[last] = all[last], place[T]{}
-			return all[:last]
+// without takes a member out of places, whose order is of no meaning.
+func without[T any](places []place[T], m *Member[T]) []place[T] {
+	for i := range places {
+		if places[i].member == m {
+			last := len(places) - 1
+			places[i], places[last] = places[last], place[T]{}
+			return places[:last]
+		}
+	}
+	return places
+}
+
+// lowestPriority is the index of the lowest priority, the first of equals.
+func lowestPriority[T any](places []place[T]) int {
+	lowest := 0
+	for i := range places {
+		if places[i].priority < places[lowest].priority {
+			lowest = i
 		}
 	}
-	return all
+	return lowest
 }
 
-// lowest is the index of the lowest priority.
-func lowest[T any](all []place[T]) int {
-	low := 0
-	for i := range all {
-		if all[i].priority < all[low].priority {
-			low = i
+// highestPriority is the index of the highest priority, the first of equals.
+func highestPriority[T any](places []place[T]) int {
+	highest := 0
+	for i := range places {
+		if places[i].priority > places[highest].priority {
+			highest = i
 		}
 	}
-	return low
+	return highest
 }
 
 func gcd(a, b int) int {
@@ -211,9 +221,9 @@
 
 // Mix gives of a hash and a number another hash (the finalizer of SplitMix64, G. Steele, D. Lea and C.
 // Flood, 2014).
-func Mix(h, n uint64) uint64 {
-	h += (n + 1) * 0x9e3779b97f4a7c15
-	h = (h ^ h>>30) * 0xbf58476d1ce4e5b9
-	h = (h ^ h>>27) * 0x94d049bb133111eb
-	return h ^ h>>31
+func Mix(hash, number uint64) uint64 {
+	hash += (number + 1) * 0x9e3779b97f4a7c15
+	hash = (hash ^ hash>>30) * 0xbf58476d1ce4e5b9
+	hash = (hash ^ hash>>27) * 0x94d049bb133111eb
+	return hash ^ hash>>31
 }
