--- a/internal/policy/countercalls_test.go
+++ b/internal/policy/countercalls_test.go
@@ -21,19 +21,19 @@
 func TestShareUnderOneUnitAsksTheCounter(t *testing.T) {
 	for total, want := range map[float64]int{1: 1, 30: 0} {
 		e := newTestEngine(t, manyGateways(100), testBackends(8)...)
-		calls := actionsOf[AddToCounter](e.Step(ms, []Event{testRequest(1, 0, 0)}))
+		calls := callsOf(e.Step(ms, []Event{testRequest(1, 0, 0)}))
 		if len(calls) != 1 || calls[0].Amount != 1 {
 			t.Fatalf("calls: %v, want one of a unit", calls)
 		}
 		acts := e.Step(3*ms, []Event{CounterResult{calls[0].Name, OK, total}})
-		if n := len(actionsOf[SendAttempt](acts)); n != want {
+		if n := len(sendsOf(acts)); n != want {
 			t.Errorf("total %v: %d sent, want %d", total, n, want)
 		}
 		if want == 0 {
-			if back := actionsOf[AddToCounter](acts); len(back) != 1 || back[0].Amount != -1 {
+			if back := callsOf(acts); len(back) != 1 || back[0].Amount != -1 {
 				t.Errorf("what the bucket did not hold was not given back: %v", acts)
 			}
-			if more := actionsOf[AddToCounter](e.Step(4*ms, []Event{testRequest(2, 0, 0)})); len(more) != 0 {
+			if more := callsOf(e.Step(4*ms, []Event{testRequest(2, 0, 0)})); len(more) != 0 {
 				t.Errorf("a bucket just seen empty was asked for again: %v", more)
 			}
 		}
@@ -47,7 +47,7 @@
 	for i := range 2000 {
 		now := time.Duration(i+1) * 10 * ms
 		acts := e.Step(now, []Event{requestOf(fmt.Sprint("c", i), uint64(i)), Timer{0}})
-		for _, call := range actionsOf[AddToCounter](acts) {
+		for _, call := range callsOf(acts) {
 			if i > 1000 {
 				late++
 			}
@@ -63,10 +63,10 @@
 func TestOverflowIsAddedToTheCounter(t *testing.T) {
 	e := newTestEngine(t, manyGateways(100), testBackends(8)...)
 	now := 20 * time.Second
-	calls := actionsOf[AddToCounter](e.Step(now, []Event{testRequest(1, 0, 0)}))
+	calls := callsOf(e.Step(now, []Event{testRequest(1, 0, 0)}))
 	acts := e.Step(now+2*ms, []Event{CounterResult{calls[0].Name, OK, 1}})
-	fixes := actionsOf[AddToCounter](acts)
-	if len(fixes) != 1 || fixes[0].Amount < 30 || len(actionsOf[SendAttempt](acts)) != 1 {
+	fixes := callsOf(acts)
+	if len(fixes) != 1 || fixes[0].Amount < 30 || len(sendsOf(acts)) != 1 {
 		t.Errorf("20 s of overflow at 2 a second: %v", acts)
 	}
 }
@@ -74,9 +74,9 @@
 // What the bucket holds under a request's cost stays there: at many gateways such parts would add up.
 func TestNoPartOfARequestsCostIsLeased(t *testing.T) {
 	e := newTestEngine(t, manyGateways(100), testBackends(8)...)
-	call := actionsOf[AddToCounter](e.Step(ms, []Event{testRequest(1, 0, 0)}))[0]
+	call := callsOf(e.Step(ms, []Event{testRequest(1, 0, 0)}))[0]
 	left := CounterResult{call.Name, OK, 8.4} // of a burst of 8, 0.6 was left
-	back := actionsOf[AddToCounter](e.Step(3*ms, []Event{left}))
+	back := callsOf(e.Step(3*ms, []Event{left}))
 	if len(back) != 1 || back[0].Amount != -1 {
 		t.Errorf("given back: %v, want the whole unit", back)
 	}
@@ -127,7 +127,7 @@
 	e := newTestEngine(t, set, testBackends(30)...)
 	for i := range 8 { // a few calls fail, so not all requests call from then on
 		now := time.Duration(i+1) * ms
-		for _, call := range actionsOf[AddToCounter](e.Step(now, []Event{requestOf(fmt.Sprint("c", i), uint64(i))})) {
+		for _, call := range callsOf(e.Step(now, []Event{requestOf(fmt.Sprint("c", i), uint64(i))})) {
 			e.Step(now, []Event{CounterResult{Name: call.Name, Status: Rejected}})
 		}
 	}
@@ -135,7 +135,7 @@
 	for i := range 25 {
 		now := time.Second + time.Duration(i)*ms
 		r := requestOf(fmt.Sprint("d", i), uint64(100+i))
-		calls += len(actionsOf[AddToCounter](e.Step(now, []Event{r})))
+		calls += len(callsOf(e.Step(now, []Event{r})))
 	}
 	if calls == 0 || calls > 15 {
 		t.Errorf("%d calls for 25 requests at a counter that bears a part of them", calls)
--- a/internal/policy/overload_test.go
+++ b/internal/policy/overload_test.go
@@ -13,7 +13,7 @@
 	sentCount, attempts := 0, map[uint64]int{}
 	for i := range requests {
 		now := time.Duration(i+1) * 200 * ms
-		todo := actionsOf[SendAttempt](e.Step(now, []Event{testRequest(uint64(i), 0, 2), Timer{0}}))
+		todo := sendsOf(e.Step(now, []Event{testRequest(uint64(i), 0, 2), Timer{0}}))
 		for len(todo) > 0 { // ends: a request has three attempts at most
 			sent := todo[0]
 			result := AttemptResult{ID: sent.ID, Attempt: attempts[sent.ID], Backend: sent.Backend,
@@ -24,7 +24,7 @@
 				sentCount++
 			}
 			attempts[sent.ID]++
-			todo = append(todo[1:], actionsOf[SendAttempt](e.Step(now+ms, []Event{result}))...)
+			todo = append(todo[1:], sendsOf(e.Step(now+ms, []Event{result}))...)
 		}
 	}
 	if sentCount == 0 || sentCount > 300 {
@@ -52,8 +52,8 @@
 			continue
 		}
 		acts := e.Step(now, events)
-		rejected += len(actionsOf[Reject](acts))
-		for _, sent := range actionsOf[SendAttempt](acts) {
+		rejected += len(rejectsOf(acts))
+		for _, sent := range sendsOf(acts) {
 			took := max(ms, time.Duration(rng.ExpFloat64()*60)*ms)
 			result := servedResult(sent, attempts[sent.ID], took)
 			if rejects(sent.Backend) {
--- a/internal/policy/simulatedfleet_test.go
+++ b/internal/policy/simulatedfleet_test.go
@@ -106,7 +106,7 @@
 func (f *simulatedFleet) take(gateway int, ev Event) {
 	now := f.now()
 	e := f.gateways[gateway]
-	for _, sent := range actionsOf[SendAttempt](e.Step(now, []Event{ev})) {
+	for _, sent := range sendsOf(e.Step(now, []Event{ev})) {
 		index, _ := strconv.Atoi(sent.Backend[1:])
 		result := f.work(&f.machines[index], now, sent)
 		result.Attempt = len(e.requests[sent.ID].attempts) - 1
--- a/internal/policy/slowstart_test.go
+++ b/internal/policy/slowstart_test.go
@@ -152,7 +152,7 @@
 		for i, e := range all {
 			id := uint64(tick*gateways + i)
 			events := append(updates(now), testRequest(id, 0, 2), Timer{0})
-			for _, sent := range actionsOf[SendAttempt](e.Step(now, events)) {
+			for _, sent := range sendsOf(e.Step(now, events)) {
 				if sent.Backend == list[warm].Name && now < start+set.SlowStartDuration {
 					toCold = append(toCold, now)
 				} else if now < start {
--- a/internal/policy/stall_test.go
+++ b/internal/policy/stall_test.go
@@ -13,7 +13,7 @@
 	for i := range 40 {
 		now += 20 * ms
 		acts := e.Step(now, []Event{testRequest(uint64(i), 0, 2), Timer{0}})
-		inFlight = append(inFlight, actionsOf[SendAttempt](acts)...)
+		inFlight = append(inFlight, sendsOf(acts)...)
 		if len(inFlight) > 14 {
 			e.Step(now, []Event{servedResult(inFlight[0], 0, 40*ms)})
 			inFlight = inFlight[1:]
@@ -37,7 +37,7 @@
 	old := testRequest(2, 0, 2)
 	old.TimeLeft = 2*time.Second - 490*ms
 	acts := e.Step(time.Second, []Event{old})
-	if len(actionsOf[SendAttempt](acts)) != 0 || len(actionsOf[Reject](acts)) != 1 {
+	if len(sendsOf(acts)) != 0 || len(rejectsOf(acts)) != 1 {
 		t.Errorf("a request that has waited for 490 of its 500 ms: %v", acts)
 	}
 }
