--- a/internal/policy/lease/lease.go
+++ b/internal/policy/lease/lease.go
@@ -72,7 +72,7 @@
 	fallbackAt time.Duration // when they were filled last
 	unreported float64       // paid without a lease and not added to the counter yet; below 0: to be given back
 
-	awaitingAnswer bool          // a call for a block is out
+	awaitingAnswer bool          // a call for a block is in flight
 	levelKnown     bool          // an answer has come
 	level          float64       // of the bucket, by the last answer; full before the first
 	levelAt        time.Duration // when it was so
@@ -92,7 +92,7 @@
 // NoteDemand notes a request of a cost, whatever comes of it.
 func (l *Lease) NoteDemand(now time.Duration, cost float64) { l.demand.Add(now, cost) }
 
-// AwaitsAnswer says whether a call for a block is out.
+// AwaitsAnswer says whether a call for a block is in flight.
 func (l *Lease) AwaitsAnswer() bool { return l.awaitingAnswer }
 
 // KnownLevel is the bucket's level as of the last answer; before the first it is not known and counts as
@@ -140,8 +140,8 @@
 	return true
 }
 
-// TakeOnCredit lets a cost go on fallback tokens that are not there. It is not reported: the call whose turn
-// it was not to make stands for it.
+// TakeOnCredit lets a cost go on fallback tokens that are not there. It is not reported: the calls of other
+// requests stand for it, which add for those that may not call (see BeginCall).
 func (l *Lease) TakeOnCredit(cost float64) { l.fallback -= cost }
 
 // HasCredit says whether a cost may go on credit: while fallback tokens are left, and beyond that as long as
@@ -231,17 +231,9 @@
 func (l *Lease) Settle(now time.Duration, call Call, total float64, sinceWindow time.Duration,
 	callShare float64) Settlement {
 	l.awaitingAnswer = false
-	held := l.bucket.Burst + l.bucket.Rate*sinceWindow.Seconds() - total + call.Amount
-	possible := l.bucket.Burst
-	if l.levelKnown {
-		possible = l.expectedLevel(now)
-		l.observeOthers(now, possible, held)
-	}
 	var s Settlement
-	if held > possible+l.bucket.Burst*overflowSlack/callShare {
-		s.Overflow = held - possible
-		held = possible
-	}
+	held := l.bucket.Burst + l.bucket.Rate*sinceWindow.Seconds() - total + call.Amount // before this call
+	held, s.Overflow = l.withoutOverflow(now, held, callShare)
 	granted := min(call.Block, held-call.Unreported)
 	s.Found = granted >= call.Cost
 	if !s.Found {
@@ -261,6 +253,20 @@
 	return s
 }
 
+// withoutOverflow bounds a level by what the bucket can hold now, and returns what is beyond it if that is
+// worth a correction. It learns from the level what the other gateways take.
+func (l *Lease) withoutOverflow(now time.Duration, held, callShare float64) (level, overflow float64) {
+	possible := l.bucket.Burst
+	if l.levelKnown {
+		possible = l.expectedLevel(now)
+		l.observeOthers(now, possible, held)
+	}
+	if held > possible+l.bucket.Burst*overflowSlack/callShare {
+		return possible, held - possible
+	}
+	return held, 0
+}
+
 // observeOthers learns from the bucket's level how many tokens the other gateways took since the last answer.
 func (l *Lease) observeOthers(now time.Duration, expected, held float64) {
 	span := now - l.levelAt
--- a/internal/policy/rejection.go
+++ b/internal/policy/rejection.go
@@ -15,7 +15,7 @@
 const (
 	// UnknownClassOrPlan: the request names a class or a plan that the settings do not have (admit).
 	UnknownClassOrPlan RejectReason = iota
-	// OutOfService: the gateway is suspended; nothing is sent on (admit, suspend, attemptForbidden).
+	// OutOfService: the gateway is suspended; no request is forwarded (admit, suspend, attemptForbidden).
 	OutOfService
 	// DeadlineCannotBeMet: on arrival less than half of a usual answer's time is left (admit).
 	DeadlineCannotBeMet
--- a/internal/policy/tenants.go
+++ b/internal/policy/tenants.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// tenantIdleTime is how long a tenant is kept without a request. Quotas of a tenant that comes back later
-	// are full again, as for one that was never seen.
+	// tenantIdleTime is how long a tenant is kept without a request. One that comes back later is as one that
+	// was never seen: what its lease held has expired by then, and the counter knows what it took.
 	tenantIdleTime = 60 * time.Second
 	// evictionsPerCheck is how many tenants one periodic check looks at, so that its cost does not grow with
 	// their number.
