--- a/internal/policy/engine.go
+++ b/internal/policy/engine.go
@@ -5,148 +5,142 @@
 	"math/rand/v2"
 	"time"
 
-	"bellwood/internal/subset"
+	"bellwood/internal/policy/latency"
+	"bellwood/internal/policy/throughput"
 )
 
-// Engine decides for one gateway.
+// Engine decides for one gateway. It is the order in which its parts act; the state is theirs.
 type Engine struct {
-	settings         Settings
-	floor            []float64 // latency of each class on an idle fleet
-	rng              *rand.Rand
-	now, startedAt   time.Duration
-	previousStep     time.Duration   // the Step before
-	maxTimeLeft      []time.Duration // by class, the most time that a client gave
-	running          bool
-	suspended        bool
-	actions          []Action
-	rejections       rejectionCounts
-	backends         map[string]*backend
-	ring             []*backend
-	subset           []*backend // those that this door uses while it can
-	watched          []*backend // those with attempts out or ejected: the check looks at these
-	backlogged       []*backend // those with something queued, and maybe others
-	leaving          []*backend // no longer in service, still to be forgotten
-	relisted         []*backend // come or gone since the subset was assigned last
-	slowStarting     []*backend // those that were cold, the oldest first
-	extra            []*backend // in the subset by fillSubset
-	round            *subset.Round[*backend]
-	inService        int
-	warm             int     // usable and not cold ...
-	warmWeight       float64 // ... and their weights
-	lists            uint64  // lists and changes taken
-	roundRobin       int
-	doorsPerServer   float64 // doors that have one server in their subsets
-	queued           int     // requests in all queues
-	requests         map[uint64]*request
-	tenants          map[holder]*tenant
-	order            []*tenant
-	sweep            int
-	waiters          []*tenant
-	unplaced         []*request
-	pendingCalls     map[uint64][]*call // counter calls out, by name in their order
-	callShare        float64            // part of the requests without tokens that call the counter
-	denied           []float64          // by plan, part of the calls that found no units for their request
-	fleet            float64            // the last answers of all servers, in their classes' means
-	fleetAt          time.Duration
-	counterAt        time.Duration
-	checkedAt        time.Duration // last check of what no event tells
-	base             []float64     // mean latency of each class, seconds
-	answers          []int
-	maxRequestWeight float64
-	maxClassWeight   float64 // of the classes'
-	mostCallSavings  float64 // by a counter call
-	rate             float64 // answers a second of a warm server
-	rateAt           time.Duration
-	weight           float64 // mean weight of the warm servers
-	listAt           time.Duration
-	listWait         time.Duration
-	listAsked        bool
+	settings Settings
+	rng      *rand.Rand // all random numbers come from here, in the order of the events
+
+	now          time.Duration // of the Step that runs
+	previousStep time.Duration // of the Step before
+	startedAt    time.Duration // of the first Step
+	checkedAt    time.Duration // of the last periodic check
+	started      bool
+	suspended    bool
+	actions      []Action // of the Step that runs
+
+	requests   map[uint64]*request
+	rejections rejectionCounts
+	weights    requestWeights
+
+	tenants       tenantRegistry
+	counter       counterCalls
+	callEstimates callEstimates
+
+	endpoints  endpointRegistry
+	polling    endpointPolling
+	subset     backendSubset
+	latencies  *latency.Estimator
+	throughput throughput.Meter
+	slowStarts slowStarts
+	watched    watchList
+
+	queues     priorityQueues
+	roundRobin int // the turn of choose
+
+	maxTimeLeft []time.Duration // by class, the most time that a client gave
 }
 
-// New makes an engine that knows nothing yet. The seed is for its random numbers. An error names the field of
-// Settings that the engine can't work with.
+// The cookies of the engine's timers. A request's is odd.
+const (
+	checkCookie = 0 // the periodic check
+	pollCookie  = 2 // the endpoint list is asked for again
+)
+
+// deadlineCookie is the cookie of the timer for a request's deadline.
+func deadlineCookie(id uint64) uint64 { return id<<1 | 1 }
+
+// New makes an engine that knows nothing yet. The seed is for its random numbers. An error names the field
+// of Settings that the engine can't work with.
 func New(set Settings, seed uint64) (*Engine, error) {
 	if err := set.check(); err != nil {
 		return nil, err
 	}
-	e := &Engine{settings: set, rng: rand.New(rand.NewPCG(seed, 1)), backends: map[string]*backend{},
-		requests: map[uint64]*request{}, tenants: map[holder]*tenant{}, pendingCalls: map[uint64][]*call{}}
-	e.floor = make([]float64, len(set.Classes))
-	e.denied = make([]float64, len(set.Plans))
-	e.maxTimeLeft = make([]time.Duration, len(set.Classes))
-	e.base, e.answers = make([]float64, len(set.Classes)), make([]int, len(set.Classes))
-	return e, nil
+	objectives := make([]time.Duration, len(set.Classes))
+	for i, c := range set.Classes {
+		objectives[i] = cmp.Or(c.LatencyObjective, c.ClientTimeout)
+	}
+	return &Engine{
+		settings:      set,
+		rng:           rand.New(rand.NewPCG(seed, 1)),
+		requests:      map[uint64]*request{},
+		weights:       newRequestWeights(&set),
+		tenants:       newTenantRegistry(),
+		counter:       newCounterCalls(set.SharedCounter),
+		callEstimates: newCallEstimates(&set),
+		endpoints:     newEndpointRegistry(),
+		subset:        newBackendSubset(&set),
+		latencies:     latency.NewEstimator(objectives),
+		slowStarts:    newSlowStarts(&set),
+		maxTimeLeft:   make([]time.Duration, len(set.Classes)),
+	}, nil
 }
 
-// Step takes what happened at time now, in order, and returns what to do, in order. The slice is the caller's
-// until the next Step.
+// Step takes what happened at time now, in order, and returns what to do, in order. The slice is the
+// caller's until the next Step.
 func (e *Engine) Step(now time.Duration, events []Event) []Action {
 	e.actions = e.actions[:0]
 	e.previousStep, e.now = e.now, max(e.now, now)
-	if !e.running {
-		e.running, e.startedAt, e.rateAt, e.roundRobin = true, e.now, e.now, e.rng.IntN(1<<16)
-		e.prime()
+	if !e.started {
+		e.start()
 	}
 	for _, ev := range events {
-		switch ev := ev.(type) {
-		case Request:
-			e.admit(ev)
-		case AttemptResult:
-			e.attemptEnded(ev)
-		case CounterResult:
-			e.counted(ev)
-		case Timer:
-			e.timer(ev.Cookie)
-		case EndpointUpdate:
-			e.endpointsUpdated(ev)
-		case HealthCheckResult:
-			e.healthChecked(ev)
-		case ClientGone:
-			if r := e.requests[ev.ID]; r != nil {
-				e.end(r)
-			}
-		case Suspend:
-			e.suspend(ev.On)
-		case FirstByte:
-			if r := e.requests[ev.ID]; r != nil {
-				r.streaming = true
-			}
-		}
+		e.take(ev)
 	}
 	return e.actions
 }
 
-// timer takes the request's own timer, the periodic check and the list's.
-func (e *Engine) timer(cookie uint64) {
-	if cookie == 0 {
-		e.periodicCheck()
-	} else if cookie == 2 {
-		e.listAsked = false
+// start begins the work, with the first Step.
+func (e *Engine) start() {
+	e.started, e.startedAt = true, e.now
+	e.roundRobin = e.rng.IntN(1 << 16) // gateways that start together don't all begin with the same backend
+	e.throughput.Start(e.now)
+	e.emit(SetTimer{e.now + checkInterval, checkCookie})
+	if e.settings.PollEndpoints {
 		e.emit(WatchEndpoints{})
-	} else if r := e.requests[cookie>>1]; r != nil && !r.streaming {
-		e.reject(r, rejection{reason: DeadlinePassed})
 	}
 }
 
-// prime sets what a door takes for granted before it has seen anything.
-func (e *Engine) prime() {
-	e.fleet, e.doorsPerServer = 1, float64(e.settings.Gateways)
-	if e.settings.SharedCounter {
-		e.callShare = 1
-	}
-	for i, c := range e.settings.Classes {
-		e.base[i] = max(0.001, cmp.Or(c.LatencyObjective, c.ClientTimeout).Seconds()*priorShare)
-		for j, p := range e.settings.Plans {
-			e.maxClassWeight = max(e.maxClassWeight, c.PriorityWeight)
-			e.mostCallSavings = max(e.mostCallSavings, e.callSavings(i, j))
-			weight := c.PriorityWeight * p.WeightFactor * max(1, e.settings.MaxRequestCost)
-			e.maxRequestWeight = max(e.maxRequestWeight, weight)
-		}
+// take hands an event to the rule for it.
+func (e *Engine) take(ev Event) {
+	switch ev := ev.(type) {
+	case Request:
+		e.admit(ev)
+	case AttemptResult:
+		e.attemptEnded(ev)
+	case FirstByte:
+		e.firstByte(ev)
+	case ClientGone:
+		e.clientGone(ev)
+	case CounterResult:
+		e.counterAnswered(ev)
+	case Timer:
+		e.timerDue(ev)
+	case EndpointUpdate:
+		e.endpointsUpdated(ev)
+	case HealthCheckResult:
+		e.healthChecked(ev)
+	case Suspend:
+		e.suspend(ev.On)
+	case PeerMessage: // for another kind of engine
 	}
-	e.emit(SetTimer{e.now + checkInterval, 0})
-	if e.settings.PollEndpoints {
+}
+
+// timerDue takes the engine's own timers and those of the requests' deadlines.
+func (e *Engine) timerDue(ev Timer) {
+	switch ev.Cookie {
+	case checkCookie:
+		e.periodicCheck()
+	case pollCookie:
+		e.polling.retried()
 		e.emit(WatchEndpoints{})
+	default:
+		e.deadlinePassed(ev.Cookie >> 1)
 	}
 }
 
+// emit adds an action to those of the Step that runs.
 func (e *Engine) emit(a Action) { e.actions = append(e.actions, a) }
--- a/internal/policy/quota.go
+++ b/internal/policy/quota.go
@@ -1,203 +1,197 @@
 package policy
 
-// Quotas: leases of a customer's tokens from the counter, and what goes on without them.
+// Quotas on a request's way: paying its cost from the lease, calling the counter for more, and going on
+// credit where not every request can call. Package lease keeps the tokens.
 
 import (
 	"math"
-	"time"
+
+	"bellwood/internal/policy/lease"
 )
 
-// Tuned values. Where no source is named, they are ours and were compared on simulated days only.
 const (
-	leaseAhead  = 1500 * time.Millisecond // demand that one lease should cover: few calls
-	askAhead    = 300 * time.Millisecond  // demand the tokens left must cover, else the next is asked for
-	demandOver  = 2 * time.Second         // demand is averaged over this
-	leaseLife   = 3 * time.Second         // tokens not spent by then are given back with the next call
-	windowLen   = 30 * time.Second        // a counter's name serves this long ...
-	keepFor     = 50 * time.Second        // ... and is kept this long (the counter keeps nothing over 60 s)
-	mostAsks    = 32                      // counter calls out at once
-	standsFor   = 3.0                     // requests that one call stands for at most
-	callsLeast  = 0.02                    // part of the requests without tokens that call, at least
-	creditPart  = 0.5                     // part of a customer's burst that a door may let through unasked ...
-	creditAll   = 20.0                    // ... and bursts that all its doors may
-	creditPrice = 0.25                    // price for what is beyond, by worth earned, at which all are asked
-	deniedGain  = 0.1                     // weight of a call in its plan's part of those that find nothing
-	rankMost    = 5.0                     // ranks between the calls that save most and least
-	debtRank    = 0.5                     // how far back such a call stands that checks a customer in debt ...
-	retryRank   = 2.0                     // ... and a client's repeat, mostly of what lacked units
-	callTakes   = 0.5                     // part of its time-out that a call should take at most ...
-	callsGrow   = 0.2                     // ... else fewer call; growth of their part by an instant answer
-	callsCut    = 0.8                     // factor for each call failed
-	overfull    = 0.5                     // parts of a burst over its most at which a store is put right
-	emptyDoors  = 4.0                     // doors that an empty store serves in the time it gains a unit
-	emptyMost   = 8 * time.Second         // and no door waits longer than this to ask again
-	callsFew    = 0.05                    // part at which the counter is taken to be silent or swamped
-	counterTry  = 100 * time.Millisecond  // pause between calls that then test it, at least ...
-	counterEach = 5 * time.Millisecond    // ... and for each door
-	aheadLeast  = 2.0                     // requests in a lease's life from which the next lease is asked ahead
+	// creditPrice is the price of what goes on credit over its quota, against the worth that the rest earns, at
+	// which every request must call.
+	creditPrice = 0.25
+	// emptyShareGain is the weight of one call in its plan's share of calls that found the bucket empty.
+	emptyShareGain = 0.1
+	// maxSavingsRank is how many ranks lie at most between the calls that save most and least.
+	maxSavingsRank = 5.0
+	// debtRank is the factor on the rank of a request whose tenant has no fallback tokens left: it comes first.
+	debtRank = 0.5
+	// retryRank is the factor on the rank of a client's retry: most are of what lacked tokens before.
+	retryRank = 2.0
 )
 
-// spend takes units from the lease, else from this door's own share, and calls the counter for more. The
-// store itself lies on the counter: all that leaves it, spent or overflowed, is added, so one call tells its
-// level to a door that has never seen the customer. Only a part of the requests calls, as large as the
-// counter can serve; each such call stands for the others too, and these go by the door's share, into debt by
-// one request (a departure: at many doors a share is less than one). What was just seen empty is not asked
-// again until the customer's doors, taken together, would find it filled.
-func (e *Engine) spend(r *request, p *Plan) quotaDecision {
-	c := r.tenant
-	if c.tokens > 0 && e.now-c.grantAt > leaseLife && !c.asking {
-		c.owed -= c.tokens // what the store holds now may differ from what it held then
-		c.tokens = 0
+// quotaState is how a request stands with its tenant's quota.
+type quotaState struct {
+	promoted      bool // paid, or its plan needs no payment: its level is shed last
+	onCredit      bool // neither paid by the lease nor looked up on the counter
+	calledCounter bool // it has called for tokens; it does so once
+	inFlight      bool // it counts in tenant.inFlight
+}
+
+// callEstimates is what is known of the worth of calling the counter for tokens.
+type callEstimates struct {
+	emptyShare []float64 // by plan, the share of calls that found the bucket empty
+	maxSavings float64   // the most that one call can save
+}
+
+func newCallEstimates(settings *Settings) callEstimates {
+	c := callEstimates{emptyShare: make([]float64, len(settings.Plans))}
+	for class := range settings.Classes {
+		for plan := range settings.Plans {
+			c.maxSavings = max(c.maxSavings, callSavings(settings, class, plan))
+		}
 	}
-	fill := p.Rate / c.doors * (e.now - c.spareAt).Seconds()
-	if c.spare+fill > 0 { // a debt is paid off at the full rate
-		fill = max(-c.spare, fill*(1-e.callShare))
+	return c
+}
+
+// callSavings is what a call for tokens saves for a request of a class and a plan, on a scale of its own.
+func callSavings(settings *Settings, class, plan int) float64 {
+	p := &settings.Plans[plan]
+	return settings.Classes[class].PriorityWeight * p.WeightFactor * p.OverQuotaPenalty / max(1, p.Burst)
+}
+
+// rank is 1 for the calls that save most, and one more for each halving of what is saved. Where no call saves
+// anything, all have rank 1.
+func (c *callEstimates) rank(settings *Settings, class, plan int) float64 {
+	if c.maxSavings <= 0 {
+		return 1
 	}
-	c.spare, c.spareAt = min(max(c.spare, p.Burst/c.doors), c.spare+fill), e.now
-	least := 0.0
-	if e.settings.SharedCounter && e.callShare > callsFew {
-		least = min(0, r.cost-p.Burst*min(creditPart, creditAll/c.doors))
+	return 1 + min(maxSavingsRank, math.Log2(c.maxSavings/callSavings(settings, class, plan)))
+}
+
+// record learns for a plan from whether a call found the bucket to hold its cost.
+func (c *callEstimates) record(plan int, found bool) {
+	empty := 1.0
+	if found {
+		empty = 0
 	}
-	calls := e.settings.SharedCounter && !r.asked && e.now >= c.emptyUntil && e.mayCall()
+	c.emptyShare[plan] += emptyShareGain * (empty - c.emptyShare[plan])
+}
+
+// creditCost is what requests of a plan cost on average if they go on credit, for being over the quota, and
+// what they earn. The share of calls that found the bucket empty stands for the share that is over it.
+func (c *callEstimates) creditCost(settings *Settings, plan int) (cost, earned float64) {
+	p, over := &settings.Plans[plan], c.emptyShare[plan]
+	return over * p.OverQuotaPenalty, 1 - over + over*p.OverQuotaValue
+}
+
+// earnsOverQuota says whether a request's plan earns something for what is over its quota.
+func (e *Engine) earnsOverQuota(r *request) bool {
+	plan := &e.settings.Plans[r.plan]
+	return plan.OverQuotaValue > plan.OverQuotaPenalty
+}
+
+// payCost pays for a request from the lease, else from the fallback tokens, and calls the counter for more.
+// Only a share of the requests may call, as large as the counter bears; each that calls stands for the others
+// too, and these go on credit (a departure: with many gateways the fallback tokens of one are less than one
+// request's cost). A bucket that was found empty is not called for again until the tenant's gateways, taken
+// together, would find it filled.
+func (e *Engine) payCost(r *request) quotaDecision {
+	l := &r.tenant.lease
+	l.Refresh(e.now, e.counter.callShare())
 	switch {
-	case c.tokens >= r.cost:
-		c.tokens -= r.cost
-		if use := c.demand * leaseLife.Seconds(); calls && !c.asking && c.tokens < c.demand*askAhead.Seconds() &&
-			use >= aheadLeast*r.cost {
-			e.ask(c, p, r.cost)
+	case l.TakeTokens(r.cost):
+		if e.mayRequestTokens(r) && l.RunsLow(r.cost) {
+			e.requestTokens(r)
 		}
 		return withinQuota
-	case c.spare+max(0, c.tokens) >= r.cost:
-		c.spare -= r.cost - max(0, c.tokens)
-		c.owed += r.cost - max(0, c.tokens)
-		c.tokens = min(0, c.tokens)
+	case l.TakeFallback(r.cost):
 		return withinQuota
-	case c.asking:
+	case l.AwaitsAnswer():
 		return mustWait
-	case calls && e.rng.Float64() < e.callProbability(r):
-		r.asked = true
-		e.ask(c, p, r.cost)
+	case e.mayRequestTokens(r) && e.rng.Float64() < e.callChance(r):
+		r.quota.calledCounter = true
+		e.requestTokens(r)
 		return mustWait
-	case e.now >= c.emptyUntil && c.spare > least && (!r.clientRetry || !e.settings.SharedCounter) &&
-		e.onCredit(r.plan):
-		c.spare -= r.cost
-		r.unsure = true
+	case e.mayGoOnCredit(r):
+		l.TakeOnCredit(r.cost)
+		r.quota.onCredit = true
 		return withinQuota
 	}
 	return overQuota
 }
 
-// onCredit decides whether a request may go on unasked. What the calls for its plan find tells how many of
-// those are beyond their quota: the more these cost for what the others earn, the fewer go on. A counter that
-// is silent tells nothing.
-func (e *Engine) onCredit(plan int) bool {
-	if !e.settings.SharedCounter || e.callShare <= callsFew {
-		return true
-	}
-	p, over := &e.settings.Plans[plan], e.denied[plan]
-	cost, earned := over*p.OverQuotaPenalty, 1-over+over*p.OverQuotaValue
-	return cost <= 0 || e.rng.Float64()*earned*creditPrice >= cost
+// mayRequestTokens says whether a request may call the counter for tokens.
+func (e *Engine) mayRequestTokens(r *request) bool {
+	return !r.quota.calledCounter && !r.tenant.lease.SeemsEmpty(e.now) && e.mayCallCounter()
 }
 
-// callProbability is the chance that a request calls the counter. Where not all can, the calls go where they
-// save most: to requests that cost much beyond their quota, of customers whose store holds few and is thus
-// often empty.
-func (e *Engine) callProbability(r *request) float64 {
-	rank := 1.0
-	if e.mostCallSavings > 0 {
-		rank += min(rankMost, math.Log2(e.mostCallSavings/e.callSavings(r.class, r.plan)))
-	}
+// callChance is the chance that a request calls. Where not all can, the calls go where they save most: to
+// requests that cost much over their quota, of tenants whose bucket holds few and is thus often empty.
+func (e *Engine) callChance(r *request) float64 {
+	rank := e.callEstimates.rank(&e.settings, r.class, r.plan)
 	if r.clientRetry {
 		rank *= retryRank
-	} else if r.tenant.spare <= 0 {
+	} else if !r.tenant.lease.HasFallback() {
 		rank *= debtRank
 	}
-	return math.Pow(e.callShare, rank)
+	return e.counter.callChance(rank)
 }
 
-// callSavings is what a call saves, by the settings alone.
-func (e *Engine) callSavings(class, plan int) float64 {
-	p := &e.settings.Plans[plan]
-	return e.settings.Classes[class].PriorityWeight * p.WeightFactor * p.OverQuotaPenalty / max(1, p.Burst)
+// mayGoOnCredit says whether a request may go on without tokens: its tenant has credit, or at least fallback
+// tokens where the counter does not respond, and what the calls of its plan find speaks for it. A client's
+// retry must call.
+func (e *Engine) mayGoOnCredit(r *request) bool {
+	l := &r.tenant.lease
+	if l.SeemsEmpty(e.now) || r.clientRetry && e.settings.SharedCounter {
+		return false
+	}
+	hasCredit := l.HasFallback()
+	if e.counterResponds() {
+		hasCredit = l.HasCredit(r.cost)
+	}
+	return hasCredit && e.creditPays(r.plan)
 }
 
-// mayCall says that the counter can be asked: it answers, or this door's turn to test it has come.
-func (e *Engine) mayCall() bool {
-	pause := max(counterTry, time.Duration(e.settings.Gateways)*counterEach)
-	return len(e.pendingCalls) < mostAsks && (e.callShare > callsFew || e.now-e.counterAt >= pause)
+// creditPays says whether a request of a plan should go on credit: the more such requests cost against what
+// they earn, the fewer do. Calls of a counter that does not respond tell nothing of that.
+func (e *Engine) creditPays(plan int) bool {
+	if !e.counterResponds() {
+		return true
+	}
+	cost, earned := e.callEstimates.creditCost(&e.settings, plan)
+	return cost <= 0 || e.rng.Float64()*earned*creditPrice >= cost
 }
 
-// ask adds a block on the counter: the units, or what this door's demand will use.
-func (e *Engine) ask(c *tenant, p *Plan, units float64) {
-	block := max(units, math.Floor(min(c.demand*leaseAhead.Seconds(), e.level(c, p)/c.doors)))
-	c.asking, e.counterAt = true, e.now
-	e.call(c, units, block, block/max(e.callShare, 1/standsFor)+c.owed, c.owed)
-	c.owed = 0
+// requestTokens calls the counter for a block of tokens that holds the request's cost.
+func (e *Engine) requestTokens(r *request) {
+	e.counter.noteTokenCall(e.now)
+	call := r.tenant.lease.BeginCall(e.now, r.cost, e.counter.callShare())
+	e.addToQuota(r.tenant, call.Amount, call)
 }
 
-// counted settles a call. The counter's state shows in its answers alone: each in time lets a larger part of
-// the requests call, each late or failed one a smaller.
-func (e *Engine) counted(ev CounterResult) {
-	k := e.takeCall(ev.Name)
-	if k == nil {
-		return
-	}
-	if ev.Status != OK {
-		e.callShare = max(callsLeast, e.callShare*callsCut)
-	} else {
-		took := (e.now - k.at).Seconds() / e.settings.CounterTimeout.Seconds()
-		e.callShare = min(1, max(callsFew, e.callShare*(1+callsGrow*max(-1, 1-took/callTakes))))
+// tokensAnswered takes the end of a call for tokens.
+func (e *Engine) tokensAnswered(call *counterCall, ev CounterResult) {
+	switch ev.Status {
+	case OK:
+		e.takeTokens(call, ev.Total)
+	case TimedOut:
+		call.tenant.lease.AnswerLost()
+	default:
+		call.tenant.lease.CallRejected(call.forTokens)
 	}
-	if k.loan != nil {
-		e.loanAnswered(k, ev.Status == OK, ev.Total)
-	} else if k.block > 0 {
-		k.c.asking = false
-		if ev.Status == OK {
-			e.grant(k, ev.Total)
-		} else if ev.Status != TimedOut {
-			k.c.owed += k.owed
-		}
-	}
-	e.serve(k.c)
-}
-
-// grant turns a total into tokens. What the store held over its burst has overflowed, and what it seems to
-// have gained over its rate since the last look the counter has lost: both are added, if worth a call. What
-// the store did not hold is given back.
-func (e *Engine) grant(k *call, total float64) {
-	c := k.c
-	p := &e.settings.Plans[c.plan]
-	held := p.Burst + p.Rate*(e.now-time.Duration(k.window)*windowLen).Seconds() - total + k.amount
-	most := p.Burst
-	if c.known {
-		most = e.level(c, p)
-		if gap := (e.now - c.storeAt).Seconds(); gap > 0 {
-			c.others += (1 - math.Exp(-gap/demandOver.Seconds())) * (max(0, most-held)/gap - c.others)
-		}
-	}
-	if held > most+p.Burst*overfull/max(callsFew, e.callShare) { // a correction is a call too
-		e.call(c, 0, 0, held-most, 0)
-		held = most
-	}
-	got := min(k.block, held-k.owed)
-	none := 0.0
-	if got < k.units { // a part that no request can be paid with is of use to other doors only
-		got, none = 0, 1
+}
+
+// takeTokens turns the counter's total into tokens, and calls it again to correct the number where that is
+// worth a call: for what has overflowed, and for what the bucket did not hold, unless the next call comes
+// soon.
+func (e *Engine) takeTokens(call *counterCall, total float64) {
+	t := call.tenant
+	sinceWindow := e.now - windowStart(call.window)
+	settled := t.lease.Settle(e.now, call.forTokens, total, sinceWindow, e.counter.callShare())
+	if settled.Overflow > 0 {
+		e.addToQuota(t, settled.Overflow, lease.Call{})
 	}
-	e.denied[c.plan] += deniedGain * (none - e.denied[c.plan])
-	if got < k.block {
-		if e.sparseness() == 0 && c.demand*leaseLife.Seconds() >= aheadLeast*k.block { // another call comes soon
-			c.owed += got + k.owed - k.amount
-		} else {
-			e.call(c, 0, 0, got+k.owed-k.amount, 0)
-		}
-		k.amount = got + k.owed
-		pause := max(k.block-held, c.doors/emptyDoors) / p.Rate
-		c.emptyUntil = e.now + min(emptyMost, time.Duration(pause*float64(time.Second)))
+	e.callEstimates.record(t.key.plan, settled.Found)
+	if !settled.Short {
+		return
 	}
-	if !c.known {
-		c.known, c.spare = true, min(c.spare, 0)
+	if e.sparseness() == 0 && t.lease.ExpectsUse(call.forTokens.Block) {
+		t.lease.AddWithNextCall(settled.Excess)
+	} else {
+		e.addToQuota(t, settled.Excess, lease.Call{})
 	}
-	c.store, c.storeAt = max(held-k.amount, -p.Burst/2), e.now
-	c.tokens, c.grantAt = c.tokens+got, e.now
 }
