--- a/internal/policy/dispatch.go
+++ b/internal/policy/dispatch.go
@@ -106,17 +106,10 @@
 	if b.queue.length > 0 {
 		return b
 	}
-	if e.queues.length == 0 || !b.inSubset {
+	if e.queues.isEmpty() || !b.inSubset {
 		return nil
 	}
-	var longest *backend
-	length := 0
-	for _, other := range e.queues.backlogged {
-		if other.queue.length > length && !other.hasFreeSlot(e.now) {
-			longest, length = other, other.queue.length
-		}
-	}
-	return longest
+	return e.queues.longestWithoutSlot(e.now)
 }
 
 // pick chooses a request from the queue of one backend for a slot of another, mostly the same: the oldest
@@ -166,7 +159,7 @@
 func (e *Engine) fillAll() {
 	for _, backends := range [2][]*backend{e.queues.backlogged, e.subset.backends} {
 		for _, b := range backends {
-			if e.queues.length == 0 {
+			if e.queues.isEmpty() {
 				break
 			}
 			e.fill(b)
--- a/internal/policy/endpoints.go
+++ b/internal/policy/endpoints.go
@@ -89,7 +89,7 @@
 // its backends' membership.
 type endpointRegistry struct {
 	byName    map[string]*backend
-	all       []*backend
+	all       []*backend // those of byName; written by findOrAdd and remove alone
 	leaving   []*backend // out of service; some with attempts in flight
 	changed   []*backend // came into service or left it since takeChanged
 	inService int
@@ -110,6 +110,9 @@
 
 func (r *endpointRegistry) beginUpdate() { r.updates++ }
 
+// find returns the backend of a name, or nil if it is unknown.
+func (r *endpointRegistry) find(name string) *backend { return r.byName[name] }
+
 // findOrAdd returns the backend of an entry, or nil if it is unknown and not in service.
 func (r *endpointRegistry) findOrAdd(entry Backend) *backend {
 	b := r.byName[entry.Name]
--- a/internal/policy/healthcheck.go
+++ b/internal/policy/healthcheck.go
@@ -107,7 +107,7 @@
 // healthChecked takes the result of a health check. A backend that comes back from a long silence may have
 // started anew: it starts slowly.
 func (e *Engine) healthChecked(ev HealthCheckResult) {
-	b := e.endpoints.byName[ev.Backend]
+	b := e.endpoints.find(ev.Backend)
 	if b == nil || !b.detector.Ejected() {
 		return
 	}
--- a/internal/policy/module_test.go
+++ b/internal/policy/module_test.go
@@ -168,37 +168,52 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	report := func(at token.Pos, what string) {
-		faults = append(faults, fset.Position(at).String()+": "+what)
-	}
-	imported := map[string]string{} // path of the package by its name in the file
+	f := purityCheck{fset: fset, imported: map[string]string{}}
 	for _, spec := range parsed.Imports {
-		from := strings.Trim(spec.Path.Value, `"`)
-		if isForbiddenImport(from) {
-			report(spec.Pos(), "import of "+from)
-			continue
-		}
-		name := packageName(from)
-		if spec.Name != nil {
-			name = spec.Name.Name
-		}
-		if name == "." {
-			report(spec.Pos(), "import of "+from+" without a name")
-		}
-		imported[name] = from
-	}
-	ast.Inspect(parsed, func(node ast.Node) bool {
-		switch node := node.(type) {
-		case *ast.GoStmt:
-			report(node.Pos(), "go statement")
-		case *ast.SelectorExpr:
-			if pkg, ok := node.X.(*ast.Ident); ok && isForbiddenName(imported[pkg.Name], node.Sel.Name) {
-				report(node.Pos(), imported[pkg.Name]+"."+node.Sel.Name)
-			}
+		f.checkImport(spec)
+	}
+	ast.Inspect(parsed, f.checkNode)
+	return f.faults
+}
+
+// purityCheck looks through one file.
+type purityCheck struct {
+	fset     *token.FileSet
+	imported map[string]string // path of the package by its name in the file
+	faults   []string
+}
+
+func (c *purityCheck) report(at token.Pos, what string) {
+	c.faults = append(c.faults, c.fset.Position(at).String()+": "+what)
+}
+
+func (c *purityCheck) checkImport(spec *ast.ImportSpec) {
+	from := strings.Trim(spec.Path.Value, `"`)
+	if isForbiddenImport(from) {
+		c.report(spec.Pos(), "import of "+from)
+		return
+	}
+	name := packageName(from)
+	if spec.Name != nil {
+		name = spec.Name.Name
+	}
+	if name == "." {
+		c.report(spec.Pos(), "import of "+from+" without a name")
+	}
+	c.imported[name] = from
+}
+
+// checkNode looks at one node of the file, and always goes on to those below it.
+func (c *purityCheck) checkNode(node ast.Node) bool {
+	switch node := node.(type) {
+	case *ast.GoStmt:
+		c.report(node.Pos(), "go statement")
+	case *ast.SelectorExpr:
+		if pkg, ok := node.X.(*ast.Ident); ok && isForbiddenName(c.imported[pkg.Name], node.Sel.Name) {
+			c.report(node.Pos(), c.imported[pkg.Name]+"."+node.Sel.Name)
 		}
-		return true
-	})
-	return faults
+	}
+	return true
 }
 
 // packageName is the name of an imported package, by its path; a last part like "v2" is its version.
--- a/internal/policy/priorityqueue.go
+++ b/internal/policy/priorityqueue.go
@@ -2,6 +2,8 @@
 
 // The priority queues: what waits at each backend, by priority level.
 
+import "time"
+
 const (
 	// priorityBands is how many levels requests have by their weight, each for half the weight of the one
 	// above.
@@ -34,6 +36,21 @@
 // queueEntry is a place in a queue; nil when its request has left it.
 type queueEntry struct{ request *request }
 
+func (q *priorityQueues) isEmpty() bool { return q.length == 0 }
+
+// longestWithoutSlot is the backend with the longest queue of those that have no free slot; nil if there
+// is none.
+func (q *priorityQueues) longestWithoutSlot(now time.Duration) *backend {
+	var longest *backend
+	length := 0
+	for _, b := range q.backlogged {
+		if b.queue.length > length && !b.hasFreeSlot(now) {
+			longest, length = b, b.queue.length
+		}
+	}
+	return longest
+}
+
 // push queues a request at a backend: at its level's end, or, if it has waited for an attempt already, in
 // front.
 func (q *priorityQueues) push(r *request, b *backend) {
--- a/internal/policy/slowstart.go
+++ b/internal/policy/slowstart.go
@@ -26,20 +26,30 @@
 	}}
 }
 
+func (s *slowStarts) add(b *backend) { s.warming = append(s.warming, b) }
+
+// oldest is the backend that began first; nil if there is none.
+func (s *slowStarts) oldest() *backend {
+	if len(s.warming) == 0 {
+		return nil
+	}
+	return s.warming[0]
+}
+
+func (s *slowStarts) dropOldest() { s.warming = s.warming[1:] }
+
 // beginSlowStart counts a backend as warming up since a time.
 func (e *Engine) beginSlowStart(b *backend, since time.Duration) {
 	b.slowStart.Begin(since)
-	e.slowStarts.warming = append(e.slowStarts.warming, b)
+	e.slowStarts.add(b)
 	e.countWarm(b)
 }
 
 // endSlowStarts counts as warm those whose time to warm up is over, the oldest first.
 func (e *Engine) endSlowStarts() {
-	warming := e.slowStarts.warming
-	for len(warming) > 0 && e.capacityShare(warming[0]) >= 1 {
-		warming = warming[1:]
+	for b := e.slowStarts.oldest(); b != nil && e.capacityShare(b) >= 1; b = e.slowStarts.oldest() {
+		e.slowStarts.dropOldest()
 	}
-	e.slowStarts.warming = warming
 }
 
 // capacityShare is the share of its capacity that a backend has at least; 1 if it is warm.
--- a/internal/policy/subset.go
+++ b/internal/policy/subset.go
@@ -33,7 +33,7 @@
 type backendSubset struct {
 	gateways           int
 	gatewayIndex       int
-	backends           []*backend
+	backends           []*backend // written by set alone
 	extra              []*backend // those by fill
 	round              *subset.Round[*backend]
 	gatewaysPerBackend float64 // that have one backend in their subsets, as a mean; 1 at least
