--- a/internal/policy/attempt.go
+++ b/internal/policy/attempt.go
@@ -76,8 +76,8 @@
 
 // settleCost corrects what a request has paid by its true cost, where only the answer tells it.
 func (e *Engine) settleCost(r *request, result AttemptResult) {
-	told := result.Status == OK && e.settings.CostSettledOnResponse && result.Cost > 0
-	if told && r.quota.promoted {
+	costKnown := result.Status == OK && e.settings.CostSettledOnResponse && result.Cost > 0
+	if costKnown && r.quota.promoted {
 		r.tenant.lease.CorrectCost(r.cost, result.Cost)
 	}
 }
--- a/internal/policy/doc.go
+++ b/internal/policy/doc.go
@@ -42,7 +42,7 @@
 // # Which rule stands where
 //
 //	which requests go on, and at which priority     admission.go
-//	a tenant's quota over all gateways              quota.go, countercalls.go, packages lease, callshare, demand
+//	a tenant's quota over all gateways              quota.go, countercalls.go, packages lease, callshare
 //	a tenant's hard limit over all gateways         hardlimit.go, package hardlimit
 //	why a request is rejected                       rejection.go
 //	how many attempts a backend gets at once        result.go, package concurrency
--- a/internal/policy/endpoints.go
+++ b/internal/policy/endpoints.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// endpointsUpdated takes a change of the endpoint list, or the news that it could not be had.
+// endpointsUpdated takes a change of the endpoint list, or the failure of a call for it.
 func (e *Engine) endpointsUpdated(update EndpointUpdate) {
 	if update.Kind == UpdateFailed {
 		if retry, pause := e.polling.failed(e.rng); retry {
