--- a/internal/policy/slowstart.go
+++ b/internal/policy/slowstart.go
@@ -8,9 +8,6 @@
 	"bellwood/internal/policy/slowstart"
 )
 
-// evidence is how many answers a second of each backend make what is known of it current.
-const evidence = 1.0
-
 // slowStarts knows how backends warm up, and which do.
 type slowStarts struct {
 	settings slowstart.Settings
@@ -75,17 +72,3 @@
 		Gateways:   e.subset.gatewaysPerBackend,
 	}, e.rng)
 }
-
-// countWarm counts a backend anew among the warm ones: usable, and not warming up.
-func (e *Engine) countWarm(b *backend) {
-	e.throughput.Count(&b.warmMark, b.usable() && !b.slowStart.Warming(), b.weight)
-}
-
-// observedRate is the answers a second that a warm backend gives to all gateways, divided by those that
-// use it: this gateway's part of what it carries.
-func (e *Engine) observedRate() float64 {
-	return e.throughput.PerBackend(e.now) * float64(e.settings.Gateways) / e.subset.gatewaysPerBackend
-}
-
-// sparseness says from 0 to 1 how little this gateway learns of one backend by its own attempts.
-func (e *Engine) sparseness() float64 { return 1 - min(1, e.observedRate()/evidence) }
