--- a/internal/policy/countercalls_test.go
+++ b/internal/policy/countercalls_test.go
@@ -20,12 +20,12 @@
 // With a share of under one unit the counter is asked for a single request, and its level alone decides.
 func TestShareUnderOneUnitAsksTheCounter(t *testing.T) {
 	for total, want := range map[float64]int{1: 1, 30: 0} {
-		e := newTestEngine(t, manyGateways(100), testBackends(8)...)
-		calls := callsOf(e.Step(ms, []Event{testRequest(1, 0, 0)}))
+		engine := newTestEngine(t, manyGateways(100), testBackends(8)...)
+		calls := callsOf(engine.Step(ms, []Event{testRequest(1, 0, 0)}))
 		if len(calls) != 1 || calls[0].Amount != 1 {
 			t.Fatalf("calls: %v, want one of a unit", calls)
 		}
-		acts := e.Step(3*ms, []Event{CounterResult{calls[0].Name, OK, total}})
+		acts := engine.Step(3*ms, []Event{CounterResult{calls[0].Name, OK, total}})
 		if n := len(sendsOf(acts)); n != want {
 			t.Errorf("total %v: %d sent, want %d", total, n, want)
 		}
@@ -33,7 +33,7 @@
 			if back := callsOf(acts); len(back) != 1 || back[0].Amount != -1 {
 				t.Errorf("what the bucket did not hold was not given back: %v", acts)
 			}
-			if more := callsOf(e.Step(4*ms, []Event{testRequest(2, 0, 0)})); len(more) != 0 {
+			if more := callsOf(engine.Step(4*ms, []Event{testRequest(2, 0, 0)})); len(more) != 0 {
 				t.Errorf("a bucket just seen empty was asked for again: %v", more)
 			}
 		}
@@ -42,16 +42,16 @@
 
 // A counter that fails is called by fewer requests, and by each gateway rarely, however many there are.
 func TestFailingCounterIsSpared(t *testing.T) {
-	e := newTestEngine(t, manyGateways(300), testBackends(8)...)
+	engine := newTestEngine(t, manyGateways(300), testBackends(8)...)
 	late := 0
 	for i := range 2000 {
 		now := time.Duration(i+1) * 10 * ms
-		acts := e.Step(now, []Event{requestOf(fmt.Sprint("c", i), uint64(i)), Timer{0}})
+		acts := engine.Step(now, []Event{requestOf(fmt.Sprint("c", i), uint64(i)), Timer{0}})
 		for _, call := range callsOf(acts) {
 			if i > 1000 {
 				late++
 			}
-			e.Step(now+5*ms, []Event{CounterResult{Name: call.Name, Status: Rejected}})
+			engine.Step(now+5*ms, []Event{CounterResult{Name: call.Name, Status: Rejected}})
 		}
 	}
 	if late > 10 {
@@ -61,10 +61,10 @@
 
 // What the bucket seems to have gained over its burst is put right on the counter, once.
 func TestOverflowIsAddedToTheCounter(t *testing.T) {
-	e := newTestEngine(t, manyGateways(100), testBackends(8)...)
+	engine := newTestEngine(t, manyGateways(100), testBackends(8)...)
 	now := 20 * time.Second
-	calls := callsOf(e.Step(now, []Event{testRequest(1, 0, 0)}))
-	acts := e.Step(now+2*ms, []Event{CounterResult{calls[0].Name, OK, 1}})
+	calls := callsOf(engine.Step(now, []Event{testRequest(1, 0, 0)}))
+	acts := engine.Step(now+2*ms, []Event{CounterResult{calls[0].Name, OK, 1}})
 	fixes := callsOf(acts)
 	if len(fixes) != 1 || fixes[0].Amount < 30 || len(sendsOf(acts)) != 1 {
 		t.Errorf("20 s of overflow at 2 a second: %v", acts)
@@ -73,10 +73,10 @@
 
 // What the bucket holds under a request's cost stays there: at many gateways such parts would add up.
 func TestNoPartOfARequestsCostIsLeased(t *testing.T) {
-	e := newTestEngine(t, manyGateways(100), testBackends(8)...)
-	call := callsOf(e.Step(ms, []Event{testRequest(1, 0, 0)}))[0]
+	engine := newTestEngine(t, manyGateways(100), testBackends(8)...)
+	call := callsOf(engine.Step(ms, []Event{testRequest(1, 0, 0)}))[0]
 	left := CounterResult{call.Name, OK, 8.4} // of a burst of 8, 0.6 was left
-	back := callsOf(e.Step(3*ms, []Event{left}))
+	back := callsOf(engine.Step(3*ms, []Event{left}))
 	if len(back) != 1 || back[0].Amount != -1 {
 		t.Errorf("given back: %v, want the whole unit", back)
 	}
@@ -124,18 +124,18 @@
 func TestCallsThatSaveNothingHaveTheSameChance(t *testing.T) {
 	set := manyGateways(80)
 	set.Plans[0].OverQuotaPenalty, set.Plans[1].OverQuotaPenalty, set.Plans[3].OverQuotaPenalty = 0, 0, 0
-	e := newTestEngine(t, set, testBackends(30)...)
+	engine := newTestEngine(t, set, testBackends(30)...)
 	for i := range 8 { // a few calls fail, so not all requests call from then on
 		now := time.Duration(i+1) * ms
-		for _, call := range callsOf(e.Step(now, []Event{requestOf(fmt.Sprint("c", i), uint64(i))})) {
-			e.Step(now, []Event{CounterResult{Name: call.Name, Status: Rejected}})
+		for _, call := range callsOf(engine.Step(now, []Event{requestOf(fmt.Sprint("c", i), uint64(i))})) {
+			engine.Step(now, []Event{CounterResult{Name: call.Name, Status: Rejected}})
 		}
 	}
 	calls := 0
 	for i := range 25 {
 		now := time.Second + time.Duration(i)*ms
 		r := requestOf(fmt.Sprint("d", i), uint64(100+i))
-		calls += len(callsOf(e.Step(now, []Event{r})))
+		calls += len(callsOf(engine.Step(now, []Event{r})))
 	}
 	if calls == 0 || calls > 15 {
 		t.Errorf("%d calls for 25 requests at a counter that bears a part of them", calls)
@@ -143,9 +143,9 @@
 }
 
 // creditsOf1000 is how many of a thousand requests an engine lets go on credit.
-func creditsOf1000(e *Engine, plan int) (n int) {
+func creditsOf1000(engine *Engine, plan int) (n int) {
 	for range 1000 {
-		if e.creditPays(plan) {
+		if engine.creditPays(plan) {
 			n++
 		}
 	}
@@ -170,22 +170,22 @@
 		{"it costs nothing", soft, 0, 0.5, 1000},
 		{"nobody can be asked", 0, 0, callshare.MinShare, 1000},
 	} {
-		e := newTestEngine(t, set, testBackends(8)...)
+		engine := newTestEngine(t, set, testBackends(8)...)
 		for i := range 60 {
-			tenant := e.newTenant(tenantKey{fmt.Sprint(i), c.plan}, 2)
+			tenant := engine.newTenant(tenantKey{fmt.Sprint(i), c.plan}, 2)
 			call := lease.Call{Cost: 1, Block: 1, Amount: 1}
-			e.counter.add(1, &counterCall{tenant: tenant, forTokens: call})
-			e.Step(ms, []Event{CounterResult{Name: 1, Status: OK, Total: 1 + set.Plans[c.plan].Burst - c.found}})
+			engine.counter.add(1, &counterCall{tenant: tenant, forTokens: call})
+			engine.Step(ms, []Event{CounterResult{Name: 1, Status: OK, Total: 1 + set.Plans[c.plan].Burst - c.found}})
 		}
-		e.counter.share = callshare.New(c.callShare)
-		if n := creditsOf1000(e, c.plan); n != c.want {
+		engine.counter.share = callshare.New(c.callShare)
+		if n := creditsOf1000(engine, c.plan); n != c.want {
 			t.Errorf("%s: %d of 1000 went on, want %d", c.name, n, c.want)
 		}
 	}
 
-	e := newTestEngine(t, set, testBackends(8)...)
-	e.callEstimates.emptyShare[0] = 0.15
-	if n := creditsOf1000(e, 0); n < 500 || n > 800 { // 1 - 0.15 x 0.5 / (0.85 x 0.25) = 0.65
+	engine := newTestEngine(t, set, testBackends(8)...)
+	engine.callEstimates.emptyShare[0] = 0.15
+	if n := creditsOf1000(engine, 0); n < 500 || n > 800 { // 1 - 0.15 x 0.5 / (0.85 x 0.25) = 0.65
 		t.Errorf("%d of 1000 went on, of which 150 may be beyond", n)
 	}
 }
@@ -193,14 +193,14 @@
 // A request in a tenant's name that names another plan has a bucket of its own: the tenant's call that is in flight
 // is settled by the tenant's plan.
 func TestPlansOfOneTenantAreApart(t *testing.T) {
-	e := newTestEngine(t, testSettings(), testBackends(8)...)
-	call := spendFallback(t, e, ms)
-	e.Step(2*ms, []Event{testRequest(50, 0, 1)})
-	first, other := e.tenants.byKey[tenantKey{"c", 0}], e.tenants.byKey[tenantKey{"c", 1}]
+	engine := newTestEngine(t, testSettings(), testBackends(8)...)
+	call := spendFallback(t, engine, ms)
+	engine.Step(2*ms, []Event{testRequest(50, 0, 1)})
+	first, other := engine.tenants.byKey[tenantKey{"c", 0}], engine.tenants.byKey[tenantKey{"c", 1}]
 	if first == nil || other == nil || first.key.plan != 0 || other.key.plan != 1 {
 		t.Fatalf("%+v, %+v", first, other)
 	}
-	e.Step(3*ms, []Event{CounterResult{call.Name, OK, call.Amount}})
+	engine.Step(3*ms, []Event{CounterResult{call.Name, OK, call.Amount}})
 	level, known := first.lease.KnownLevel()
 	_, otherKnown := other.lease.KnownLevel()
 	if burst := testSettings().Plans[0].Burst; !known || level > burst || otherKnown {
--- a/internal/policy/hardlimitshare_test.go
+++ b/internal/policy/hardlimitshare_test.go
@@ -71,8 +71,8 @@
 	set.MaxRequestCost = 1
 	set.Plans[1] = Plan{Rate: 100, Burst: 100, WeightFactor: 1, OverQuotaPenalty: 0.5,
 		HardLimitRate: 13, HardLimitBurst: 13}
-	e := newTestEngine(t, set, testBackends(30)...)
-	acts := e.Step(2*time.Second, []Event{testRequest(1, 0, 1)})
+	engine := newTestEngine(t, set, testBackends(30)...)
+	acts := engine.Step(2*time.Second, []Event{testRequest(1, 0, 1)})
 	if len(sendsOf(acts)) != 1 || len(callsOf(acts)) != 0 {
 		t.Errorf("with a share of one unit, long filled: %v", acts)
 	}
--- a/internal/policy/overload_test.go
+++ b/internal/policy/overload_test.go
@@ -9,11 +9,11 @@
 // Backends that reject all get a trickle, retries included.
 func TestRejectingBackendsAreSpared(t *testing.T) {
 	const requests, healthy, settled = 3000, 100, 1500 // they serve at first, and are counted when this is known
-	e := newTestEngine(t, manyGateways(100), testBackends(30)...)
+	engine := newTestEngine(t, manyGateways(100), testBackends(30)...)
 	sentCount, attempts := 0, map[uint64]int{}
 	for i := range requests {
 		now := time.Duration(i+1) * 200 * ms
-		todo := sendsOf(e.Step(now, []Event{testRequest(uint64(i), 0, 2), Timer{0}}))
+		todo := sendsOf(engine.Step(now, []Event{testRequest(uint64(i), 0, 2), Timer{0}}))
 		for len(todo) > 0 { // ends: a request has three attempts at most
 			sent := todo[0]
 			result := AttemptResult{ID: sent.ID, Attempt: attempts[sent.ID], Backend: sent.Backend,
@@ -24,7 +24,7 @@
 				sentCount++
 			}
 			attempts[sent.ID]++
-			todo = append(todo[1:], sendsOf(e.Step(now+ms, []Event{result}))...)
+			todo = append(todo[1:], sendsOf(engine.Step(now+ms, []Event{result}))...)
 		}
 	}
 	if sentCount == 0 || sentCount > 300 {
@@ -36,7 +36,7 @@
 // on average, some of them rejecting all, and returns how many requests were rejected.
 func rejectionsOfIdleDay(t *testing.T, seed uint64, rejects func(backend string) bool) (rejected int) {
 	t.Helper()
-	e := newTestEngine(t, manyGateways(80), testBackends(60)...)
+	engine := newTestEngine(t, manyGateways(80), testBackends(60)...)
 	rng := rand.New(rand.NewPCG(seed, 5))
 	due, attempts := map[time.Duration][]Event{}, map[uint64]int{}
 	for now := ms; now < 20*time.Second; now += ms {
@@ -51,7 +51,7 @@
 		if len(events) == 0 {
 			continue
 		}
-		acts := e.Step(now, events)
+		acts := engine.Step(now, events)
 		rejected += len(rejectsOf(acts))
 		for _, sent := range sendsOf(acts) {
 			took := max(ms, time.Duration(rng.ExpFloat64()*60)*ms)
--- a/internal/policy/simulatedfleet_test.go
+++ b/internal/policy/simulatedfleet_test.go
@@ -67,8 +67,8 @@
 
 func (f *simulatedFleet) newGateway(index int) *Engine {
 	f.settings.GatewayIndex = index
-	e, _ := New(f.settings, f.rng.Uint64())
-	return e
+	engine, _ := New(f.settings, f.rng.Uint64())
+	return engine
 }
 
 func (f *simulatedFleet) now() time.Duration { return time.Duration(f.step) * simulationStep }
@@ -105,11 +105,11 @@
 // take hands an event to a gateway and works off what it sends.
 func (f *simulatedFleet) take(gateway int, ev Event) {
 	now := f.now()
-	e := f.gateways[gateway]
-	for _, sent := range sendsOf(e.Step(now, []Event{ev})) {
+	engine := f.gateways[gateway]
+	for _, sent := range sendsOf(engine.Step(now, []Event{ev})) {
 		index, _ := strconv.Atoi(sent.Backend[1:])
 		result := f.work(&f.machines[index], now, sent)
-		result.Attempt = len(e.requests[sent.ID].attempts) - 1
+		result.Attempt = len(engine.requests[sent.ID].attempts) - 1
 		at := (f.step + 1 + int(result.Latency/simulationStep)) % resultsAhead
 		f.due[at] = append(f.due[at], dueResult{gateway, result})
 	}
@@ -191,8 +191,8 @@
 
 // checkPeriodically has gateways check where something waits, and else now and then. Very many are slow to play.
 func (f *simulatedFleet) checkPeriodically() {
-	for i, e := range f.gateways {
-		if e.queues.length > 0 || len(e.queues.unplaced) > 0 || f.step%4 == 0 && len(f.gateways) < 100 {
+	for i, engine := range f.gateways {
+		if engine.queues.length > 0 || len(engine.queues.unplaced) > 0 || f.step%4 == 0 && len(f.gateways) < 100 {
 			f.take(i, Timer{0})
 		}
 	}
--- a/internal/policy/slowstart_test.go
+++ b/internal/policy/slowstart_test.go
@@ -149,16 +149,16 @@
 	var toCold []time.Duration // when the warming one got an attempt
 	for tick := range 220 {    // each gateway gets two requests a second
 		now := time.Duration(tick) * 500 * ms
-		for i, e := range all {
+		for i, engine := range all {
 			id := uint64(tick*gateways + i)
 			events := append(updates(now), testRequest(id, 0, 2), Timer{0})
-			for _, sent := range sendsOf(e.Step(now, events)) {
+			for _, sent := range sendsOf(engine.Step(now, events)) {
 				if sent.Backend == list[warm].Name && now < start+set.SlowStartDuration {
 					toCold = append(toCold, now)
 				} else if now < start {
 					carried++
 				}
-				e.Step(now+50*ms, []Event{servedResult(sent, 0, 50*ms)})
+				engine.Step(now+50*ms, []Event{servedResult(sent, 0, 50*ms)})
 			}
 		}
 	}
--- a/internal/policy/stall_test.go
+++ b/internal/policy/stall_test.go
@@ -7,15 +7,15 @@
 
 // A gateway that stood still finds time-outs of its own making when it goes on; it ejects no backend for them.
 func TestOwnStallIsNoSilenceOfBackends(t *testing.T) {
-	e := newTestEngine(t, testSettings(), testBackends(4)...)
+	engine := newTestEngine(t, testSettings(), testBackends(4)...)
 	var inFlight []SendAttempt
 	now := ms
 	for i := range 40 {
 		now += 20 * ms
-		acts := e.Step(now, []Event{testRequest(uint64(i), 0, 2), Timer{0}})
+		acts := engine.Step(now, []Event{testRequest(uint64(i), 0, 2), Timer{0}})
 		inFlight = append(inFlight, sendsOf(acts)...)
 		if len(inFlight) > 14 {
-			e.Step(now, []Event{servedResult(inFlight[0], 0, 40*ms)})
+			engine.Step(now, []Event{servedResult(inFlight[0], 0, 40*ms)})
 			inFlight = inFlight[1:]
 		}
 	}
@@ -25,18 +25,18 @@
 	for _, sent := range inFlight[1:] {
 		events = append(events, servedResult(sent, 0, 40*ms))
 	}
-	if logs := actionsOf[Log](e.Step(now, events)); len(logs) != 0 {
+	if logs := actionsOf[Log](engine.Step(now, events)); len(logs) != 0 {
 		t.Errorf("after a stall of this gateway: %v", logs)
 	}
 }
 
 // What came while the gateway stood still and is past use is rejected, not sent.
 func TestRequestThatWaitedOutAStallIsRejected(t *testing.T) {
-	e := newTestEngine(t, testSettings(), testBackends(4)...)
-	e.Step(ms, []Event{testRequest(1, 0, 2)})
+	engine := newTestEngine(t, testSettings(), testBackends(4)...)
+	engine.Step(ms, []Event{testRequest(1, 0, 2)})
 	old := testRequest(2, 0, 2)
 	old.TimeLeft = 2*time.Second - 490*ms
-	acts := e.Step(time.Second, []Event{old})
+	acts := engine.Step(time.Second, []Event{old})
 	if len(sendsOf(acts)) != 0 || len(rejectsOf(acts)) != 1 {
 		t.Errorf("a request that has waited for 490 of its 500 ms: %v", acts)
 	}
--- a/internal/policy/subset_test.go
+++ b/internal/policy/subset_test.go
@@ -194,14 +194,14 @@
 
 // backendsUsed plays 200 requests through each gateway and returns, by gateway, the backends that got them.
 func backendsUsed(gateways []*Engine, from time.Duration) (used []map[string]bool) {
-	for _, e := range gateways {
+	for _, engine := range gateways {
 		names := map[string]bool{}
 		for n := range 200 {
 			now := from + time.Duration(n)*200*ms
 			events := []Event{testRequest(uint64(from)+uint64(n), 0, 2), Timer{0}}
-			for _, sent := range sendsOf(e.Step(now, events)) {
+			for _, sent := range sendsOf(engine.Step(now, events)) {
 				names[sent.Backend] = true
-				e.Step(now+50*ms, []Event{servedResult(sent, 0, 50*ms)})
+				engine.Step(now+50*ms, []Event{servedResult(sent, 0, 50*ms)})
 			}
 		}
 		used = append(used, names)
@@ -241,8 +241,8 @@
 
 	gone := list[7]
 	gone.State = Terminated
-	for _, e := range all {
-		e.Step(50*time.Second, []Event{EndpointUpdate{Kind: Delta, Backends: []Backend{gone}}})
+	for _, engine := range all {
+		engine.Step(50*time.Second, []Event{EndpointUpdate{Kind: Delta, Backends: []Backend{gone}}})
 	}
 	after := backendsUsed(all, 60*time.Second)
 	if count := gatewaysOf(after); len(count) != backends-1 || count[gone.Name] != 0 {
