--- a/internal/policy/countercalls_test.go
+++ b/internal/policy/countercalls_test.go
@@ -12,7 +12,7 @@
 
 // requestOf is a request of a tenant on the plan with the hard quota.
 func requestOf(tenant string, id uint64) Request {
-	r := testRequest(id, 0, 0)
+	r := testRequest(id, idempotentClass, hardPlan)
 	r.Tenant = tenant
 	return r
 }
@@ -21,7 +21,7 @@
 func TestShareUnderOneUnitAsksTheCounter(t *testing.T) {
 	for total, want := range map[float64]int{1: 1, 30: 0} {
 		engine := newTestEngine(t, manyGateways(100), testBackends(8)...)
-		calls := callsOf(engine.Step(ms, []Event{testRequest(1, 0, 0)}))
+		calls := callsOf(engine.Step(ms, []Event{testRequest(1, idempotentClass, hardPlan)}))
 		if len(calls) != 1 || calls[0].Amount != 1 {
 			t.Fatalf("calls: %v, want one of a unit", calls)
 		}
@@ -33,7 +33,7 @@
 			if back := callsOf(acts); len(back) != 1 || back[0].Amount != -1 {
 				t.Errorf("what the bucket did not hold was not given back: %v", acts)
 			}
-			if more := callsOf(engine.Step(4*ms, []Event{testRequest(2, 0, 0)})); len(more) != 0 {
+			if more := callsOf(engine.Step(4*ms, []Event{testRequest(2, idempotentClass, hardPlan)})); len(more) != 0 {
 				t.Errorf("a bucket just seen empty was asked for again: %v", more)
 			}
 		}
@@ -63,7 +63,7 @@
 func TestOverflowIsAddedToTheCounter(t *testing.T) {
 	engine := newTestEngine(t, manyGateways(100), testBackends(8)...)
 	now := 20 * time.Second
-	calls := callsOf(engine.Step(now, []Event{testRequest(1, 0, 0)}))
+	calls := callsOf(engine.Step(now, []Event{testRequest(1, idempotentClass, hardPlan)}))
 	acts := engine.Step(now+2*ms, []Event{CounterResult{calls[0].Name, OK, 1}})
 	fixes := callsOf(acts)
 	if len(fixes) != 1 || fixes[0].Amount < 30 || len(sendsOf(acts)) != 1 {
@@ -74,7 +74,7 @@
 // What the bucket holds under a request's cost stays there: at many gateways such parts would add up.
 func TestNoPartOfARequestsCostIsLeased(t *testing.T) {
 	engine := newTestEngine(t, manyGateways(100), testBackends(8)...)
-	call := callsOf(engine.Step(ms, []Event{testRequest(1, 0, 0)}))[0]
+	call := callsOf(engine.Step(ms, []Event{testRequest(1, idempotentClass, hardPlan)}))[0]
 	left := CounterResult{call.Name, OK, 8.4} // of a burst of 8, 0.6 was left
 	back := callsOf(engine.Step(3*ms, []Event{left}))
 	if len(back) != 1 || back[0].Amount != -1 {
@@ -123,7 +123,9 @@
 // Where nothing is lost beyond a quota, no call saves more than another: each has the same chance.
 func TestCallsThatSaveNothingHaveTheSameChance(t *testing.T) {
 	set := manyGateways(80)
-	set.Plans[0].OverQuotaPenalty, set.Plans[1].OverQuotaPenalty, set.Plans[3].OverQuotaPenalty = 0, 0, 0
+	for plan := range set.Plans {
+		set.Plans[plan].OverQuotaPenalty = 0
+	}
 	engine := newTestEngine(t, set, testBackends(30)...)
 	for i := range 8 { // a few calls fail, so not all requests call from then on
 		now := time.Duration(i+1) * ms
@@ -195,7 +197,7 @@
 func TestPlansOfOneTenantAreApart(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), testBackends(8)...)
 	call := spendFallback(t, engine, ms)
-	engine.Step(2*ms, []Event{testRequest(50, 0, 1)})
+	engine.Step(2*ms, []Event{testRequest(50, idempotentClass, softPlan)})
 	first, other := engine.tenants.byKey[tenantKey{"c", 0}], engine.tenants.byKey[tenantKey{"c", 1}]
 	if first == nil || other == nil || first.key.plan != 0 || other.key.plan != 1 {
 		t.Fatalf("%+v, %+v", first, other)
@@ -203,7 +205,7 @@
 	engine.Step(3*ms, []Event{CounterResult{call.Name, OK, call.Amount}})
 	level, known := first.lease.KnownLevel()
 	_, otherKnown := other.lease.KnownLevel()
-	if burst := testSettings().Plans[0].Burst; !known || level > burst || otherKnown {
+	if burst := testSettings().Plans[hardPlan].Burst; !known || level > burst || otherKnown {
 		t.Errorf("%+v, %+v", first, other)
 	}
 	if quotaNumber(first.key, 1) == quotaNumber(other.key, 1) {
--- a/internal/policy/hardlimitshare_test.go
+++ b/internal/policy/hardlimitshare_test.go
@@ -20,7 +20,7 @@
 	const gateways, step = 13, ms
 	set.Gateways = gateways
 	g := newCountingGateways(t, set, ms, step)
-	plan := set.Plans[1]
+	plan := set.Plans[softPlan]
 	day := hardLimitDay{minLevel: plan.HardLimitBurst}
 	level, levelAt := plan.HardLimitBurst, time.Duration(0)
 	g.onSend = func(now time.Duration) {
@@ -37,7 +37,7 @@
 		for i := range g.engines {
 			events := g.takeDue(i, now)
 			if i == requested {
-				events = append(events, testRequest(uint64(now), 0, 1))
+				events = append(events, testRequest(uint64(now), idempotentClass, softPlan))
 			}
 			if now%(20*ms) == 0 {
 				events = append(events, Timer{0})
@@ -55,7 +55,8 @@
 func TestThinHardLimitIsSharedInPart(t *testing.T) {
 	set := manyGateways(13)
 	set.MaxRequestCost = 1
-	set.Plans[1] = Plan{Rate: 8, Burst: 20, WeightFactor: 1, OverQuotaValue: 1, HardLimitRate: 11, HardLimitBurst: 27}
+	set.Plans[softPlan] = Plan{Rate: 8, Burst: 20, WeightFactor: 1, OverQuotaValue: 1,
+		HardLimitRate: 11, HardLimitBurst: 27}
 	if day := playHardLimitDay(t, set, 10*ms); day.minLevel < 0 {
 		t.Errorf("at 100 requests a second, %d were sent and the hard limit's bucket fell to %.1f", day.sent, day.minLevel)
 	}
@@ -69,10 +70,10 @@
 func TestLowHardLimitIsDivided(t *testing.T) {
 	set := manyGateways(13)
 	set.MaxRequestCost = 1
-	set.Plans[1] = Plan{Rate: 100, Burst: 100, WeightFactor: 1, OverQuotaPenalty: 0.5,
+	set.Plans[softPlan] = Plan{Rate: 100, Burst: 100, WeightFactor: 1, OverQuotaPenalty: 0.5,
 		HardLimitRate: 13, HardLimitBurst: 13}
 	engine := newTestEngine(t, set, testBackends(30)...)
-	acts := engine.Step(2*time.Second, []Event{testRequest(1, 0, 1)})
+	acts := engine.Step(2*time.Second, []Event{testRequest(1, idempotentClass, softPlan)})
 	if len(sendsOf(acts)) != 1 || len(callsOf(acts)) != 0 {
 		t.Errorf("with a share of one unit, long filled: %v", acts)
 	}
--- a/internal/policy/simulatedfleet_test.go
+++ b/internal/policy/simulatedfleet_test.go
@@ -183,7 +183,7 @@
 		}
 		f.lastID++
 		f.offered++
-		r := testRequest(f.lastID, 0, 2)
+		r := testRequest(f.lastID, idempotentClass, noQuotaPlan)
 		r.TimeLeft = 5 * time.Second
 		f.take(gateway, r)
 	}
--- a/internal/policy/slowstart_test.go
+++ b/internal/policy/slowstart_test.go
@@ -151,7 +151,7 @@
 		now := time.Duration(tick) * 500 * ms
 		for i, engine := range all {
 			id := uint64(tick*gateways + i)
-			events := append(updates(now), testRequest(id, 0, 2), Timer{0})
+			events := append(updates(now), testRequest(id, idempotentClass, noQuotaPlan), Timer{0})
 			for _, sent := range sendsOf(engine.Step(now, events)) {
 				if sent.Backend == list[warm].Name && now < start+set.SlowStartDuration {
 					toCold = append(toCold, now)
--- a/internal/policy/stall_test.go
+++ b/internal/policy/stall_test.go
@@ -12,7 +12,7 @@
 	now := ms
 	for i := range 40 {
 		now += 20 * ms
-		acts := engine.Step(now, []Event{testRequest(uint64(i), 0, 2), Timer{0}})
+		acts := engine.Step(now, []Event{testRequest(uint64(i), idempotentClass, noQuotaPlan), Timer{0}})
 		inFlight = append(inFlight, sendsOf(acts)...)
 		if len(inFlight) > 14 {
 			engine.Step(now, []Event{servedResult(inFlight[0], 0, 40*ms)})
@@ -33,8 +33,8 @@
 // What came while the gateway stood still and is past use is rejected, not sent.
 func TestRequestThatWaitedOutAStallIsRejected(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), testBackends(4)...)
-	engine.Step(ms, []Event{testRequest(1, 0, 2)})
-	old := testRequest(2, 0, 2)
+	engine.Step(ms, []Event{testRequest(1, idempotentClass, noQuotaPlan)})
+	old := testRequest(2, idempotentClass, noQuotaPlan)
 	old.TimeLeft = 2*time.Second - 490*ms
 	acts := engine.Step(time.Second, []Event{old})
 	if len(sendsOf(acts)) != 0 || len(rejectsOf(acts)) != 1 {
--- a/internal/policy/subset_test.go
+++ b/internal/policy/subset_test.go
@@ -198,7 +198,7 @@
 		names := map[string]bool{}
 		for n := range 200 {
 			now := from + time.Duration(n)*200*ms
-			events := []Event{testRequest(uint64(from)+uint64(n), 0, 2), Timer{0}}
+			events := []Event{testRequest(uint64(from)+uint64(n), idempotentClass, noQuotaPlan), Timer{0}}
 			for _, sent := range sendsOf(engine.Step(now, events)) {
 				names[sent.Backend] = true
 				engine.Step(now+50*ms, []Event{servedResult(sent, 0, 50*ms)})
