--- a/internal/policy/doc.go
+++ b/internal/policy/doc.go
@@ -30,7 +30,8 @@
 //	AttemptResult
 //	  attemptEnded    attempt.go
 //	  learn           result.go      what it tells of the backend
-//	  end or retry    retry.go       a retry goes back to dispatch
+//	  retry           retry.go       a retry goes back to dispatch
+//	  end             requestend.go  what is in flight is cancelled, what it holds goes back
 //
 // A request for which no backend is known waits among the unplaced, and is dispatched again by the periodic
 // check. Whatever rejects a request calls reject (rejection.go) with a [RejectReason]; it is the one place
@@ -41,7 +42,9 @@
 //
 // # Which rule stands where
 //
-//	which requests go on, and at which priority     admission.go
+//	which requests go on                            admission.go
+//	at which priority level                         priority.go
+//	how many of a tenant's are in flight at once    maxconcurrent.go
 //	a tenant's quota over all gateways              quota.go, countercalls.go, packages lease, callshare
 //	a tenant's hard limit over all gateways         hardlimit.go, package hardlimit
 //	why a request is rejected                       rejection.go
