--- a/internal/policy/slowstart.go
+++ b/internal/policy/slowstart.go
@@ -8,9 +8,6 @@
 	"bellwood/internal/policy/slowstart"
 )
 
-// evidence is how many answers a second of each backend make what is known of it current.
-const evidence = 1.0
-
 // slowStarts knows how backends warm up, and which do.
 type slowStarts struct {
 	settings slowstart.Settings
@@ -26,20 +23,30 @@
 	}}
 }
 
+func (s *slowStarts) add(b *backend) { s.warming = append(s.warming, b) }
+
+// oldest is the backend that began first; nil if there is none.
+func (s *slowStarts) oldest() *backend {
+	if len(s.warming) == 0 {
+		return nil
+	}
+	return s.warming[0]
+}
+
+func (s *slowStarts) dropOldest() { s.warming = s.warming[1:] }
+
 // beginSlowStart counts a backend as warming up since a time.
 func (e *Engine) beginSlowStart(b *backend, since time.Duration) {
 	b.slowStart.Begin(since)
-	e.slowStarts.warming = append(e.slowStarts.warming, b)
+	e.slowStarts.add(b)
 	e.countWarm(b)
 }
 
 // endSlowStarts counts as warm those whose time to warm up is over, the oldest first.
 func (e *Engine) endSlowStarts() {
-	warming := e.slowStarts.warming
-	for len(warming) > 0 && e.capacityShare(warming[0]) >= 1 {
-		warming = warming[1:]
+	for b := e.slowStarts.oldest(); b != nil && e.capacityShare(b) >= 1; b = e.slowStarts.oldest() {
+		e.slowStarts.dropOldest()
 	}
-	e.slowStarts.warming = warming
 }
 
 // capacityShare is the share of its capacity that a backend has at least; 1 if it is warm.
@@ -65,17 +72,3 @@
 		Gateways:   e.subset.gatewaysPerBackend,
 	}, e.rng)
 }
-
-// countWarm counts a backend anew among the warm ones: usable, and not warming up.
-func (e *Engine) countWarm(b *backend) {
-	e.throughput.Count(&b.warmMark, b.usable() && !b.slowStart.Warming(), b.weight)
-}
-
-// observedRate is the answers a second that a warm backend gives to all gateways, divided by those that
-// use it: this gateway's part of what it carries.
-func (e *Engine) observedRate() float64 {
-	return e.throughput.PerBackend(e.now) * float64(e.settings.Gateways) / e.subset.gatewaysPerBackend
-}
-
-// sparseness says from 0 to 1 how little this gateway learns of one backend by its own attempts.
-func (e *Engine) sparseness() float64 { return 1 - min(1, e.observedRate()/evidence) }
