--- a/internal/gateway/audit.go
+++ b/internal/gateway/audit.go
@@ -9,6 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"bellwood/internal/audit"
+	"bellwood/internal/gateway/counter"
 	"bellwood/internal/policy"
 )
 
@@ -170,14 +171,14 @@
 
 // count makes a call for the audit.
 func (a *auditor) count(c audit.AddToCounter) {
-	a.f.counter.add(c.Name, c.Amount, c.TTL, func(status policy.Status, total float64) {
+	a.f.counter.Add(c.Name, c.Amount, c.TTL, func(result counter.Result) {
 		ended := audit.MaybeAdded
-		switch status {
+		switch result.Status {
 		case policy.OK:
 			ended = audit.Added
 		case policy.Rejected, policy.ConnectFailed:
 			ended = audit.NotAdded
 		}
-		a.tell(audit.CounterResult{Call: c.Call, Status: ended, Total: total})
+		a.tell(audit.CounterResult{Call: c.Call, Status: ended, Total: result.Total})
 	})
 }
--- a/internal/gateway/descriptorlimit_test.go
+++ b/internal/gateway/descriptorlimit_test.go
@@ -19,6 +19,7 @@
 	"testing"
 	"time"
 
+	"bellwood/internal/gateway/counter"
 	"bellwood/internal/gateway/discovery"
 )
 
@@ -417,7 +418,7 @@
 		clients := server.downstream.maxConns + server.downstream.maxConns/connsPerRejectedLinger + 1 // one more is being accepted
 		watch := 2 * int64(discovery.MaxConns)
 		const runtime, configuration = 8, 1 // standard files 3, poller 2, cgroup 2, listener
-		sum := clients + int64(server.upstream.maxConns) + watch + 2*counterConns + runtime + configuration
+		sum := clients + int64(server.upstream.maxConns) + watch + 2*counter.MaxConns + runtime + configuration
 		if sum > int64(sockets) {
 			t.Errorf("of %d descriptors %d may be taken", sockets, sum)
 		}
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -11,6 +11,7 @@
 	"sync/atomic"
 	"time"
 
+	"bellwood/internal/gateway/counter"
 	"bellwood/internal/gateway/discovery"
 	"bellwood/internal/policy"
 	"bellwood/internal/timerqueue"
@@ -45,7 +46,7 @@
 	lastID          uint64
 	downstream      *downstream
 	upstream        *upstream
-	counter         *counter
+	counter         *counter.Client
 	discovery       *discovery.Client
 	audit           *auditor    // nil: off
 	suspended       atomic.Bool // out of service, as the audit wants it
@@ -111,7 +112,7 @@
 	server.log.Info("serving", "listen", ln.Addr(), "backends", len(server.cfg.Known.Endpoints))
 	server.every(sweepEvery, func() {
 		server.upstream.closeExpiredIdle()
-		server.counter.sweep()
+		server.counter.Sweep()
 		server.discovery.Sweep()
 	})
 	server.loop(ctx, ln)
@@ -124,8 +125,8 @@
 		if discovery != server.discovery.Address() {
 			server.discovery.Follow(discovery)
 		}
-		if counter != server.counter.addr {
-			server.counter.move(counter)
+		if counter != server.counter.Address() {
+			server.counter.Move(counter)
 		}
 		server.log.Info("configuration read again", "discovery", discovery, "counter", counter)
 		server.audit.configured(discovery, counter, revision)
@@ -267,7 +268,7 @@
 	case policy.HealthCheck:
 		server.upstream.startHealthCheck(a.Backend)
 	case policy.AddToCounter:
-		server.counter.count(a)
+		server.addToCounter(a)
 	case policy.SetTimer:
 		server.timers.Add(a.At, func() { server.tell(policy.Timer{Cookie: a.Cookie}) })
 	case policy.WatchEndpoints, policy.FetchEndpoints:
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -361,7 +361,7 @@
 			called.socket.Write([]byte("ok 1\r\n"))
 		}
 	}()
-	gateway.until(func() bool { return len(gateway.server.counter.open) == 0 && len(gateway.server.events) == 0 })
+	gateway.until(func() bool { return gateway.server.counter.Unreported() == 0 && len(gateway.server.events) == 0 })
 	if !quiet(backend.socket) {
 		t.Error("it was sent on")
 	}
