--- a/internal/gateway/discovery/client_test.go
+++ b/internal/gateway/discovery/client_test.go
@@ -87,18 +87,18 @@
 	}
 }
 
-// toldAfter is when a change counts as told that discovery has, if it can be reached: the operators' term.
-const toldAfter = 6 * time.Second
+// notifiedWithin is when a change counts as told that discovery has, if it can be reached: the operators' term.
+const notifiedWithin = 6 * time.Second
 
 // By the time-outs and pauses alone, two calls of the slowest kind leave time for the third to bring the change.
 func TestCallsAndPausesAreShort(t *testing.T) {
 	const callsThatFail = 2
 	const bring = 500 * time.Millisecond // for the call that is well
-	if worst := callsThatFail*(watchSilence+maxRewatchPause) + bring; worst > toldAfter {
+	if worst := callsThatFail*(watchSilence+maxRewatchPause) + bring; worst > notifiedWithin {
 		t.Errorf("by the watch a change may come after %v", worst)
 	}
 	const pollPause = 750 * time.Millisecond // the longest that a decision module may take to ask again
-	if worst := callsThatFail*(fetchSilence+pollPause) + bring; worst > toldAfter {
+	if worst := callsThatFail*(fetchSilence+pollPause) + bring; worst > notifiedWithin {
 		t.Errorf("by calls for the list a change may come after %v", worst)
 	}
 	const sign = 2 * time.Second // between a watch's signs of life
--- a/internal/gateway/discovery/decoder.go
+++ b/internal/gateway/discovery/decoder.go
@@ -43,8 +43,8 @@
 type consumer interface {
 	// part takes entries that are not the last of their list. They are good until it returns.
 	part(entries []endpoint.Entry) error
-	// last takes the entries that remain, with the index and kind of the list, which may stand behind the entries.
-	last(list endpoint.List) error
+	// last takes the entries that remain. The list has the index and kind, which may stand behind the entries, alone.
+	last(list endpoint.List, entries []endpoint.Entry) error
 }
 
 // decoder reads endpoint lists and changes, one JSON object behind another, entry by entry: a list of 11,000 entries
@@ -72,48 +72,58 @@
 	return list, fmt.Errorf("list: %w: %w", ErrMalformed, err)
 }
 
-// object reads the fields in whatever order they come, without regard to case; further ones are passed over.
-func (d *decoder) object() (list endpoint.List, err error) {
+// listFields are the fields of a list as far as they have been read.
+type listFields struct {
+	index      *int64 // nil: not read
+	snapshot   bool
+	hasEntries bool
+	remaining  []endpoint.Entry // entries that were not handed on yet
+}
+
+// object reads one list.
+func (d *decoder) object() (endpoint.List, error) {
 	if err := d.delimiter('{'); err != nil {
-		return list, err
+		return endpoint.List{}, err
 	}
-	var index *int64
-	var remaining []endpoint.Entry
-	hasEntries := false
+	var fields listFields
 	for d.json.More() {
 		d.stream.entryBegins()
-		key, err := d.json.Token()
-		if err != nil {
-			return list, err
-		}
-		switch name, _ := key.(string); {
-		case strings.EqualFold(name, "index"):
-			err = d.json.Decode(&index)
-		case strings.EqualFold(name, "snapshot"):
-			err = d.json.Decode(&list.Snapshot)
-		case strings.EqualFold(name, "endpoints") && !hasEntries:
-			hasEntries = true
-			remaining, err = d.endpoints()
-		default:
-			err = d.json.Decode(new(json.RawMessage))
-		}
-		if err != nil {
-			return list, err
+		if err := d.field(&fields); err != nil {
+			return endpoint.List{}, err
 		}
 	}
 	if err := d.delimiter('}'); err != nil {
-		return list, err
+		return endpoint.List{}, err
 	}
 	switch {
-	case index == nil:
-		return list, errNoIndex
-	case list.Snapshot && !hasEntries:
-		return list, errNoEntries
+	case fields.index == nil:
+		return endpoint.List{}, errNoIndex
+	case fields.snapshot && !fields.hasEntries:
+		return endpoint.List{}, errNoEntries
 	}
-	list.Index = *index
 	ahead, _ := io.ReadAll(d.json.Buffered())
 	d.stream.listEnded(ahead)
-	return list, d.consumer.last(endpoint.List{Index: list.Index, Snapshot: list.Snapshot, Endpoints: remaining})
+	list := endpoint.List{Index: *fields.index, Snapshot: fields.snapshot}
+	return list, d.consumer.last(list, fields.remaining)
+}
+
+// field reads the next field, whichever comes, without regard to case. Unknown ones are passed over.
+func (d *decoder) field(fields *listFields) error {
+	key, err := d.json.Token()
+	if err != nil {
+		return err
+	}
+	switch name, _ := key.(string); {
+	case strings.EqualFold(name, "index"):
+		return d.json.Decode(&fields.index)
+	case strings.EqualFold(name, "snapshot"):
+		return d.json.Decode(&fields.snapshot)
+	case strings.EqualFold(name, "endpoints") && !fields.hasEntries:
+		fields.hasEntries = true
+		fields.remaining, err = d.endpoints()
+		return err
+	}
+	return d.json.Decode(new(json.RawMessage))
 }
 
 func (d *decoder) delimiter(want json.Delim) error {
--- a/internal/gateway/discovery/receiver.go
+++ b/internal/gateway/discovery/receiver.go
@@ -55,11 +55,11 @@
 }
 
 // last is called by the decoder. Behind the last part comes, in parts too, what a snapshot has not named.
-func (r *receiver) last(list endpoint.List) error {
+func (r *receiver) last(list endpoint.List, entries []endpoint.Entry) error {
 	for finished := false; !finished; {
 		err := r.onLoop(func() {
-			finished = r.applyLast(list)
-			list.Endpoints = nil // applied once, though the sweep takes further tasks
+			finished = r.applyLast(list, entries)
+			entries = nil // applied once, though terminating what is not named may take further tasks
 		})
 		if err != nil {
 			return err
@@ -68,10 +68,10 @@
 	return nil
 }
 
-// applyLast applies the last entries of a list and a part of the sweep, and says whether the list has been applied to
-// its end. It runs on the loop.
-func (r *receiver) applyLast(list endpoint.List) (finished bool) {
-	changes := r.client.table.apply(r.list, list.Endpoints)
+// applyLast applies the last entries of a list and a part of what it does not name, and says whether the list has been
+// applied to its end. It runs on the loop.
+func (r *receiver) applyLast(list endpoint.List, entries []endpoint.Entry) (finished bool) {
+	changes := r.client.table.apply(r.list, entries)
 	if list.Snapshot {
 		terminated, last := r.client.table.terminateUnnamed(r.list)
 		changes = append(changes, terminated...)
@@ -82,7 +82,6 @@
 	}
 	// Told even where nothing has changed: the decision module waits to hear that the list has come.
 	r.client.loop.Update(policy.EndpointUpdate{Kind: policy.Delta, Backends: changes})
-	list.Endpoints = nil
 	r.applied(list)
 	r.client.table.close(r.list)
 	r.client.reportReachable()
--- a/internal/gateway/discovery/receiver_test.go
+++ b/internal/gateway/discovery/receiver_test.go
@@ -17,7 +17,7 @@
 
 // receive has a client read what an agent says, and plays its loop. It returns the backends of each update, of which
 // one task may make only one, and how the reading ended. The lists count where wanted is nil or says so.
-func receive(t testing.TB, client *Client, loop *testLoop, text string, wanted func() bool) (told [][]policy.Backend, err error) {
+func receive(t testing.TB, client *Client, loop *testLoop, text string, wanted func() bool) (changes [][]policy.Backend, err error) {
 	t.Helper()
 	silence := startSilenceTimer(discoverytest.Patient, func() {})
 	defer silence.suspend()
@@ -43,14 +43,14 @@
 				t.Errorf("%d updates of one task", len(loop.updates))
 			}
 			for _, update := range loop.updates {
-				told = append(told, update.Backends)
+				changes = append(changes, update.Backends)
 			}
 			loop.updates = nil
 		case err := <-ended:
 			for len(loop.tasks) > 0 {
 				(<-loop.tasks)()
 			}
-			return told, err
+			return changes, err
 		case <-time.After(discoverytest.Patient):
 			t.Fatal("the list is not read to its end")
 		}
@@ -58,8 +58,8 @@
 }
 
 // sizes are the numbers of entries in each part.
-func sizes(told [][]policy.Backend) (n []int) {
-	for _, part := range told {
+func sizes(changes [][]policy.Backend) (n []int) {
+	for _, part := range changes {
 		n = append(n, len(part))
 	}
 	return n
@@ -84,8 +84,8 @@
 		{fleet(9, 1990), []int{10}},
 		{fleet(10, 900), nil},
 	} {
-		told, err := receive(t, client, loop, discoverytest.Line(t, c.list), nil)
-		got := sizes(told)
+		changes, err := receive(t, client, loop, discoverytest.Line(t, c.list), nil)
+		got := sizes(changes)
 		if len(c.want) > 0 && !slices.Equal(got, c.want) || slices.Max(got) > partThreshold || !errors.Is(err, io.EOF) {
 			t.Errorf("list %d: %d told, want %d; %v", c.list.Index, got, c.want, err)
 		}
@@ -111,18 +111,18 @@
 	next.Endpoints[2].Address = "127.0.0.1:2"
 	next.Endpoints[3].Weight = 2
 	next.Endpoints = next.Endpoints[:5]
-	told, _ := receive(t, client, loop, discoverytest.Line(t, next), nil)
+	changes, _ := receive(t, client, loop, discoverytest.Line(t, next), nil)
 	want := []policy.BackendState{policy.Draining, policy.InService, policy.InService, policy.InService, policy.Terminated}
 	var got []policy.BackendState
-	for _, backend := range told[0] {
+	for _, backend := range changes[0] {
 		got = append(got, backend.State)
 	}
-	if len(told) != 1 || !slices.Equal(got, want) || told[0][4].Name != fleet.Endpoints[5].Name {
-		t.Errorf("told %+v", told)
+	if len(changes) != 1 || !slices.Equal(got, want) || changes[0][4].Name != fleet.Endpoints[5].Name {
+		t.Errorf("told %+v", changes)
 	}
-	told, _ = receive(t, client, loop, discoverytest.Line(t, next), nil)
-	if len(told) != 1 || len(told[0]) != 0 {
-		t.Errorf("the same list again: told %+v", told)
+	changes, _ = receive(t, client, loop, discoverytest.Line(t, next), nil)
+	if len(changes) != 1 || len(changes[0]) != 0 {
+		t.Errorf("the same list again: told %+v", changes)
 	}
 }
 
@@ -147,8 +147,8 @@
 				}
 				text += fmt.Sprintf(form, list.Index, list.Snapshot, entries)
 			}
-			told, err := receive(t, client, loop, text, nil)
-			if got := sizes(told); !slices.Equal(got, []int{200, 50, 1}) || client.Index() != 4 || !errors.Is(err, io.EOF) {
+			changes, err := receive(t, client, loop, text, nil)
+			if got := sizes(changes); !slices.Equal(got, []int{200, 50, 1}) || client.Index() != 4 || !errors.Is(err, io.EOF) {
 				t.Errorf("told %d, index %d: %v", got, client.Index(), err)
 			}
 			if len(client.table.byName) != 149 || len(loop.pools) != 149 {
@@ -188,8 +188,8 @@
 		t.Run(name, func(t *testing.T) {
 			client, loop := newTestClient(t)
 			receive(t, client, loop, discoverytest.Line(t, discoverytest.Fleet(2, 500)), nil)
-			told, err := receive(t, client, loop, c.text, c.wanted)
-			for _, part := range told {
+			changes, err := receive(t, client, loop, c.text, c.wanted)
+			for _, part := range changes {
 				if len(part) > 0 {
 					t.Errorf("told %d changes", len(part))
 				}
@@ -220,8 +220,8 @@
 	watch.Chunk(list[:strings.Index(list, next.Endpoints[300+2*partSize].Name)]) // and then nothing
 	loop.pump(func() bool { return len(loop.updates) > 0 })
 	_, inService := loop.pools[drains.Name]
-	if told := loop.updates[0].Backends; len(told) != 1 || told[0].Name != drains.Name ||
-		told[0].State != policy.Draining || inService || client.Index() != 2 {
-		t.Errorf("told %+v, index %d", told, client.Index())
+	if changes := loop.updates[0].Backends; len(changes) != 1 || changes[0].Name != drains.Name ||
+		changes[0].State != policy.Draining || inService || client.Index() != 2 {
+		t.Errorf("told %+v, index %d", changes, client.Index())
 	}
 }
