--- a/internal/gateway/discovery/client_test.go
+++ b/internal/gateway/discovery/client_test.go
@@ -87,6 +87,43 @@
 	}
 }
 
+// A part of a list waits for the loop while the loop moves the client to another agent. Were it applied then, it would
+// come behind what the new agent says, and the index would be that of the old one. Neither a watch nor a fetch that
+// began before the move changes anything after it.
+func TestPartThatCrossesAMoveIsNotApplied(t *testing.T) {
+	snapshot := discoverytest.Line(t, discoverytest.Fleet(7, 3))
+	for name, begin := range map[string]func(client *Client, agent *discoverytest.Agent){
+		"watch": func(client *Client, agent *discoverytest.Agent) {
+			client.Follow(agent.Address())
+			watch, _ := agent.Watch()
+			watch.Chunk(snapshot)
+		},
+		"fetch": func(client *Client, agent *discoverytest.Agent) {
+			client.address = agent.Address()
+			client.FetchAndFollow(func(applied bool) {
+				if applied {
+					t.Error("the list of the old agent is said to be applied")
+				}
+			})
+			answer, _ := agent.Watch()
+			answer.Chunk(snapshot)
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			client, loop := newTestClient(t, serving)
+			first, second := discoverytest.NewAgent(t), discoverytest.NewAgent(t)
+			begin(client, first)
+			part := <-loop.tasks
+			client.Follow(second.Address())
+			part()
+			loop.pump(func() bool { return client.table.openLists == 0 })
+			if client.Index() != 0 || client.Len() != 1 || loop.pools[serving.Name] == "" || len(loop.updates) != 0 {
+				t.Errorf("index %d, %d known, told %+v", client.Index(), client.Len(), loop.updates)
+			}
+		})
+	}
+}
+
 // notifiedWithin is when a change counts as told that discovery has, if it can be reached: the operators' term.
 const notifiedWithin = 6 * time.Second
 
