--- a/cmd/bellwood/log_test.go
+++ b/cmd/bellwood/log_test.go
@@ -41,44 +41,47 @@
 	}
 }
 
-// A front door serves on and ends though nobody reads its log.
+// pings asks the gateway at an address until it answers, and returns the answer.
+func pings(address string) (answer string) {
+	for end := time.Now().Add(patient); answer == "" && time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+		conn, err := net.Dial("tcp", address)
+		if err != nil {
+			continue
+		}
+		conn.SetDeadline(time.Now().Add(patient))
+		conn.Write([]byte("*1\r\n$4\r\nPING\r\n"))
+		answer, _ = bufio.NewReader(conn).ReadString('\n')
+		conn.Close()
+	}
+	return answer
+}
+
+// Whoever reads the log has stopped, and its pipe is full: a write would wait for ever, and the event loop with it. The
+// gateway serves on and ends all the same.
 func TestServesThoughNobodyReadsTheLog(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr := ln.Addr().String()
-	ln.Close()
+	address := free.Addr().String()
+	free.Close()
 	file := filepath.Join(t.TempDir(), "config.json")
-	text := `{"name":"n1","listen":"` + addr + `","discovery":"127.0.0.1:1","seed":"1","settings":{"peers-total":1,` +
-		`"limits":{"max-attempts":1,"dial-timeout-us":1000},"classes":[{"name":"a","effect":"safe"}],"tiers-of-service":[{"name":"b"}]}}`
-	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	door := exec.Command(os.Args[0])
-	door.Env = append(os.Environ(), asMain+"=1", "NODE_CONFIG="+file, "NODE_NAME=", "NODE_LISTEN=", "NODE_DISCOVERY=")
-	door.Stderr = fullPipe(t)
-	if err := door.Start(); err != nil {
+	writeConfig(t, file, configText(address, "127.0.0.1:1"))
+
+	gateway := exec.Command(os.Args[0])
+	gateway.Env = append(os.Environ(), asMain+"=1", "NODE_CONFIG="+file, "NODE_NAME=", "NODE_LISTEN=", "NODE_DISCOVERY=")
+	gateway.Stderr = fullPipe(t)
+	if err := gateway.Start(); err != nil {
 		t.Fatal(err)
 	}
 	ended := make(chan error, 1)
-	go func() { ended <- door.Wait() }()
-	t.Cleanup(func() { door.Process.Kill() })
-	var answer string
-	for end := time.Now().Add(patient); answer == "" && time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		nc, err := net.Dial("tcp", addr)
-		if err != nil {
-			continue
-		}
-		nc.SetDeadline(time.Now().Add(patient))
-		nc.Write([]byte("*1\r\n$4\r\nPING\r\n"))
-		answer, _ = bufio.NewReader(nc).ReadString('\n')
-		nc.Close()
-	}
-	if !strings.HasPrefix(answer, "-LOADING") {
+	go func() { ended <- gateway.Wait() }()
+	t.Cleanup(func() { gateway.Process.Kill() })
+
+	if answer := pings(address); !strings.HasPrefix(answer, "-LOADING") {
 		t.Fatalf("PING is answered %q", answer)
 	}
-	door.Process.Signal(syscall.SIGTERM)
+	gateway.Process.Signal(syscall.SIGTERM)
 	select {
 	case err := <-ended:
 		if err != nil {
--- a/cmd/bellwood/main_test.go
+++ b/cmd/bellwood/main_test.go
@@ -5,7 +5,7 @@
 	"net/http"
 	"net/http/httptest"
 	"os"
-	ossignal "os/signal"
+	"os/signal"
 	"path/filepath"
 	"strings"
 	"syscall"
@@ -13,100 +13,121 @@
 	"time"
 )
 
-// A front door that can't start says why in one line; the address it is to listen on is no exception.
+// configText is a configuration that a gateway can be run with.
+func configText(listen, discovery string) string {
+	return fmt.Sprintf(`{"name":"n1","listen":%q,"discovery":%q,"seed":"1","settings":{"peers-total":1,`+
+		`"limits":{"max-attempts":1,"dial-timeout-us":1000},"classes":[{"name":"a","effect":"safe"}],`+
+		`"tiers-of-service":[{"name":"b"}]}}`, listen, discovery)
+}
+
+// writeConfig replaces the configuration file as a deployment does, by a rename.
+func writeConfig(t *testing.T, file, text string) {
+	t.Helper()
+	if err := os.WriteFile(file+".new", []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.Rename(file+".new", file); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// A gateway that can't start says why in one line; the address it is to listen on is no exception.
 func TestBadConfiguration(t *testing.T) {
-	good := `{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"1","settings":{"peers-total":1,` +
-		`"limits":{"max-attempts":1,"dial-timeout-us":1000},"classes":[{"name":"a","effect":"safe"}],"tiers-of-service":[{"name":"b"}]}}`
-	for _, bad := range []string{"{", strings.Replace(good, `"peers-total":1`, `"peers-total":0`, 1),
-		strings.Replace(good, "127.0.0.1:0", "127.0.0.1:none", 1), strings.Replace(good, "127.0.0.1:0", "nowhere", 1),
-		strings.Replace(good, "1000", "0", 1)} {
-		file := filepath.Join(t.TempDir(), "config.json")
-		if err := os.WriteFile(file, []byte(bad), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		t.Setenv("NODE_CONFIG", file)
-		for _, name := range []string{"NODE_NAME", "NODE_LISTEN", "NODE_DISCOVERY"} {
-			t.Setenv(name, "")
-		}
-		if err := run(); err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%.40q: error %v", bad, err)
-		}
+	good := configText("127.0.0.1:0", "127.0.0.1:1")
+	for name, bad := range map[string]string{
+		"no JSON":               "{",
+		"setting out of bounds": strings.Replace(good, `"peers-total":1`, `"peers-total":0`, 1),
+		"no port":               strings.Replace(good, "127.0.0.1:0", "127.0.0.1:none", 1),
+		"no address":            strings.Replace(good, "127.0.0.1:0", "nowhere", 1),
+		"no dial timeout":       strings.Replace(good, "1000", "0", 1),
+	} {
+		t.Run(name, func(t *testing.T) {
+			file := filepath.Join(t.TempDir(), "config.json")
+			writeConfig(t, file, bad)
+			t.Setenv("NODE_CONFIG", file)
+			for _, variable := range []string{"NODE_NAME", "NODE_LISTEN", "NODE_DISCOVERY"} {
+				t.Setenv(variable, "")
+			}
+			if err := run(); err == nil || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%.40q: error %v", bad, err)
+			}
+		})
 	}
 }
 
 // The environment goes before the file.
 func TestEnvironment(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "config.json")
-	text := `{"name":"n1","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1","settings":{"peers-total":1,` +
-		`"limits":{"max-attempts":1,"dial-timeout-us":1000},"classes":[{"name":"a","effect":"safe"}],"tiers-of-service":[{"name":"b"}]}}`
-	if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
-		t.Fatal(err)
-	}
+	writeConfig(t, file, configText("127.0.0.1:1", "127.0.0.1:2"))
 	t.Setenv("NODE_CONFIG", file)
 	t.Setenv("NODE_NAME", "n2")
 	t.Setenv("NODE_LISTEN", "127.0.0.1:3")
 	t.Setenv("NODE_DISCOVERY", "127.0.0.1:4")
-	c, err := readConfig(environment)
-	if err != nil || c.Name != "n2" || c.Listen != "127.0.0.1:3" || c.Discovery != "127.0.0.1:4" {
-		t.Errorf("%+v, %v", c, err)
+	cfg, err := readConfig(environment)
+	if err != nil || cfg.Name != "n2" || cfg.Listen != "127.0.0.1:3" || cfg.Discovery != "127.0.0.1:4" {
+		t.Errorf("%+v, %v", cfg, err)
 	}
 }
 
-// SIGHUP must not end the program: an unusable file changes nothing, and a usable one goes before the environment.
-func TestReload(t *testing.T) {
-	watched := make(chan string, 64)
-	agent := func(name string) string {
-		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { watched <- name }))
-		t.Cleanup(s.Close)
-		return strings.TrimPrefix(s.URL, "http://")
-	}
-	file := filepath.Join(t.TempDir(), "config.json")
-	write := func(discovery string) {
-		t.Helper()
-		text := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"seed":"1","settings":{"peers-total":1,`+
-			`"limits":{"max-attempts":1,"dial-timeout-us":1000},"classes":[{"name":"a","effect":"safe"}],"tiers-of-service":[{"name":"b"}]}}`, discovery)
-		if err := os.WriteFile(file+".new", []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.Rename(file+".new", file); err != nil {
-			t.Fatal(err)
-		}
-	}
-	wait := func(name string) {
-		t.Helper()
-		for limit := time.After(20 * time.Second); ; {
-			select {
-			case got := <-watched:
-				if got == name {
-					return
-				}
-			case <-limit:
-				t.Fatalf("%s is not watched", name)
+// watchedAgents says which of several discovery agents are watched.
+type watchedAgents struct {
+	t     *testing.T
+	calls chan string // names of the agents
+}
+
+// add runs a further agent and returns its address.
+func (w *watchedAgents) add(name string) string {
+	agent := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { w.calls <- name }))
+	w.t.Cleanup(agent.Close)
+	return strings.TrimPrefix(agent.URL, "http://")
+}
+
+// wants waits until an agent is watched.
+func (w *watchedAgents) wants(name string) {
+	w.t.Helper()
+	for limit := time.After(20 * time.Second); ; {
+		select {
+		case got := <-w.calls:
+			if got == name {
+				return
 			}
+		case <-limit:
+			w.t.Fatalf("%s is not watched", name)
 		}
 	}
-	signal := func(s syscall.Signal) {
-		if err := syscall.Kill(os.Getpid(), s); err != nil {
-			t.Fatal(err)
-		}
+}
+
+func sendSignal(t *testing.T, signal syscall.Signal) {
+	t.Helper()
+	if err := syscall.Kill(os.Getpid(), signal); err != nil {
+		t.Fatal(err)
 	}
-	write("127.0.0.1:1")
+}
+
+// SIGHUP must not end the program: an unusable file changes nothing, and a usable one goes before the environment.
+func TestReload(t *testing.T) {
+	agents := &watchedAgents{t: t, calls: make(chan string, 64)}
+	file := filepath.Join(t.TempDir(), "config.json")
+	writeConfig(t, file, configText("127.0.0.1:0", "127.0.0.1:1"))
 	t.Setenv("NODE_CONFIG", file)
-	t.Setenv("NODE_DISCOVERY", agent("first"))
+	t.Setenv("NODE_DISCOVERY", agents.add("first"))
 	ended := make(chan error, 1)
 	go func() { ended <- run() }()
-	wait("first")
-	write("nowhere")
-	signal(syscall.SIGHUP)
-	wait("first")
-	write(agent("second"))
-	signal(syscall.SIGHUP)
-	wait("second")
+	agents.wants("first")
+
+	writeConfig(t, file, configText("127.0.0.1:0", "nowhere"))
+	sendSignal(t, syscall.SIGHUP)
+	agents.wants("first")
+
+	writeConfig(t, file, configText("127.0.0.1:0", agents.add("second")))
+	sendSignal(t, syscall.SIGHUP)
+	agents.wants("second")
+
 	late := make(chan os.Signal, 8) // one that comes when run has ended must not end the tests
-	ossignal.Notify(late, syscall.SIGHUP, syscall.SIGTERM)
-	defer ossignal.Stop(late)
+	signal.Notify(late, syscall.SIGHUP, syscall.SIGTERM)
+	defer signal.Stop(late)
 	for _, s := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM} {
-		signal(s)
+		sendSignal(t, s)
 	}
 	if err := <-ended; err != nil {
 		t.Error(err)
