--- a/internal/gateway/counter.go
+++ b/internal/gateway/counter.go
@@ -18,7 +18,7 @@
 // addToCounter makes a counter call for the decision module.
 func (server *Server) addToCounter(call policy.AddToCounter) {
 	server.counter.Add(call.Name, call.Amount, call.TTL, func(result counter.Result) {
-		server.tell(policy.CounterResult{Name: call.Name, Status: result.Status, Total: result.Total})
+		server.emit(policy.CounterResult{Name: call.Name, Status: result.Status, Total: result.Total})
 		server.audit.quotaCallEnded(result.Status)
 	})
 }
@@ -31,7 +31,7 @@
 func (l counterLoop) Now() time.Duration { return l.server.now() }
 
 func (l counterLoop) AddTimer(at time.Duration, task func()) *timerqueue.Timer {
-	return l.server.timers.Add(at, task)
+	return l.server.addTimer(at, task)
 }
 
-func (l counterLoop) StopTimer(timer *timerqueue.Timer) { l.server.timers.Stop(timer) }
+func (l counterLoop) StopTimer(timer *timerqueue.Timer) { l.server.stopTimer(timer) }
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -25,7 +25,7 @@
 	l.server.upstream.updateEndpoint(backend, address)
 }
 
-func (l discoveryLoop) Update(update policy.EndpointUpdate) { l.server.tell(update) }
+func (l discoveryLoop) Update(update policy.EndpointUpdate) { l.server.emit(update) }
 
 func (l discoveryLoop) Adopted(index int64, snapshot bool) {
 	source := audit.FromDelta
--- a/internal/gateway/watchdog_test.go
+++ b/internal/gateway/watchdog_test.go
@@ -9,12 +9,12 @@
 
 // A loop that stands still is reported once, with the place where it stands, and so is that it goes on; one that has
 // nothing to do is not.
-func TestWatchdogReportsALoopThatStandsStill(t *testing.T) {
+func TestWatchdogReportsAStuckLoop(t *testing.T) {
 	var log lockedBuffer
 	gateway := startGateway(t, nil)
 	dog := make(chan struct{})
 	defer close(dog)
-	go gateway.server.watchdog.run(dog, 100*time.Millisecond, slog.New(slog.NewTextHandler(&log, nil)))
+	go gateway.server.watchdog.Run(dog, 100*time.Millisecond, slog.New(slog.NewTextHandler(&log, nil)))
 	says := func(want string) {
 		t.Helper()
 		for end := time.Now().Add(testTimeout); !strings.Contains(log.String(), want); time.Sleep(time.Millisecond) {
@@ -24,16 +24,16 @@
 		}
 	}
 	time.Sleep(600 * time.Millisecond) // many checks
-	if text := log.String(); strings.Contains(text, "stands still") {
+	if text := log.String(); strings.Contains(text, "stuck") {
 		t.Fatalf("reported with nothing to do: %.500s", text)
 	}
-	release := gateway.hold()
-	says("the loop stands still")
-	says("(*testGateway).hold")
+	release := gateway.holdLoop()
+	says("event loop stuck")
+	says("(*testGateway).holdLoop")
 	time.Sleep(600 * time.Millisecond)
-	if n := strings.Count(log.String(), "the loop stands still"); n != 1 {
+	if n := strings.Count(log.String(), "event loop stuck"); n != 1 {
 		t.Errorf("reported %d times", n)
 	}
 	release()
-	says("the loop goes on")
+	says("event loop running again")
 }
