--- a/internal/gateway/discovery/client_test.go
+++ b/internal/gateway/discovery/client_test.go
@@ -42,9 +42,10 @@
 func TestIndexMovesWithTheWholeList(t *testing.T) {
 	client, loop := newTestClient(t, serving)
 	first, second := discoverytest.NewAgent(t), discoverytest.NewAgent(t)
+	list := discoverytest.Chunked(discoverytest.Line(t, discoverytest.Fleet(7, discoverytest.FleetSize)))
+
 	client.Follow(first.Address())
 	watch, from := first.Watch()
-	list := discoverytest.Chunked(discoverytest.Line(t, discoverytest.Fleet(7, discoverytest.FleetSize)))
 	go io.WriteString(watch.Conn, list)
 	loop.pump(func() bool { return client.Len() > discoverytest.FleetSize/2 })
 	if client.Index() != 0 || from != "0" {
@@ -52,12 +53,8 @@
 	}
 
 	client.Follow(second.Address())
-	moved := false
-	go func() {
-		watch, from = second.Watch()
-		loop.Post(func() { moved = true })
-	}()
-	loop.pump(func() bool { return moved && client.table.openLists == 0 }) // the reader of the old list has given up
+	watch, from = loop.pumpUntilWatch(second)
+	loop.pump(func() bool { return client.table.openLists == 0 }) // the reader of the old list has given up
 	if from != "0" {
 		t.Errorf("the moved watch asks from %s", from)
 	}
@@ -74,19 +71,21 @@
 
 	watch.Conn.Close()
 	loop.updates = nil
-	var since string
-	go func() {
-		watch, since = second.Watch()
-		change := discoverytest.Fleet(8, 1)
-		change.Snapshot, change.Endpoints[0].Status = false, "DRAINING"
-		watch.Chunk(discoverytest.Line(t, change))
-	}()
+	watch, from = loop.pumpUntilWatch(second)
+	watch.Chunk(drainOf(t, discoverytest.Fleet(8, 1)))
 	loop.pump(func() bool { return client.Index() == 8 })
-	if updates := loop.updates; since != "7" || len(updates) != 1 || len(updates[0].Backends) != 1 {
-		t.Errorf("asked from %s, told %d updates", since, len(updates))
+	if updates := loop.updates; from != "7" || len(updates) != 1 || len(updates[0].Backends) != 1 {
+		t.Errorf("asked from %s, told %d updates", from, len(updates))
 	}
 }
 
+// drainOf is the change by which the first backend of a list drains.
+func drainOf(t *testing.T, list endpoint.List) string {
+	t.Helper()
+	list.Snapshot, list.Endpoints[0].Status = false, "DRAINING"
+	return discoverytest.Line(t, list)
+}
+
 // A part of a list waits for the loop while the loop moves the client to another agent. Were it applied then, it would
 // come behind what the new agent says, and the index would be that of the old one. Neither a watch nor a fetch that
 // began before the move changes anything after it.
--- a/internal/gateway/discovery/helpers_test.go
+++ b/internal/gateway/discovery/helpers_test.go
@@ -57,6 +57,18 @@
 	}
 }
 
+// pumpUntilWatch runs tasks until an agent has a watch, and returns it with the index that it asks from.
+func (l *testLoop) pumpUntilWatch(agent *discoverytest.Agent) (watch *discoverytest.Watch, index string) {
+	l.t.Helper()
+	opened := false
+	go func() {
+		watch, index = agent.Watch()
+		l.Post(func() { opened = true })
+	}()
+	l.pump(func() bool { return opened })
+	return watch, index
+}
+
 // newTestClient returns a client that knows some endpoints, and its loop.
 func newTestClient(t testing.TB, known ...endpoint.Entry) (*Client, *testLoop) {
 	t.Helper()
