--- a/internal/gateway/audit.go
+++ b/internal/gateway/audit.go
@@ -9,6 +9,7 @@
 	"github.com/cespare/xxhash/v2"
 
 	"bellwood/internal/audit"
+	"bellwood/internal/gateway/counter"
 	"bellwood/internal/policy"
 )
 
@@ -18,8 +19,8 @@
 	now() time.Duration
 	// every runs a task again and again.
 	every(interval time.Duration, task func())
-	// tell keeps an event for the engine's next Step, and step runs it.
-	tell(policy.Event)
+	// emit keeps an event for the engine's next Step, and step runs it.
+	emit(policy.Event)
 	step()
 	// setOutOfService stops or starts the taking of requests. Attempts in flight go on.
 	setOutOfService(out bool)
@@ -229,17 +230,17 @@
 
 func (s auditedServer) setOutOfService(out bool) {
 	s.suspended.Store(out)
-	s.tell(policy.Suspend{On: out})
+	s.emit(policy.Suspend{On: out})
 	if out {
 		s.upstream.takeBackAllDialing()
 	}
 }
 
-func (s auditedServer) reopenWatch() { s.discovery.follow(s.discovery.addr) }
+func (s auditedServer) reopenWatch() { s.discovery.Follow(s.discovery.Address()) }
 
-func (s auditedServer) fetchSnapshot(ended func(ok bool)) { s.discovery.askAndFollow(ended) }
+func (s auditedServer) fetchSnapshot(ended func(ok bool)) { s.discovery.FetchAndFollow(ended) }
 
 func (s auditedServer) addToCounter(name uint64, amount float64, ttl time.Duration,
 	ended func(policy.Status, float64)) {
-	s.counter.add(name, amount, ttl, ended)
+	s.counter.Add(name, amount, ttl, func(result counter.Result) { ended(result.Status, result.Total) })
 }
