--- a/internal/gateway/discovery/client_test.go
+++ b/internal/gateway/discovery/client_test.go
@@ -42,9 +42,10 @@
 func TestIndexMovesWithTheWholeList(t *testing.T) {
 	client, loop := newTestClient(t, serving)
 	first, second := discoverytest.NewAgent(t), discoverytest.NewAgent(t)
+	list := discoverytest.Chunked(discoverytest.Line(t, discoverytest.Fleet(7, discoverytest.FleetSize)))
+
 	client.Follow(first.Address())
 	watch, from := first.Watch()
-	list := discoverytest.Chunked(discoverytest.Line(t, discoverytest.Fleet(7, discoverytest.FleetSize)))
 	go io.WriteString(watch.Conn, list)
 	loop.pump(func() bool { return client.Len() > discoverytest.FleetSize/2 })
 	if client.Index() != 0 || from != "0" {
@@ -52,12 +53,8 @@
 	}
 
 	client.Follow(second.Address())
-	moved := false
-	go func() {
-		watch, from = second.Watch()
-		loop.Post(func() { moved = true })
-	}()
-	loop.pump(func() bool { return moved && client.table.openLists == 0 }) // the reader of the old list has given up
+	watch, from = loop.pumpUntilWatch(second)
+	loop.pump(func() bool { return client.table.openLists == 0 }) // the reader of the old list has given up
 	if from != "0" {
 		t.Errorf("the moved watch asks from %s", from)
 	}
@@ -74,31 +71,70 @@
 
 	watch.Conn.Close()
 	loop.updates = nil
-	var since string
-	go func() {
-		watch, since = second.Watch()
-		change := discoverytest.Fleet(8, 1)
-		change.Snapshot, change.Endpoints[0].Status = false, "DRAINING"
-		watch.Chunk(discoverytest.Line(t, change))
-	}()
+	watch, from = loop.pumpUntilWatch(second)
+	watch.Chunk(drainOf(t, discoverytest.Fleet(8, 1)))
 	loop.pump(func() bool { return client.Index() == 8 })
-	if updates := loop.updates; since != "7" || len(updates) != 1 || len(updates[0].Backends) != 1 {
-		t.Errorf("asked from %s, told %d updates", since, len(updates))
+	if updates := loop.updates; from != "7" || len(updates) != 1 || len(updates[0].Backends) != 1 {
+		t.Errorf("asked from %s, told %d updates", from, len(updates))
+	}
+}
+
+// drainOf is the change by which the first backend of a list drains.
+func drainOf(t *testing.T, list endpoint.List) string {
+	t.Helper()
+	list.Snapshot, list.Endpoints[0].Status = false, "DRAINING"
+	return discoverytest.Line(t, list)
+}
+
+// A part of a list waits for the loop while the loop moves the client to another agent. Were it applied then, it would
+// come behind what the new agent says, and the index would be that of the old one. Neither a watch nor a fetch that
+// began before the move changes anything after it.
+func TestPartThatCrossesAMoveIsNotApplied(t *testing.T) {
+	snapshot := discoverytest.Line(t, discoverytest.Fleet(7, 3))
+	for name, begin := range map[string]func(client *Client, agent *discoverytest.Agent){
+		"watch": func(client *Client, agent *discoverytest.Agent) {
+			client.Follow(agent.Address())
+			watch, _ := agent.Watch()
+			watch.Chunk(snapshot)
+		},
+		"fetch": func(client *Client, agent *discoverytest.Agent) {
+			client.address = agent.Address()
+			client.FetchAndFollow(func(applied bool) {
+				if applied {
+					t.Error("the list of the old agent is said to be applied")
+				}
+			})
+			answer, _ := agent.Watch()
+			answer.Chunk(snapshot)
+		},
+	} {
+		t.Run(name, func(t *testing.T) {
+			client, loop := newTestClient(t, serving)
+			first, second := discoverytest.NewAgent(t), discoverytest.NewAgent(t)
+			begin(client, first)
+			part := <-loop.tasks
+			client.Follow(second.Address())
+			part()
+			loop.pump(func() bool { return client.table.openLists == 0 })
+			if client.Index() != 0 || client.Len() != 1 || loop.pools[serving.Name] == "" || len(loop.updates) != 0 {
+				t.Errorf("index %d, %d known, told %+v", client.Index(), client.Len(), loop.updates)
+			}
+		})
 	}
 }
 
-// toldAfter is when a change counts as told that discovery has, if it can be reached: the operators' term.
-const toldAfter = 6 * time.Second
+// notifiedWithin is when a change counts as told that discovery has, if it can be reached: the operators' term.
+const notifiedWithin = 6 * time.Second
 
 // By the time-outs and pauses alone, two calls of the slowest kind leave time for the third to bring the change.
 func TestCallsAndPausesAreShort(t *testing.T) {
 	const callsThatFail = 2
 	const bring = 500 * time.Millisecond // for the call that is well
-	if worst := callsThatFail*(watchSilence+maxRewatchPause) + bring; worst > toldAfter {
+	if worst := callsThatFail*(watchSilence+maxRewatchPause) + bring; worst > notifiedWithin {
 		t.Errorf("by the watch a change may come after %v", worst)
 	}
 	const pollPause = 750 * time.Millisecond // the longest that a decision module may take to ask again
-	if worst := callsThatFail*(fetchSilence+pollPause) + bring; worst > toldAfter {
+	if worst := callsThatFail*(fetchSilence+pollPause) + bring; worst > notifiedWithin {
 		t.Errorf("by calls for the list a change may come after %v", worst)
 	}
 	const sign = 2 * time.Second // between a watch's signs of life
--- a/internal/gateway/requesttable.go
+++ b/internal/gateway/requesttable.go
@@ -33,7 +33,7 @@
 // attemptAudit is what the requests need of the audit of the fleet.
 type attemptAudit interface {
 	// decided notes that the engine is given a request.
-	decided(request *openRequest)
+	decided(requestID []byte)
 	// attempted notes that an attempt is sent.
 	attempted()
 	// stoodStill says whether the process has stood still in this pass, so that what was decided is old.
@@ -63,7 +63,7 @@
 // requestArrived takes a request in, or answers it where too many are open or its id is that of an open one: the client
 // would be given what another request is answered (TestOpenIDIsRejected).
 func (table *requestTable) requestArrived(received *clientRequest) {
-	if limit := table.cfg.Transport.MostOpen; limit > 0 && len(table.byID) >= limit {
+	if limit := table.cfg.Transport.MaxOpenRequests; limit > 0 && len(table.byID) >= limit {
 		received.answer(busyReply(0))
 		return
 	}
@@ -135,7 +135,7 @@
 		if request := table.byID[arrival.ID]; request != nil {
 			arrival.TimeLeft = max(0, request.deadline-now)
 			events[i] = arrival
-			table.audit.decided(request)
+			table.audit.decided(request.received.args[2])
 		}
 	}
 }
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -16,6 +16,7 @@
 	"time"
 
 	"bellwood/internal/gateway/budget"
+	"bellwood/internal/gateway/counter"
 	"bellwood/internal/gateway/discovery"
 	"bellwood/internal/gateway/watchdog"
 	"bellwood/internal/policy"
@@ -39,7 +40,7 @@
 	requests   *requestTable
 	downstream *downstream
 	upstream   *upstream
-	counter    *counter
+	counter    *counter.Client
 	discovery  *discovery.Client
 	audit      *auditor // nil: off
 }
@@ -87,7 +88,7 @@
 		slog.Int("backends", len(server.cfg.Known.Endpoints)))
 	server.every(sweepInterval, func() {
 		server.upstream.closeExpiredIdle()
-		server.counter.sweep()
+		server.counter.Sweep()
 		server.discovery.Sweep()
 	})
 	server.runLoop(ctx, ln)
@@ -100,8 +101,8 @@
 		if discoveryAddr != server.discovery.Address() {
 			server.discovery.Follow(discoveryAddr)
 		}
-		if counterAddr != server.counter.addr {
-			server.counter.move(counterAddr)
+		if counterAddr != server.counter.Address() {
+			server.counter.Move(counterAddr)
 		}
 		server.log.Info("configuration reloaded", slog.String("discovery", discoveryAddr),
 			slog.String("counter", counterAddr))
@@ -214,7 +215,7 @@
 	case policy.HealthCheck:
 		server.upstream.startHealthCheck(action.Backend)
 	case policy.AddToCounter:
-		server.counter.count(action)
+		server.addToCounter(action)
 	case policy.SetTimer:
 		server.addTimer(action.At, func() { server.emit(policy.Timer{Cookie: action.Cookie}) })
 	case policy.WatchEndpoints, policy.FetchEndpoints:
--- a/internal/gateway/upstream.go
+++ b/internal/gateway/upstream.go
@@ -58,7 +58,7 @@
 
 func newUpstream(loop loop, results attemptResults, cfg *Config) *upstream {
 	return &upstream{loop: loop, results: results, dialTimeout: cfg.Transport.DialTimeout,
-		backendIdle: cfg.Transport.ConnIdle, settleTime: cmp.Or(cfg.settleFor, settleTime),
+		backendIdle: cfg.Transport.ConnIdleTimeout, settleTime: cmp.Or(cfg.settleFor, settleTime),
 		maxRequestCost: cfg.Settings.MaxRequestCost, pools: map[string]*backendPool{},
 		maxConns: budget.BackendConns(cfg.Sockets)}
 }
