--- a/internal/gateway/backendconn.go
+++ b/internal/gateway/backendconn.go
@@ -8,14 +8,12 @@
 	"sync/atomic"
 	"time"
 
+	"bellwood/internal/gateway/protocol"
 	"bellwood/internal/gateway/rawsocket"
 	"bellwood/internal/policy"
 	"bellwood/internal/resp"
 )
 
-// pingCommand is a health check.
-const pingCommand = "*1\r\n$4\r\nPING\r\n"
-
 // States of backendConn.writeState: how far the command is that was last given to the connection.
 const (
 	commandUnsent       int32 = iota // not a byte has gone out: it never ran
@@ -61,10 +59,10 @@
 // reusableAfter says whether the connection may be used again after a reply to what it carried: not if nothing was asked,
 // more came than was asked for, it is no answer, the command was not wholly written, or the backend is out of service or
 // another process by now.
-func (conn *backendConn) reusableAfter(reply backendReply, attempt *backendAttempt, check *healthCheck) bool {
+func (conn *backendConn) reusableAfter(reply protocol.Reply, attempt *backendAttempt, check *healthCheck) bool {
 	asked := attempt != nil || check != nil
-	answered := !reply.unexpected || check != nil && reply.pong
-	atRest := !reply.trailingBytes && conn.writeState.Load() == commandWritten
+	answered := !reply.Unexpected || check != nil && reply.Pong
+	atRest := !reply.TrailingBytes && conn.writeState.Load() == commandWritten
 	sameBackend := conn.pool.inService && conn.generation == conn.pool.generation
 	return asked && answered && atRest && sameBackend
 }
@@ -133,7 +131,7 @@
 	case conn.attempt != nil:
 		command = conn.attempt.command(loop.now())
 	case conn.healthCheck != nil:
-		command = []byte(pingCommand)
+		command = []byte(protocol.HealthCheck)
 	default:
 		return
 	}
--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"fmt"
 	"net"
 	"os"
 	"strings"
@@ -13,6 +12,7 @@
 
 	"github.com/tidwall/redcon"
 
+	"bellwood/internal/gateway/protocol"
 	"bellwood/internal/resp"
 )
 
@@ -96,11 +96,11 @@
 func (conn *clientConn) goOnAfter(err error) bool {
 	switch {
 	case errors.Is(err, resp.ErrMalformed):
-		conn.rejectAndDiscard("-ERR Protocol error\r\n")
+		conn.rejectAndDiscard(protocol.ProtocolError)
 	case errors.Is(err, resp.ErrNoMemory):
-		conn.rejectAndDiscard("-ERR no memory for a command as long as this\r\n")
+		conn.rejectAndDiscard(protocol.NoMemory)
 	case errors.Is(err, os.ErrDeadlineExceeded) && conn.commands.Partial():
-		conn.rejectAndDiscard("-ERR the command has not come in time\r\n")
+		conn.rejectAndDiscard(protocol.CommandIncomplete)
 	case errors.Is(err, os.ErrDeadlineExceeded) && !conn.closeIfBetweenRequests(): // its first command has come just now
 		conn.commandDeadline = time.Now().Add(commandTimeout)
 		return true
@@ -110,38 +110,39 @@
 
 // handleCommand handles one command and says whether to go on.
 func (conn *clientConn) handleCommand(message redcon.RESP) bool {
-	args, ok := arguments(message)
+	args, ok := protocol.Arguments(message)
 	if !ok {
-		conn.rejectAndDiscard("-ERR Protocol error: expected an array of bulk strings\r\n")
+		conn.rejectAndDiscard(protocol.NotBulkStrings)
 		return false
 	}
 	conn.commandSeen.Store(true)
 	name := strings.ToUpper(string(args[0]))
 	switch name {
-	case commandPing:
+	case protocol.CommandPing:
 		return conn.replyNow(conn.downstream.service.pingReply())
-	case commandAsk, commandDo:
+	case protocol.CommandAsk, protocol.CommandDo:
 		return conn.takeRequest(name, args, len(message.Raw))
 	}
-	return conn.rejectUnusable(fmt.Sprintf("-ERR unknown command '%.40s'\r\n", printable(args[0])))
+	return conn.rejectUnusable(protocol.UnknownCommand(args[0]))
 }
 
 // takeRequest hands a request of so many bytes to the loop, or answers it, and says whether to go on.
 func (conn *clientConn) takeRequest(command string, args [][]byte, size int) bool {
 	clients := conn.downstream
-	request, err := clients.parser.parse(command, args, clients.loop.now())
+	arrivedAt := clients.loop.now()
+	parsed, err := clients.parser.Parse(command, args)
 	if err != nil {
-		return conn.rejectUnusable("-ERR " + err.Error() + "\r\n")
+		return conn.rejectUnusable(protocol.Error(err))
 	}
 	conn.unusableInRow = 0
 	if conn.isFinishing() { // it has been taken, so it is answered; the client can turn to another gateway
-		return conn.replyNow(string(busyReply(0)))
+		return conn.replyNow(string(protocol.Busy(0)))
 	}
-	request.conn = conn
 	memory := int64(size) + requestOverheadBytes
 	if !clients.memory.Reserve(memory) {
-		return conn.replyNow(string(busyReply(fullRetryAfter)))
+		return conn.replyNow(string(protocol.Busy(fullRetryAfter)))
 	}
+	request := &clientRequest{Request: parsed, conn: conn, arrivedAt: arrivedAt}
 	if request.reply = conn.reserveReply(request, memory); request.reply == nil {
 		return false
 	}
--- a/internal/gateway/downstream.go
+++ b/internal/gateway/downstream.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"bellwood/internal/gateway/budget"
+	"bellwood/internal/gateway/protocol"
 )
 
 // firstRequestGrace: a new connection brings its first request within this. A shutdown leaves it the time for it, as its
@@ -26,7 +27,7 @@
 
 // downstreamConfig is what the connections of clients share. All of it is safe for concurrent use.
 type downstreamConfig struct {
-	parser   *requestParser
+	parser   *protocol.Parser
 	requests requestHandler
 	service  serviceState
 	log      *slog.Logger
--- a/internal/gateway/downstream_test.go
+++ b/internal/gateway/downstream_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"bellwood/internal/gateway/protocol"
 	"bellwood/internal/resp"
 )
 
@@ -156,15 +157,6 @@
 	}
 }
 
-// A rejection tells whole milliseconds, rounded up; none where no pause is wanted.
-func TestBusyReply(t *testing.T) {
-	for pause, want := range map[time.Duration]string{0: "-BUSY\r\n", 1: "-BUSY 1\r\n", 250 * time.Millisecond: "-BUSY 250\r\n"} {
-		if got := string(busyReply(pause)); got != want {
-			t.Errorf("%v: %q", pause, got)
-		}
-	}
-}
-
 // No backend is known: the request is queued and rejected when its time is up, by the loop if the engine should forget it.
 func TestOverdueRequestIsAnswered(t *testing.T) {
 	gateway := startGateway(t, nil)
@@ -282,7 +274,7 @@
 		client.command("PING") // it is read meanwhile
 		client.wantsPrefix("-LOADING")
 	}
-	if m := last.message(); m[0] != strings.TrimSpace(string(busyReply(fullRetryAfter))) && !strings.HasPrefix(m[0], "-ERR no memory") {
+	if m := last.message(); m[0] != strings.TrimSpace(string(protocol.Busy(fullRetryAfter))) && !strings.HasPrefix(m[0], "-ERR no memory") {
 		t.Errorf("got %q", m)
 	}
 	if held := gateway.server.downstream.memory.Held(); held > 1<<18 {
--- a/internal/gateway/idleserver_test.go
+++ b/internal/gateway/idleserver_test.go
@@ -26,11 +26,11 @@
 func newAttempt(t *testing.T, server *Server) *backendAttempt {
 	t.Helper()
 	args := [][]byte{[]byte("Q.ASK"), []byte(tenantID), []byte("1"), []byte(idempotentFields)}
-	received, err := server.downstream.parser.parse("Q.ASK", args, server.now())
+	parsed, err := server.downstream.parser.Parse("Q.ASK", args)
 	if err != nil {
 		t.Fatal(err)
 	}
-	received.conn = &clientConn{}
+	received := &clientRequest{Request: parsed, conn: &clientConn{}, arrivedAt: server.now()}
 	server.requests.requestArrived(received)
 	request := server.requests.byID[received.requestID]
 	server.events = nil
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"bellwood/internal/gateway/budget"
+	"bellwood/internal/gateway/protocol"
 	"bellwood/internal/gateway/rawsocket"
 )
 
@@ -151,7 +152,7 @@
 // the counter need. Why this holds: what the client has sent is read for a moment, but only few connections are held for
 // that; the others are closed before the next one is accepted. TestRejectedConnectionIsTold, TestCrowdInTheBacklogTakesNoDescriptors.
 func (clients *downstream) rejectConn(socket net.Conn) {
-	rawsocket.WriteAvailable(socket, busyReply(fullRetryAfter)) // nothing is taken, so nothing has run
+	rawsocket.WriteAvailable(socket, protocol.Busy(fullRetryAfter)) // nothing is taken, so nothing has run
 	half, ok := socket.(halfCloser)
 	if clients.rejected.Add(1) > budget.RejectedConns(clients.maxConns) || !ok || half.CloseWrite() != nil {
 		socket.Close()
--- a/internal/gateway/requestparser.go
+++ b/internal/gateway/protocol/parser.go
@@ -1,4 +1,4 @@
-package gateway
+package protocol
 
 import (
 	"cmp"
@@ -13,13 +13,6 @@
 	"bellwood/internal/simprotocol"
 )
 
-// Commands of the clients' protocol (PROTOCOL), in upper case.
-const (
-	commandPing = "PING"
-	commandAsk  = "Q.ASK" // for classes whose requests are idempotent
-	commandDo   = "Q.DO"  // for the other classes
-)
-
 // Names of a request's fields on the wire. Others are passed on to the backend.
 const (
 	fieldClass        = "c"
@@ -74,20 +67,21 @@
 
 func (err wrongCommandError) Error() string { return "class not served by " + err.command }
 
-// requestParser reads requests by the settings' names and limits. It is safe for concurrent use: it only reads them.
-type requestParser struct {
-	settings  *policy.Settings
-	transport *simprotocol.Transport
+// Parser reads requests by the settings' names and limits. It is safe for concurrent use: it only reads them.
+type Parser struct {
+	Settings  *policy.Settings
+	Transport *simprotocol.Transport
 }
 
-// givenFields says which fields of a request were given, beside those that a clientRequest keeps.
+// givenFields says which fields of a request were given, beside those that a Request keeps.
 type givenFields struct {
 	names            []string
 	hasKey, hasFirst bool
 }
 
-// parse reads a request that came as a command of so many arguments at a time. What it can't read goes nowhere.
-func (parser *requestParser) parse(command string, args [][]byte, now time.Duration) (*clientRequest, error) {
+// Parse reads a request that came by a command, whose name is given in upper case, with its arguments, the name among
+// them. The request keeps the arguments. The error's text is fit for the client; what can't be read goes nowhere.
+func (parser *Parser) Parse(command string, args [][]byte) (*Request, error) {
 	if len(args) != 4 && len(args) != 5 {
 		return nil, argumentCountError{command}
 	}
@@ -98,8 +92,8 @@
 	if len(args[argumentID]) == 0 {
 		return nil, errEmptyID
 	}
-	request := &clientRequest{arrivedAt: now, args: args, class: -1, plan: -1,
-		tenant: strings.ToLower(string(args[argumentTenant]))}
+	request := &Request{args: args, Class: -1, Plan: -1,
+		Tenant: strings.ToLower(string(args[argumentTenant]))}
 	var names [usualFields]string
 	given := givenFields{names: names[:0]}
 	if err := parser.parseFields(request, &given, string(args[argumentFields])); err != nil {
@@ -112,7 +106,7 @@
 }
 
 // parseFields reads the list of fields. One that is given twice is an error, as a backend may read the other one.
-func (parser *requestParser) parseFields(request *clientRequest, given *givenFields, list string) error {
+func (parser *Parser) parseFields(request *Request, given *givenFields, list string) error {
 	for at := 0; at <= len(list); {
 		item, _, _ := strings.Cut(list[at:], ",")
 		name, value, _ := strings.Cut(item, "=")
@@ -132,79 +126,54 @@
 }
 
 // parseField reads one field and says whether its value can be used.
-func (parser *requestParser) parseField(request *clientRequest, given *givenFields, name, value string) (ok bool) {
+func (parser *Parser) parseField(request *Request, given *givenFields, name, value string) (ok bool) {
 	switch name {
 	case fieldClass:
-		request.class = slices.Index(parser.transport.Classes, value)
-		return request.class >= 0
+		request.Class = slices.Index(parser.Transport.Classes, value)
+		return request.Class >= 0
 	case fieldPlan:
-		request.plan = slices.Index(parser.transport.Plans, value)
-		return request.plan >= 0
+		request.Plan = slices.Index(parser.Transport.Plans, value)
+		return request.Plan >= 0
 	case fieldTimeLeft:
 		ms, err := strconv.ParseUint(value, 10, 31)
-		request.timeLeft = time.Duration(ms) * time.Millisecond
+		request.TimeLeft = time.Duration(ms) * time.Millisecond
 		return err == nil && ms > 0
 	case fieldKey:
 		given.hasKey = true
 		return value != ""
 	case fieldRetry:
-		request.clientRetry = value == "1"
+		request.ClientRetry = value == "1"
 		return value == "1" || value == "0"
 	case fieldCost:
-		request.cost, ok = parseDecimal(value)
-		return ok && request.cost > 0 && request.cost <= cmp.Or(parser.settings.MaxRequestCost, defaultMaxRequestCost)
+		request.Cost, ok = parseDecimal(value)
+		return ok && request.Cost > 0 && request.Cost <= cmp.Or(parser.Settings.MaxRequestCost, defaultMaxRequestCost)
 	case fieldGateways:
 		gateways, err := strconv.ParseUint(value, 10, 31)
-		request.gateways = int(gateways)
-		return err == nil && gateways > 0 && int(gateways) <= parser.settings.Gateways
+		request.Gateways = int(gateways)
+		return err == nil && gateways > 0 && int(gateways) <= parser.Settings.Gateways
 	case fieldFirstGateway:
 		given.hasFirst = true
 		first, err := strconv.ParseUint(value, 10, 31)
-		return err == nil && int(first) < parser.settings.Gateways
+		return err == nil && int(first) < parser.Settings.Gateways
 	}
 	return true
 }
 
 // check says what is wrong with a request whose fields can all be read.
-func (parser *requestParser) check(request *clientRequest, given givenFields, command string) error {
+func (parser *Parser) check(request *Request, given givenFields, command string) error {
 	if request.lacksField() || !given.hasFirst {
 		return errFieldMissing
 	}
 	// A request and its timers are kept for as long as the client says that it waits.
-	class := &parser.settings.Classes[request.class]
-	if class.ClientTimeout > 0 && request.timeLeft > class.ClientTimeout+timeLeftTolerance {
+	class := &parser.Settings.Classes[request.Class]
+	if class.ClientTimeout > 0 && request.TimeLeft > class.ClientTimeout+timeLeftTolerance {
 		return malformedFieldError{fieldTimeLeft}
 	}
 	switch idempotency := class.Idempotency; {
-	case (idempotency == policy.Idempotent) != (command == commandAsk):
+	case (idempotency == policy.Idempotent) != (command == CommandAsk):
 		return wrongCommandError{command}
 	case idempotency == policy.IdempotentWithKey && !given.hasKey:
 		return errKeyMissing
 	}
 	return nil
 }
-
-// lacksField says whether a field that every request needs was not given.
-func (request *clientRequest) lacksField() bool {
-	return request.class < 0 || request.plan < 0 || request.timeLeft == 0 || request.cost == 0 || request.gateways == 0
-}
-
-// parseDecimal reads a number in plain digits. What the standard library takes besides, such as signs, exponents and
-// hex, a backend may read otherwise.
-func parseDecimal(text string) (float64, bool) {
-	if strings.Trim(text, "0123456789.") != "" {
-		return 0, false
-	}
-	number, err := strconv.ParseFloat(text, 64)
-	return number, err == nil
-}
-
-// printable makes what a client sent fit for an error line.
-func printable(text []byte) string {
-	return strings.Map(func(char rune) rune {
-		if char < ' ' || char > '~' {
-			return '?'
-		}
-		return char
-	}, string(text))
-}
--- a/internal/gateway/backendreply.go
+++ b/internal/gateway/protocol/reply.go
@@ -1,7 +1,9 @@
-package gateway
+package protocol
 
 import (
 	"bytes"
+	"strconv"
+	"strings"
 
 	"github.com/tidwall/redcon"
 
@@ -17,59 +19,59 @@
 // maxQuotaUsage in percent: what is not below it is not believed.
 const maxQuotaUsage = 1e6
 
-// backendReply is what a backend sent for one command.
-type backendReply struct {
-	status        policy.Status
-	value         []byte  // as a bulk string, to be passed on
-	quotaUsage    int     // 1 + percent of the quota used; 0: not reported
-	cost          float64 // in units; 0: not reported
-	unexpected    bool    // it is not what a backend answers to a request
-	pong          bool    // it is what a backend answers to a health check
-	trailingBytes bool    // more bytes came behind it
+// Reply is what a backend sent for one command.
+type Reply struct {
+	Status        policy.Status
+	Value         []byte  // as a bulk string, to be passed on
+	QuotaUsage    int     // 1 + percent of the quota used; 0: not reported
+	Cost          float64 // in units; 0: not reported
+	Unexpected    bool    // it is not what a backend answers to a request
+	Pong          bool    // it is what a backend answers to a health check
+	TrailingBytes bool    // more bytes came behind it
 }
 
-// readReply reads an answer: an array of the value, the figures on use and the load report, or an error line behind
+// ReadReply reads an answer: an array of the value, the figures on use and the load report, or an error line behind
 // whose first word the figures may stand.
-func readReply(message redcon.RESP) backendReply {
+func ReadReply(message redcon.RESP) Reply {
 	switch message.Type {
 	case redcon.Error:
 		return readErrorReply(message.Data)
 	case redcon.String:
-		return backendReply{status: policy.OK, unexpected: true, pong: true}
+		return Reply{Status: policy.OK, Unexpected: true, Pong: true}
 	case redcon.Array:
 		return readValueReply(message)
 	}
-	return backendReply{status: policy.Failed, unexpected: true}
+	return Reply{Status: policy.Failed, Unexpected: true}
 }
 
 // readErrorReply reads the line of an error.
-func readErrorReply(line []byte) backendReply {
-	reply := backendReply{status: policy.Failed}
+func readErrorReply(line []byte) Reply {
+	reply := Reply{Status: policy.Failed}
 	switch word, _, _ := bytes.Cut(line, []byte{' '}); string(word) {
 	case "BUSY":
-		reply.status = policy.Rejected
+		reply.Status = policy.Rejected
 	case "ERR":
 	default:
-		reply.unexpected = true
+		reply.Unexpected = true
 	}
 	for word := range bytes.SplitSeq(line, []byte{' '}) {
 		if usage := quotaUsage(word); usage > 0 {
-			reply.quotaUsage = usage
+			reply.QuotaUsage = usage
 		}
 	}
 	return reply
 }
 
 // readValueReply reads an array. The load report, the third item, is not used.
-func readValueReply(message redcon.RESP) backendReply {
-	reply := backendReply{status: policy.Failed, unexpected: true}
+func readValueReply(message redcon.RESP) Reply {
+	reply := Reply{Status: policy.Failed, Unexpected: true}
 	i := 0
 	message.ForEach(func(item redcon.RESP) bool {
 		if i == 0 && item.Type == redcon.Bulk && item.Data != nil {
-			reply.status, reply.unexpected, reply.value = policy.OK, false, bytes.Clone(item.Raw)
+			reply.Status, reply.Unexpected, reply.Value = policy.OK, false, bytes.Clone(item.Raw)
 		} else if i == 1 && item.Type == redcon.Bulk {
-			reply.quotaUsage = quotaUsage(item.Data)
-			reply.cost, _ = findFigure(item.Data, figureCost)
+			reply.QuotaUsage = quotaUsage(item.Data)
+			reply.Cost, _ = findFigure(item.Data, figureCost)
 		}
 		i++
 		return true
@@ -96,3 +98,13 @@
 	}
 	return 0, false
 }
+
+// parseDecimal reads a number in plain digits. What the standard library takes besides, such as signs, exponents and
+// hex, a backend may read otherwise.
+func parseDecimal(text string) (float64, bool) {
+	if strings.Trim(text, "0123456789.") != "" {
+		return 0, false
+	}
+	number, err := strconv.ParseFloat(text, 64)
+	return number, err == nil
+}
--- /dev/null
+++ b/internal/gateway/protocol/request.go
@@ -0,0 +1,50 @@
+package protocol
+
+import (
+	"strconv"
+	"time"
+
+	"github.com/tidwall/redcon"
+)
+
+// Arguments of a request's command, behind its name.
+const (
+	argumentTenant = 1
+	argumentID     = 2
+	argumentFields = 3 // names and values: c=...,t=...,d=...
+)
+
+// Request is a client's request as it came.
+type Request struct {
+	TimeLeft    time.Duration // how long the client waits from its arrival on
+	Class, Plan int           // indexes of the settings' lists
+	Tenant      string        // in lower case
+	Cost        float64       // in units
+	Gateways    int           // over how many gateways the tenant's requests are spread
+	ClientRetry bool          // the client sends it again
+
+	args                     [][]byte // the command as it came
+	timeLeftFrom, timeLeftTo int      // where the figure of d stands in the list of fields
+}
+
+// ID is the id that the client gave the request. It must not be changed.
+func (request *Request) ID() []byte { return request.args[argumentID] }
+
+// Forward returns the command for a backend: as it came but for d, which tells how long this gateway will wait.
+func (request *Request) Forward(wait time.Duration) []byte {
+	command := redcon.AppendArray(nil, len(request.args))
+	for i, argument := range request.args {
+		if i == argumentFields {
+			list := append([]byte(nil), argument[:request.timeLeftFrom]...)
+			list = strconv.AppendInt(list, max(1, wait.Milliseconds()), 10)
+			argument = append(list, argument[request.timeLeftTo:]...)
+		}
+		command = redcon.AppendBulk(command, argument)
+	}
+	return command
+}
+
+// lacksField says whether a field that every request needs was not given.
+func (request *Request) lacksField() bool {
+	return request.Class < 0 || request.Plan < 0 || request.TimeLeft == 0 || request.Cost == 0 || request.Gateways == 0
+}
--- a/internal/gateway/replyreader.go
+++ b/internal/gateway/replyreader.go
@@ -6,6 +6,7 @@
 	"sync/atomic"
 	"time"
 
+	"bellwood/internal/gateway/protocol"
 	"bellwood/internal/resp"
 )
 
@@ -32,14 +33,14 @@
 
 // next returns the next answer. It fails with resp.ErrMalformed, errUnsolicitedReply, os.ErrDeadlineExceeded for an
 // answer that stalls, or an error of the network.
-func (reader *replyReader) next() (backendReply, error) {
+func (reader *replyReader) next() (protocol.Reply, error) {
 	message, err := reader.messages.Next()
 	if err != nil {
-		return backendReply{}, err
+		return protocol.Reply{}, err
 	}
-	reply := readReply(message)
+	reply := protocol.ReadReply(message)
 	reader.repliesRead++
-	reply.trailingBytes = reader.messages.Partial()
+	reply.TrailingBytes = reader.messages.Partial()
 	return reply, nil
 }
 
--- a/internal/gateway/requesttable.go
+++ b/internal/gateway/requesttable.go
@@ -4,6 +4,7 @@
 	"log/slog"
 	"time"
 
+	"bellwood/internal/gateway/protocol"
 	"bellwood/internal/policy"
 	"bellwood/internal/timerqueue"
 )
@@ -64,22 +65,22 @@
 // would be given what another request is answered (TestOpenIDIsRejected).
 func (table *requestTable) requestArrived(received *clientRequest) {
 	if limit := table.cfg.Transport.MaxOpenRequests; limit > 0 && len(table.byID) >= limit {
-		received.answer(busyReply(0))
+		received.answer(protocol.Busy(0))
 		return
 	}
-	id := received.clientID()
+	id := string(received.ID())
 	if table.idInUse[id] {
-		received.answer([]byte("-ERR the id is that of an open request\r\n"))
+		received.answer([]byte(protocol.IDInUse))
 		return
 	}
 	table.idInUse[id] = true
 	table.lastID++
-	request := &openRequest{id: table.lastID, received: received, deadline: received.arrivedAt + received.timeLeft}
+	request := &openRequest{id: table.lastID, received: received, deadline: received.arrivedAt + received.TimeLeft}
 	received.requestID = request.id
 	table.byID[request.id] = request
 	table.guardDeadline(request)
-	table.loop.emit(policy.Request{ID: request.id, Class: received.class, Plan: received.plan, Tenant: received.tenant,
-		Cost: received.cost, Gateways: received.gateways, ClientRetry: received.clientRetry}) // TimeLeft: see updateTimeLeft
+	table.loop.emit(policy.Request{ID: request.id, Class: received.Class, Plan: received.Plan, Tenant: received.Tenant,
+		Cost: received.Cost, Gateways: received.Gateways, ClientRetry: received.ClientRetry}) // TimeLeft: see updateTimeLeft
 }
 
 // guardDeadline sees to it that a client hears back in time, though the engine should not answer.
@@ -121,7 +122,7 @@
 func (table *requestTable) abandon(request *openRequest) {
 	table.end(request)
 	table.loop.emit(policy.ClientGone{ID: request.id})
-	request.received.answer([]byte("-ERR no answer in time\r\n"))
+	request.received.answer([]byte(protocol.NoAnswerInTime))
 }
 
 // updateTimeLeft tells new requests the time that is left by the clock of the step that takes them: the loop may have
@@ -135,7 +136,7 @@
 		if request := table.byID[arrival.ID]; request != nil {
 			arrival.TimeLeft = max(0, request.deadline-now)
 			events[i] = arrival
-			table.audit.decided(request.received.args[2])
+			table.audit.decided(request.received.ID())
 		}
 	}
 }
@@ -163,7 +164,7 @@
 // end ends a request. Nothing may go out for it any more, so attempts still in flight are cancelled.
 func (table *requestTable) end(request *openRequest) {
 	request.ended = true
-	delete(table.idInUse, request.received.clientID())
+	delete(table.idInUse, string(request.received.ID()))
 	table.loop.stopTimer(request.deadlineTimer)
 	for _, attempt := range request.attempts {
 		table.sender.cancelAttempt(attempt)
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -3,7 +3,7 @@
 //
 // A Server composes the parts and runs the event loop; each part owns its state and knows the others by small
 // interfaces. A request passes them in this order: downstream (listener.go, clientconn.go) accepts and reads,
-// requestParser parses, requestTable keeps it open and hands it to the module, upstream (backendpool.go, backendconn.go)
+// protocol.Parser parses, requestTable keeps it open and hands it to the module, upstream (backendpool.go, backendconn.go)
 // sends the attempts that the module wants, and the reply goes back by requestTable to the client's connection.
 package gateway
 
@@ -18,6 +18,7 @@
 	"bellwood/internal/gateway/budget"
 	"bellwood/internal/gateway/counter"
 	"bellwood/internal/gateway/discovery"
+	"bellwood/internal/gateway/protocol"
 	"bellwood/internal/gateway/watchdog"
 	"bellwood/internal/policy"
 )
@@ -58,7 +59,7 @@
 	server.counter = newCounter(server)
 	server.discovery = newDiscovery(server)
 	server.downstream = newDownstream(server.eventLoop, downstreamConfig{
-		parser:   &requestParser{settings: &cfg.Settings, transport: &cfg.Transport},
+		parser:   &protocol.Parser{Settings: &cfg.Settings, Transport: &cfg.Transport},
 		requests: server.requests,
 		service:  server,
 		log:      log,
@@ -114,11 +115,11 @@
 func (server *Server) pingReply() string {
 	switch {
 	case !server.ready.Load():
-		return "-LOADING no backend is known yet\r\n"
+		return protocol.NoBackendKnown
 	case server.suspended.Load():
-		return "-LOADING out of service\r\n"
+		return protocol.OutOfService
 	}
-	return "+PONG\r\n"
+	return protocol.Pong
 }
 
 // runLoop runs tasks, due timers and steps until a shutdown is complete.
@@ -209,9 +210,9 @@
 	case policy.CancelAttempt:
 		server.requests.cancelAttempt(action)
 	case policy.Reject:
-		server.requests.answerByID(action.ID, busyReply(action.RetryAfter))
+		server.requests.answerByID(action.ID, protocol.Busy(action.RetryAfter))
 	case policy.Fail:
-		server.requests.answerByID(action.ID, []byte("-ERR failed\r\n"))
+		server.requests.answerByID(action.ID, []byte(protocol.Failed))
 	case policy.HealthCheck:
 		server.upstream.startHealthCheck(action.Backend)
 	case policy.AddToCounter:
--- a/internal/gateway/unreadend_test.go
+++ b/internal/gateway/unreadend_test.go
@@ -88,7 +88,7 @@
 // openRequestByID returns the open request of a client's id; nil: there is none.
 func openRequestByID(server *Server, id string) *openRequest {
 	for _, request := range server.requests.byID {
-		if request.received.clientID() == id {
+		if string(request.received.ID()) == id {
 			return request
 		}
 	}
--- a/internal/gateway/upstream.go
+++ b/internal/gateway/upstream.go
@@ -6,6 +6,7 @@
 	"time"
 
 	"bellwood/internal/gateway/budget"
+	"bellwood/internal/gateway/protocol"
 	"bellwood/internal/policy"
 	"bellwood/internal/timerqueue"
 )
@@ -203,15 +204,15 @@
 }
 
 // replyReceived takes an answer.
-func (backends *upstream) replyReceived(conn *backendConn, reply backendReply) {
+func (backends *upstream) replyReceived(conn *backendConn, reply protocol.Reply) {
 	if conn.closed {
 		return
 	}
 	attempt, check := conn.takeLoad()
 	if attempt != nil {
 		attempt.conn = nil
-		if reply.unexpected { // what no backend made for a request is no value to serve
-			reply.status = policy.Failed
+		if reply.Unexpected { // what no backend made for a request is no value to serve
+			reply.Status = policy.Failed
 		}
 	}
 	now := backends.loop.now()
@@ -225,7 +226,7 @@
 		backends.forgetIfUnused(conn.pool)
 	}
 	if check != nil {
-		backends.healthCheckEnded(check, reply.status)
+		backends.healthCheckEnded(check, reply.Status)
 	}
 	if attempt != nil {
 		backends.attemptReplied(attempt, reply)
@@ -234,15 +235,15 @@
 
 // attemptReplied gives an attempt its outcome. A value is first passed on to the client, which ends the request, and the
 // outcome says so.
-func (backends *upstream) attemptReplied(attempt *backendAttempt, reply backendReply) {
-	if reply.status == policy.OK {
-		backends.results.answer(attempt.request, reply.value)
+func (backends *upstream) attemptReplied(attempt *backendAttempt, reply protocol.Reply) {
+	if reply.Status == policy.OK {
+		backends.results.answer(attempt.request, reply.Value)
 	}
 	cost := 0.0
-	if limit := backends.maxRequestCost; limit == 0 || reply.cost <= limit {
-		cost = reply.cost
+	if limit := backends.maxRequestCost; limit == 0 || reply.Cost <= limit {
+		cost = reply.Cost
 	}
-	backends.results.attemptEnded(attempt, reply.status, reply.quotaUsage, cost)
+	backends.results.attemptEnded(attempt, reply.Status, reply.QuotaUsage, cost)
 }
 
 // acquire returns an idle connection or starts to dial one; nil where no descriptor is left.
--- a/internal/gateway/upstream_test.go
+++ b/internal/gateway/upstream_test.go
@@ -1,38 +1,13 @@
 package gateway
 
 import (
-	"fmt"
 	"net"
 	"testing"
 	"time"
 
-	"github.com/tidwall/redcon"
-
 	"bellwood/internal/policy"
 )
 
-func TestReadReply(t *testing.T) {
-	for text, want := range map[string]backendReply{
-		"*3\r\n$2\r\nhi\r\n$14\r\nused=37,cost=4\r\n$-1\r\n": {status: policy.OK, value: []byte("$2\r\nhi\r\n"), quotaUsage: 38, cost: 4},
-		"*3\r\n$0\r\n\r\n$-1\r\n$-1\r\n":                     {status: policy.OK, value: []byte("$0\r\n\r\n")},
-		"-ERR failed\r\n":                                    {status: policy.Failed},
-		"-ERR failed used=0 inflight=7\r\n":                  {status: policy.Failed, quotaUsage: 1},
-		"-BUSY cost=1,used=120\r\n":                          {status: policy.Rejected, quotaUsage: 121},
-		"-ER\x00 x used=3\r\n":                               {status: policy.Failed, unexpected: true, quotaUsage: 4},
-		"-BUSY\r\n":                                          {status: policy.Rejected},
-		"+PONG\r\n":                                          {status: policy.OK, unexpected: true, pong: true},
-		"*1\r\n$-1\r\n":                                      {status: policy.Failed, unexpected: true},
-		"*0\r\n":                                             {status: policy.Failed, unexpected: true},
-		"$2\r\nhi\r\n":                                       {status: policy.Failed, unexpected: true},
-		":1\r\n":                                             {status: policy.Failed, unexpected: true},
-	} {
-		n, m := redcon.ReadNextRESP([]byte(text))
-		if got := readReply(m); n != len(text) || fmt.Sprint(got) != fmt.Sprint(want) {
-			t.Errorf("%q: got %+v, want %+v", text, got, want)
-		}
-	}
-}
-
 // An error from one backend leads to a retry; its connection is good for more. After a reset the value of a request that
 // is idempotent with a key still comes from a backend.
 func TestFailedAttemptIsRetried(t *testing.T) {
