--- a/cmd/bellwood/main.go
+++ b/cmd/bellwood/main.go
@@ -1,8 +1,8 @@
 // Command bellwood is one gateway: it meters tenants' quotas and forwards their requests to a shared fleet of backends.
 //
-// It is configured by the JSON file that NODE_CONFIG names; NODE_NAME, NODE_LISTEN and NODE_DISCOVERY go before what the
-// file says. SIGTERM or an interrupt begins a graceful shutdown, SIGHUP makes it read the file again. It logs to standard
-// error. See README.
+// It is configured by the JSON file that NODE_CONFIG names; NODE_NAME, NODE_LISTEN and NODE_DISCOVERY go before what
+// the file says. SIGTERM or an interrupt begins a graceful shutdown, SIGHUP makes it read the file again. It logs to
+// standard error. See README.
 package main
 
 import (
@@ -74,7 +74,8 @@
 }
 
 // reload reads the file again at each signal, until ended is closed. The file now goes before the environment, which
-// tells what held at the start; only the addresses of discovery and the counter change. An unusable file changes nothing.
+// tells what held at the start; only the addresses of discovery and the counter change. An unusable file changes
+// nothing.
 func reload(hup <-chan os.Signal, ended <-chan struct{}, server *gateway.Server, log *slog.Logger) {
 	for {
 		select {
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -24,8 +24,8 @@
 	return attempt.sendBefore > 0 && now >= attempt.sendBefore
 }
 
-// command returns the command for the backend if it is written now. It tells the backend what is left of the deadline at
-// that time, also where the connection has come up late (TestLateConnectionIsToldTheTimeLeft).
+// command returns the command for the backend if it is written now. It tells the backend what is left of the deadline
+// at that time, also where the connection has come up late (TestLateConnectionIsToldTheTimeLeft).
 func (attempt *backendAttempt) command(now time.Duration) []byte {
 	return attempt.request.received.Forward(attempt.deadline - now)
 }
--- a/internal/gateway/backendconn.go
+++ b/internal/gateway/backendconn.go
@@ -56,9 +56,9 @@
 	return attempt, check
 }
 
-// reusableAfter says whether the connection may be used again after a reply to what it carried: not if nothing was asked,
-// more came than was asked for, it is no answer, the command was not wholly written, or the backend is out of service or
-// another process by now.
+// reusableAfter says whether the connection may be used again after a reply to what it carried: not if nothing was
+// asked, more came than was asked for, it is no answer, the command was not wholly written, or the backend is out of
+// service or another process by now.
 func (conn *backendConn) reusableAfter(reply protocol.Reply, attempt *backendAttempt, check *healthCheck) bool {
 	asked := attempt != nil || check != nil
 	answered := !reply.Unexpected || check != nil && reply.Pong
@@ -105,11 +105,12 @@
 
 // readFailed notes how the reading ended, and posts the end to the loop unless a write is under way.
 //
-// Failure: the connection breaks while its command is being written, and the reader sees it first. How it shows: a command
-// that never ran counts as one that may have run and is not retried, or the other way round. Why this holds: as long as
-// the command is being written the end is left to who writes, who knows how far it got; that one stores the state before
-// it looks whether the reader has ended, and the reader the other way round, so at least one of them posts the end, and
-// the loop takes a second one for nothing. TestOneOutcomeForEachAttempt, TestNonIdempotentRequestIsNotRetried.
+// Failure: the connection breaks while its command is being written, and the reader sees it first. How it shows: a
+// command that never ran counts as one that may have run and is not retried, or the other way round. Why this holds: as
+// long as the command is being written the end is left to who writes, who knows how far it got; that one stores the
+// state before it looks whether the reader has ended, and the reader the other way round, so at least one of them posts
+// the end, and the loop takes a second one for nothing. TestOneOutcomeForEachAttempt,
+// TestNonIdempotentRequestIsNotRetried.
 func (conn *backendConn) readFailed(socket net.Conn, err error) {
 	conn.malformed.Store(errors.Is(err, resp.ErrMalformed) || errors.Is(err, errUnsolicitedReply) ||
 		errors.Is(err, os.ErrDeadlineExceeded))
--- a/internal/gateway/clientclose.go
+++ b/internal/gateway/clientclose.go
@@ -23,8 +23,8 @@
 	conn.roomOrClosed.Broadcast()
 }
 
-// closeIfClientLeft says whether the client has ended its connection, which its reader may not know yet: it may wait for
-// room, or have more to read before the end. The connection is then closed here too, and all its requests end.
+// closeIfClientLeft says whether the client has ended its connection, which its reader may not know yet: it may wait
+// for room, or have more to read before the end. The connection is then closed here too, and all its requests end.
 func (conn *clientConn) closeIfClientLeft() bool {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
@@ -79,10 +79,10 @@
 
 // betweenRequests says whether no part of a command has come. The caller holds mu.
 //
-// Failure: the connection is closed over a request that is half read, or unread in the socket. How it shows: the request
-// is lost, and what lies unread makes the kernel reset the connection, which can take answers on their way along. Why
-// this holds: the reader takes bytes only under mu (receive), so they are either in the socket, where Quiet sees them, or
-// noted in commandBegun. TestUnreadRequestKeepsTheConnection.
+// Failure: the connection is closed over a request that is half read, or unread in the socket. How it shows: the
+// request is lost, and what lies unread makes the kernel reset the connection, which can take answers on their way
+// along. Why this holds: the reader takes bytes only under mu (receive), so they are either in the socket, where Quiet
+// sees them, or noted in commandBegun. TestUnreadRequestKeepsTheConnection.
 func (conn *clientConn) betweenRequests() bool {
 	return !conn.commandBegun && rawsocket.Quiet(conn.socket)
 }
--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -28,9 +28,9 @@
 
 // clientConn is one connection of a client.
 //
-// Its reader, the goroutine of serve, owns it: it takes commands until the connection ends and then cleans up. The loop,
-// and any goroutine that evicts connections, give answers and close it under mu. A further goroutine writes what the
-// socket does not take at once (writeRest), until all is written or the connection is closed.
+// Its reader, the goroutine of serve, owns it: it takes commands until the connection ends and then cleans up. The
+// loop, and any goroutine that evicts connections, give answers and close it under mu. A further goroutine writes what
+// the socket does not take at once (writeRest), until all is written or the connection is closed.
 type clientConn struct {
 	downstream *downstream
 	socket     net.Conn
@@ -150,8 +150,8 @@
 	return true
 }
 
-// rejectUnusable answers a command that can't be used, and says whether to go on. The next one is read after a pause, as
-// a client that sends the same again and again would else take the core from the others.
+// rejectUnusable answers a command that can't be used, and says whether to go on. The next one is read after a pause,
+// as a client that sends the same again and again would else take the core from the others.
 func (conn *clientConn) rejectUnusable(line string) bool {
 	if conn.unusableInRow++; conn.unusableInRow >= maxUnusableInRow {
 		conn.rejectAndDiscard(line)
--- a/internal/gateway/clientgone_test.go
+++ b/internal/gateway/clientgone_test.go
@@ -12,8 +12,8 @@
 	"bellwood/internal/resp"
 )
 
-// With as many commands open on a connection as may be, and as much read ahead, the reader waits and reads no further: it
-// does not see that the client leaves. The end behind all that is seen when one of the requests is to be forwarded.
+// With as many commands open on a connection as may be, and as much read ahead, the reader waits and reads no further:
+// it does not see that the client leaves. The end behind all that is seen when one of the requests is to be forwarded.
 func TestEndBehindReadAheadStopsTheSend(t *testing.T) {
 	many := ""
 	for i := range maxPipelined {
@@ -22,7 +22,7 @@
 	for len(many) < maxPipelined*len(requestCommand("r"))+resp.MaxMessageBytes+(32<<10) {
 		many += requestCommand(fmt.Sprint("s", len(many)))
 	}
-	for how, end := range map[string]func(client *peer){"closes": func(client *peer) { client.socket.Close() }, "resets": (*peer).reset} {
+	for how, end := range clientEnds {
 		t.Run(how, func(t *testing.T) {
 			ln := listen(t)
 			server := newIdleServer(t, ln.Addr().String())
@@ -49,9 +49,9 @@
 	}
 }
 
-// A client leaves while its request waits, wherever in the gateway that is. A request forwarded then would cost a backend
-// work that nobody waits for, and counts against the gateway. So what is forwarded next must be what another client asks
-// afterwards.
+// A client leaves while its request waits, wherever in the gateway that is. A request forwarded then would cost a
+// backend work that nobody waits for, and counts against the gateway. So what is forwarded next must be what another
+// client asks afterwards.
 func TestNothingIsForwardedForAClientThatHasLeft(t *testing.T) {
 	for name, leaveWaiting := range map[string]func(*leavingClient){
 		"posted to the loop":       (*leavingClient).leaveWhilePosted,
@@ -188,8 +188,8 @@
 	release()
 }
 
-// A backend does not read, so only a part of a command is written to it when the client leaves. The rest is never written,
-// and the backend never gets the command whole.
+// A backend does not read, so only a part of a command is written to it when the client leaves. The rest is never
+// written, and the backend never gets the command whole.
 func TestHalfWrittenCommandStaysHalf(t *testing.T) {
 	small := newReservedPort(t)
 	if err := syscall.SetsockoptInt(int(small.file.Fd()), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 2048); err != nil {
@@ -231,8 +231,8 @@
 	}
 }
 
-// A client leaves while the connection for its request comes up a second late. The dial is given up, and what the backend
-// gets next is another client's request.
+// A client leaves while the connection for its request comes up a second late. The dial is given up, and what the
+// backend gets next is another client's request.
 func TestClientLeavesBeforeALateConnectionIsUp(t *testing.T) {
 	l := newLateListener(t)
 	gateway := startGateway(t, []string{l.listener.Addr().String()})
@@ -247,14 +247,14 @@
 	wantNextCommand(t, received, "marker")
 }
 
-// The connection of an attempt comes up a second late. The attempt tells its backend what is left to the client then, the
-// first one and a retry.
+// The connection of an attempt comes up a second late. The attempt tells its backend what is left to the client then,
+// the first one and a retry.
 func TestLateConnectionIsToldTheTimeLeft(t *testing.T) {
 	const most, wait = 8 * time.Second, 300 * time.Millisecond
 	l := newLateListener(t)
 	gateway := startGateway(t, []string{l.listener.Addr().String()})
 	client := gateway.dial()
-	client.command("Q.ASK", tenantID, "1", strings.Replace(idempotentFields, "d=20000", fmt.Sprint("d=", most.Milliseconds()), 1))
+	client.command(requestWith("d=20000", fmt.Sprint("d=", most.Milliseconds()))...)
 	gateway.until(func() bool { return gateway.server.requests.idInUse["1"] })
 	come := time.Now() // or before
 	for _, which := range []string{"first", "second"} {
--- a/internal/gateway/clientreader.go
+++ b/internal/gateway/clientreader.go
@@ -102,9 +102,9 @@
 
 // waitForRoom waits until there is room for a further reply. The caller holds mu; it is given up meanwhile.
 //
-// Failure: the client leaves while its reader waits. How it shows: all that it has asked is forwarded though nobody waits
-// for it. Why this holds: as far as the buffer may grow it reads on, and so sees the end; what a client sends beyond that
-// hides its end from the reader, and upstream asks the socket (endIfClientLeft). TestLeavingClientIsSeen,
+// Failure: the client leaves while its reader waits. How it shows: all that it has asked is forwarded though nobody
+// waits for it. Why this holds: as far as the buffer may grow it reads on, and so sees the end; what a client sends
+// beyond that hides its end from the reader, and upstream asks the socket (endIfClientLeft). TestLeavingClientIsSeen,
 // TestReadAheadIsTaken.
 func (conn *clientConn) waitForRoom() {
 	if conn.commands.ReadAheadLeft() <= 0 {
@@ -135,9 +135,9 @@
 
 // rejectAndDiscard answers what can't be read and throws the rest away until the connection ends.
 //
-// Failure: the connection is closed while the client still sends, so the kernel resets it. How it shows: the client loses
-// the error line, and answers before it. Why this holds: what comes is read for a while behind the line; and from the
-// start, so that a client that leaves is seen though answers before this one are still owed.
+// Failure: the connection is closed while the client still sends, so the kernel resets it. How it shows: the client
+// loses the error line, and answers before it. Why this holds: what comes is read for a while behind the line; and from
+// the start, so that a client that leaves is seen though answers before this one are still owed.
 // TestErrorLineOutlivesTheRest, TestLeavingClientIsSeen.
 func (conn *clientConn) rejectAndDiscard(line string) {
 	conn.socket.SetReadDeadline(time.Time{})
--- a/internal/gateway/clientreply.go
+++ b/internal/gateway/clientreply.go
@@ -49,8 +49,8 @@
 	return reply
 }
 
-// moveReady moves the replies that are ready, up to the first that is not, to those to be written, and says whether there
-// were any.
+// moveReady moves the replies that are ready, up to the first that is not, to those to be written, and says whether
+// there were any.
 func (queue *replyQueue) moveReady() (moved bool) {
 	for len(queue.pending) > 0 && queue.pending[0].ready {
 		first := queue.pending[0]
@@ -104,8 +104,8 @@
 	return reply != nil
 }
 
-// reserveReply keeps a place for the next reply. It waits while too many are kept already, or those before are not read;
-// nil: the connection ended. The memory has been taken from the budget.
+// reserveReply keeps a place for the next reply. It waits while too many are kept already, or those before are not
+// read; nil: the connection ended. The memory has been taken from the budget.
 func (conn *clientConn) reserveReply(request *clientRequest, memory int64) *pendingReply {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
@@ -126,8 +126,8 @@
 	return reply
 }
 
-// answer fills a place, once; nil is passed over. What then stands at the head is written as far as the socket takes it,
-// and the rest by a goroutine of its own: a slow client must not hold up the caller, which may be the loop.
+// answer fills a place, once; nil is passed over. What then stands at the head is written as far as the socket takes
+// it, and the rest by a goroutine of its own: a slow client must not hold up the caller, which may be the loop.
 func (conn *clientConn) answer(reply *pendingReply, text []byte) {
 	if reply == nil {
 		return
--- a/internal/gateway/descriptorlimit_test.go
+++ b/internal/gateway/descriptorlimit_test.go
@@ -12,9 +12,9 @@
 	"bellwood/internal/gateway/discovery"
 )
 
-// While discovery is down, clients that idle fill a gateway's share of the descriptors, and hundreds more come again and
-// again. At the smallest limits the shares once added up to more than the limit, so when discovery and the counter came
-// back there was no descriptor for them. Now the watch is opened, the counter answers, and backends get as many
+// While discovery is down, clients that idle fill a gateway's share of the descriptors, and hundreds more come again
+// and again. At the smallest limits the shares once added up to more than the limit, so when discovery and the counter
+// came back there was no descriptor for them. Now the watch is opened, the counter answers, and backends get as many
 // connections as their share holds, also when all is moved by a new configuration; and no descriptor is ever wanting.
 func TestCrowdLeavesDescriptorsToTheOthers(t *testing.T) {
 	const descriptors = 256
@@ -78,9 +78,9 @@
 	return err
 }
 
-// A crowd stands in the listener's backlog while the clients' share is full. Each of it was once held until a goroutine came
-// to reject it, and descriptors wanted for the others. Now a connection for which there is no room is closed before the
-// next is accepted, but for the few whose request is read.
+// A crowd stands in the listener's backlog while the clients' share is full. Each of it was once held until a goroutine
+// came to reject it, and descriptors wanted for the others. Now a connection for which there is no room is closed
+// before the next is accepted, but for the few whose request is read.
 func TestCrowdInTheBacklogTakesNoDescriptors(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
 	server.downstream.maxConns = 2 * budget.ConnsPerRejected
@@ -128,7 +128,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		clients := server.downstream.maxConns + budget.RejectedConns(server.downstream.maxConns) + 1 // one more is being accepted
+		const accepting = 1 // one more is being accepted
+		clients := server.downstream.maxConns + budget.RejectedConns(server.downstream.maxConns) + accepting
 		watch := 2 * int64(discovery.MaxConns)
 		const runtime, configuration = 8, 1 // standard files 3, poller 2, cgroup 2, listener
 		sum := clients + int64(server.upstream.maxConns) + watch + 2*counter.MaxConns + runtime + configuration
--- a/internal/gateway/downstream.go
+++ b/internal/gateway/downstream.go
@@ -10,8 +10,8 @@
 	"bellwood/internal/gateway/protocol"
 )
 
-// firstRequestGrace: a new connection brings its first request within this. A shutdown leaves it the time for it, as its
-// client has connected in good faith (TestNewConnectionHasTimeForItsRequest).
+// firstRequestGrace: a new connection brings its first request within this. A shutdown leaves it the time for it, as
+// its client has connected in good faith (TestNewConnectionHasTimeForItsRequest).
 const firstRequestGrace = 100 * time.Millisecond
 
 // requestHandler is what downstream needs of the open requests. Both methods are called on the loop.
--- a/internal/gateway/downstream_test.go
+++ b/internal/gateway/downstream_test.go
@@ -66,51 +66,52 @@
 	client.wants("+PONG")
 }
 
-// What can't be parsed is answered with an error and forwarded to nobody. Where the framing is intact the connection is
-// kept, else it is closed.
+// What can't be parsed is answered with an error and forwarded to nobody. The framing is intact, so the connection is
+// kept.
+var malformedRequests = [][]string{
+	{"GET", "x\r\ny"}, {""},
+	{"Q.ASK"}, {"Q.ASK", tenantID, "1"}, {"Q.ASK", tenantID, "1", idempotentFields, "body", "more"},
+
+	{"Q.ASK", "b4d65521", "1", idempotentFields}, {"Q.ASK", "zzzzzzzzzzzzzzzz", "1", idempotentFields},
+	{"Q.ASK", "ffffffffffffffff", "1", idempotentFields},
+
+	{"Q.ASK", tenantID, "", idempotentFields}, {"Q.ASK", tenantID, "1", ""},
+
+	requestWith("evaluate", "other"), requestWith("t=open", "t=other"),
+	requestWith("d=20000", "d=-1"), requestWith("d=20000,", ""), requestWith("d=20000", "d=90000000"),
+	requestWith("units=1", "units=nan"), requestWith("units=1", "units=1.5"), requestWith("units=1", "units=+1"),
+	requestWith("units=1", "units=0x1p0"), requestWith("units=1", "units=1e0"), requestWith("units=1", "units=0"),
+	requestWith("spread=1", "spread=x"), requestWith("spread=1", "spread=2"), requestWith("spread=1", "spread=+1"),
+	requestWith(",first=0", ""), requestWith("first=0", "first=1"),
+	{"Q.ASK", tenantID, "1", idempotentFields + ",units=1"}, {"Q.ASK", tenantID, "1", idempotentFields + ",t=open"},
+
+	{"Q.ASK", tenantID, "1", keyedFields}, {"Q.DO", tenantID, "1", idempotentFields, "body"},
+	{"Q.DO", tenantID, "1", strings.Replace(keyedFields, "k=5c0f6e1a2b3d4c59,", "", 1), "body"},
+}
+
+// What can't be framed is answered with an error, and the connection is closed.
+var malformedFrames = []string{"PING\r\n", "*1\r\n:1\r\n", "*1\r\n$-1\r\n", "*999999999\r\n", "*1\r\n$70000\r\n", "*x\r\n",
+	"*0\r\n", "*2\r\n$4\r\nPING\r\n*1\r\n$1\r\nx\r\n", "*1\r\n$4\r\nPINGxx"}
+
+// Malformed input is answered, and costs the connection only where it can't be framed.
 func TestMalformedInputIsRejected(t *testing.T) {
 	gateway, ln := startWithBackend(t)
-	for _, bad := range [][]string{
-		{"Q.ASK"}, {"Q.ASK", tenantID, "1"}, {"Q.ASK", tenantID, "1", idempotentFields, "body", "more"},
-		{"Q.ASK", "b4d65521", "1", idempotentFields}, {"Q.ASK", "zzzzzzzzzzzzzzzz", "1", idempotentFields}, {"Q.ASK", "ffffffffffffffff", "1", idempotentFields},
-		{"Q.ASK", tenantID, "", idempotentFields}, {"Q.ASK", tenantID, "1", ""},
-		{"Q.ASK", tenantID, "1", strings.Replace(idempotentFields, "evaluate", "other", 1)},
-		{"Q.ASK", tenantID, "1", strings.Replace(idempotentFields, "t=open", "t=other", 1)},
-		{"Q.ASK", tenantID, "1", strings.Replace(idempotentFields, "d=20000", "d=-1", 1)},
-		{"Q.ASK", tenantID, "1", strings.Replace(idempotentFields, "d=20000,", "", 1)},
-		{"Q.ASK", tenantID, "1", strings.Replace(idempotentFields, "units=1", "units=nan", 1)},
-		{"Q.ASK", tenantID, "1", strings.Replace(idempotentFields, "spread=1", "spread=x", 1)},
-		{"Q.ASK", tenantID, "1", strings.Replace(idempotentFields, ",first=0", "", 1)},
-		{"Q.ASK", tenantID, "1", keyedFields}, {"Q.DO", tenantID, "1", idempotentFields, "body"},
-		{"Q.DO", tenantID, "1", strings.Replace(keyedFields, "k=5c0f6e1a2b3d4c59,", "", 1), "body"},
-		{"GET", "x\r\ny"}, {""},
-		{"Q.ASK", tenantID, "1", strings.Replace(idempotentFields, "units=1", "units=1.5", 1)},
-		{"Q.ASK", tenantID, "1", strings.Replace(idempotentFields, "units=1", "units=+1", 1)},
-		{"Q.ASK", tenantID, "1", strings.Replace(idempotentFields, "units=1", "units=0x1p0", 1)},
-		{"Q.ASK", tenantID, "1", strings.Replace(idempotentFields, "units=1", "units=1e0", 1)},
-		{"Q.ASK", tenantID, "1", strings.Replace(idempotentFields, "units=1", "units=0", 1)},
-		{"Q.ASK", tenantID, "1", strings.Replace(idempotentFields, "spread=1", "spread=2", 1)},
-		{"Q.ASK", tenantID, "1", strings.Replace(idempotentFields, "spread=1", "spread=+1", 1)},
-		{"Q.ASK", tenantID, "1", strings.Replace(idempotentFields, "first=0", "first=1", 1)},
-		{"Q.ASK", tenantID, "1", strings.Replace(idempotentFields, "d=20000", "d=90000000", 1)},
-		{"Q.ASK", tenantID, "1", idempotentFields + ",units=1"}, {"Q.ASK", tenantID, "1", idempotentFields + ",t=open"},
-	} {
+	for _, malformed := range malformedRequests {
 		client := gateway.dial()
-		client.command(bad...)
+		client.command(malformed...)
 		client.wantsPrefix("-ERR ")
 		client.command("PING") // the connection is kept
 		client.wants("+PONG")
 	}
-	for _, bad := range []string{"PING\r\n", "*1\r\n:1\r\n", "*1\r\n$-1\r\n", "*999999999\r\n", "*1\r\n$70000\r\n", "*x\r\n",
-		"*0\r\n", "*2\r\n$4\r\nPING\r\n*1\r\n$1\r\nx\r\n", "*1\r\n$4\r\nPINGxx"} {
+	for _, malformed := range malformedFrames {
 		client := gateway.dial()
-		client.write(bad)
+		client.write(malformed)
 		client.wantsPrefix("-ERR ")
 		client.wantsEnd()
 	}
 	ln.Close()
-	if nc, err := ln.Accept(); err == nil {
-		nc.Close()
+	if conn, err := ln.Accept(); err == nil {
+		conn.Close()
 		t.Error("something was forwarded")
 	}
 }
@@ -157,11 +158,12 @@
 	}
 }
 
-// No backend is known: the request is queued and rejected when its time is up, by the loop if the engine should forget it.
+// No backend is known: the request is queued and rejected when its time is up, by the loop if the engine should forget
+// it.
 func TestOverdueRequestIsAnswered(t *testing.T) {
 	gateway := startGateway(t, nil)
 	client := gateway.dial()
-	client.command("Q.ASK", tenantID, "1", strings.Replace(idempotentFields, "d=20000", "d=60", 1))
+	client.command(requestWith("d=20000", "d=60")...)
 	if m := client.message(); !strings.HasPrefix(m[0], "-") {
 		t.Errorf("got %q", m)
 	}
@@ -191,7 +193,8 @@
 	later.wantsPrefix("-ERR ")
 }
 
-// A client that is rejected while it still sends must be able to read why: closing the connection at once would reset it.
+// A client that is rejected while it still sends must be able to read why: closing the connection at once would reset
+// it.
 func TestErrorReachesAClientThatStillSends(t *testing.T) {
 	gateway := startGateway(t, nil)
 	client := gateway.dial()
@@ -217,49 +220,52 @@
 	other.wants("again")
 }
 
-// Clients connect and rest until no room is left for others. Their connections are closed for new clients, those that are
-// idle longest first.
+// Clients connect and rest until no room is left for others. Their connections are closed for new clients, those that
+// are idle longest first.
 func TestIdleConnectionsAreEvicted(t *testing.T) {
 	gateway := startGateway(t, nil, func(cfg *Config, t *testing.T) { cfg.Sockets = 8 }) // 4 of them for clients
-	var all []*peer
+	const never = -time.Hour                                                             // never long enough
+	var resting []*peer
 	for range 4 {
 		client := gateway.dial()
 		client.command("PING")
 		client.wantsPrefix("-LOADING")
-		all = append(all, client)
-	}
-	// since sets for how long a client's connection has been idle; below 0 it is never long enough. Until its reader
-	// waits for the next command, it stands within the one before.
-	since := func(ages map[int]time.Duration) {
-		found := map[*clientConn]time.Duration{}
-		gateway.server.downstream.mu.Lock()
-		for conn := range gateway.server.downstream.conns {
-			for i, age := range ages {
-				if conn.socket.RemoteAddr().String() == all[i].socket.LocalAddr().String() {
-					found[conn] = age
-				}
-			}
-		}
-		gateway.server.downstream.mu.Unlock()
-		for conn, age := range found {
-			readerWaits(t, conn, "IO wait")
-			conn.idleSince.Store(int64(gateway.server.now() - age))
-		}
+		resting = append(resting, client)
 	}
-	since(map[int]time.Duration{0: -time.Hour, 1: -time.Hour, 2: -time.Hour, 3: -time.Hour})
+	gateway.setIdle(map[*peer]time.Duration{resting[0]: never, resting[1]: never, resting[2]: never, resting[3]: never})
 	rejected := gateway.dial()
 	rejected.wantsPrefix("-BUSY")
-	since(map[int]time.Duration{1: minIdle, 2: 2 * minIdle})
+	gateway.setIdle(map[*peer]time.Duration{resting[1]: minIdle, resting[2]: 2 * minIdle})
 	client := gateway.dial()
 	client.command("PING")
 	client.wantsPrefix("-LOADING")
-	all[2].wantsEnd()
-	all[2] = client
-	since(map[int]time.Duration{0: minIdleWhenFull, 1: -time.Hour, 2: -time.Hour})
-	gateway.dial().command("PING") // with no place left the threshold is lower
-	all[0].wantsEnd()
-	all[1].command("PING")
-	all[1].wantsPrefix("-LOADING")
+	resting[2].wantsEnd()
+	resting[2] = client
+	gateway.setIdle(map[*peer]time.Duration{resting[0]: minIdleWhenFull, resting[1]: never, resting[2]: never})
+	gateway.dial().command("PING") // with no room left the threshold is lower
+	resting[0].wantsEnd()
+	resting[1].command("PING")
+	resting[1].wantsPrefix("-LOADING")
+}
+
+// setIdle sets for how long clients' connections have been idle. Until its reader waits for the next command, a
+// connection stands within the one before.
+func (gateway *testGateway) setIdle(ages map[*peer]time.Duration) {
+	gateway.t.Helper()
+	found := map[*clientConn]time.Duration{}
+	gateway.server.downstream.mu.Lock()
+	for conn := range gateway.server.downstream.conns {
+		for client, age := range ages {
+			if conn.socket.RemoteAddr().String() == client.socket.LocalAddr().String() {
+				found[conn] = age
+			}
+		}
+	}
+	gateway.server.downstream.mu.Unlock()
+	for conn, age := range found {
+		readerWaits(gateway.t, conn, "IO wait")
+		conn.idleSince.Store(int64(gateway.server.now() - age))
+	}
 }
 
 // All clients together can't make the gateway hold more than its share of memory.
@@ -274,7 +280,8 @@
 		client.command("PING") // it is read meanwhile
 		client.wantsPrefix("-LOADING")
 	}
-	if m := last.message(); m[0] != strings.TrimSpace(string(protocol.Busy(fullRetryAfter))) && !strings.HasPrefix(m[0], "-ERR no memory") {
+	busy := strings.TrimSpace(string(protocol.Busy(fullRetryAfter)))
+	if m := last.message(); m[0] != busy && !strings.HasPrefix(m[0], "-ERR no memory") {
 		t.Errorf("got %q", m)
 	}
 	if held := gateway.server.downstream.memory.Held(); held > 1<<18 {
--- a/internal/gateway/eventloop.go
+++ b/internal/gateway/eventloop.go
@@ -68,8 +68,8 @@
 	})
 }
 
-// runWaiting runs a task, where there is one, all others that wait behind it, and the timers that are due: what is there
-// together goes into one step of the decision module.
+// runWaiting runs a task, where there is one, all others that wait behind it, and the timers that are due: what is
+// there together goes into one step of the decision module.
 func (loop *eventLoop) runWaiting(task func()) {
 	if task != nil {
 		task()
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -17,7 +17,7 @@
 const (
 	acceptRetryPause = 10 * time.Millisecond // after accept failed, for want of descriptors, say
 
-	nearlyFull            = 0.9                    // of the connections that may be open: from here on idle ones are closed
+	nearlyFull            = 0.9                    // of the connections that may be open: then idle ones are closed
 	minIdle               = 2 * time.Second        // a connection with no open request may be closed after this
 	minIdleWithoutCommand = 500 * time.Millisecond // where there is none such, one on which nothing was ever asked
 	minIdleWhenFull       = 250 * time.Millisecond // with no room left at all, any one: the newcomer has a request
@@ -79,9 +79,9 @@
 
 // backlog follows the connections that stand in a listener's backlog when it is to end.
 //
-// Failure: closing a listener resets the connections in its backlog. How it shows: their clients hold them for open, have
-// sent their requests, and get a reset during a shutdown. Why this holds: they are accepted until none came for a poll;
-// and under a load that never ends, for a bounded time. TestShutdownAcceptsTheBacklog, TestAcceptEndsUnderLoad.
+// Failure: closing a listener resets the connections in its backlog. How it shows: their clients hold them for open,
+// have sent their requests, and get a reset during a shutdown. Why this holds: they are accepted until none came for a
+// poll; and under a load that never ends, for a bounded time. TestShutdownAcceptsTheBacklog, TestAcceptEndsUnderLoad.
 type backlog struct {
 	until   time.Time // no longer are they taken; zero: the listener has not been told to end
 	emptied bool      // none has come since the last poll
@@ -112,8 +112,8 @@
 // that ask once, or never, and keep their connections would else fill the share, and the usual ones be rejected.
 //
 // Failure: a request comes on the very connection that is being closed. How it shows: the client gets a reset for a
-// request that it sent in time. Why this holds: a connection is closed only where neither its buffer nor its socket holds
-// a part of a command, and reading and that test exclude each other; else another one is chosen.
+// request that it sent in time. Why this holds: a connection is closed only where neither its buffer nor its socket
+// holds a part of a command, and reading and that test exclude each other; else another one is chosen.
 // TestUnreadRequestKeepsTheConnection.
 func (clients *downstream) closeLongestIdle(full bool) bool {
 	longest := clients.longestIdle(full)
@@ -147,10 +147,11 @@
 
 // rejectConn rejects a connection for which there is no room.
 //
-// Failures: closing a connection whose request lies unread resets it, and the client loses the rejection; and a crowd in
-// the listener's backlog, each of it held until its request was read, takes the descriptors that backends, discovery and
-// the counter need. Why this holds: what the client has sent is read for a moment, but only few connections are held for
-// that; the others are closed before the next one is accepted. TestRejectedConnectionIsTold, TestCrowdInTheBacklogTakesNoDescriptors.
+// Failures: closing a connection whose request lies unread resets it, and the client loses the rejection; and a crowd
+// in the listener's backlog, each of it held until its request was read, takes the descriptors that backends, discovery
+// and the counter need. Why this holds: what the client has sent is read for a moment, but only few connections are
+// held for that; the others are closed before the next one is accepted. TestRejectedConnectionIsTold,
+// TestCrowdInTheBacklogTakesNoDescriptors.
 func (clients *downstream) rejectConn(socket net.Conn) {
 	rawsocket.WriteAvailable(socket, protocol.Busy(fullRetryAfter)) // nothing is taken, so nothing has run
 	half, ok := socket.(halfCloser)
--- a/internal/gateway/manyrequests_test.go
+++ b/internal/gateway/manyrequests_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// A gateway among 1,024 with a list of 1,200 backends serves, also requests of a tenant that is spread over all gateways.
+// A gateway among 1,024 with a list of 1,200 backends serves, also requests of a tenant that is spread over all
+// gateways.
 func TestServesAmongManyGatewaysAndBackends(t *testing.T) {
 	const gateways, backends = 1024, 1200
 	ln := listen(t)
@@ -17,12 +18,13 @@
 	gateway := startGateway(t, addrs, func(cfg *Config, t *testing.T) {
 		cfg.Settings.Gateways, cfg.Settings.GatewayIndex = gateways, gateways-1
 	})
-	got := emulateBackend(t, ln)
+	received := emulateBackend(t, ln)
 	client := gateway.dial()
+	fields := strings.Replace(idempotentFields, "spread=1,first=0", fmt.Sprintf("spread=%d,first=%d", gateways, gateways-1), 1)
 	for i := range 20 {
 		id := fmt.Sprint("request", i)
-		client.command("Q.ASK", tenantID, id, strings.Replace(idempotentFields, "spread=1,first=0", fmt.Sprintf("spread=%d,first=%d", gateways, gateways-1), 1))
-		nextCommand(t, got).replyWithValue()
+		client.command("Q.ASK", tenantID, id, fields)
+		nextCommand(t, received).replyWithValue()
 		client.wants("value")
 	}
 	gateway.until(func() bool { return len(gateway.server.upstream.pools) == backends })
--- a/internal/gateway/overduerequest_test.go
+++ b/internal/gateway/overduerequest_test.go
@@ -34,7 +34,7 @@
 			gateway.server.post(func() { gateway.server.requests.log = slog.New(slog.NewTextHandler(&log, nil)) })
 			client := gateway.dial()
 			late(gateway, func() {
-				client.command("Q.ASK", tenantID, "1", strings.Replace(idempotentFields, "d=20000", fmt.Sprint("d=", wait.Milliseconds()), 1))
+				client.command(requestWith("d=20000", fmt.Sprint("d=", wait.Milliseconds()))...)
 			})
 			client.wantsPrefix("-BUSY")
 			if strings.Contains(log.String(), "deadline exceeded") {
--- a/internal/gateway/peer_test.go
+++ b/internal/gateway/peer_test.go
@@ -38,6 +38,12 @@
 	return newPeer(gateway.t, nc)
 }
 
+// clientEnds are the ways in which a client ends its connection.
+var clientEnds = map[string]func(client *peer){"closes": (*peer).close, "resets": (*peer).reset}
+
+// close ends the connection.
+func (p *peer) close() { p.socket.Close() }
+
 // reset ends the connection by a reset.
 func (p *peer) reset() {
 	p.socket.(*net.TCPConn).SetLinger(0)
@@ -163,6 +169,11 @@
 // requestCommand is the command of an idempotent request.
 func requestCommand(id string) string { return respCommand("Q.ASK", tenantID, id, idempotentFields) }
 
+// requestWith is an idempotent request with a part of its fields replaced.
+func requestWith(old, replacement string) []string {
+	return []string{"Q.ASK", tenantID, "1", strings.Replace(idempotentFields, old, replacement, 1)}
+}
+
 // respBulk is a bulk string.
 func respBulk(text string) string { return respCommand(text)[len("*1\r\n"):] }
 
--- a/internal/gateway/rawsocket/rawsocket.go
+++ b/internal/gateway/rawsocket/rawsocket.go
@@ -1,6 +1,6 @@
 // Package rawsocket asks and writes a TCP socket directly, without waiting and beside a goroutine that reads from the
-// same connection. Connections that have no socket of the operating system (those of tests) are taken as open and quiet,
-// and nothing is written to them.
+// same connection. Connections that have no socket of the operating system (those of tests) are taken as open and
+// quiet, and nothing is written to them.
 package rawsocket
 
 import (
@@ -8,8 +8,8 @@
 	"syscall"
 )
 
-// WriteAvailable writes what the socket takes at once, without waiting, and returns how many bytes that was. It spares a
-// goroutine for each short message. Nothing else may be writing to the connection.
+// WriteAvailable writes what the socket takes at once, without waiting, and returns how many bytes that was. It spares
+// a goroutine for each short message. Nothing else may be writing to the connection.
 func WriteAvailable(conn net.Conn, data []byte) (int, error) {
 	sysConn, ok := conn.(syscall.Conn)
 	if !ok {
--- a/internal/gateway/replyreader.go
+++ b/internal/gateway/replyreader.go
@@ -44,9 +44,9 @@
 	return reply, nil
 }
 
-// Read reads from the socket for messages. It takes nothing while no answer is owed: that would be found in front of the
-// next answer, and a client be given another one's value (TestUnsolicitedReplyReachesNobody). And an answer that has
-// begun must go on.
+// Read reads from the socket for messages. It takes nothing while no answer is owed: that would be found in front of
+// the next answer, and a client be given another one's value (TestUnsolicitedReplyReachesNobody). And an answer that
+// has begun must go on.
 func (reader *replyReader) Read(buffer []byte) (int, error) {
 	if reader.messages.Partial() {
 		reader.socket.SetReadDeadline(time.Now().Add(replyStallTimeout))
--- a/internal/gateway/requesttable.go
+++ b/internal/gateway/requesttable.go
@@ -90,7 +90,9 @@
 // engine's run at once, so what is overdue is answered only behind the step: the engine goes first, as only it knows
 // whether the request may be rejected. TestOverdueRequest, TestModuleAnswersThoughTheLoopIsLate.
 func (table *requestTable) guardDeadline(request *openRequest) {
-	request.deadlineTimer = table.loop.addTimer(request.deadline, func() { table.overdue = append(table.overdue, request) })
+	request.deadlineTimer = table.loop.addTimer(request.deadline, func() {
+		table.overdue = append(table.overdue, request)
+	})
 }
 
 // abandonOverdue answers the requests whose time is up and which the step before has left without an answer. It says
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -3,8 +3,9 @@
 //
 // A Server composes the parts and runs the event loop; each part owns its state and knows the others by small
 // interfaces. A request passes them in this order: downstream (listener.go, clientconn.go) accepts and reads,
-// protocol.Parser parses, requestTable keeps it open and hands it to the module, upstream (backendpool.go, backendconn.go)
-// sends the attempts that the module wants, and the reply goes back by requestTable to the client's connection.
+// protocol.Parser parses, requestTable keeps it open and hands it to the module, upstream (backendpool.go,
+// backendconn.go) sends the attempts that the module wants, and the reply goes back by requestTable to the client's
+// connection.
 package gateway
 
 import (
--- a/internal/gateway/server_test.go
+++ b/internal/gateway/server_test.go
@@ -1,7 +1,6 @@
 package gateway
 
 import (
-	"strings"
 	"testing"
 	"time"
 
@@ -76,7 +75,7 @@
 		cfg.Settings.SharedCounter = true
 	})
 	client := gateway.dial()
-	client.command("Q.ASK", tenantID, "1", strings.Replace(idempotentFields, "t=open", "t=starter", 1))
+	client.command(requestWith("t=open", "t=starter")...)
 	backend := acceptCommand(t, ln)
 	backend.write(valueReply("value"))
 	client.wants("value")
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -14,8 +14,8 @@
 //
 // Failure: a request that a client has sent is lost, as its connection or the process ends before the answer. How it
 // shows: clients see resets during a rolling restart. Why this holds: connections are taken until drainFrom, by which
-// time clients have heard of the shutdown; each then ends between two requests or with its last answer; and what is open
-// at abandonAt is answered with an error, before the operators' SIGKILL. TestShutdownAnswersWhatWasTaken,
+// time clients have heard of the shutdown; each then ends between two requests or with its last answer; and what is
+// open at abandonAt is answered with an error, before the operators' SIGKILL. TestShutdownAnswersWhatWasTaken,
 // TestShutdownAnswersOpenRequests.
 type shutdown struct {
 	drainFrom time.Duration // no connection is accepted any more, and those at hand are drained
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -14,8 +14,8 @@
 )
 
 // A client's next request lies unread in the socket, or was read in part, when its connection is to be closed: by an
-// eviction, the deadline of its first command or a shutdown. Closing it there once lost the request, and the reset took the
-// reply before it along. So the connection stays, and the request is answered.
+// eviction, the deadline of its first command or a shutdown. Closing it there once lost the request, and the reset took
+// the reply before it along. So the connection stays, and the request is answered.
 func TestUnreadRequestKeepsTheConnection(t *testing.T) {
 	for _, cut := range []int{1, 5, len(respCommand("PING")) - 1, len(respCommand("PING"))} {
 		server := newIdleServer(t, freeAddr(t))
@@ -39,7 +39,8 @@
 }
 
 // During a shutdown a client pipelines further requests behind one that is open. They were once dropped. Now they are
-// rejected in their order, and the connection ends with the last reply, that to a request which was read in part included.
+// rejected in their order, and the connection ends with the last reply, that to a request which was read in part
+// included.
 func TestShutdownRejectsCrossingRequests(t *testing.T) {
 	gateway, ln := startWithBackend(t)
 	busy, quiet := gateway.dial(), gateway.dial()
@@ -125,7 +126,7 @@
 func TestHungBackendAtShutdown(t *testing.T) {
 	gateway, ln := startWithBackend(t)
 	client := gateway.dial()
-	client.command("Q.ASK", tenantID, "1", strings.Replace(idempotentFields, "d=20000", "d=1500", 1))
+	client.command(requestWith("d=20000", "d=1500")...)
 	acceptCommand(t, ln) // it hangs
 	gateway.stop()
 	gateway.server.Reload(freeAddr(t), gateway.server.cfg.Counter, "")
@@ -155,7 +156,7 @@
 		"unreadable":     {request(0) + "nonsense\r\n", 1},
 		"half a command": {request(0) + request(1)[:20], 1},
 	} {
-		for _, end := range []func(client *peer){func(client *peer) { client.socket.Close() }, (*peer).reset} {
+		for _, end := range clientEnds {
 			server := newIdleServer(t, freeAddr(t))
 			conn, client := newClientPair(t, server)
 			go conn.serve()
@@ -173,7 +174,8 @@
 	}
 }
 
-// A client leaves during the pause after an unusable command. The pause ends with the connection, and keeps what it read.
+// A client leaves during the pause after an unusable command. The pause ends with the connection, and keeps what it
+// read.
 func TestPauseEndsWithTheConnection(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
 	conn, client := newClientPair(t, server)
@@ -239,8 +241,8 @@
 	client.wantsEnd()
 }
 
-// A client goes on sending behind a command that can't be read. Neither the error line nor the reply before it is lost to a
-// reset.
+// A client goes on sending behind a command that can't be read. Neither the error line nor the reply before it is lost
+// to a reset.
 func TestErrorLineOutlivesTheRest(t *testing.T) {
 	gateway, ln := startWithBackend(t)
 	client := gateway.dial()
@@ -307,13 +309,14 @@
 		t.Error("it was forwarded")
 	}
 	ln.Close()
-	if gateway.until(func() bool { return gateway.server.upstream.connCount <= 1 }); len(gateway.server.requests.idInUse) != 0 {
+	gateway.until(func() bool { return gateway.server.upstream.connCount <= 1 })
+	if len(gateway.server.requests.idInUse) != 0 {
 		t.Error("its id is kept")
 	}
 }
 
-// A connection is new when a shutdown drains the others, and its first request is on its way. It is left the time for it,
-// and no longer.
+// A connection is new when a shutdown drains the others, and its first request is on its way. It is left the time for
+// it, and no longer.
 func TestNewConnectionHasTimeForItsRequest(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
 	conn, client := newClientPair(t, server)
--- a/internal/gateway/unreadend_test.go
+++ b/internal/gateway/unreadend_test.go
@@ -9,10 +9,10 @@
 	"bellwood/internal/policy"
 )
 
-// A client has ended its connection, but its reader has not read so far: it is late, or more lies unread before the end.
-// The loop once sent on what it had of that client, first and further attempts, though nobody waited for it. So a client
-// counts as one that has left when the end has come to the socket: no attempt begins for it, whatever its way to a
-// backend, and all that it has asked ends.
+// A client has ended its connection, but its reader has not read so far: it is late, or more lies unread before the
+// end. The loop once sent on what it had of that client, first and further attempts, though nobody waited for it. So a
+// client counts as one that has left when the end has come to the socket: no attempt begins for it, whatever its way to
+// a backend, and all that it has asked ends.
 func TestUnreadEndStopsTheSend(t *testing.T) {
 	ways := map[string]func(*unreadEnd) (backend *peer){
 		"new connection":      (*unreadEnd).beforeANewConnection,
@@ -23,10 +23,9 @@
 	}
 	unread := map[string]string{"nothing": "", "a command": respCommand("PING"),
 		"much": respCommand("Q.DO", tenantID, "9", keyedFields, strings.Repeat("b", 30<<10))}
-	ends := map[string]func(*peer){"closes": func(client *peer) { client.socket.Close() }, "resets": (*peer).reset}
 	for wayName, way := range ways {
 		for behind, text := range unread {
-			for how, end := range ends {
+			for how, end := range clientEnds {
 				t.Run(wayName+", "+how+" behind "+behind, func(t *testing.T) {
 					test := newUnreadEnd(t, text, end)
 					backend := way(test)
--- a/internal/gateway/upstream.go
+++ b/internal/gateway/upstream.go
@@ -83,8 +83,9 @@
 // retire sees to it that nothing new reaches a backend that drains or is gone.
 //
 // Failure: an attempt waits for its connection, which comes up when sends to the backend must have ended (250 ms after
-// discovery told that it drains). How it shows: the backend gets a request that it may never answer. Why this holds: the
-// dial is given up and the attempt taken back unsent, so the engine sends it elsewhere. TestPendingDialIsNotWritten.
+// discovery told that it drains). How it shows: the backend gets a request that it may never answer. Why this holds:
+// the dial is given up and the attempt taken back unsent, so the engine sends it elsewhere.
+// TestPendingDialIsNotWritten.
 func (backends *upstream) retire(pool *backendPool) {
 	backends.closeIdleSince(pool, backends.loop.now())
 	backends.takeBackDialing(pool)
@@ -144,11 +145,11 @@
 
 // endIfClientLeft ends the request of an attempt if its client has left, and says whether it has.
 //
-// Failure: a client has ended its connection, but the end lies unread: behind what it sent before, or because its reader
-// waits for room. How it shows: a backend works on a request that nobody waits for, counted as one sent on after its
-// client had left. Why this holds: the socket itself is asked, whatever lies unread in it, before an attempt takes a
-// connection and again when a dialed one has come up; wherever the request has waited until then, nothing is written in
-// between. TestUnreadEndStopsTheSend, TestEndBehindReadAheadStopsTheSend.
+// Failure: a client has ended its connection, but the end lies unread: behind what it sent before, or because its
+// reader waits for room. How it shows: a backend works on a request that nobody waits for, counted as one sent on after
+// its client had left. Why this holds: the socket itself is asked, whatever lies unread in it, before an attempt takes
+// a connection and again when a dialed one has come up; wherever the request has waited until then, nothing is written
+// in between. TestUnreadEndStopsTheSend, TestEndBehindReadAheadStopsTheSend.
 func (backends *upstream) endIfClientLeft(attempt *backendAttempt) bool {
 	left := attempt.clientLeft()
 	if left {
@@ -233,8 +234,8 @@
 	}
 }
 
-// attemptReplied gives an attempt its outcome. A value is first passed on to the client, which ends the request, and the
-// outcome says so.
+// attemptReplied gives an attempt its outcome. A value is first passed on to the client, which ends the request, and
+// the outcome says so.
 func (backends *upstream) attemptReplied(attempt *backendAttempt, reply protocol.Reply) {
 	if reply.Status == policy.OK {
 		backends.results.answer(attempt.request, reply.Value)
--- a/internal/gateway/upstream_test.go
+++ b/internal/gateway/upstream_test.go
@@ -8,8 +8,8 @@
 	"bellwood/internal/policy"
 )
 
-// An error from one backend leads to a retry; its connection is good for more. After a reset the value of a request that
-// is idempotent with a key still comes from a backend.
+// An error from one backend leads to a retry; its connection is good for more. After a reset the value of a request
+// that is idempotent with a key still comes from a backend.
 func TestFailedAttemptIsRetried(t *testing.T) {
 	gateway, ln := startWithBackend(t, withoutSettleTime)
 	client := gateway.dial()
@@ -35,7 +35,8 @@
 
 // Replies that no backend makes for a request cost the connection, not the gateway, and are served to nobody.
 func TestMalformedRepliesEndTheConnection(t *testing.T) {
-	for _, malformed := range []string{"+OK\r\n", "*1\r\n$-1\r\n", "nonsense\r\n", "$999999999\r\n", ":1\r\n", "*1\r\n*1\r\n*1\r\n*1\r\n"} {
+	for _, malformed := range []string{"+OK\r\n", "*1\r\n$-1\r\n", "nonsense\r\n", "$999999999\r\n", ":1\r\n",
+		"*1\r\n*1\r\n*1\r\n*1\r\n"} {
 		ln := listen(t) // the engine no longer uses a backend that fails twice
 		gateway := startGateway(t, []string{ln.Addr().String()})
 		client := gateway.dial()
@@ -63,8 +64,8 @@
 	client.wants("two")
 }
 
-// However an attempt ends, the engine is told of one outcome, and what comes later changes nothing: not a cancel, nor its
-// deadline, nor the end of its connection.
+// However an attempt ends, the engine is told of one outcome, and what comes later changes nothing: not a cancel, nor
+// its deadline, nor the end of its connection.
 func TestOneOutcomeForEachAttempt(t *testing.T) {
 	ends := map[string]struct {
 		want policy.Status
@@ -125,8 +126,8 @@
 	return func(_ *Server, _ *backendAttempt, backend *peer) { backend.write(text) }
 }
 
-// A connection is still being dialed when its backend drains, the attempt is cancelled or the client leaves. When it has
-// come up the request must not be written: the backend may end before it answers, or nobody waits for the answer.
+// A connection is still being dialed when its backend drains, the attempt is cancelled or the client leaves. When it
+// has come up the request must not be written: the backend may end before it answers, or nobody waits for the answer.
 func TestPendingDialIsNotWritten(t *testing.T) {
 	for name, end := range map[string]func(*Server, *backendAttempt, *peer){
 		"drain": func(server *Server, _ *backendAttempt, _ *peer) {
@@ -177,7 +178,8 @@
 	backend.write("*1\r\n$1\r\nx\r\n")
 	runTasksUntil(t, server, func() bool { return attempt.ended })
 	server.events = nil
-	server.upstream.startAttempt(&backendAttempt{request: attempt.request, number: 2, backend: "s-1", deadline: attempt.deadline})
+	other = &backendAttempt{request: attempt.request, number: 2, backend: "s-1", deadline: attempt.deadline}
+	server.upstream.startAttempt(other)
 	backend.wantsEnd()
 	accept(t, second)
 }
@@ -224,8 +226,8 @@
 	return attempt, backend
 }
 
-// A backend sends more than it was asked for, some time after its reply. These bytes must not stand before the next reply,
-// nor be taken for it: the connection is not used again, whether its reader has seen them or not.
+// A backend sends more than it was asked for, some time after its reply. These bytes must not stand before the next
+// reply, nor be taken for it: the connection is not used again, whether its reader has seen them or not.
 func TestLateExtraBytesEndTheConnection(t *testing.T) {
 	for _, surplus := range []string{"*1\r\n$5\r\nstray\r\n", "*1\r\n$5\r\nst", "x"} {
 		ln := listen(t)
@@ -243,8 +245,8 @@
 	}
 }
 
-// A backend moves to another address while a connection to it is busy, and then while one is dialed. Both lead to the old
-// process: the busy one ends with its reply, the other at once.
+// A backend moves to another address while a connection to it is busy, and then while one is dialed. Both lead to the
+// old process: the busy one ends with its reply, the other at once.
 func TestBusyConnectionOfAnOldAddressIsNotKept(t *testing.T) {
 	ln, next := listen(t), listen(t)
 	server := newIdleServer(t, ln.Addr().String())
@@ -257,7 +259,8 @@
 	server.events = nil
 	attempt = newAttempt(t, server)
 	dialing := attempt.conn
-	server.discovery.Apply(endpointList(3, ln.Addr().String()).Endpoints, policy.Snapshot) // it moves while it is being dialed
+	// It moves while it is being dialed.
+	server.discovery.Apply(endpointList(3, ln.Addr().String()).Endpoints, policy.Snapshot)
 	wantOutcome(t, server, policy.NotSent)
 	if !dialing.closed {
 		t.Error("the dial to the old address goes on")
@@ -309,9 +312,9 @@
 	return true
 }
 
-// A backend sends a second reply to one command some milliseconds late. Where the connection was used again at once, the
-// next request got it for its own. So a connection that was answered just now rests, however busy the backend is, and is
-// used again when it has stayed quiet.
+// A backend sends a second reply to one command some milliseconds late. Where the connection was used again at once,
+// the next request got it for its own. So a connection that was answered just now rests, however busy the backend is,
+// and is used again when it has stayed quiet.
 func TestLateSecondAnswerReachesNobody(t *testing.T) {
 	ln := listen(t)
 	server := newIdleServer(t, ln.Addr().String())
@@ -325,7 +328,8 @@
 	second.write("*1\r\n$3\r\ntwo\r\n")
 	runTasksUntil(t, server, func() bool { return attempt.ended })
 	server.upstream.settleTime = 0
-	runTasksUntil(t, server, func() bool { return server.upstream.connCount == 1 }) // the loop hears of the first one's end
+	// The loop hears of the first one's end.
+	runTasksUntil(t, server, func() bool { return server.upstream.connCount == 1 })
 	pool := server.upstream.pools["s-0"]
 	if attempt = newAttempt(t, server); server.upstream.connCount != 1 || len(pool.idle) != 0 {
 		t.Errorf("%d connections, %d of them idle", server.upstream.connCount, len(pool.idle))
@@ -335,8 +339,8 @@
 	}
 }
 
-// A retry of a request that is idempotent with a key waits for its connection, which comes up when the backend no longer
-// drops requests with a key that it has seen. It would run a second time, so it is not written.
+// A retry of a request that is idempotent with a key waits for its connection, which comes up when the backend no
+// longer drops requests with a key that it has seen. It would run a second time, so it is not written.
 func TestLateRetryIsNotWritten(t *testing.T) {
 	ln := listen(t)
 	server := newIdleServer(t, ln.Addr().String())
@@ -347,14 +351,15 @@
 	wantOutcome(t, server, policy.NotSent)
 	backend.wantsEnd()
 	server.events = nil
-	server.requests.startAttempt(attempt.request, policy.SendAttempt{ID: attempt.request.id, Backend: "s-0", SendBefore: 5})
+	retry := policy.SendAttempt{ID: attempt.request.id, Backend: "s-0", SendBefore: 5}
+	server.requests.startAttempt(attempt.request, retry)
 	if got := attempt.request.attempts[1].sendBefore; got != 5 {
 		t.Errorf("it may begin until %v", got)
 	}
 }
 
-// Where quotas are settled on the response, the cost comes with a backend's reply and is passed on to the engine; a figure
-// that no request can have is not taken.
+// Where quotas are settled on the response, the cost comes with a backend's reply and is passed on to the engine; a
+// figure that no request can have is not taken.
 func TestReportedCostIsPassedOn(t *testing.T) {
 	for figures, want := range map[string]float64{"cost=1": 1, "used=3,cost=0.5": 0.5, "cost=2": 0, "cost=x": 0,
 		"cost=-1": 0, "cost=1e9": 0, "": 0} {
--- a/internal/gateway/watchdog_test.go
+++ b/internal/gateway/watchdog_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// A loop that waits for something never comes back, and nothing is logged, as the loop does that. The watchdog reports it
-// once, with the place where it stands, and that it runs again; a loop that has nothing to do is not reported.
+// A loop that waits for something never comes back, and nothing is logged, as the loop does that. The watchdog reports
+// it once, with the place where it stands, and that it runs again; a loop that has nothing to do is not reported.
 func TestWatchdogReportsAStuckLoop(t *testing.T) {
 	var log lockedBuffer
 	gateway := startGateway(t, nil)
--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -1,8 +1,8 @@
 // Package logsink keeps a program from waiting for whoever reads its log.
 //
-// Failure: the log goes to a pipe that nobody reads, and is full. How it shows: whoever logs waits for ever, the gateway's
-// event loop among them, so nothing is answered. Why this holds: lines are taken into a bounded buffer and written by a
-// goroutine of its own; what does not fit is dropped, and the log says how many lines that were.
+// Failure: the log goes to a pipe that nobody reads, and is full. How it shows: whoever logs waits for ever, the
+// gateway's event loop among them, so nothing is answered. Why this holds: lines are taken into a bounded buffer and
+// written by a goroutine of its own; what does not fit is dropped, and the log says how many lines that were.
 package logsink
 
 import (
--- a/internal/timerqueue/timerqueue.go
+++ b/internal/timerqueue/timerqueue.go
@@ -20,7 +20,8 @@
 	last   uint64 // number of the timer added last
 }
 
-// Add adds a task that is due at a time on the owner's clock. Tasks that are due at the same time run in no fixed order.
+// Add adds a task that is due at a time on the owner's clock. Tasks that are due at the same time run in no fixed
+// order.
 func (queue *Queue) Add(at time.Duration, task func()) *Timer {
 	queue.last++
 	timer := &Timer{at: at, number: queue.last, task: task}
