--- a/internal/gateway/audit_test.go
+++ b/internal/gateway/audit_test.go
@@ -19,7 +19,7 @@
 
 func (g *fakeAuditedGateway) now() time.Duration          { return g.clock }
 func (g *fakeAuditedGateway) every(time.Duration, func()) {}
-func (g *fakeAuditedGateway) tell(policy.Event)           {}
+func (g *fakeAuditedGateway) emit(policy.Event)           {}
 func (g *fakeAuditedGateway) step()                       {}
 func (g *fakeAuditedGateway) reopenWatch()                { g.did = append(g.did, "reopen the watch") }
 func (g *fakeAuditedGateway) fetchSnapshot(func(bool))    { g.did = append(g.did, "fetch the list") }
