--- a/internal/policy/hardlimitshare_test.go
+++ b/internal/policy/hardlimitshare_test.go
@@ -72,8 +72,8 @@
 	set.MaxRequestCost = 1
 	set.Plans[softPlan] = Plan{Rate: 100, Burst: 100, WeightFactor: 1, OverQuotaPenalty: 0.5,
 		HardLimitRate: 13, HardLimitBurst: 13}
-	e := newTestEngine(t, set, testBackends(30)...)
-	acts := e.Step(2*time.Second, []Event{testRequest(1, idempotentClass, softPlan)})
+	engine := newTestEngine(t, set, testBackends(30)...)
+	acts := engine.Step(2*time.Second, []Event{testRequest(1, idempotentClass, softPlan)})
 	if len(sendsOf(acts)) != 1 || len(callsOf(acts)) != 0 {
 		t.Errorf("with a share of one unit, long filled: %v", acts)
 	}
