--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -3,14 +3,12 @@
 // Admission: the way of a request from its arrival until it is queued for a backend, rejected, or kept
 // waiting for its tenant's quota.
 //
-// The mechanism is that of J. Andersson and M. Kihl, "Load Balancing and Admission Control of a Parlay X
-// Application Server", NTS 17, 2004, sections 3.1 and 4: a token bucket promotes what the contract guarantees
-// (stage 2), round robin picks a backend (stage 3), and tests of measured latency against the time limit
-// decide what is released and what is rejected (stage 4).
+// In the paper's terms a token bucket promotes what the contract guarantees (stage 2); what follows is in
+// dispatch.go (stages 3 and 4). See doc.go for the whole way.
 //
-// The way: admit (is there time, is the service on, does the hard limit's queue end in time) -> serve (the
-// tenant's requests in their order) -> decideQuota (limits, priority, payment) -> dispatch, or
-// placeOverQuota, which queues at the lowest level or rejects.
+// Of the rules that can reject here the first in this order wins: admit (class and plan, service, deadline,
+// the queue for the hard limit), then decideQuota when it is the request's turn (requests in flight, hard
+// limit, quota), and for what is over its quota placeOverQuota (what the plan earns, hard limit).
 
 import (
 	"maps"
--- a/internal/policy/doc.go
+++ b/internal/policy/doc.go
@@ -41,10 +41,14 @@
 //
 // # Which rule stands where
 //
-//	which requests go on, and at which priority     admission.go
+//	which requests go on, and how long they wait    admission.go
+//	at which priority                               priority.go
+//	how many of a tenant are in flight at once      maxconcurrent.go
 //	a tenant's quota over all gateways              quota.go, countercalls.go, packages lease, callshare
 //	a tenant's hard limit over all gateways         hardlimit.go, package hardlimit
 //	why a request is rejected                       rejection.go
+//	what a request gives back when it ends          requestend.go
+//	which tenants are known                         tenants.go
 //	how many attempts a backend gets at once        result.go, package concurrency
 //	how long an answer takes                        package latency
 //	what a warm backend carries                     package throughput
