--- a/internal/policy/attempt.go
+++ b/internal/policy/attempt.go
@@ -60,7 +60,7 @@
 	if a == nil {
 		return
 	}
-	a.land(result.Status)
+	a.finish(result.Status)
 	e.learn(a, result)
 	e.settleCost(r, result)
 	if result.RequestClosed || result.Status == OK {
--- a/internal/policy/concurrency/concurrency_test.go
+++ b/internal/policy/concurrency/concurrency_test.go
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestTroubleShrinksTheLimit(t *testing.T) {
+func TestFailuresShrinkTheLimit(t *testing.T) {
 	for name, c := range map[string]struct {
 		record func(*Limiter)
 		want   float64
--- a/internal/policy/dispatch.go
+++ b/internal/policy/dispatch.go
@@ -31,7 +31,7 @@
 		return
 	}
 	b := e.choose(r)
-	if b == nil && !r.endedInDoubt {
+	if b == nil && r.firstInDoubt == nil {
 		e.queues.addUnplaced(r)
 		return
 	}
--- a/internal/policy/endpoints.go
+++ b/internal/policy/endpoints.go
@@ -199,13 +199,13 @@
 
 // endpointPolling says when to ask for the endpoint list.
 type endpointPolling struct {
-	askedAt      time.Duration // or when an update came
+	lastPoll     time.Duration // or when an update came
 	backoff      time.Duration // the last; 0: the last call brought the list
 	retryPending bool
 }
 
 // succeeded says that an update has come.
-func (p *endpointPolling) succeeded(now time.Duration) { p.askedAt, p.backoff = now, 0 }
+func (p *endpointPolling) succeeded(now time.Duration) { p.lastPoll, p.backoff = now, 0 }
 
 // failed says that a call for the list has failed, and returns the pause after which to ask again, unless
 // that is under way.
@@ -223,9 +223,9 @@
 
 // isDue says whether the list would else become older than the interval, and takes it for asked for.
 func (p *endpointPolling) isDue(now, interval time.Duration) bool {
-	if interval <= 0 || now-p.askedAt <= interval/2 {
+	if interval <= 0 || now-p.lastPoll <= interval/2 {
 		return false
 	}
-	p.askedAt = now
+	p.lastPoll = now
 	return true
 }
--- a/internal/policy/rejection.go
+++ b/internal/policy/rejection.go
@@ -128,7 +128,7 @@
 }
 
 // mayHaveRun says whether a backend may have acted on the request: an attempt ended in doubt or is in flight.
-func (r *request) mayHaveRun() bool { return r.endedInDoubt || r.attemptsInFlight > 0 }
+func (r *request) mayHaveRun() bool { return r.firstInDoubt != nil || r.attemptsInFlight > 0 }
 
 // repeatIsHarmless says whether a request of the class may be sent again to any backend, as a client that
 // tries again may reach any.
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -23,11 +23,9 @@
 
 	attempts         []*attempt // by their numbers
 	attemptsInFlight int
-	endedInDoubt     bool          // an attempt ended, and the backend may have acted on it:
-	doubtSince       time.Duration // when the first such attempt was sent ...
-	doubtOn          *backend      // ... and where
-	streaming        bool          // the answer has begun
-	ended            bool          // it has its final answer, or its client is gone
+	firstInDoubt     *attempt // the first that ended and on which the backend may have acted; nil: none
+	streaming        bool     // the answer has begun
+	ended            bool     // it has its final answer, or its client is gone
 }
 
 // attempt is an attempt to have a request served by a backend.
@@ -64,14 +62,14 @@
 	return r.attempts[number]
 }
 
-// land takes an attempt that has ended out of what is in flight, and notes whether it may have run.
-func (a *attempt) land(status Status) {
+// finish takes an attempt that has ended out of what is in flight, and notes whether it may have run.
+func (a *attempt) finish(status Status) {
 	r := a.request
 	a.inFlight = false
 	r.attemptsInFlight--
 	a.backend.inFlight = slices.DeleteFunc(a.backend.inFlight, func(other *attempt) bool { return other == a })
-	if !r.endedInDoubt && status.mayHaveRun() {
-		r.endedInDoubt, r.doubtSince, r.doubtOn = true, a.sentAt, a.backend
+	if r.firstInDoubt == nil && status.mayHaveRun() {
+		r.firstInDoubt = a
 	}
 }
 
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -23,7 +23,8 @@
 // mayRepeat says whether a request can be sent to a backend: one that may have run, only if that can't
 // take effect twice.
 func (e *Engine) mayRepeat(r *request, b *backend) bool {
-	if !r.endedInDoubt {
+	first := r.firstInDoubt
+	if first == nil {
 		return true
 	}
 	class := &e.settings.Classes[r.class]
@@ -31,7 +32,7 @@
 	case Idempotent:
 		return true
 	case IdempotentWithKey:
-		return e.now < r.doubtSince+class.DedupWindow && dropsRepeats(class.DedupScope, r.doubtOn, b)
+		return e.now < first.sentAt+class.DedupWindow && dropsRepeats(class.DedupScope, first.backend, b)
 	}
 	return false
 }
@@ -51,8 +52,8 @@
 // sendBefore is when a repeat must have gone out, where repeats are dropped for a while only; else 0.
 func (e *Engine) sendBefore(r *request) time.Duration {
 	class := &e.settings.Classes[r.class]
-	if r.endedInDoubt && class.Idempotency == IdempotentWithKey {
-		return r.doubtSince + class.DedupWindow
+	if r.firstInDoubt != nil && class.Idempotency == IdempotentWithKey {
+		return r.firstInDoubt.sentAt + class.DedupWindow
 	}
 	return 0
 }
--- a/internal/policy/slowstart_test.go
+++ b/internal/policy/slowstart_test.go
@@ -118,55 +118,76 @@
 	}
 }
 
-// Many gateways hear at once of a started backend: together they stay within its budget in every window, also when
-// it is all that is left.
-func TestManyGatewaysKeepAWarmingBackendWithinItsBudget(t *testing.T) {
-	const gateways, warm = 100, 9
-	const start, othersDrain = 60 * time.Second, 62 * time.Second
-	set := manyGateways(gateways)
-	set.SharedCounter = false
-	list := testBackends(warm + 1)
-	all := make([]*Engine, gateways)
-	for i := range all {
+// gatewaysOfOneStart are gateways of which one backend starts at a time, and then is all that is left.
+type gatewaysOfOneStart struct {
+	engines       []*Engine
+	settings      Settings
+	list          []Backend // the last is the one that starts
+	start         time.Duration
+	warmCarried   int             // by the others, before the start
+	warmingSentAt []time.Duration // when the one that starts got an attempt
+}
+
+func newGatewaysOfOneStart(gateways, warm int, start time.Duration) *gatewaysOfOneStart {
+	g := &gatewaysOfOneStart{settings: manyGateways(gateways), list: testBackends(warm + 1), start: start}
+	g.settings.SharedCounter = false
+	for i := range gateways {
+		set := g.settings
 		set.GatewayIndex = i
-		all[i], _ = New(set, uint64(i))
-		all[i].Step(0, []Event{EndpointUpdate{Kind: CachedSnapshot, Backends: list[:warm]}})
+		engine, _ := New(set, uint64(i))
+		engine.Step(0, []Event{EndpointUpdate{Kind: CachedSnapshot, Backends: g.list[:warm]}})
+		g.engines = append(g.engines, engine)
 	}
-	updates := func(now time.Duration) []Event {
-		switch now {
-		case start:
-			list[warm].Started = start
-			return []Event{EndpointUpdate{Kind: Delta, Backends: list[warm:]}}
-		case othersDrain:
-			for j := range list[:warm] {
-				list[j].State = Draining
-			}
-			return []Event{EndpointUpdate{Kind: Delta, Backends: list[:warm]}}
+	return g
+}
+
+// updates is what discovery tells each gateway at a time.
+func (g *gatewaysOfOneStart) updates(now time.Duration) []Event {
+	warm := len(g.list) - 1
+	switch now {
+	case g.start:
+		g.list[warm].Started = g.start
+		return []Event{EndpointUpdate{Kind: Delta, Backends: g.list[warm:]}}
+	case g.start + 2*time.Second:
+		for i := range g.list[:warm] {
+			g.list[i].State = Draining
 		}
-		return nil
+		return []Event{EndpointUpdate{Kind: Delta, Backends: g.list[:warm]}}
 	}
-	carried := 0               // by the warm ones, before the start
-	var toCold []time.Duration // when the warming one got an attempt
-	for tick := range 220 {    // each gateway gets two requests a second
-		now := time.Duration(tick) * 500 * ms
-		for i, engine := range all {
-			id := uint64(tick*gateways + i)
-			events := append(updates(now), testRequest(id, idempotentClass, noQuotaPlan), Timer{0})
-			for _, sent := range sendsOf(engine.Step(now, events)) {
-				if sent.Backend == list[warm].Name && now < start+set.SlowStartDuration {
-					toCold = append(toCold, now)
-				} else if now < start {
-					carried++
-				}
-				engine.Step(now+50*ms, []Event{servedResult(sent, 0, 50*ms)})
-			}
+	return nil
+}
+
+// request has a request come to a gateway, and notes where it is sent.
+func (g *gatewaysOfOneStart) request(gateway int, id uint64, now time.Duration) {
+	engine := g.engines[gateway]
+	events := append(g.updates(now), testRequest(id, idempotentClass, noQuotaPlan), Timer{0})
+	for _, sent := range sendsOf(engine.Step(now, events)) {
+		isStarted := sent.Backend == g.list[len(g.list)-1].Name
+		if isStarted && now < g.start+g.settings.SlowStartDuration {
+			g.warmingSentAt = append(g.warmingSentAt, now)
+		} else if now < g.start {
+			g.warmCarried++
+		}
+		engine.Step(now+50*ms, []Event{servedResult(sent, 0, 50*ms)})
+	}
+}
+
+// Many gateways hear at once of a started backend: together they stay within its budget in every window, also when
+// it is all that is left.
+func TestManyGatewaysKeepAWarmingBackendWithinItsBudget(t *testing.T) {
+	const gateways, warm, start = 100, 9, 60 * time.Second
+	g := newGatewaysOfOneStart(gateways, warm, start)
+	for tick := range 220 { // each gateway gets two requests a second
+		for i := range gateways {
+			g.request(i, uint64(tick*gateways+i), time.Duration(tick)*500*ms)
 		}
 	}
-	rate := float64(carried) / warm / start.Seconds() // what a warm backend carries: its capacity is no less
-	for i, from := range toCold {
+	set := g.settings
+	rate := float64(g.warmCarried) / warm / start.Seconds() // what a warm backend carries: its capacity is no less
+	for i, from := range g.warmingSentAt {
 		share := set.SlowStartMinShare + (1-set.SlowStartMinShare)*float64(from-start)/float64(set.SlowStartDuration)
 		n := 0
-		for _, at := range toCold[i:] {
+		for _, at := range g.warmingSentAt[i:] {
 			if at < from+set.OverloadWindow {
 				n++
 			}
