--- a/internal/emulator/link.go
+++ b/internal/emulator/link.go
@@ -6,7 +6,10 @@
 	"time"
 )
 
-const linkConns = 1024 // connections that a link holds
+const (
+	maxLinkConns = 1024
+	relayBuffer  = 4096
+)
 
 // Direction is one of the two ways through a link.
 type Direction int
@@ -22,46 +25,47 @@
 
 // Flows of a direction.
 const (
-	Passes Flow = iota
-	Held        // kept until it passes again, as on a network that is cut: nobody is told
-	Lost        // read and thrown away
+	Pass Flow = iota
+	Hold      // kept until it passes again, as on a network that is partitioned: nobody is told
+	Drop      // read and thrown away
 )
 
-// Link is a relay on loopback between any two parties. It can hold, lose or delay one direction, and reset connections.
+// Link is a relay on loopback between any two parties. It can hold, drop or delay one direction, and reset connections.
+// Its goroutines end with Close.
 type Link struct {
-	Meter  Meter
-	ln     *listener
-	target string
+	Meter    Meter
+	listener *listener
+	target   string
 
-	mu      sync.Mutex
-	changed *sync.Cond
+	mu      sync.Mutex // guards all below
+	changed *sync.Cond // of mu: flow, closed or relayed has changed
 	flow    [2]Flow
 	delay   [2]time.Duration
 	closed  bool
-	pairs   map[*pair]bool
+	relayed map[*relayedConn]bool
 }
 
-// pair is a connection through a link: its two ends.
-type pair struct {
-	link         *Link
-	dialled, own net.Conn
-	once         sync.Once
+// relayedConn is a connection through a link: its two ends.
+type relayedConn struct {
+	link           *Link
+	client, server net.Conn
+	closing        sync.Once
 }
 
 // StartLink listens on a loopback address and relays to another one.
 func StartLink(addr, target string) (*Link, error) {
-	l := &Link{target: target, pairs: map[*pair]bool{}}
+	l := &Link{target: target, relayed: map[*relayedConn]bool{}}
 	l.changed = sync.NewCond(&l.mu)
 	var err error
-	if l.ln, err = listen(addr, linkConns, &l.Meter); err != nil {
+	if l.listener, err = listen(addr, maxLinkConns, &l.Meter); err != nil {
 		return nil, err
 	}
-	l.ln.serve(l.serve)
+	l.listener.serve(l.serveConn)
 	return l, nil
 }
 
 // Addr returns the address to dial.
-func (l *Link) Addr() string { return l.ln.Addr().String() }
+func (l *Link) Addr() string { return l.listener.Addr().String() }
 
 // Set says what becomes of one direction from now on, on all connections.
 func (l *Link) Set(direction Direction, flow Flow) {
@@ -71,14 +75,10 @@
 	l.changed.Broadcast()
 }
 
-// Cut holds both directions, or lets both pass again.
-func (l *Link) Cut(yes bool) {
-	flow := Passes
-	if yes {
-		flow = Held
-	}
-	l.Set(ToServer, flow)
-	l.Set(ToClient, flow)
+// Partition holds both directions. Set lets them pass again.
+func (l *Link) Partition() {
+	l.Set(ToServer, Hold)
+	l.Set(ToClient, Hold)
 }
 
 // Delay lets one direction's bytes wait.
@@ -90,13 +90,17 @@
 
 // Reset resets all connections. New ones may come.
 func (l *Link) Reset() {
-	for _, p := range l.open() {
-		for _, nc := range []net.Conn{p.dialled, p.own} {
-			if tcp, ok := nc.(*net.TCPConn); ok {
-				tcp.SetLinger(0)
-			}
-		}
-		p.close()
+	for _, relayed := range l.openConns() {
+		resetOnClose(relayed.client)
+		resetOnClose(relayed.server)
+		relayed.close()
+	}
+}
+
+// resetOnClose makes the close of a TCP connection a reset.
+func resetOnClose(conn net.Conn) {
+	if tcp, ok := conn.(*net.TCPConn); ok {
+		tcp.SetLinger(0)
 	}
 }
 
@@ -106,88 +110,88 @@
 	l.closed = true
 	l.changed.Broadcast()
 	l.mu.Unlock()
-	for _, p := range l.open() {
-		p.close()
+	for _, relayed := range l.openConns() {
+		relayed.close()
 	}
-	l.ln.Close()
+	l.listener.Close()
 }
 
-func (l *Link) open() (all []*pair) {
+func (l *Link) openConns() (open []*relayedConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for p := range l.pairs {
-		all = append(all, p)
+	for relayed := range l.relayed {
+		open = append(open, relayed)
 	}
-	return all
+	return open
 }
 
-// serve relays one connection until either side ends it. One to a server that can't be reached is reset.
-func (l *Link) serve(dialled net.Conn) {
-	outer := dialled
-	if metered, ok := dialled.(*meteredConn); ok {
-		outer = metered.Conn
+// serveConn relays one connection until either side ends it. One to a server that can't be reached is reset.
+func (l *Link) serveConn(accepted net.Conn) {
+	client := accepted
+	if metered, ok := accepted.(*meteredConn); ok { // SetLinger and CloseWrite are those of TCP
+		client = metered.Conn
 	}
-	own, err := net.DialTimeout("tcp", l.target, writeWithin)
+	server, err := net.DialTimeout("tcp", l.target, writeTimeout)
 	if err != nil {
-		outer.(*net.TCPConn).SetLinger(0)
+		resetOnClose(client)
 		return
 	}
-	p := &pair{link: l, dialled: outer, own: own}
+	relayed := &relayedConn{link: l, client: client, server: server}
 	l.mu.Lock()
-	l.pairs[p] = true
+	l.relayed[relayed] = true
 	l.mu.Unlock()
-	defer p.close()
+	defer relayed.close()
 	var both sync.WaitGroup
-	both.Go(func() { p.relay(ToServer, outer, own) })
-	both.Go(func() { p.relay(ToClient, own, outer) })
+	both.Go(func() { relayed.relay(ToServer, client, server) })
+	both.Go(func() { relayed.relay(ToClient, server, client) })
 	both.Wait()
 }
 
-func (p *pair) close() {
-	p.once.Do(func() {
-		p.dialled.Close()
-		p.own.Close()
-		p.link.mu.Lock()
-		defer p.link.mu.Unlock()
-		delete(p.link.pairs, p)
-		p.link.changed.Broadcast()
+func (c *relayedConn) close() {
+	c.closing.Do(func() {
+		c.client.Close()
+		c.server.Close()
+		c.link.mu.Lock()
+		defer c.link.mu.Unlock()
+		delete(c.link.relayed, c)
+		c.link.changed.Broadcast()
 	})
 }
 
 // relay passes one direction on until its end. While it is held the end is held too.
-func (p *pair) relay(direction Direction, from, to net.Conn) {
-	b := make([]byte, 4096)
+func (c *relayedConn) relay(direction Direction, from, to net.Conn) {
+	buffer := make([]byte, relayBuffer)
 	for {
-		n, err := from.Read(b)
-		flow, alive := p.link.wait(p, direction)
+		n, readErr := from.Read(buffer)
+		flow, alive := c.link.wait(c, direction)
 		if !alive {
 			return
 		}
-		if n > 0 && flow == Passes {
-			if _, failed := to.Write(b[:n]); failed != nil {
-				p.close()
+		if n > 0 && flow == Pass {
+			if _, err := to.Write(buffer[:n]); err != nil {
+				c.close()
 				return
 			}
 		}
-		if err != nil {
-			if half, ok := to.(*net.TCPConn); ok && flow == Passes {
-				half.CloseWrite()
+		if readErr != nil {
+			if tcp, ok := to.(*net.TCPConn); ok && flow == Pass {
+				tcp.CloseWrite()
 			}
 			return
 		}
 	}
 }
 
-// wait waits while a direction is held or delayed. alive is false where the connection or the link has ended.
-func (l *Link) wait(p *pair, direction Direction) (flow Flow, alive bool) {
+// wait waits while a direction is delayed or held. alive is false where the connection or the link has ended.
+func (l *Link) wait(relayed *relayedConn, direction Direction) (flow Flow, alive bool) {
 	l.mu.Lock()
 	delay := l.delay[direction]
 	l.mu.Unlock()
 	time.Sleep(delay)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for l.flow[direction] == Held && !l.closed && l.pairs[p] {
+	for l.flow[direction] == Hold && !l.closed && l.relayed[relayed] {
 		l.changed.Wait()
 	}
-	return l.flow[direction], !l.closed && l.pairs[p]
+	return l.flow[direction], !l.closed && l.relayed[relayed]
 }
--- a/internal/fleettest/settings.go
+++ b/internal/fleettest/settings.go
@@ -24,9 +24,9 @@
 )
 
 var classes = []emulator.Class{
-	{Name: "lookup", Effect: emulator.Safe, Share: 0.6, Wait: deadline},
-	{Name: "order", Effect: emulator.Keyed, Share: 0.25, Wait: deadline},
-	{Name: "settle", Effect: emulator.Unsafe, Share: 0.15, Wait: deadline},
+	{Name: "lookup", Idempotency: emulator.Idempotent, Share: 0.6, ClientTimeout: deadline},
+	{Name: "order", Idempotency: emulator.IdempotentWithKey, Share: 0.25, ClientTimeout: deadline},
+	{Name: "settle", Idempotency: emulator.NonIdempotent, Share: 0.15, ClientTimeout: deadline},
 }
 
 var plans = []string{"open", "starter", "team", "capped"}
@@ -91,10 +91,10 @@
 // module returns the settings as hollow doors use them.
 func (p pathSettings) module() (policy.Settings, error) {
 	m := p.texts()
-	if _, err := simprotocol.ReadTransport(m); err != nil {
+	if _, err := simprotocol.ParseTransport(m); err != nil {
 		return policy.Settings{}, err
 	}
-	return simprotocol.Settings(m)
+	return simprotocol.ParseSettings(m)
 }
 
 // nested returns the settings as a real door's configuration has them.
--- a/internal/gateway/overduerequest_test.go
+++ b/internal/gateway/overduerequest_test.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// A loop that is late finds the module's timer and the client's deadline due together. The module answers, as only it
-// knows whether the request may be refused; the last resort is for what it has lost.
+// A loop that is late finds the engine's timer and the client's deadline due together. The engine answers, as only it
+// knows whether the request may be rejected; the loop's own deadline is for what the engine has lost.
 func TestModuleAnswersThoughTheLoopIsLate(t *testing.T) {
-	const wait = 700 * time.Millisecond // under half a second the module would refuse it on its arrival
+	const wait = 700 * time.Millisecond // under half a second the engine would reject it on its arrival
 	for name, late := range map[string]func(gateway *testGateway, ask func()){
 		"late at the deadline": func(gateway *testGateway, ask func()) {
 			ask()
-			gateway.until(func() bool { return len(gateway.server.requests) == 1 })
-			release := gateway.hold()
+			gateway.until(func() bool { return len(gateway.server.requests.byID) == 1 })
+			release := gateway.holdLoop()
 			time.Sleep(wait + 50*time.Millisecond)
 			release()
 		},
-		"late between arrival and Step": func(gateway *testGateway, ask func()) {
-			release := gateway.hold()
+		"late between arrival and step": func(gateway *testGateway, ask func()) {
+			release := gateway.holdLoop()
 			ask()
-			gateway.posted(1)
+			gateway.waitForTasks(1)
 			gateway.server.post(func() { time.Sleep(50 * time.Millisecond) }) // in the same pass as the arrival
 			release()
 		},
@@ -31,13 +31,13 @@
 		t.Run(name, func(t *testing.T) {
 			var log lockedBuffer
 			gateway := startGateway(t, nil)
-			gateway.server.post(func() { gateway.server.log = slog.New(slog.NewTextHandler(&log, nil)) })
+			gateway.server.post(func() { gateway.server.requests.log = slog.New(slog.NewTextHandler(&log, nil)) })
 			client := gateway.dial()
 			late(gateway, func() {
-				client.command("Q.ASK", customer, "1", strings.Replace(list, "d=20000", fmt.Sprint("d=", wait.Milliseconds()), 1))
+				client.command("Q.ASK", tenantID, "1", strings.Replace(idempotentFields, "d=20000", fmt.Sprint("d=", wait.Milliseconds()), 1))
 			})
 			client.wantsPrefix("-BUSY")
-			if strings.Contains(log.String(), "unanswered") {
+			if strings.Contains(log.String(), "deadline exceeded") {
 				t.Errorf("the last resort was used: %s", log.String())
 			}
 		})
