--- a/internal/emulator/backends.go
+++ b/internal/emulator/backends.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"errors"
-	"math/rand/v2"
 	"net"
 	"sync"
 	"sync/atomic"
@@ -11,239 +10,211 @@
 )
 
 const (
-	backendConns = 4096 // connections that one listener holds: some of each of 1,024 doors
-	pipelined    = 8    // commands of one connection that are begun before the first is answered
-	longTail     = 8    // no request takes more than this many times the mean
+	// Connections that one listener holds: some of each of 1,024 gateways.
+	maxBackendConns = 4096
+	// Commands of one connection that are begun before the first is answered.
+	maxPipelined      = 8
+	backendReadBuffer = 4096
+	tenantBytes       = 16 // of a tenant's name in a command
 )
 
-// Model is how the backends behave, without sockets: each serves so many requests at once and lets a few wait. It is
-// safe for concurrent use.
-type Model struct {
-	mu       sync.Mutex
-	rng      *rand.Rand
-	service  time.Duration
-	mostWait time.Duration
-	slots    [][]time.Time // by backend: when each slot is free
-	begun    []int         // by backend: attempts it began
-	turned   int
-}
-
-// NewModel returns idle backends. Service times are exponential with the given mean, cut off at eight times that. A
-// backend has so many slots; who would wait longer than mostWait for one is turned away.
-func NewModel(backends, slots int, service, mostWait time.Duration, seed uint64) *Model {
-	m := &Model{rng: rand.New(rand.NewPCG(seed, 0)), service: service, mostWait: mostWait,
-		slots: make([][]time.Time, backends), begun: make([]int, backends)}
-	all := make([]time.Time, backends*slots)
-	for i := range m.slots {
-		m.slots[i] = all[i*slots : (i+1)*slots : (i+1)*slots]
-	}
-	return m
-}
-
-// Begin hands a backend an attempt and returns when that will be done. ok is false where it is turned away.
-func (m *Model) Begin(backend int, now time.Time) (done time.Time, ok bool) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	slots := m.slots[backend]
-	first := 0
-	for i, at := range slots {
-		if at.Before(slots[first]) {
-			first = i
-		}
-	}
-	start := slots[first]
-	if start.Before(now) {
-		start = now
-	}
-	if start.Sub(now) > m.mostWait {
-		m.turned++
-		return now, false
-	}
-	slots[first] = start.Add(time.Duration(min(m.rng.ExpFloat64(), longTail) * float64(m.service)))
-	m.begun[backend]++
-	return slots[first], true
-}
-
-// Begun returns how many attempts each backend began, and how many were turned away by all.
-func (m *Model) Begun() (each []int, turnedAway int) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return append([]int(nil), m.begun...), m.turned
+// BackendsConfig says how the backends listen.
+type BackendsConfig struct {
+	Host        string // a loopback host
+	Dedicated   int    // the first backends, at most so many, have a listener of their own
+	Shared      int    // listeners that the other backends share
+	IdleTimeout time.Duration
+	// OnCommand, if not nil, is called for each command to a backend with a listener of its own, with the time of the
+	// command's first byte, from several goroutines.
+	OnCommand func(backend int, id string, firstByte time.Time)
 }
 
 // Backends are the backends on sockets. A listener for each would take many descriptors where there are many
 // thousands, so only the first have one of their own and the others share a few: at a shared address nobody can tell
-// which of its backends was meant, and they take turns.
+// which of its backends was meant, and they take turns. Its goroutines end with Close.
 type Backends struct {
-	model  *Model
-	ledger *Ledger
-	seen   func(backend int, id string, first time.Time)
-	idle   time.Duration
-	all    int
-	alone  int // backends with a listener of their own
-	lns    []*listener
-	turns  []atomic.Int64 // of the shared listeners
-	syntax atomic.Int64
+	config    BackendsConfig
+	model     *Model
+	ledger    *Ledger
+	count     int // backends
+	dedicated int // of them, those with a listener of their own
+	listeners []*listener
+	turns     []atomic.Int64 // of the shared listeners
+	malformed atomic.Int64   // commands
 }
 
-// StartBackends opens listeners for the model's backends, at most so many of them for one backend alone and, beyond
-// those, so many shared ones, on a loopback host. It calls seen, if not nil, for each command to a backend that has a
-// listener of its own, with the time of the command's first byte. Connections idle for longer than idle are closed.
-func StartBackends(host string, model *Model, ledger *Ledger, alone, shared int, idle time.Duration,
-	seen func(backend int, id string, first time.Time)) (*Backends, error) {
-	b := &Backends{model: model, ledger: ledger, seen: seen, idle: idle, all: len(model.slots)}
-	if b.alone = min(alone, b.all); b.alone == b.all {
+// StartBackends opens listeners for the model's backends.
+func StartBackends(config BackendsConfig, model *Model, ledger *Ledger) (*Backends, error) {
+	b := &Backends{config: config, model: model, ledger: ledger, count: model.config.Backends}
+	shared := config.Shared
+	b.dedicated = min(config.Dedicated, b.count)
+	if b.dedicated == b.count {
 		shared = 0
 	}
 	b.turns = make([]atomic.Int64, shared)
-	for i := range b.alone + shared {
-		ln, err := listen(net.JoinHostPort(host, "0"), backendConns, &Meter{})
+	for i := range b.dedicated + shared {
+		listener, err := listen(net.JoinHostPort(config.Host, "0"), maxBackendConns, &Meter{})
 		if err != nil {
 			b.Close()
 			return nil, err
 		}
-		b.lns = append(b.lns, ln)
-		ln.serve(func(nc net.Conn) { b.serve(i, nc) })
+		b.listeners = append(b.listeners, listener)
+		listener.serve(func(conn net.Conn) { b.serveConn(i, conn) })
 	}
 	return b, nil
 }
 
 // Close ends all listeners and connections.
 func (b *Backends) Close() {
-	var wait sync.WaitGroup
-	for _, ln := range b.lns {
-		wait.Go(func() { ln.Close() })
+	var closing sync.WaitGroup
+	for _, listener := range b.listeners {
+		closing.Go(func() { listener.Close() })
 	}
-	wait.Wait()
+	closing.Wait()
 }
 
-// Alone says whether a backend has a listener of its own.
-func (b *Backends) Alone(backend int) bool { return backend < b.alone }
+// HasOwnListener says whether a backend has a listener of its own.
+func (b *Backends) HasOwnListener(backend int) bool { return backend < b.dedicated }
 
 // Addr returns a backend's address.
 func (b *Backends) Addr(backend int) string {
-	if backend >= b.alone {
-		backend = b.alone + (backend-b.alone)%len(b.turns)
+	listener := backend
+	if !b.HasOwnListener(backend) {
+		listener = b.dedicated + (backend-b.dedicated)%len(b.turns)
 	}
-	return b.lns[backend].Addr().String()
+	return b.listeners[listener].Addr().String()
 }
 
-// Open returns how many connections are held by each backend with a listener of its own, and by all together.
-func (b *Backends) Open() (alone []int64, all int64) {
-	for i, ln := range b.lns {
-		n := ln.meter.Open.Load()
-		all += n
-		if i < b.alone {
-			alone = append(alone, n)
+// OpenConnections returns how many connections are held by each backend with a listener of its own, and by all together.
+func (b *Backends) OpenConnections() (dedicated []int64, all int64) {
+	for i, listener := range b.listeners {
+		open := listener.meter.Open.Load()
+		all += open
+		if i < b.dedicated {
+			dedicated = append(dedicated, open)
 		}
 	}
-	return alone, all
+	return dedicated, all
 }
 
-// Opened returns how many connections were taken so far.
-func (b *Backends) Opened() (n int64) {
-	for _, ln := range b.lns {
-		n += ln.meter.Opened.Load()
+// ConnectionsAccepted returns how many connections were taken so far.
+func (b *Backends) ConnectionsAccepted() (accepted int64) {
+	for _, listener := range b.listeners {
+		accepted += listener.meter.Opened.Load()
 	}
-	return n
+	return accepted
 }
 
-// Syntax returns how many commands came that no client sent in that form.
-func (b *Backends) Syntax() int64 { return b.syntax.Load() }
+// Malformed returns how many commands came that no gateway may send in that form.
+func (b *Backends) Malformed() int64 { return b.malformed.Load() }
 
-// machine is the backend that a command at a listener is for.
-func (b *Backends) machine(ln int) int {
-	if ln < b.alone {
-		return ln
+// backendAt is the backend that a command at a listener is for. Those of a shared one take turns.
+func (b *Backends) backendAt(listener int) int {
+	if listener < b.dedicated {
+		return listener
 	}
-	k, shared := ln-b.alone, len(b.turns)
-	members := (b.all - b.alone - k + shared - 1) / shared
-	return b.alone + k + shared*int(b.turns[k].Add(1)%int64(members))
+	shared, listeners := listener-b.dedicated, len(b.turns)
+	members := (b.count - b.dedicated - shared + listeners - 1) / listeners
+	return b.dedicated + shared + listeners*int(b.turns[shared].Add(1)%int64(members))
 }
 
-// answer is what a connection is to be written, not before a time.
-type answer struct {
-	at, whole time.Time
-	id        string // of a request that has run
-	text      []byte
-	last      bool
+// backendAnswer is what a connection is to be written, not before a time.
+type backendAnswer struct {
+	text     []byte
+	writeAt  time.Time
+	closes   bool      // the connection, after it
+	servedID string    // of the request, if the answer is to one that was served
+	received time.Time // with servedID: when the command's last byte had come
 }
 
-// serve answers the commands of one connection in their order.
-func (b *Backends) serve(ln int, nc net.Conn) {
-	in := bufio.NewReaderSize(nc, 4096)
-	answers := make(chan answer, pipelined)
+// serveConn answers the commands of one connection in their order.
+func (b *Backends) serveConn(listener int, conn net.Conn) {
+	answers := make(chan backendAnswer, maxPipelined)
 	written := make(chan struct{})
 	go func() {
 		defer close(written)
-		b.write(nc, answers)
+		b.writeAnswers(conn, answers)
 	}()
+	b.readCommands(listener, conn, answers)
+	close(answers)
+	<-written
+}
+
+// readCommands begins the commands of a connection until its end.
+func (b *Backends) readCommands(listener int, conn net.Conn, answers chan<- backendAnswer) {
+	in := bufio.NewReaderSize(conn, backendReadBuffer)
 	for {
-		nc.SetReadDeadline(time.Now().Add(b.idle))
+		conn.SetReadDeadline(time.Now().Add(b.config.IdleTimeout))
 		if _, err := in.Peek(1); err != nil {
-			break
+			return
 		}
-		first := time.Now()
+		firstByte := time.Now()
 		args, err := readCommand(in)
-		if errors.Is(err, errSyntax) {
-			b.syntax.Add(1)
-			answers <- answer{text: []byte("-SYNTAX\r\n"), last: true}
+		if errors.Is(err, errMalformed) {
+			answers <- b.rejectMalformed()
 		}
 		if err != nil {
-			break
+			return
 		}
-		answers <- b.command(ln, args, first)
+		answers <- b.beginCommand(listener, args, firstByte)
 	}
-	close(answers)
-	<-written
 }
 
-// write writes answers when it is time for them, to the end of the channel. Once the connection has broken it only
-// reads the channel.
-func (b *Backends) write(nc net.Conn, answers <-chan answer) {
+// writeAnswers writes answers when it is time for them, to the end of the channel. Once the connection has broken it
+// only reads the channel.
+func (b *Backends) writeAnswers(conn net.Conn, answers <-chan backendAnswer) {
 	broken := false
-	for a := range answers {
+	for answer := range answers {
 		if broken {
 			continue
 		}
-		time.Sleep(time.Until(a.at))
-		if a.id != "" {
-			b.ledger.Took(a.id, time.Since(a.whole))
+		time.Sleep(time.Until(answer.writeAt))
+		if answer.servedID != "" {
+			b.ledger.AttemptServed(answer.servedID, time.Since(answer.received))
 		}
-		nc.SetWriteDeadline(time.Now().Add(writeWithin))
-		_, err := nc.Write(a.text)
-		if broken = err != nil || a.last; broken {
-			nc.Close()
+		conn.SetWriteDeadline(time.Now().Add(writeTimeout))
+		_, err := conn.Write(answer.text)
+		if broken = err != nil || answer.closes; broken {
+			conn.Close()
 		}
 	}
 }
 
-// command begins a command and returns its answer.
-func (b *Backends) command(ln int, args []string, first time.Time) answer {
-	whole := time.Now()
+// beginCommand begins a command and returns its answer.
+func (b *Backends) beginCommand(listener int, args []string, firstByte time.Time) backendAnswer {
+	received := time.Now()
 	switch args[0] {
 	case "PING":
-		return answer{text: []byte("+PONG\r\n")}
+		return backendAnswer{text: []byte("+PONG\r\n")}
 	case "CLIENT", "SELECT":
-		return answer{text: []byte("+OK\r\n")}
+		return backendAnswer{text: []byte("+OK\r\n")}
 	case "Q.ASK", "Q.DO":
 	default:
-		return answer{text: []byte("-ERR unknown command\r\n")}
+		return backendAnswer{text: []byte("-ERR unknown command\r\n")}
 	}
-	if len(args) < 4 || len(args) > 5 || len(args[1]) != 16 || DoorOf(args[2]) < 0 {
-		b.syntax.Add(1)
-		return answer{text: []byte("-SYNTAX\r\n"), last: true}
+	if !isRequest(args) {
+		return b.rejectMalformed()
 	}
 	id := args[2]
-	i := b.machine(ln)
-	if b.seen != nil && b.Alone(i) {
-		b.seen(i, id, first)
+	backend := b.backendAt(listener)
+	if b.config.OnCommand != nil && b.HasOwnListener(backend) {
+		b.config.OnCommand(backend, id, firstByte)
 	}
-	done, ok := b.model.Begin(i, whole)
+	done, ok := b.model.StartAttempt(backend, received)
 	if !ok {
-		return answer{text: []byte("-BUSY\r\n")}
+		return backendAnswer{text: []byte("-BUSY\r\n")}
 	}
-	b.ledger.Ran(id)
+	b.ledger.AttemptStarted(id)
 	text := append([]byte("*3\r\n$16\r\n"+id), "\r\n$-1\r\n$-1\r\n"...)
-	return answer{at: done, whole: whole, id: id, text: text}
+	return backendAnswer{text: text, writeAt: done, servedID: id, received: received}
+}
+
+// isRequest says whether a command has the arguments of a request: the tenant, its id, the list, and perhaps a body.
+func isRequest(args []string) bool {
+	return len(args) >= 4 && len(args) <= 5 && len(args[1]) == tenantBytes && GatewayOf(args[2]) >= 0
+}
+
+func (b *Backends) rejectMalformed() backendAnswer {
+	b.malformed.Add(1)
+	return backendAnswer{text: []byte("-SYNTAX\r\n"), closes: true}
 }
--- a/internal/gateway/server_test.go
+++ b/internal/gateway/server_test.go
@@ -5,10 +5,11 @@
 	"testing"
 	"time"
 
+	"bellwood/internal/gateway/rawsocket"
 	"bellwood/internal/policy"
 )
 
-// All front doors name the counter's numbers by the time, so theirs must be the same clock.
+// All gateways name the counter's numbers by the time, so they must read the same clock.
 func TestClockIsUnixTime(t *testing.T) {
 	server := newIdleServer(t)
 	before := time.Now().UnixNano()
@@ -18,20 +19,20 @@
 	}
 }
 
-// The module never lets a request go unanswered; should it, the loop's own timer answers and calls off.
+// The engine never lets a request go unanswered; should it, the loop's own timer answers it and cancels its attempts.
 func TestOverdueRequest(t *testing.T) {
 	ln := listen(t)
 	server := newIdleServer(t, ln.Addr().String())
 	attempt := newAttempt(t, server)
 	server.timers.Run(attempt.request.deadline)
 	if attempt.request.ended {
-		t.Error("it is answered before the module's own timer has had its Step")
+		t.Error("it is answered before the engine's own timer has had its step")
 	}
-	for _, request := range server.overdueRequests { // as answerOverdue does, without its Step
-		server.abandon(request)
+	for _, request := range server.requests.overdue { // as abandonOverdue does, without the step behind it
+		server.requests.abandon(request)
 	}
 	wantOutcome(t, server, policy.ConnectFailed) // the loop has not heard of the connection
-	if !attempt.request.ended || len(server.requests) != 0 {
+	if !attempt.request.ended || len(server.requests.byID) != 0 {
 		t.Error("the request goes on")
 	}
 	if _, ok := server.events[len(server.events)-1].(policy.ClientGone); !ok {
@@ -39,42 +40,30 @@
 	}
 }
 
-// ends waits until the front door has ended.
-func (gateway *testGateway) ends() {
-	gateway.t.Helper()
-	select {
-	case <-gateway.server.done:
-	case <-time.After(testTimeout):
-		gateway.t.Fatal("it does not end")
-	}
-}
-
 // After SIGTERM connections and requests are still taken for a while; all that was taken is answered; then
-// connections end between requests, and the front door too.
+// connections end between requests, and the gateway too.
 func TestShutdownAnswersWhatWasTaken(t *testing.T) {
-	ln := listen(t)
-	gateway := startGateway(t, []string{ln.Addr().String()})
+	gateway, ln := startWithBackend(t)
 	early, calm := gateway.dial(), gateway.dial()
 	calm.command("PING")
 	calm.wants("+PONG")
-	early.command("Q.ASK", customer, "1", list)
-	backend := accept(t, ln)
-	backend.message()
+	early.sendRequest("1")
+	backend := acceptCommand(t, ln)
 	gateway.stop()
 	late := gateway.dial()
 	late.command("PING")
 	late.wants("+PONG")
 	calm.wantsEnd()
 	late.wantsEnd()
-	early.command("Q.ASK", customer, "2", list) // too late: it is refused and does not keep the connection open
-	gateway.taken(2)
-	backend.write("*1\r\n" + bulk("value"))
+	early.sendRequest("2") // too late: it is rejected and does not keep the connection open
+	gateway.waitForPending(2)
+	backend.write(valueReply("value"))
 	early.wants("value")
 	early.wants("-BUSY")
 	early.wantsEnd()
-	gateway.ends()
-	if !quiet(backend.socket) {
-		t.Error("it was sent on")
+	gateway.waitForShutdown()
+	if !rawsocket.Quiet(backend.socket) {
+		t.Error("it was forwarded")
 	}
 }
 
@@ -82,14 +71,13 @@
 func TestServesFromKnownList(t *testing.T) {
 	ln := listen(t)
 	silent := listen(t) // takes connections and says nothing
-	gateway := startGateway(t, []string{ln.Addr().String()}, func(c *Config, t *testing.T) {
-		c.Discovery, c.Counter = silent.Addr().String(), silent.Addr().String()
-		c.Settings.SharedCounter = true
+	gateway := startGateway(t, []string{ln.Addr().String()}, func(cfg *Config, t *testing.T) {
+		cfg.Discovery, cfg.Counter = silent.Addr().String(), silent.Addr().String()
+		cfg.Settings.SharedCounter = true
 	})
 	client := gateway.dial()
-	client.command("Q.ASK", customer, "1", strings.Replace(list, "t=open", "t=starter", 1))
-	backend := accept(t, ln)
-	backend.message()
-	backend.write("*1\r\n" + bulk("value"))
+	client.command("Q.ASK", tenantID, "1", strings.Replace(idempotentFields, "t=open", "t=starter", 1))
+	backend := acceptCommand(t, ln)
+	backend.write(valueReply("value"))
 	client.wants("value")
 }
