--- a/internal/policy/concurrency/concurrency.go
+++ b/internal/policy/concurrency/concurrency.go
@@ -15,16 +15,16 @@
 
 	// growth is what each answer in time adds to the limit, divided by the limit.
 	growth = 0.5
-	// shrinkBudgetShare and shrinkIdleRatio bound latency: the limit shrinks when it is over this share of the
-	// request's deadline budget, or this many times an idle fleet's latency ...
+	// shrinkBudgetShare is the share of a request's deadline budget over which latency shrinks the limit.
 	shrinkBudgetShare = 0.4
-	shrinkIdleRatio   = 2.2
-	// growShare ... and grows while latency is under this share of both bounds.
+	// shrinkIdleRatio is the latency over that of an idle fleet over which it does so too.
+	shrinkIdleRatio = 2.2
+	// growShare is the share of both bounds under which latency lets the limit grow.
 	growShare = 0.7
 
-	// lowTotal is the limit over all gateways at which waiting can't be what makes latency high ...
+	// lowTotal is the limit over all gateways at which waiting can't be what makes latency high.
 	lowTotal = 3.0
-	// minTotalShare ... and the share of it down to which latency shrinks the limit.
+	// minTotalShare is the share of lowTotal down to which latency shrinks the limit.
 	minTotalShare = 0.7
 
 	lateFactor      = 0.93 // on the limit, for each late answer
--- a/internal/policy/healthcheck.go
+++ b/internal/policy/healthcheck.go
@@ -9,10 +9,11 @@
 )
 
 const (
-	// probeBudget is how many latencies of time a request must have left to serve as a probe of an ejected
-	// backend ...
-	probeBudget = 7.0
-	// probeTimeout ... and how many of them the probe may take; the rest is for another attempt.
+	// minProbeBudget is the deadline budget that a request must have to serve as a probe of an ejected
+	// backend, in latencies of its class.
+	minProbeBudget = 7.0
+	// probeTimeout is what the probe may take, in latencies of its class. The rest of the budget is for
+	// another attempt.
 	probeTimeout = 4.0
 )
 
@@ -148,7 +149,7 @@
 // mayProbe says whether a request loses nothing when its first attempt has no answer.
 func (e *Engine) mayProbe(r *request) bool {
 	return e.settings.Classes[r.class].Idempotency == Idempotent && len(r.attempts) == 0 &&
-		e.settings.MaxAttempts >= 2 && r.deadlineBudget.Seconds() >= probeBudget*e.expectedLatency(r)
+		e.settings.MaxAttempts >= 2 && r.deadlineBudget.Seconds() >= minProbeBudget*e.expectedLatency(r)
 }
 
 // probeTimeLimit is how long a probe request may take.
--- a/internal/policy/latency/latency.go
+++ b/internal/policy/latency/latency.go
@@ -24,13 +24,13 @@
 	// minFactor is the least factor that answers alone bring about.
 	minFactor = 0.2
 
-	// pressureSeconds is the time over which the fleet's pressure is averaged ...
+	// pressureSeconds is the time over which the fleet's pressure is averaged.
 	pressureSeconds = 2.0
-	// maxPressureGain ... one result weighing this at most,
+	// maxPressureGain is the greatest weight of one result in the fleet's pressure, after a time without any.
 	maxPressureGain = 0.2
-	// maxPressure ... and counting as this many of its class's means,
+	// maxPressure is what one late result counts for at most, in means of its class.
 	maxPressure = 4.0
-	// rejectionPressure ... and a rejection by a backend as these.
+	// rejectionPressure is what a rejection by a backend counts for, in means of its class.
 	rejectionPressure = 6.0
 )
 
--- a/internal/policy/outlier/outlier.go
+++ b/internal/policy/outlier/outlier.go
@@ -31,24 +31,24 @@
 	// maxFailures is how many broken connections in a row get a backend ejected. One may be broken by chance.
 	maxFailures = 3
 
-	// silenceSum is how long attempts must have waited in sum, in latencies of their class, to be taken
-	// for silence ...
+	// silenceSum is how long attempts must have waited in sum to be taken for silence, in latencies that
+	// answers to them take.
 	silenceSum = 12.0
-	// maxWait ... each attempt, and each time-out since the last response, counting for this at most: one
-	// may be costly.
+	// maxWait is what one attempt, or one time-out since the last response, counts for at most in that sum:
+	// one may be costly.
 	maxWait = 5.0
 	// minSilence is the shortest silence that counts.
 	minSilence = 200 * time.Millisecond
 	// recentResponse is how old the response of a backend may be that proves that this gateway hears others.
 	recentResponse = 500 * time.Millisecond
 
-	// firstPause is the pause before the first probe, or more by chance, so that gateways don't probe at
-	// once ...
+	// firstPause is the shortest pause before the first probe. It is longer by chance, up to pausePerGateway
+	// for each gateway that uses the backend, so that these don't all probe at once.
 	firstPause = 400 * time.Millisecond
-	// maxPause ... and the longest pause between later ones,
+	// maxPause is the longest pause between later probes, unless pausePerGateway makes it longer.
 	maxPause = 2 * time.Second
-	// pausePerGateway ... or this for each gateway that uses the backend, so that these don't probe it too
-	// often.
+	// pausePerGateway is the pause for each gateway that uses the backend, so that together they don't probe
+	// it too often.
 	pausePerGateway = 50 * time.Millisecond
 
 	// restartTime is how long a backend takes to start: one that was silent for longer may have started anew.
--- a/internal/policy/result.go
+++ b/internal/policy/result.go
@@ -21,11 +21,7 @@
 	case ConnectionReset, ConnectFailed:
 		e.learnFailure(b)
 	case TimedOut:
-		if !b.detector.Ejected() {
-			b.detector.RecordTimeout()
-			b.latencyFactor.RecordTimeout(ratio)
-			b.limiter.RecordTimeout()
-		}
+		e.learnTimeout(b, ratio)
 	case Rejected:
 		e.learnResponse(b, outlier.Rejection)
 		b.limiter.RecordRejection()
@@ -74,6 +70,16 @@
 	}
 }
 
+// learnTimeout takes an attempt without an answer. One at an ejected backend is what its ejection expects.
+func (e *Engine) learnTimeout(b *backend, ratio float64) {
+	if b.detector.Ejected() {
+		return
+	}
+	b.detector.RecordTimeout()
+	b.latencyFactor.RecordTimeout(ratio)
+	b.limiter.RecordTimeout()
+}
+
 // learnResponse takes a sign of life, which brings an ejected backend back. It is no sign of a restart:
 // the response ends the silence by which a restart is suspected.
 func (e *Engine) learnResponse(b *backend, response outlier.Response) {
--- a/internal/policy/settings.go
+++ b/internal/policy/settings.go
@@ -26,10 +26,10 @@
 
 	ResponseGrace     time.Duration // time past the deadline in which a final answer still counts
 	DrainGrace        time.Duration // grace for attempts sent to a draining or terminated backend
-	OverloadMultiple  float64       // a warming backend fails when sent this many times its capacity ...
-	OverloadWindow    time.Duration // ... for this long
-	SlowStartMinShare float64       // a started backend has this share of its capacity or more ...
-	SlowStartDuration time.Duration // ... and all of it after this
+	OverloadMultiple  float64       // a warming backend fails when sent this many times its capacity
+	OverloadWindow    time.Duration // for how long it must be sent so much to fail
+	SlowStartMinShare float64       // a started backend has this share of its capacity or more
+	SlowStartDuration time.Duration // a started backend has all of its capacity after this
 
 	SharedCounter         bool          // AddToCounter is allowed
 	CounterTimeout        time.Duration // an AddToCounter with no answer by then ends as TimedOut
--- a/internal/policy/slowstart/slowstart.go
+++ b/internal/policy/slowstart/slowstart.go
@@ -25,8 +25,8 @@
 type Settings struct {
 	MinShare         float64       // of its capacity, that a backend has at its start
 	Duration         time.Duration // until it has all of it
-	OverloadMultiple float64       // of its present capacity, at which it fails when it gets that much ...
-	OverloadWindow   time.Duration // ... for so long
+	OverloadMultiple float64       // of its present capacity: a backend that gets so much for a window fails
+	OverloadWindow   time.Duration // of which OverloadMultiple speaks
 }
 
 // Budget is what one backend may get while it warms up. The zero value is warm.
--- a/internal/policy/throughput/throughput.go
+++ b/internal/policy/throughput/throughput.go
@@ -15,8 +15,8 @@
 
 // Meter keeps the rate of answers of a warm backend, and how many are warm.
 type Meter struct {
-	warm       int     // warm backends ...
-	warmWeight float64 // ... and the sum of their weights
+	warm       int     // warm backends
+	warmWeight float64 // the sum of their weights
 	meanWeight float64 // of the warm backends, at the last answer
 	rate       float64 // answers a second of a warm backend
 	rateAt     time.Duration
