--- a/internal/policy/backend.go
+++ b/internal/policy/backend.go
@@ -21,7 +21,7 @@
 	weight        float64 // by the endpoint list; over 0
 	zone, cell    int     // by the endpoint list
 	queue         requestQueue
-	inFlight      []*attempt
+	inFlight      []*attempt // by request.addAttempt and attempt.finish
 	slowStart     slowstart.Budget
 	subsetPlace   // of the backendSubset
 	warmMark      throughput.Mark
--- a/internal/policy/endpoints.go
+++ b/internal/policy/endpoints.go
@@ -192,8 +192,8 @@
 	// firstPollBackoff is the pause after a call for the list has failed, half of it by chance: gateways
 	// fail together.
 	firstPollBackoff = 250 * time.Millisecond
-	// maxPollBackoff is the longest: a backend may get requests for 6 s after a change of its state,
-	// within which two calls of 2 s may fail.
+	// maxPollBackoff is the longest pause. A change counts as known after 6 s: two calls that fail after
+	// 2 s each, and their pauses, leave time for a third.
 	maxPollBackoff = 750 * time.Millisecond
 )
 
--- a/internal/policy/outlier/outlier.go
+++ b/internal/policy/outlier/outlier.go
@@ -51,7 +51,7 @@
 	// it too often.
 	pausePerGateway = 50 * time.Millisecond
 
-	// restartTime is how long a backend takes to start: one that was silent for longer may have started anew.
+	// restartTime is the silence after which a backend may have been started anew.
 	restartTime = 2 * time.Second
 )
 
--- a/internal/policy/slowstart/slowstart.go
+++ b/internal/policy/slowstart/slowstart.go
@@ -16,9 +16,9 @@
 const (
 	// usedShare is the share of the budget that is used: the cost of requests differs from their mean.
 	usedShare = 0.5
-	// maxUnbidden is how many attempts in one window all gateways together may send without having sent
-	// before.
-	maxUnbidden = 3.0
+	// minWindowAttempts is how many attempts in one window all gateways together may send whatever they have
+	// measured: however little that is, the turn of each comes.
+	minWindowAttempts = 3.0
 )
 
 // Settings say how a started backend warms up, and what it fails of.
@@ -84,7 +84,7 @@
 	whole := max(1, math.Floor(budget))
 	span *= whole / budget
 	if budget < 1 {
-		span = min(span, max(set.Duration.Seconds(), set.OverloadWindow.Seconds()*load.Gateways/maxUnbidden))
+		span = min(span, max(set.Duration.Seconds(), set.OverloadWindow.Seconds()*load.Gateways/minWindowAttempts))
 		if b.notBefore == 0 {
 			b.notBefore = now + time.Duration(rng.Float64()*span*float64(time.Second))
 		}
--- a/internal/policy/slowstart/slowstart_test.go
+++ b/internal/policy/slowstart/slowstart_test.go
@@ -81,7 +81,7 @@
 	if !b.Spent(start, &set, Load{Share: 0.25, Weight: 1, Gateways: 16}, random()) {
 		t.Error("sent at once with no figures of a warm backend")
 	}
-	longest := math.Max(set.Duration.Seconds(), set.OverloadWindow.Seconds()*16/maxUnbidden)
+	longest := math.Max(set.Duration.Seconds(), set.OverloadWindow.Seconds()*16/minWindowAttempts)
 	if wait := (b.notBefore - start).Seconds(); wait > longest {
 		t.Errorf("the first turn comes after %v s", wait)
 	}
--- a/internal/policy/subset.go
+++ b/internal/policy/subset.go
@@ -12,7 +12,8 @@
 )
 
 const (
-	// maxGatewaysPerBackend is how many gateways have one backend in their subsets, as a mean: even in sum.
+	// maxGatewaysPerBackend is how many gateways have one backend in their subsets, as a mean: so many
+	// that their traffic to it is even in sum.
 	maxGatewaysPerBackend = 16.0
 	// minSubset is the least size of a subset, so that one backend lost is no great part.
 	minSubset = 8
