--- a/internal/policy/endpoints.go
+++ b/internal/policy/endpoints.go
@@ -18,8 +18,8 @@
 	}
 	e.polling.succeeded(e.now)
 	e.endpoints.beginUpdate()
-	for _, entry := range update.Backends {
-		e.applyEntry(entry)
+	for i := range update.Backends {
+		e.applyEntry(&update.Backends[i])
 	}
 	if update.Kind != Delta {
 		e.retireMissing()
@@ -30,7 +30,7 @@
 }
 
 // applyEntry takes what the list says of one backend. One that was started lately is warming up.
-func (e *Engine) applyEntry(entry Backend) {
+func (e *Engine) applyEntry(entry *Backend) {
 	b := e.endpoints.findOrAdd(entry)
 	if b == nil {
 		return
@@ -114,7 +114,7 @@
 func (r *endpointRegistry) find(name string) *backend { return r.byName[name] }
 
 // findOrAdd returns the backend of an entry, or nil if it is unknown and not in service.
-func (r *endpointRegistry) findOrAdd(entry Backend) *backend {
+func (r *endpointRegistry) findOrAdd(entry *Backend) *backend {
 	b := r.byName[entry.Name]
 	if b == nil {
 		if entry.State != InService {
