--- a/internal/policy/doc.go
+++ b/internal/policy/doc.go
@@ -48,6 +48,8 @@
 //	a tenant's quota over all gateways              quota.go, countercalls.go, packages lease, callshare
 //	a tenant's hard limit over all gateways         hardlimit.go, package hardlimit
 //	why a request is rejected                       rejection.go
+//	what a request gives back when it ends          requestend.go
+//	which tenants are known                         tenants.go
 //	how many attempts a backend gets at once        result.go, package concurrency
 //	how long an answer takes                        package latency
 //	what a warm backend carries                     package throughput
--- a/internal/policy/endpoints.go
+++ b/internal/policy/endpoints.go
@@ -18,8 +18,8 @@
 	}
 	e.polling.succeeded(e.now)
 	e.endpoints.beginUpdate()
-	for _, entry := range update.Backends {
-		e.applyEntry(entry)
+	for i := range update.Backends {
+		e.applyEntry(&update.Backends[i])
 	}
 	if update.Kind != Delta {
 		e.retireMissing()
@@ -30,7 +30,7 @@
 }
 
 // applyEntry takes what the list says of one backend. One that was started lately is warming up.
-func (e *Engine) applyEntry(entry Backend) {
+func (e *Engine) applyEntry(entry *Backend) {
 	b := e.endpoints.findOrAdd(entry)
 	if b == nil {
 		return
@@ -114,7 +114,7 @@
 func (r *endpointRegistry) find(name string) *backend { return r.byName[name] }
 
 // findOrAdd returns the backend of an entry, or nil if it is unknown and not in service.
-func (r *endpointRegistry) findOrAdd(entry Backend) *backend {
+func (r *endpointRegistry) findOrAdd(entry *Backend) *backend {
 	b := r.byName[entry.Name]
 	if b == nil {
 		if entry.State != InService {
@@ -192,20 +192,20 @@
 	// firstPollBackoff is the pause after a call for the list has failed, half of it by chance: gateways
 	// fail together.
 	firstPollBackoff = 250 * time.Millisecond
-	// maxPollBackoff is the longest: a backend may get requests for 6 s after a change of its state,
-	// within which two calls of 2 s may fail.
+	// maxPollBackoff is the longest pause. A change counts as known after 6 s: two calls that fail after
+	// 2 s each, and their pauses, leave time for a third.
 	maxPollBackoff = 750 * time.Millisecond
 )
 
 // endpointPolling says when to ask for the endpoint list.
 type endpointPolling struct {
-	askedAt      time.Duration // or when an update came
+	lastPoll     time.Duration // or when an update came
 	backoff      time.Duration // the last; 0: the last call brought the list
 	retryPending bool
 }
 
 // succeeded says that an update has come.
-func (p *endpointPolling) succeeded(now time.Duration) { p.askedAt, p.backoff = now, 0 }
+func (p *endpointPolling) succeeded(now time.Duration) { p.lastPoll, p.backoff = now, 0 }
 
 // failed says that a call for the list has failed, and returns the pause after which to ask again, unless
 // that is under way.
@@ -223,9 +223,9 @@
 
 // isDue says whether the list would else become older than the interval, and takes it for asked for.
 func (p *endpointPolling) isDue(now, interval time.Duration) bool {
-	if interval <= 0 || now-p.askedAt <= interval/2 {
+	if interval <= 0 || now-p.lastPoll <= interval/2 {
 		return false
 	}
-	p.askedAt = now
+	p.lastPoll = now
 	return true
 }
