--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -69,8 +69,7 @@
 )
 
 // ReadConfig reads the JSON form of a Config. What it returns may still lack what Check asks for. An error is a
-// *SettingError, one of the section audit, or one of the decoder where the text is not the expected JSON; each fits on
-// one line.
+// *SettingError, or one of encoding/json where the text is not the expected JSON; either fits on one line.
 func ReadConfig(r io.Reader) (*Config, error) {
 	var file struct {
 		Name, Listen, Discovery, Counter, Seed string
@@ -96,10 +95,10 @@
 	settings := map[string]string{}
 	flatten(settings, "", file.Settings)
 	if c.Settings, err = simprotocol.ParseSettings(settings); err != nil {
-		return nil, &SettingError{"settings", err}
+		return nil, inFile(err)
 	}
 	if c.Transport, err = simprotocol.ParseTransport(settings); err != nil {
-		return nil, &SettingError{"settings", err}
+		return nil, inFile(err)
 	}
 	if c.Audit, err = readAudit(file.Audit, settings); err != nil {
 		return nil, err
@@ -107,8 +106,17 @@
 	return c, nil
 }
 
-// Check says what a gateway could not run with, by a *SettingError or one of the section audit. It stands apart from
-// ReadConfig because the environment may name addresses too.
+// inFile names the setting of the simulator's protocol that can't be used by its path in the configuration file.
+func inFile(err error) error {
+	var setting *simprotocol.SettingError
+	if errors.As(err, &setting) {
+		return &SettingError{"settings." + setting.Path, errors.New(setting.Reason)}
+	}
+	return &SettingError{"settings", err}
+}
+
+// Check says what a gateway could not run with, by a *SettingError. It stands apart from ReadConfig because the
+// environment may name addresses too.
 func (c *Config) Check() error {
 	if err := checkAddress("listen", c.Listen); err != nil {
 		return err
--- a/internal/gateway/config_test.go
+++ b/internal/gateway/config_test.go
@@ -64,18 +64,24 @@
 	}
 }
 
+// What can't be read ends the start with one line, which names the setting where there is one.
 func TestReadConfigRejectsWithOneLine(t *testing.T) {
-	for name, text := range map[string]string{
-		"empty":                   "",
-		"no object":               "[]",
-		"a seed that is not hex":  `{"seed":"x"}`,
-		"an unknown word":         `{"seed":"1","settings":{"discovery":"carrier"}}`,
-		"a number that is a word": `{"seed":"1","settings":{"peers-total":"many"}}`,
-		"a limit that is a word":  `{"seed":"1","limits":{"sockets":"x"}}`,
+	for name, c := range map[string]struct{ text, setting string }{
+		"empty":                   {text: ""},
+		"no object":               {text: "[]"},
+		"a limit that is a word":  {text: `{"seed":"1","limits":{"sockets":"x"}}`},
+		"a seed that is not hex":  {text: `{"seed":"x"}`, setting: "seed"},
+		"an unknown word":         {text: `{"seed":"1","settings":{"discovery":"carrier"}}`, setting: "settings.discovery"},
+		"a number that is a word": {text: `{"seed":"1","settings":{"peers-total":"many"}}`, setting: "settings.peers-total"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			if _, err := ReadConfig(strings.NewReader(text)); err == nil || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%q: error %v", text, err)
+			_, err := ReadConfig(strings.NewReader(c.text))
+			if err == nil || strings.Contains(err.Error(), "\n") {
+				t.Errorf("%q: error %v", c.text, err)
+			}
+			var named *SettingError
+			if errors.As(err, &named) != (c.setting != "") || named != nil && named.Setting != c.setting {
+				t.Errorf("%q: error %v does not name %q", c.text, err, c.setting)
 			}
 		})
 	}
