--- a/cmd/bellwood/main.go
+++ b/cmd/bellwood/main.go
@@ -57,7 +57,7 @@
 	defer stop()
 	sink := logsink.New(os.Stderr)
 	defer sink.Close(logFlushTimeout)
-	log := slog.New(slog.NewTextHandler(sink, nil)).With("name", cfg.Name)
+	log := slog.New(slog.NewTextHandler(sink, nil)).With(slog.String("name", cfg.Name))
 	server, err := gateway.New(cfg, log)
 	if err != nil {
 		return err
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"bellwood/internal/policy"
 	"bellwood/internal/timerqueue"
 )
 
@@ -19,6 +20,13 @@
 	ended         bool
 }
 
+// attemptOutcome is how an attempt ended.
+type attemptOutcome struct {
+	status     policy.Status
+	quotaUsage int     // 1 + percent of the quota used, as the backend reported; 0: not reported
+	cost       float64 // in units, as the backend reported; 0: not reported
+}
+
 // tooLateToSend says whether the attempt's connection came up too late for it.
 func (attempt *backendAttempt) tooLateToSend(now time.Duration) bool {
 	return attempt.sendBefore > 0 && now >= attempt.sendBefore
--- a/internal/gateway/clientclose.go
+++ b/internal/gateway/clientclose.go
@@ -99,7 +99,7 @@
 // evictionRank orders the connections that may be closed to make room, the lowest first: those that have been idle for
 // long, then those on which nothing was ever asked, and last, where no room is left at all, those that may be asked
 // again soon. It says whether the connection may be closed.
-func (conn *clientConn) evictionRank(now time.Duration, full bool) (rank time.Duration, ok bool) {
+func (conn *clientConn) evictionRank(now time.Duration, left room) (rank time.Duration, ok bool) {
 	since := time.Duration(conn.idleSince.Load())
 	if since == 0 {
 		return 0, false
@@ -109,7 +109,7 @@
 		return since, true
 	case idle >= minIdleWithoutCommand && !conn.commandSeen.Load():
 		return since + minIdle, true
-	case full && idle >= minIdleWhenFull:
+	case left == noRoom && idle >= minIdleWhenFull:
 		return since + 2*minIdle, true
 	}
 	return 0, false
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -60,7 +60,7 @@
 			time.Sleep(acceptRetryPause)
 			continue
 		}
-		if !clients.hasRoom() {
+		if !clients.makeRoom() {
 			clients.rejectConn(socket)
 			continue
 		}
@@ -98,14 +98,32 @@
 	return false
 }
 
-// hasRoom says whether one more connection may be open, and makes room where little is left.
-func (clients *downstream) hasRoom() bool {
-	open := clients.connCount.Load()
-	if float64(open) < nearlyFull*float64(clients.maxConns) {
+// room says how many connections of clients may still be opened.
+type room int
+
+const (
+	roomForMany room = iota
+	roomForFew       // idle connections are closed
+	noRoom           // so are those that may be asked again soon
+)
+
+func (clients *downstream) room() room {
+	switch open := clients.connCount.Load(); {
+	case open >= clients.maxConns:
+		return noRoom
+	case float64(open) >= nearlyFull*float64(clients.maxConns):
+		return roomForFew
+	}
+	return roomForMany
+}
+
+// makeRoom says whether one more connection may be opened, and closes an idle one where little room is left.
+func (clients *downstream) makeRoom() bool {
+	left := clients.room()
+	if left == roomForMany {
 		return true
 	}
-	full := open >= clients.maxConns
-	return clients.closeLongestIdle(full) || !full
+	return clients.closeLongestIdle(left) || left != noRoom
 }
 
 // closeLongestIdle closes the connection that has stood idle longest, if that may be, and says whether it did. Clients
@@ -115,29 +133,29 @@
 // request that it sent in time. Why this holds: a connection is closed only where neither its buffer nor its socket
 // holds a part of a command, and reading and that test exclude each other; else another one is chosen.
 // TestUnreadRequestKeepsTheConnection.
-func (clients *downstream) closeLongestIdle(full bool) bool {
-	longest := clients.longestIdle(full)
+func (clients *downstream) closeLongestIdle(left room) bool {
+	longest := clients.longestIdle(left)
 	if longest == nil {
 		return false
 	}
 	ended := longest.closeIfBetweenRequests()
 	longest.idleSince.Store(0) // it makes room once
 	if !ended {                // a request has come on it just now
-		return clients.closeLongestIdle(full)
+		return clients.closeLongestIdle(left)
 	}
 	runtime.Gosched() // its reader gives the descriptor back
 	return true
 }
 
 // longestIdle returns the connection that is closed first; nil: none may be.
-func (clients *downstream) longestIdle(full bool) *clientConn {
+func (clients *downstream) longestIdle(left room) *clientConn {
 	now := clients.loop.now()
 	var first *clientConn
 	var firstRank time.Duration
 	clients.mu.Lock()
 	defer clients.mu.Unlock()
 	for conn := range clients.conns {
-		rank, ok := conn.evictionRank(now, full)
+		rank, ok := conn.evictionRank(now, left)
 		if ok && (first == nil || rank < firstRank) {
 			first, firstRank = conn, rank
 		}
--- a/internal/gateway/requesttable.go
+++ b/internal/gateway/requesttable.go
@@ -43,11 +43,12 @@
 
 // requestTable keeps the open requests and their attempts. The loop owns it.
 type requestTable struct {
-	loop   loop
-	cfg    *Config
-	log    *slog.Logger
-	sender attemptSender
-	audit  attemptAudit
+	loop         loop
+	log          *slog.Logger
+	sender       attemptSender
+	audit        attemptAudit
+	maxOpen      int  // requests; 0: no limit
+	allowHedging bool // a request may have two attempts in flight
 
 	byID    map[uint64]*openRequest
 	idInUse map[string]bool // the clients' ids of requests without a final answer
@@ -56,7 +57,8 @@
 }
 
 func newRequestTable(loop loop, cfg *Config, log *slog.Logger) *requestTable {
-	return &requestTable{loop: loop, cfg: cfg, log: log, byID: map[uint64]*openRequest{}, idInUse: map[string]bool{}}
+	return &requestTable{loop: loop, log: log, maxOpen: cfg.Transport.MaxOpenRequests,
+		allowHedging: cfg.Settings.AllowHedging, byID: map[uint64]*openRequest{}, idInUse: map[string]bool{}}
 }
 
 func (table *requestTable) len() int { return len(table.byID) }
@@ -64,7 +66,7 @@
 // requestArrived takes a request in, or answers it where too many are open or its id is that of an open one: the client
 // would be given what another request is answered (TestOpenIDIsRejected).
 func (table *requestTable) requestArrived(received *clientRequest) {
-	if limit := table.cfg.Transport.MaxOpenRequests; limit > 0 && len(table.byID) >= limit {
+	if table.maxOpen > 0 && len(table.byID) >= table.maxOpen {
 		received.answer(protocol.Busy(0))
 		return
 	}
@@ -205,7 +207,7 @@
 	request.attempts = append(request.attempts, attempt)
 	request.openAttempts++
 	if !table.mayStart(attempt, now) {
-		table.attemptEnded(attempt, policy.NotSent, 0, 0)
+		table.attemptEnded(attempt, attemptOutcome{status: policy.NotSent})
 		return
 	}
 	table.audit.attempted()
@@ -219,15 +221,14 @@
 	if request.ended || attempt.deadline <= now {
 		return false
 	}
-	if request.openAttempts > 1 && !table.cfg.Settings.AllowHedging {
+	if request.openAttempts > 1 && !table.allowHedging {
 		return false
 	}
 	return !table.audit.stoodStill(now)
 }
 
-// attemptEnded gives the one outcome of an attempt, with the quota usage (1 + percent; 0: not reported) and the cost
-// (0: not reported) that the backend reported.
-func (table *requestTable) attemptEnded(attempt *backendAttempt, status policy.Status, quotaUsage int, cost float64) {
+// attemptEnded gives the one outcome of an attempt; a further one is passed over.
+func (table *requestTable) attemptEnded(attempt *backendAttempt, outcome attemptOutcome) {
 	if attempt.ended {
 		return
 	}
@@ -235,7 +236,7 @@
 	table.loop.stopTimer(attempt.deadlineTimer)
 	attempt.request.openAttempts--
 	table.loop.emit(policy.AttemptResult{ID: attempt.request.id, Attempt: attempt.number, Backend: attempt.backend,
-		Status: status, Latency: table.loop.now() - attempt.startedAt, RequestClosed: attempt.request.ended,
-		QuotaUsage: quotaUsage, Cost: cost})
+		Status: outcome.status, Latency: table.loop.now() - attempt.startedAt, RequestClosed: attempt.request.ended,
+		QuotaUsage: outcome.quotaUsage, Cost: outcome.cost})
 	table.forgetIfOver(attempt.request)
 }
--- a/internal/gateway/upstream.go
+++ b/internal/gateway/upstream.go
@@ -17,8 +17,8 @@
 type attemptResults interface {
 	// answer gives a request its final answer; this ends the request.
 	answer(request *openRequest, text []byte)
-	// attemptEnded gives the one outcome of an attempt; see requestTable.attemptEnded for the figures.
-	attemptEnded(attempt *backendAttempt, status policy.Status, quotaUsage int, cost float64)
+	// attemptEnded gives the one outcome of an attempt.
+	attemptEnded(attempt *backendAttempt, outcome attemptOutcome)
 	// clientGone ends the request of a client that has left.
 	clientGone(received *clientRequest)
 }
@@ -82,12 +82,12 @@
 func (backends *upstream) startAttempt(attempt *backendAttempt) {
 	pool := backends.pools[attempt.backend]
 	if pool == nil || !pool.inService || backends.endIfClientLeft(attempt) {
-		backends.results.attemptEnded(attempt, policy.NotSent, 0, 0)
+		backends.results.attemptEnded(attempt, attemptOutcome{status: policy.NotSent})
 		return
 	}
 	conn := backends.acquire(pool)
 	if conn == nil { // for want of descriptors here, which is no fault of the backend
-		backends.results.attemptEnded(attempt, policy.NotSent, 0, 0)
+		backends.results.attemptEnded(attempt, attemptOutcome{status: policy.NotSent})
 		return
 	}
 	conn.attempt, attempt.conn = attempt, conn
@@ -204,9 +204,9 @@
 	if reply.Status == policy.OK {
 		backends.results.answer(attempt.request, reply.Value)
 	}
-	cost := 0.0
+	outcome := attemptOutcome{status: reply.Status, quotaUsage: reply.QuotaUsage}
 	if limit := backends.maxRequestCost; limit == 0 || reply.Cost <= limit {
-		cost = reply.Cost
+		outcome.cost = reply.Cost
 	}
-	backends.results.attemptEnded(attempt, reply.Status, reply.QuotaUsage, cost)
+	backends.results.attemptEnded(attempt, outcome)
 }
--- a/internal/gateway/upstreamconns.go
+++ b/internal/gateway/upstreamconns.go
@@ -117,7 +117,7 @@
 	attempt, check := conn.takeLoad()
 	backends.closeConn(conn)
 	if attempt != nil {
-		backends.results.attemptEnded(attempt, status, 0, 0)
+		backends.results.attemptEnded(attempt, attemptOutcome{status: status})
 	}
 	if check != nil {
 		backends.healthCheckEnded(check, status)
