--- a/internal/gateway/counter/client_test.go
+++ b/internal/gateway/counter/client_test.go
@@ -70,11 +70,24 @@
 	}
 }
 
-// Where nothing listens nothing is added.
+// Where nothing listens nothing is added: from the start, and when a client that has been in use is moved there.
 func TestRefusedConnectionAddsNothing(t *testing.T) {
+	refusing := listen(t)
+	refusing.Close()
+	c := newTestClient(t, refusing.Addr().String(), callTimeout)
+	c.add(8, 1)
+	c.reports(namedResult{8, policy.ConnectFailed, 0})
+
 	listener := listen(t)
-	listener.Close()
-	c := newTestClient(t, listener.Addr().String(), callTimeout)
+	c = newTestClient(t, listener.Addr().String(), callTimeout)
+	c.add(8, 1)
+	counter := accept(t, listener)
+	c.connects(c.connections[0])
+	counter.reads("add 8 1 4000\r\n")
+	counter.writes("malformed\r\n")
+	c.reports(namedResult{8, policy.TimedOut, 0})
+	c.results = nil
+	c.Move(refusing.Addr().String())
 	c.add(8, 1)
 	c.reports(namedResult{8, policy.ConnectFailed, 0})
 }
