--- a/internal/gateway/replyreader.go
+++ b/internal/gateway/replyreader.go
@@ -6,6 +6,7 @@
 	"sync/atomic"
 	"time"
 
+	"bellwood/internal/gateway/protocol"
 	"bellwood/internal/resp"
 )
 
@@ -32,20 +33,20 @@
 
 // next returns the next answer. It fails with resp.ErrMalformed, errUnsolicitedReply, os.ErrDeadlineExceeded for an
 // answer that stalls, or an error of the network.
-func (reader *replyReader) next() (backendReply, error) {
+func (reader *replyReader) next() (protocol.Reply, error) {
 	message, err := reader.messages.Next()
 	if err != nil {
-		return backendReply{}, err
+		return protocol.Reply{}, err
 	}
-	reply := readReply(message)
+	reply := protocol.ReadReply(message)
 	reader.repliesRead++
-	reply.trailingBytes = reader.messages.Partial()
+	reply.TrailingBytes = reader.messages.Partial()
 	return reply, nil
 }
 
-// Read reads from the socket for messages. It takes nothing while no answer is owed: that would be found in front of the
-// next answer, and a client be given another one's value (TestUnsolicitedReplyReachesNobody). And an answer that has
-// begun must go on.
+// Read reads from the socket for messages. It takes nothing while no answer is owed: that would be found in front of
+// the next answer, and a client be given another one's value (TestUnsolicitedReplyReachesNobody). And an answer that
+// has begun must go on.
 func (reader *replyReader) Read(buffer []byte) (int, error) {
 	if reader.messages.Partial() {
 		reader.socket.SetReadDeadline(time.Now().Add(replyStallTimeout))
