--- a/internal/policy/action.go
+++ b/internal/policy/action.go
@@ -10,7 +10,7 @@
 type SendAttempt struct {
 	ID         uint64
 	Backend    string
-	Timeout    time.Duration // the attempt ends as TimedOut after this
+	Timeout    time.Duration // after this the attempt ends as TimedOut, while dialing as ConnectFailed
 	SendBefore time.Duration // on the caller's clock: not sent by then, it ends as NotSent; 0: no bound
 }
 
@@ -45,7 +45,8 @@
 	Cookie uint64
 }
 
-// WatchEndpoints asks for changes of the endpoint list from now on.
+// WatchEndpoints asks for changes of the endpoint list from now on. The gateway watches it anyway, and
+// fetches the list once, as for FetchEndpoints.
 type WatchEndpoints struct{}
 
 // FetchEndpoints asks for the whole endpoint list once.
--- a/internal/policy/doc.go
+++ b/internal/policy/doc.go
@@ -53,7 +53,7 @@
 //	how many attempts a backend gets at once        result.go, package concurrency
 //	how long an answer takes                        package latency
 //	what a warm backend carries                     package throughput
-//	which backends are left out, and come back      healthcheck.go, package outlier
+//	which backends are left out, and come back      outlier.go, package outlier
 //	what a started backend gets                     slowstart.go, package slowstart
 //	which backends there are                        endpoints.go
 //	which of them this gateway uses                 subset.go, package internal/subset
--- a/internal/policy/event.go
+++ b/internal/policy/event.go
@@ -25,7 +25,7 @@
 	Status        Status
 	Latency       time.Duration // since it was sent
 	RequestClosed bool          // the request is over
-	QuotaUsage    int           // 1 + percent of the quota used of late through all gateways; 0: not told
+	QuotaUsage    int           // not used by the engine: 1 + percent of the quota used; 0: not told
 	Cost          float64       // with Settings.CostSettledOnResponse: the true units, on the first OK
 }
 
@@ -38,7 +38,7 @@
 	OK                            // served
 	Rejected                      // the backend rejected it unseen; it never ran
 	TimedOut                      // no answer in time; it may have run
-	ConnectFailed                 // no connection; it never ran
+	ConnectFailed                 // no connection, or broken before all was written; it never ran
 	ConnectionReset               // the connection broke; it may have run
 	Cancelled                     // cancelled by this gateway; it may have run
 	NotSent                       // not sent; it never ran
@@ -87,7 +87,7 @@
 type Backend struct {
 	Name    string
 	Zone    int
-	Kind    int
+	Kind    int // not used by the engine
 	Cell    int
 	State   BackendState
 	Weight  float64       // capacity compared with other backends'; 0 counts as 1
--- a/internal/policy/settings.go
+++ b/internal/policy/settings.go
@@ -11,12 +11,12 @@
 	Gateways        int           // gateways of this tier, this one included; 1 at least
 	GatewayIndex    int           // this gateway's number among them, from 0
 	Zone            int           // this gateway's zone
-	TimerResolution time.Duration // events come at most this often
+	TimerResolution time.Duration // a Timer may come this late
 	Classes         []Class       // at least one
 	Plans           []Plan        // at least one
 
 	MaxAttempts       int           // attempts for one request; 1 at least
-	AllowHedging      bool          // a request may have two attempts in flight at once
+	AllowHedging      bool          // a request may have two attempts in flight; the engine never hedges
 	AllowCancel       bool          // CancelAttempt is allowed
 	AllowHealthChecks bool          // HealthCheck is allowed
 	SendRetryAfter    bool          // clients are given Reject.RetryAfter
@@ -24,8 +24,8 @@
 	PollEndpoints     bool          // the endpoint list must be asked for (WatchEndpoints, FetchEndpoints)
 	PollInterval      time.Duration // with PollEndpoints: how old the list may get
 
-	ResponseGrace     time.Duration // time past the deadline in which a final answer still counts
-	DrainGrace        time.Duration // grace for attempts sent to a draining or terminated backend
+	ResponseGrace     time.Duration // not used by the engine: how long after the deadline an answer counts
+	DrainGrace        time.Duration // not used by the engine: it sends nothing to a draining backend
 	OverloadMultiple  float64       // a warming backend fails when sent this many times its capacity
 	OverloadWindow    time.Duration // for how long it must be sent so much to fail
 	SlowStartMinShare float64       // a started backend has this share of its capacity or more
@@ -46,7 +46,7 @@
 	Idempotency      Idempotency
 	DedupScope       DedupScope    // with IdempotentWithKey
 	DedupWindow      time.Duration // with IdempotentWithKey: how long, from when one may have run
-	Streaming        bool          // the answer is a stream; see FirstByte
+	Streaming        bool          // not used by the engine: the answer is a stream, which FirstByte tells
 }
 
 // Idempotency says what repeating a request of a class may do.
