--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -79,7 +79,8 @@
 }
 
 // serve decides for a tenant's requests in the order they came, until one has to wait: for the counter's
-// answer, for one of the tenant's requests in flight to end, or for the hard limit's share to fill.
+// answer, for one of the tenant's admitted requests to end, or for this gateway's share of the hard limit to
+// fill.
 func (e *Engine) serve(t *tenant) {
 	for r := t.firstWaiting(); r != nil; r = t.firstWaiting() {
 		switch decision := e.decideQuota(r); decision {
@@ -110,8 +111,8 @@
 
 const (
 	withinQuota          quotaDecision = iota // it may be queued at its priority level
-	mustWait                                  // for the counter, for a request in flight, or for the hard limit
-	overConcurrencyLimit                      // others in flight kept it waiting until it was too late
+	mustWait                                  // for the counter, an admitted request's end, or the hard limit
+	overConcurrencyLimit                      // admitted requests kept it waiting until it was too late
 	overHardLimit                             // the hard limit's share does not fill in time
 	overQuota                                 // neither the lease nor fallback tokens pay for it
 )
@@ -128,7 +129,7 @@
 }
 
 // decideQuota holds a request against its tenant's limits, then pays for it. What is within both gets its
-// priority level and counts as in flight from here on.
+// priority level and counts as admitted from here on.
 func (e *Engine) decideQuota(r *request) quotaDecision {
 	if decision := e.checkLimits(r); decision != withinQuota {
 		return decision
@@ -138,15 +139,16 @@
 		return decision
 	}
 	r.quota.promoted = r.level < priorityBands
-	e.countInFlight(r)
+	e.countAdmitted(r)
 	if !r.hardLimit.hasBorrowed(e.now) {
 		e.reserveHardLimit(r)
 	}
 	return withinQuota
 }
 
-// checkLimits holds a request against the two limits of its plan that no tokens replace: requests in flight
-// at once, and the hard limit's rate.
+// checkLimits holds a request against the two limits of its plan that no tokens replace: requests admitted
+// at once, and the hard limit's rate. Where only the hard limit is in the way it also calls the counter to
+// borrow (borrow), if it may.
 func (e *Engine) checkLimits(r *request) quotaDecision {
 	full := e.concurrencyLimitReached(r)
 	short := r.tenant.hardLimit.Shortfall(e.now, r.cost)
--- a/internal/policy/doc.go
+++ b/internal/policy/doc.go
@@ -20,7 +20,7 @@
 //	  admit           admission.go   its deadline budget; is the gateway in service, can an answer be in time,
 //	  |                              is the queue for the tenant's hard limit short enough?
 //	  serve           admission.go   the tenant's requests in their order, until one must wait
-//	  decideQuota     admission.go   requests in flight, hard limit, priority level; then payCost (quota.go)
+//	  decideQuota     admission.go   requests admitted, hard limit, priority level; then payCost (quota.go)
 //	  |                              from the lease, from fallback tokens, or by a call to the counter
 //	  dispatch        dispatch.go    choose (selection.go) picks a backend; is there overload?
 //	  priority queue  priorityqueue.go
@@ -44,7 +44,7 @@
 //
 //	which requests go on                            admission.go
 //	at which priority level                         priority.go
-//	how many of a tenant's are in flight at once    maxconcurrent.go
+//	how many of a tenant's are admitted at once     maxconcurrent.go
 //	a tenant's quota over all gateways              quota.go, countercalls.go, packages lease, callshare
 //	a tenant's hard limit over all gateways         hardlimit.go, package hardlimit
 //	why a request is rejected                       rejection.go
--- a/internal/policy/quota.go
+++ b/internal/policy/quota.go
@@ -28,7 +28,7 @@
 	promoted      bool // paid, or its plan needs no payment: its level is shed last
 	onCredit      bool // neither paid by the lease nor looked up on the counter
 	calledCounter bool // it has called for tokens; it does so once
-	inFlight      bool // it counts in tenant.inFlight
+	admitted      bool // it counts in tenant.admitted
 }
 
 // callEstimates is what is known of the worth of calling the counter for tokens.
--- a/internal/policy/rejection.go
+++ b/internal/policy/rejection.go
@@ -38,7 +38,7 @@
 	// HardLimitQueueTooLong: the tenant's requests that wait for its hard limit would let this one wait for more
 	// than its part of the deadline budget (admit, hardLimitQueueWait).
 	HardLimitQueueTooLong
-	// OverConcurrencyLimit: the tenant's requests in flight kept this one waiting until it was too late, and its
+	// OverConcurrencyLimit: the tenant's admitted requests kept this one waiting until it was too late, and its
 	// plan earns nothing beyond the quota (checkLimits, placeOverQuota).
 	OverConcurrencyLimit
 	// OverHardLimit: this gateway's share of the tenant's hard limit does not hold the request's cost and does
--- a/internal/policy/requestend.go
+++ b/internal/policy/requestend.go
@@ -13,7 +13,7 @@
 	if e.paidInVain(r) {
 		r.tenant.lease.Refund(r.cost)
 	}
-	e.stopCountingInFlight(r)
+	e.stopCountingAdmitted(r)
 	e.forget(r)
 }
 
--- a/internal/policy/settings.go
+++ b/internal/policy/settings.go
@@ -73,7 +73,7 @@
 type Plan struct {
 	Rate             float64 // units a second by which the tenant's bucket fills; 0: no such quota
 	Burst            float64 // units that the bucket holds; it starts full
-	MaxConcurrent    int     // requests in flight at once; 0: no such quota
+	MaxConcurrent    int     // requests at once, those queued here included; 0: no such quota
 	WeightFactor     float64 // factor on the class's PriorityWeight
 	OverQuotaValue   float64 // share of its value that a request beyond the quota earns
 	OverQuotaPenalty float64 // share of its value that a request beyond the quota costs
--- a/internal/policy/tenants.go
+++ b/internal/policy/tenants.go
@@ -31,7 +31,7 @@
 	lastSeen  time.Duration
 	lease     lease.Lease
 	hardLimit hardlimit.Share
-	inFlight  int        // its requests that count against the plan's MaxConcurrent
+	admitted  int        // its requests that count against the plan's MaxConcurrent
 	waiting   []*request // for its quota or limits, in the order of their arrival; some may have ended
 	inWaiting bool       // in tenantRegistry.waiting
 }
@@ -70,7 +70,7 @@
 
 // isIdle says whether nothing is lost when the tenant is forgotten.
 func (t *tenant) isIdle(now time.Duration) bool {
-	return now-t.lastSeen > tenantIdleTime && !t.lease.AwaitsAnswer() && t.inFlight == 0
+	return now-t.lastSeen > tenantIdleTime && !t.lease.AwaitsAnswer() && t.admitted == 0
 }
 
 // tenantRegistry holds all tenants that were seen of late.
--- a/internal/policy/tenants_test.go
+++ b/internal/policy/tenants_test.go
@@ -20,7 +20,7 @@
 
 func TestEvictionForgetsIdleTenantsOnly(t *testing.T) {
 	registry, added := registryOf(0, time.Second, 0, 0)
-	added[2].inFlight = 1
+	added[2].admitted = 1
 	added[3].lease.BeginCall(0, 1, 1)
 	registry.evictIdle(tenantIdleTime)
 	if len(registry.byKey) != 4 {
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -43,8 +43,8 @@
 	return seats
 }
 
-// However the members came and went, the same ones sit alike, no seat holds too many, and what was told of the own
-// seat is so.
+// However the members came and went, the same ones sit alike, no seat holds too many, and what was told of
+// the own seat is so.
 func TestSeatsFollowFromMembersAlone(t *testing.T) {
 	for _, seats := range []int{1, 2, 3, 10, 19, 51} {
 		for _, slack := range []float64{0.02, 0.125, 0.5} {
