--- a/internal/audit/ballot.go
+++ b/internal/audit/ballot.go
@@ -8,8 +8,9 @@
 	return window%windowsPerConfigWindow == windowsPerConfigWindow-1
 }
 
-// ballot is the proposals and votes of all windows, as this gateway makes and reads them at the counter. All its calls
-// may be denied by the pacer: false says that none was made. Results come in a later Step.
+// ballot is the proposals and votes of all windows, as this gateway makes and reads them at the counter. The pacer may
+// deny any of its calls. propose, readProposal and readVotes return false then; vote says nothing, and its onResult is
+// never called. Results come in a later Step.
 type ballot struct {
 	calls        *counterCalls
 	versions     *versionHistory
@@ -41,16 +42,16 @@
 
 func (b *ballot) configSubject() int64 { return int64(b.versions.revision() % maxExactTotal) }
 
-// isBehind says whether a proposal concerns this gateway: it acts on something older or, for the configuration, on
-// something else.
-func (b *ballot) isBehind(window, proposal int64) bool {
+// concerns says whether the votes for a proposal matter to this gateway: it acts on an older version than the proposed
+// one or, in a window of the configuration, on another revision, older or newer.
+func (b *ballot) concerns(window, proposal int64) bool {
 	if isConfigWindow(window) {
 		return proposal != b.subject(window)
 	}
 	return b.versions.index() < proposal
 }
 
-// isQuorum says whether so many different voters are enough.
+// isQuorum says whether this many different voters are a quorum.
 func (b *ballot) isQuorum(voters int) bool { return voters >= b.quorum }
 
 // propose adds what this gateway acts on to the window's proposal, to which nobody else adds.
@@ -59,7 +60,8 @@
 	return b.calls.add(proposalName(window), total, b.schedule.numberTTL, func(CallStatus, float64) {})
 }
 
-// readProposal reads what was proposed in a window. It tells ok false where the call failed or nothing legible is there.
+// readProposal reads what was proposed in a window. onResult gets ok false where the call failed or nothing legible is
+// there.
 func (b *ballot) readProposal(window int64, onResult func(proposal int64, ok bool)) bool {
 	return b.calls.read(proposalName(window), b.schedule.numberTTL, func(status CallStatus, total float64) {
 		proposal, legible := b.proposalOf(window, total)
@@ -67,8 +69,8 @@
 	})
 }
 
-// proposalOf reads what was proposed out of a total. Versions have more digits than totals; what is compared of a
-// configuration has not.
+// proposalOf reads what was proposed out of a total. A version may have more digits than a total, so it is read as the
+// one nearest to this gateway's; the subject of a configuration is cut to a total's digits (configSubject).
 func (b *ballot) proposalOf(window int64, total float64) (proposal int64, ok bool) {
 	if isConfigWindow(window) {
 		return int64(total) - 1, isExactTotal(total) && total >= 1
@@ -77,7 +79,7 @@
 }
 
 // vote adds this gateway to the votes for a proposal. It must not be called twice in a window, whatever became of the
-// call.
+// first call: one that seemed to fail may have been added.
 func (b *ballot) vote(window, proposal int64, onResult func(ok bool)) {
 	b.calls.add(voteCountName(window, proposal), b.tally.vote(b.gatewayIndex), b.schedule.numberTTL,
 		func(status CallStatus, _ float64) { onResult(status == Added) })
--- a/internal/audit/calls.go
+++ b/internal/audit/calls.go
@@ -6,12 +6,13 @@
 	"time"
 )
 
-// counterCalls makes the audit's counter calls as its pacer allows, and hands each result to who asked for it.
+// counterCalls makes the audit's counter calls as its pacer allows, and hands each result to the part that asked for it.
+// The type of the same name in the engine (internal/policy) has nothing to do with it: that one is for quotas.
 type counterCalls struct {
 	out     *output
 	pacer   pacer
 	timeout time.Duration // of a call
-	last    uint64        // number of the last call
+	last    uint64        // number of the last call; 0: none yet
 	pending map[uint64]pendingCall
 }
 
@@ -43,12 +44,12 @@
 	return true
 }
 
-// read is add of nothing: the result tells the number's total.
+// read adds 0, so that the result tells the number's total.
 func (c *counterCalls) read(name uint64, ttl time.Duration, onResult resultFunc) bool {
 	return c.add(name, 0, ttl, onResult)
 }
 
-// settle ends a call. A result that belongs to none is passed over.
+// settle ends a call. A result without such a call is passed over.
 func (c *counterCalls) settle(result CounterResult) {
 	call, ok := c.pending[result.Call]
 	if !ok {
--- a/internal/audit/event.go
+++ b/internal/audit/event.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// MinPause is how long a process has to stand still before ResumedAfterPause is told: a change of the list counts as
-// told to every gateway after as long.
+// MinPause is the shortest pause of a process for which ResumedAfterPause is told. A change of the list counts as told to
+// every gateway after the same time.
 const MinPause = 6 * time.Second
 
 // Source says how a version of the endpoint list came.
@@ -12,8 +12,8 @@
 // Sources of versions.
 const (
 	FromConfiguration Source = iota // the list of the configuration
-	FromDelta                       // a change that the watch told
-	FromSnapshot                    // a whole list
+	FromDelta                       // a change that discovery sent
+	FromSnapshot                    // a whole list that discovery sent
 )
 
 // String is the source's word on the log.
@@ -32,7 +32,7 @@
 // Event is something that happened at the gateway: one of the types below.
 type Event interface{ event() }
 
-// VersionAdopted says that the gateway acts on another version of the endpoint list.
+// VersionAdopted tells that the gateway acts on another version of the endpoint list.
 type VersionAdopted struct {
 	Index   int64         // discovery's
 	Source  Source        // how it came
@@ -46,23 +46,23 @@
 	Digest   uint64 // digest with the gateway's own addresses besides
 }
 
-// RequestDecided says that a client's request was decided on.
+// RequestDecided tells that the engine was given a client's request. RequestID is the id that the client gave it.
 type RequestDecided struct{ RequestID string }
 
-// AttemptSent says that an attempt was sent to a backend.
+// AttemptSent tells that an attempt was started at a backend.
 type AttemptSent struct{}
 
 // CounterResult ends the AddToCounter with the same Call.
 type CounterResult struct {
 	Call   uint64
 	Status CallStatus
-	Total  float64 // after the amount was added; only if Status is Added
+	Total  float64 // of the number after the amount was added; only if Status is Added
 }
 
-// QuotaCallFailed says that the counter rejected a call for a quota, or did not answer it.
+// QuotaCallFailed tells that the counter rejected a call for a quota, or did not answer it.
 type QuotaCallFailed struct{}
 
-// ResumedAfterPause says that the process stood still as a whole, for MinPause or longer. It has to come before anything
+// ResumedAfterPause tells that the process was paused as a whole, for MinPause or longer. It has to come before anything
 // else that has gathered meanwhile.
 type ResumedAfterPause struct{ Pause time.Duration }
 
--- a/internal/audit/machine.go
+++ b/internal/audit/machine.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TickInterval is how often Step has to be called though nothing happens.
+// TickInterval is how often Step has to be called even if nothing happens.
 const TickInterval = 100 * time.Millisecond
 
 // Machine is the audit of one gateway. It owns its parts, and belongs to the goroutine that calls Step.
@@ -16,9 +16,9 @@
 	calls        *counterCalls
 	round        *round
 	staleness    *staleness
-	lease        *slotLease
+	slotLease    *slotLease
 	pauses       *pauseCheck
-	outOfService bool // as the gateway was told last
+	outOfService bool // what the gateway was told last
 }
 
 // New makes a machine that knows no version yet. The seed is for its random numbers. The error is a *SettingsError.
@@ -29,14 +29,14 @@
 	m := &Machine{schedule: newSchedule(settings), versions: &versionHistory{}}
 	m.out = &output{versions: m.versions}
 	m.calls = newCounterCalls(m.out, m.schedule.callRate, settings.CounterTimeout)
-	m.lease = &slotLease{
+	m.slotLease = &slotLease{
 		out:          m.out,
 		schedule:     m.schedule,
 		calls:        m.calls,
 		rng:          rand.New(rand.NewPCG(seed, 2)),
 		gatewayIndex: settings.GatewayIndex,
 	}
-	m.staleness = &staleness{out: m.out, versions: m.versions, slot: m.lease}
+	m.staleness = &staleness{out: m.out, versions: m.versions, slotLease: m.slotLease}
 	ballot := newBallot(settings, m.schedule, m.calls, m.versions)
 	m.round = &round{
 		out:          m.out,
@@ -52,15 +52,15 @@
 	return m, nil
 }
 
-// Window is how long one round of the audit takes.
+// Window is the length of a window: the time of one proposal and its votes.
 func (m *Machine) Window() time.Duration { return m.schedule.window }
 
 // Records returns the latest records, the oldest first.
 func (m *Machine) Records() []Record { return m.out.latest.list() }
 
-// Step takes what happened at time now, in order, and returns what to do, in order. Time is Unix time, alike at all
-// gateways to within a tenth of an epoch; one that goes back counts as standing. Step has to be called every
-// TickInterval at least. The slice is the caller's until the next Step.
+// Step takes what happened up to the time now, in order, and returns what to do, in order. now is Unix time, above 0 and
+// alike at all gateways to within a tenth of an epoch; one before that of the last Step is taken as that one. Step has to
+// be called every TickInterval at least. The slice is the caller's until the next Step.
 func (m *Machine) Step(now time.Duration, events []Event) []Action {
 	m.out.actions = m.out.actions[:0]
 	if m.out.now == 0 {
@@ -75,7 +75,7 @@
 	}
 	m.round.run()
 	m.staleness.run()
-	m.runLease()
+	m.runSlotLease()
 	m.pauses.run()
 	m.setService()
 	return m.out.actions
@@ -84,7 +84,7 @@
 // begin is what the first Step does before all else.
 func (m *Machine) begin(now time.Duration) {
 	m.round.begin(now)
-	m.lease.begin(now)
+	m.slotLease.begin(now)
 	m.calls.begin(now)
 }
 
@@ -117,12 +117,12 @@
 	}
 }
 
-// runLease claims, verifies and ends the lease of a slot, as the staleness needs it.
-func (m *Machine) runLease() {
-	if notRenewed := m.lease.followEpoch(m.staleness.slotNeed()); notRenewed {
+// runSlotLease claims, verifies and ends the lease of a slot, by what the staleness needs a slot for.
+func (m *Machine) runSlotLease() {
+	if notRenewed := m.slotLease.followEpoch(m.staleness.slotNeed()); notRenewed {
 		m.staleness.slotNotRenewed()
 	}
-	m.lease.run(m.staleness.slotNeed())
+	m.slotLease.run(m.staleness.slotNeed())
 }
 
 // setService takes the gateway out of service or puts it back.
--- a/internal/audit/output.go
+++ b/internal/audit/output.go
@@ -22,7 +22,7 @@
 	o.act(Log{record})
 }
 
-// recordStep records a step of the audit. Target is the version that the fleet acts on; 0: not known.
+// recordStep records a step of the audit. target is the version that a quorum was found to act on; 0: none.
 func (o *output) recordStep(kind StepKind, target int64, reason string, args ...any) {
 	o.record(StepRecord{Kind: kind, At: o.now, Reason: fmt.Sprintf(reason, args...), Version: o.versions.index(),
 		Target: target})
--- a/internal/audit/pacer.go
+++ b/internal/audit/pacer.go
@@ -18,7 +18,7 @@
 	tokens         float64
 	filledAt       time.Duration
 	backoffUntil   time.Duration
-	backoff        time.Duration // the last one; 0: none since the last good answer
+	backoff        time.Duration // the last one after a call of the audit; 0: none since the last call that succeeded
 }
 
 // allow takes the token of one call, and says whether the call may be made.
--- a/internal/audit/pausecheck.go
+++ b/internal/audit/pausecheck.go
@@ -5,26 +5,26 @@
 const (
 	// The longest time that a gateway waits for its check after a pause.
 	maxPauseCheck = 3 * time.Second
-	// Windows about the list whose proposals the check reads: the one that runs may have none yet.
+	// Windows about the list whose proposals the check reads, the latest ones: the one that runs may have none yet.
 	pauseCheckWindows = 2
 )
 
-// pauseCheck is the check of a gateway whose process stood still: it is out of service until it has heard from
-// discovery, and from the fleet if the counter answers. docs/AUDIT.md, "A gateway that stood still".
+// pauseCheck is the check of a gateway whose process was paused: it is out of service until it has heard from discovery,
+// and from the fleet if the counter answers. docs/AUDIT.md, "A gateway whose process was paused".
 type pauseCheck struct {
 	out       *output
 	schedule  schedule
 	versions  *versionHistory
 	ballot    *ballot
-	staleness *staleness // goes on where the check finds a quorum ahead
+	staleness *staleness // is told if the check finds a quorum ahead
 
 	current *runningCheck // nil: none
 }
 
-// runningCheck is one check. A further pause begins another; what the calls of the earlier one tell goes nowhere then.
+// runningCheck is one check. A further pause begins another; the results of the earlier one's calls are then of no use.
 type runningCheck struct {
 	since           time.Duration
-	callsOut        int   // about proposals and votes
+	callsInFlight   int   // about proposals and votes
 	target          int64 // a quorum was found to act on this newer version; 0: none
 	snapshotFetched bool
 }
@@ -32,8 +32,8 @@
 // isRunning says whether a check is under way.
 func (p *pauseCheck) isRunning() bool { return p.current != nil }
 
-// resumed begins the check: it reopens the watch, asks for the whole list, and reads the proposals of this window and of
-// the one before, as far as the pacer allows.
+// resumed begins the check: it reopens the watch, asks for the whole list, and reads the proposals of the latest windows
+// about the list, as far as the pacer allows.
 func (p *pauseCheck) resumed(pause time.Duration) {
 	if pause < MinPause || !p.versions.isKnown() {
 		return
@@ -52,29 +52,29 @@
 	}
 }
 
-// readProposal reads a window's proposal out of turn, and the votes for it if the gateway is behind.
+// readProposal reads a window's proposal, whatever the gateway's turn is, and the votes for it if the gateway is behind.
 func (p *pauseCheck) readProposal(check *runningCheck, window int64) {
 	asked := p.ballot.readProposal(window, func(proposal int64, ok bool) {
-		check.callsOut--
-		if ok && p.ballot.isBehind(window, proposal) {
+		check.callsInFlight--
+		if ok && p.ballot.concerns(window, proposal) {
 			p.readVotes(check, window, proposal)
 		}
 	})
 	if asked {
-		check.callsOut++
+		check.callsInFlight++
 	}
 }
 
 // readVotes looks whether a quorum has voted for a proposal that the gateway is behind.
 func (p *pauseCheck) readVotes(check *runningCheck, window, proposal int64) {
 	asked := p.ballot.readVotes(window, proposal, func(voters int) {
-		check.callsOut--
+		check.callsInFlight--
 		if p.ballot.isQuorum(voters) {
 			check.target = max(check.target, proposal)
 		}
 	})
 	if asked {
-		check.callsOut++
+		check.callsInFlight++
 	}
 }
 
@@ -85,15 +85,15 @@
 	}
 }
 
-// run ends the check: when all is heard and nobody is known to be ahead, or when its time is over. A gateway that is
-// behind then goes on as one that has reopened its watch and asked for the list.
+// run ends the check: when all is heard and nobody is known to be ahead, or when its time is over. If the gateway is
+// behind then, its staleness goes on from the request of the whole list.
 func (p *pauseCheck) run() {
 	check := p.current
 	if check == nil {
 		return
 	}
 	ahead := check.target > p.versions.index()
-	complete := !ahead && check.snapshotFetched && check.callsOut <= 0
+	complete := !ahead && check.snapshotFetched && check.callsInFlight <= 0
 	if !complete && p.out.now-check.since < maxPauseCheck {
 		return
 	}
--- a/internal/audit/proposer.go
+++ b/internal/audit/proposer.go
@@ -1,7 +1,7 @@
 package audit
 
-// proposerOrder is the order in which the gateways of a fleet propose: by chance, one for each window, and the same at
-// all of them without a word between them.
+// proposerOrder is the order in which the gateways of a fleet propose: one for each window, pseudo-random, and worked out
+// alike by all of them.
 type proposerOrder struct{ gateways int }
 
 // proposer is the index of the gateway that proposes in a window.
--- a/internal/audit/records.go
+++ b/internal/audit/records.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Record is a line of a gateway's audit: a VersionRecord or a StepRecord. README, "Audit of the fleet", tells operators
-// how to read them, so messages, keys and words stay as they are.
+// Record is a line of a gateway's audit: a VersionRecord or a StepRecord. docs/OPERATIONS.md, "Audit of the fleet", tells
+// operators how to read them, so messages, keys and words stay as they are.
 type Record interface {
 	// Message is the line's text.
 	Message() string
@@ -15,22 +15,23 @@
 	Attrs() []slog.Attr
 }
 
-// VersionRecord tells of a time in which a gateway acted on one version, or on several that followed fast on one
-// another. One is logged when the version comes into force, with no requests yet, and once more when it is replaced.
+// VersionRecord tells of a time in which a gateway acted on one version, or on several that followed each other fast. It
+// is logged once the version has been in force for foldWithin, without the fields below Replaced, and once more when it
+// is replaced.
 type VersionRecord struct {
 	Before       int64         // the version before, discovery's index
 	Version      int64         // the last version of the record, discovery's index
 	Source       Source        // how Version came
-	Changes      int           // lists and changes that the record stands for
-	ReadAt       time.Duration // when the last of them was read; Unix time
-	InForceAt    time.Duration // when the first of them was in force; Unix time
+	Changes      int           // lists and changes that the record stands for; 0: another configuration began it
+	ReadAt       time.Duration // when Version was read; Unix time
+	InForceAt    time.Duration // since when the record holds; Unix time
 	Replaced     bool          // the fields below are final
-	ReplacedAt   time.Duration
-	FirstRequest string // the id of the first one decided under it; empty: none
-	Requests     int    // decided under it
-	Attempts     int    // sent under it
-	Revision     uint64 // of the configuration
-	ConfigDigest uint64 // of the configuration with the gateway's own addresses
+	ReplacedAt   time.Duration // Unix time
+	FirstRequest string        // the client's id of the first request decided under it; empty: none
+	Requests     int           // decided under it
+	Attempts     int           // started under it
+	Revision     uint64        // of the configuration
+	ConfigDigest uint64        // of the configuration with the gateway's own addresses
 }
 
 // Message is the line's text.
@@ -71,14 +72,14 @@
 	StepBehind            StepKind = iota // a quorum acts on a newer version
 	StepWatchReopened                     // first remedy
 	StepSnapshotRequested                 // second remedy
-	StepNoSlot                            // too many others are out of service: it serves on
-	StepOutOfService                      // third remedy
-	StepSlotLost                          // it serves again, by its old list
-	StepCaughtUp                          // it acts on the fleet's version, or on a newer one
+	StepNoSlot                            // it is stale, and got no slot: it serves on, by its old list
+	StepOutOfService                      // third remedy: it is stale, and holds a slot
+	StepSlotLost                          // it is stale, and its slot was not renewed: it serves again, by its old list
+	StepCaughtUp                          // it acts on the target, or on a newer version
 	StepFleetNotAhead                     // the fleet is no longer found to act on a newer version
 	StepBackInService
-	StepResumed       // the process stood still: nothing is forwarded until it has checked
-	StepResumeChecked // it has checked
+	StepResumed       // the process was paused: nothing is forwarded until the check has ended
+	StepResumeChecked // the check after a pause has ended
 	StepConfigDiffers // a quorum acts on another configuration
 )
 
@@ -106,8 +107,8 @@
 	Kind    StepKind
 	At      time.Duration // Unix time
 	Reason  string
-	Version int64 // that the gateway acts on
-	Target  int64 // that the fleet acts on; 0: not known
+	Version int64 // that the gateway acts on; 0: none yet
+	Target  int64 // that a quorum was found to act on; 0: none
 }
 
 // Message is the line's text.
--- a/internal/audit/round.go
+++ b/internal/audit/round.go
@@ -7,14 +7,15 @@
 	// proposer proposes before.
 	readFrom = 0.15
 	readTo   = 0.85
-	// A gateway that is behind the proposal compares so many windows after it has read it: all have voted then. Where
-	// the counter had to be spared meanwhile it compares up to maxCompareDelay windows later, then not at all.
+	// A gateway that is behind the proposal compares this fraction of a window after it has read the proposal: all have
+	// voted then. Where the pacer denied the call it compares up to the fraction maxCompareDelay of a window later, then
+	// not at all.
 	compareAfter    = 0.85
 	maxCompareDelay = 0.5
 )
 
-// round is a gateway's part in the windows: propose, vote, compare. What is proposed is a question only: the votes are
-// what answers it, so a proposal may be old, absurd or missing. docs/AUDIT.md, "The protocol".
+// round is a gateway's part in each window: propose, vote, compare. A proposal is only a question and the votes are the
+// answer, so a proposal may be old, absurd or missing. docs/AUDIT.md, "The protocol".
 type round struct {
 	out          *output
 	schedule     schedule
@@ -25,23 +26,23 @@
 	gateways     int
 	gatewayIndex int
 
-	firstWindow      int64       // to take part in
-	window           int64       // that runs
+	firstWindow      int64       // in which to take part
+	window           int64       // number of the one that runs
 	proposed         bool        // in this window
 	read             bool        // the proposal, in this window
 	pending          *comparison // nil: none
-	reportedRevision uint64      // the other configuration that was recorded last, plus one; 0: none
+	reportedRevision uint64      // the other configuration that was recorded last, plus 1; 0: none
 }
 
-// comparison is a proposal that the gateway is behind, and when it compares the votes.
+// comparison is a proposal that concerns the gateway, and when it compares the votes.
 type comparison struct {
 	window, proposal int64
 	dueAt            time.Duration
 }
 
-// begin keeps the gateway out of the windows that it can't take part in from their start on. A gateway of this name may
-// have voted in the window that runs; and were all to begin as soon as they have a token, a fleet that starts at once
-// would call the counter at once.
+// begin keeps the gateway out of the window that runs and out of the next one. In the one that runs a gateway of this
+// name may have voted before its restart. In the next one the gateways of a fleet that started at once would still wait
+// for the first token of their pacers, and all whose turn had come by then would call the counter at the same time.
 func (r *round) begin(now time.Duration) { r.firstWindow = r.schedule.windowAt(now) + 2 }
 
 // run does what is due in the window that runs.
@@ -88,7 +89,7 @@
 	return r.ballot.readProposal(window, func(proposal int64, ok bool) {
 		switch {
 		case !ok || window != r.window:
-		case r.ballot.isBehind(window, proposal):
+		case r.ballot.concerns(window, proposal):
 			r.pending = &comparison{window, proposal, r.out.now + r.schedule.ofWindow(compareAfter)}
 		default:
 			r.vote(window, proposal)
@@ -109,20 +110,21 @@
 	})
 }
 
-// compareIfDue compares the votes for the pending proposal, unless the gateway has caught up with it or it is too late.
+// compareIfDue compares the votes for the pending proposal once it is time, and drops it if the gateway has caught up
+// with it or it is too late.
 func (r *round) compareIfDue() {
 	c := r.pending
 	if c == nil || r.out.now < c.dueAt {
 		return
 	}
 	tooLate := r.out.now > c.dueAt+r.schedule.ofWindow(maxCompareDelay)
-	if tooLate || !r.ballot.isBehind(c.window, c.proposal) || r.compare(c.window, c.proposal) {
+	if tooLate || !r.ballot.concerns(c.window, c.proposal) || r.compare(c.window, c.proposal) {
 		r.pending = nil
 	}
 }
 
-// compare looks whether a quorum has voted for a proposal that this gateway is behind, and says whether that is done. A
-// gateway that is known to be stale needs its calls for a slot.
+// compare looks whether a quorum has voted for a proposal that concerns this gateway, and says whether the comparison is
+// done; false: the pacer denied the call. A gateway in the stage stale does not ask, as it needs its calls for a slot.
 func (r *round) compare(window, proposal int64) bool {
 	if r.staleness.isStale() && !isConfigWindow(window) {
 		r.staleness.behindProposal()
@@ -134,8 +136,8 @@
 // decide gives the verdict on a proposal by its votes.
 func (r *round) decide(window, proposal int64, voters int) {
 	switch {
-	case !r.ballot.isQuorum(voters): // one gateway's word, or none
-	case !r.ballot.isBehind(window, proposal): // it has caught up meanwhile
+	case !r.ballot.isQuorum(voters): // no proof
+	case !r.ballot.concerns(window, proposal): // it has caught up meanwhile
 	case isConfigWindow(window):
 		r.recordOtherConfig(proposal, voters)
 	default:
--- a/internal/audit/schedule.go
+++ b/internal/audit/schedule.go
@@ -3,12 +3,11 @@
 import "time"
 
 const (
-	// Counter calls that one gateway may make in a window: two for the round, within 0.7 of the window, and some for a
-	// slot.
+	// Counter calls that one gateway may make in a window: two for its part in the window, and some for a slot.
 	callsPerWindow = 3.2
 	// A change needs some time to reach all gateways; shorter windows would compare versions that are on their way.
 	minWindow = 2 * time.Second
-	// Windows that a number of the round lives for.
+	// Lifetime of a proposal's and of a vote count's number, in windows.
 	numberWindows = 2
 	// An epoch is a number of windows, so that the calls for slots fit into a gateway's pace in a large fleet.
 	windowsPerEpoch = 2
@@ -17,13 +16,13 @@
 	gatewaysPerSlot = 10
 )
 
-// schedule is what follows from the Settings alone: how time is cut, and how many slots there are. It is alike at all
-// gateways of a fleet, and derived once, by newSchedule.
+// schedule is what follows from the Settings alone: how time is cut into windows and epochs, how long the counter's
+// numbers live, and how many slots there are. It is alike at all gateways of a fleet, and derived once, by newSchedule.
 type schedule struct {
 	window    time.Duration // of one proposal and its votes
 	epoch     time.Duration // of one lease of a slot
-	numberTTL time.Duration // of a round's numbers at the counter
-	slotTTL   time.Duration // of a slot's number: from the claim to the end of the epoch that is claimed
+	numberTTL time.Duration // lifetime of a proposal's and of a vote count's number at the counter
+	slotTTL   time.Duration // lifetime of a slot's number at the counter: beyond the end of verifying
 	slots     int           // gateways that may be out of service at once
 	callRate  float64       // counter calls a second of one gateway
 }
@@ -42,7 +41,7 @@
 	}
 }
 
-// window is how long one round takes, so that the calls of all gateways stay within their share.
+// window is the length of a window, so that the calls of all gateways stay within their share.
 func (s *Settings) window() time.Duration {
 	seconds := callsPerWindow * float64(s.Gateways) / (s.Share * s.CallsPerSecond)
 	return max(minWindow, time.Duration(seconds*float64(time.Second)).Round(time.Millisecond))
--- a/internal/audit/slotlease.go
+++ b/internal/audit/slotlease.go
@@ -8,7 +8,7 @@
 
 // Parts of an epoch, as fractions of it. docs/AUDIT.md, "Slots", has the same ones.
 const (
-	// Holders claim their slots for the next epoch up to here.
+	// Holders claim their slots for the next epoch before this.
 	renewTo = 0.2
 	// Others claim what is left at a random moment between claimFrom and claimSpreadTo, so that few claim at once, or up
 	// to claimTo where the pacer allowed no call at that moment.
@@ -17,7 +17,7 @@
 	claimTo       = 0.5
 	// A claim that is answered later does not count.
 	claimAnsweredTo = 0.55
-	// All is claimed, and each looks whether its claim stands.
+	// No claim counts any more, and each gateway looks between these whether its own stands.
 	verifyFrom = 0.65
 	verifyTo   = 0.9
 )
@@ -36,10 +36,11 @@
 	needsSlot                // it claims any
 )
 
-// slotLease is a gateway's claim to one of the slots that bound how many gateways are out of service at once. A slot is
-// leased for one epoch and claimed in the one before: whoever finds its number empty and adds a mark of its own has it,
-// if it finds just that again when nobody may claim any more. So a counter that comes back empty in between makes
-// gateways lose their claims, and never gives a slot to two.
+// slotLease is the slot that a gateway holds, and its claim to one for the next epoch. The slots bound how many gateways
+// are out of service at once. A slot is leased for one epoch and claimed in the one before: a gateway that finds the
+// slot's number empty and adds its mark has claimed it, and gets it if just that mark is still there when no claim counts
+// any more. So a counter that comes back empty in between makes gateways lose their claims, and never gives a slot to
+// two.
 type slotLease struct {
 	out          *output
 	schedule     schedule
@@ -50,40 +51,49 @@
 	firstEpoch    int64   // in which to claim
 	epoch         int64   // that runs
 	claimFraction float64 // fraction of this epoch at which to claim
-	slot          int     // held or claimed
+	slotNumber    int     // held or claimed
 	held          bool    // the slot, in this epoch
-	noSlotLogged  bool    // the log says that there is no slot
+	noSlotLogged  bool    // StepNoSlot is on the log, and is not repeated while the gateway needs a slot
 
 	// The claim for the next epoch, in the order in which it proceeds.
-	tried       bool
-	claimed     bool // nobody else's mark was there
-	verifyAsked bool // whether the claim stands
-	verified    bool // it stands
+	tried       bool // a call to claim, or to look for a free slot, was made
+	claimed     bool // the gateway's mark was added, and no other was there
+	verifyAsked bool // a call that looks whether the claim stands was made
+	verified    bool // the claim stands
 }
 
-// begin keeps the gateway out of the epoch that it did not see from its start on, in which one of its name may have
-// claimed.
+// begin keeps the gateway from claiming in the epoch that runs: one of its name may have claimed in it before a restart.
 func (l *slotLease) begin(now time.Duration) { l.firstEpoch = l.schedule.epochAt(now) + 1 }
 
 // isHeld says whether the gateway holds a slot in this epoch.
 func (l *slotLease) isHeld() bool { return l.held }
 
-// followEpoch begins the epoch that runs, and says whether a slot that was held is not held any more.
+// followEpoch goes over to the epoch that runs, if that is another one, and says whether a slot that was held is not held
+// any more.
 func (l *slotLease) followEpoch(need slotNeed) (notRenewed bool) {
 	epoch := l.schedule.epochAt(l.out.now)
 	if epoch == l.epoch {
 		return false
 	}
 	wasHeld := l.held
-	l.held = l.verified && epoch == l.epoch+1
+	l.held = l.isClaimedFor(epoch)
 	l.recordChange(wasHeld, need)
+	l.beginEpoch(epoch)
+	return wasHeld && !l.held
+}
+
+// isClaimedFor says whether the claim that was verified is one for this epoch.
+func (l *slotLease) isClaimedFor(epoch int64) bool { return l.verified && epoch == l.epoch+1 }
+
+// beginEpoch forgets the claim of the epoch before and draws the moment of the next one.
+func (l *slotLease) beginEpoch(epoch int64) {
 	l.epoch = epoch
 	l.claimFraction = claimFrom + l.rng.Float64()*(claimSpreadTo-claimFrom)
 	l.tried, l.claimed, l.verifyAsked, l.verified = false, false, false, false
-	return wasHeld && !l.held
 }
 
-// recordChange records what a new epoch means to a gateway that needs a slot.
+// recordChange records what a new epoch means to a gateway that needs a slot. Where the slot is lost the text says "it
+// serves on" in the sense of "it serves again"; the log's texts stay as they are.
 func (l *slotLease) recordChange(wasHeld bool, need slotNeed) {
 	if need.kind != needsSlot {
 		l.noSlotLogged = false
@@ -92,7 +102,7 @@
 	slots := l.schedule.slots
 	switch {
 	case l.held && !wasHeld:
-		l.out.recordStep(StepOutOfService, need.target, "slot %d of %d is leased until the next epoch", l.slot, slots)
+		l.out.recordStep(StepOutOfService, need.target, "slot %d of %d is leased until the next epoch", l.slotNumber, slots)
 	case !l.held && wasHeld:
 		l.out.recordStep(StepSlotLost, need.target, "the lease was not renewed: it serves on")
 	case !l.held && l.tried && !l.noSlotLogged:
@@ -136,42 +146,45 @@
 	return l.claimed && !l.verifyAsked && fraction >= verifyFrom && fraction < verifyTo
 }
 
-// claim asks for a slot in the next epoch. A holder claims the one it has; others look first whether one by chance is
-// free, as a second claim would spoil the first.
+// claim claims a slot for the next epoch: a holder the one that it has, any other a slot drawn at random. The latter
+// looks first whether that slot is free, as a second claim would spoil the first.
 func (l *slotLease) claim() {
 	if l.held {
 		l.tried = l.addMark(l.epoch)
 		return
 	}
-	l.slot = l.rng.IntN(l.schedule.slots)
+	l.slotNumber = l.rng.IntN(l.schedule.slots)
 	epoch := l.epoch
-	l.tried = l.calls.read(slotName(epoch+1, l.slot), l.schedule.slotTTL, func(status CallStatus, total float64) {
+	l.tried = l.calls.read(slotName(epoch+1, l.slotNumber), l.schedule.slotTTL, func(status CallStatus, total float64) {
 		if status == Added && total == 0 && l.claimsCount(epoch) {
 			l.addMark(epoch)
 		}
 	})
 }
 
-// mark is what a gateway adds to a slot's number.
+// mark is what a gateway adds to a slot's number: above 0, and another one for each gateway.
 func (l *slotLease) mark() float64 { return float64(l.gatewayIndex + 1) }
 
-// addMark claims the slot in the epoch after one. It is claimed if no other mark was there.
+// addMark claims the slot for the epoch behind the given one, and says whether the pacer allowed the call. The slot is
+// claimed if no other mark was there. Marks are whole numbers and the counter gives totals exactly, so the total is
+// compared as it is; the tolerance in verify makes no difference while that holds.
 func (l *slotLease) addMark(epoch int64) bool {
-	name := slotName(epoch+1, l.slot)
+	name := slotName(epoch+1, l.slotNumber)
 	return l.calls.add(name, l.mark(), l.schedule.slotTTL, func(status CallStatus, total float64) {
 		l.claimed = status == Added && total == l.mark() && l.claimsCount(epoch)
 	})
 }
 
-// claimsCount says whether claims in an epoch still count.
+// claimsCount says whether a claim made in an epoch that is answered now still counts.
 func (l *slotLease) claimsCount(epoch int64) bool {
 	return l.epoch == epoch && l.out.now <= l.schedule.inEpoch(epoch, claimAnsweredTo)
 }
 
-// verify looks whether the claim stands.
+// verify looks whether the claim stands: just this gateway's mark is there.
 func (l *slotLease) verify() {
 	epoch := l.epoch
-	l.verifyAsked = l.calls.read(slotName(epoch+1, l.slot), l.schedule.slotTTL, func(status CallStatus, total float64) {
+	name := slotName(epoch+1, l.slotNumber)
+	l.verifyAsked = l.calls.read(name, l.schedule.slotTTL, func(status CallStatus, total float64) {
 		l.verified = status == Added && math.Abs(total-l.mark()) < 0.5 && l.epoch == epoch
 	})
 }
--- a/internal/audit/staleness.go
+++ b/internal/audit/staleness.go
@@ -4,21 +4,22 @@
 
 // Times of the stages. docs/AUDIT.md, "What a stale gateway does", has the same ones.
 const (
-	// A change counts as told to every gateway after this, so who is behind for longer is stale.
+	// A change counts as told to every gateway after this, so a gateway that is behind for longer needs a remedy.
 	behindTimeout = 6 * time.Second
 	// From the reopened watch to the request of the whole list: a new watch answers at once.
 	watchTimeout = 2 * time.Second
-	// From that to the wish to be out of service: two calls that come to nothing take 5.5 s.
+	// From the request of the whole list to the stage stale: two calls that come to nothing take 5.5 s.
 	snapshotTimeout = 6 * time.Second
-	// While it is stale, discovery is tried so often.
+	// In the stage stale discovery is tried again after each such time.
 	retryInterval = 5 * time.Second
 	// After it has caught up, a gateway that was out of service stays out for minRecovery, doubled each time up to
 	// maxRecovery; after having served for recoveryMemory the doubling starts anew.
 	minRecovery    = time.Second
 	maxRecovery    = 30 * time.Second
 	recoveryMemory = 2 * time.Minute
-	// Windows in a row whose proposal a gateway has to be level with before the fleet counts as not ahead. The proposing
-	// gateway may be behind itself; and discovery may have started anew with a lower index.
+	// The notBehindCount at which the fleet counts as not ahead. One window would not be enough: the proposing gateway may
+	// be behind itself. It is needed where discovery has started anew with a lower index, as the target is never reached
+	// then.
 	windowsToClear = 5
 )
 
@@ -30,8 +31,8 @@
 	behind                         // a quorum is ahead; the version may just be on its way
 	watchReopened                  // the watch was opened anew
 	snapshotRequested              // the whole list was asked for
-	stale                          // all remedies failed: out of service while it holds a slot, trying discovery on
-	recovering                     // it has caught up, and is out of service a while longer
+	stale                          // all remedies failed: out of service while it holds a slot; discovery is tried again
+	recovering                     // it has caught up, and stays out of service a while longer
 )
 
 // trigger is what leads from one stage to another.
@@ -42,7 +43,7 @@
 	stageTimedOut                  // the stage has lasted for its time
 	resolved                       // the version in force has reached the target, or the fleet is not ahead
 	slotExpired                    // the lease of the slot was not renewed
-	pauseCheckFound                // the check after a pause of the process found a quorum ahead
+	pauseCheckFound                // the check after the process was paused found a quorum ahead
 )
 
 // slotGuard says whether a transition depends on holding a slot.
@@ -63,8 +64,8 @@
 	onEntry func(*staleness) // nil: nothing
 }
 
-// transitions is the whole state machine. What it has no row for changes nothing. The stage changes nowhere else than in
-// staleness.fire.
+// transitions is the whole state machine. A trigger for which it has no row changes nothing. The stage changes nowhere
+// else than in staleness.fire.
 var transitions = [...]transition{
 	// from, trigger, guard, to, onEntry
 	{inSync, quorumFound, slotOrNot, behind, nil},
@@ -90,14 +91,20 @@
 
 // staleness is what a gateway that is behind does about it: the state machine of docs/AUDIT.md.
 type staleness struct {
-	out      *output
-	versions *versionHistory
-	slot     slotHolder
-
-	stage         stage
-	since         time.Duration // of the stage
-	target        int64         // the newest version that the fleet is known to act on; 0: none
-	windowsInSync int           // windows in a row whose proposal the gateway was not behind
+	out       *output
+	versions  *versionHistory
+	slotLease slotHolder
+
+	stage      stage
+	stageSince time.Duration // when the stage was entered
+	// The version that the first verdict of this matter named, or the check after a pause; 0: none. Later verdicts do not
+	// move it, even if the fleet has gone on. A gateway whose slot expired while it was recovering keeps it.
+	target int64
+	// Windows in which this gateway was not behind the proposal and its vote was counted, since a verdict last found a
+	// quorum ahead or, in the stage stale, since it was last behind a proposal. A window without a counted vote, or with a
+	// proposal ahead that no quorum stands for, neither adds to it nor begins it anew; it also grows while the gateway is
+	// in sync.
+	notBehindCount int
 
 	triedAt       time.Duration // when discovery was last tried
 	fetchesNext   bool          // the next try fetches the whole list; else it reopens the watch
@@ -105,16 +112,16 @@
 	lastRecovered time.Duration // when it ended
 }
 
-// slotHolder says whether the gateway holds a slot.
+// slotHolder is what the staleness needs of the slotLease: whether the gateway holds a slot.
 type slotHolder interface{ isHeld() bool }
 
 // fire takes the transition that a trigger leads to, if there is one.
 func (s *staleness) fire(on trigger) {
 	for _, t := range transitions {
-		if t.from != s.stage || t.trigger != on || !t.guard.allows(s.slot.isHeld()) {
+		if t.from != s.stage || t.trigger != on || !t.guard.allows(s.slotLease.isHeld()) {
 			continue
 		}
-		s.stage, s.since = t.to, s.out.now
+		s.stage, s.stageSince = t.to, s.out.now
 		if t.onEntry != nil {
 			t.onEntry(s)
 		}
@@ -149,11 +156,12 @@
 
 // run takes the step that is due.
 func (s *staleness) run() {
-	if s.isBehind() && s.versions.index() >= s.target {
-		s.out.recordStep(StepCaughtUp, s.target, "behind for %v since the last step", s.out.now-s.since)
+	if s.isCatchingUp() && s.versions.index() >= s.target {
+		inStage := s.out.now - s.stageSince // the record's text names this time only, not that of the stages before
+		s.out.recordStep(StepCaughtUp, s.target, "behind for %v since the last step", inStage)
 		s.fire(resolved)
 	}
-	if timeout, ok := s.timeout(); ok && s.out.now-s.since >= timeout {
+	if timeout, ok := s.timeout(); ok && s.out.now-s.stageSince >= timeout {
 		s.fire(stageTimedOut)
 		return
 	}
@@ -162,18 +170,18 @@
 	}
 }
 
-// isBehind says whether a quorum is known to act on a newer version.
-func (s *staleness) isBehind() bool { return s.stage > inSync && s.stage < recovering }
+// isCatchingUp says whether a quorum is known to act on a newer version: in the stages from behind to stale.
+func (s *staleness) isCatchingUp() bool { return s.stage > inSync && s.stage < recovering }
 
 // isStale says whether the remedies have failed.
 func (s *staleness) isStale() bool { return s.stage == stale }
 
-// fleetVersion is the newest version that the fleet is known to act on; 0: none.
+// fleetVersion is the version that a quorum was found to act on; see target.
 func (s *staleness) fleetVersion() int64 { return s.target }
 
-// needsOutOfService says whether the gateway has to be out of service for its staleness.
+// needsOutOfService says whether the gateway has to be out of service because it holds a slot for that.
 func (s *staleness) needsOutOfService() bool {
-	return s.slot.isHeld() && (s.stage == stale || s.stage == recovering)
+	return s.slotLease.isHeld() && (s.stage == stale || s.stage == recovering)
 }
 
 // slotNeed says what the gateway needs a slot for.
@@ -187,10 +195,11 @@
 	return slotNeed{needsNoSlot, s.target}
 }
 
-// quorumAhead takes the proof that a quorum acts on a newer version.
+// quorumAhead takes the proof that a quorum acts on a newer version. While the gateway is catching up the target stays:
+// a later verdict only begins the count of windows anew.
 func (s *staleness) quorumAhead(version int64, voters int) {
-	s.windowsInSync = 0
-	if s.isBehind() {
+	s.notBehindCount = 0
+	if s.isCatchingUp() {
 		return
 	}
 	s.target = version
@@ -198,14 +207,15 @@
 	s.fire(quorumFound)
 }
 
-// behindProposal notes that a stale gateway is behind one more proposal.
-func (s *staleness) behindProposal() { s.windowsInSync = 0 }
+// behindProposal notes that a gateway in the stage stale is behind one more proposal.
+func (s *staleness) behindProposal() { s.notBehindCount = 0 }
 
 // notBehindProposal takes the evidence that this gateway acts on what was proposed in a window, or on something newer.
+// What the log's "in a row" means stands at notBehindCount.
 func (s *staleness) notBehindProposal() {
-	s.windowsInSync++
-	if s.isBehind() && s.windowsInSync >= windowsToClear {
-		s.out.recordStep(StepFleetNotAhead, s.target, "%d proposals in a row were no newer", s.windowsInSync)
+	s.notBehindCount++
+	if s.isCatchingUp() && s.notBehindCount >= windowsToClear {
+		s.out.recordStep(StepFleetNotAhead, s.target, "%d proposals in a row were no newer", s.notBehindCount)
 		s.fire(resolved)
 	}
 }
@@ -213,7 +223,7 @@
 // slotNotRenewed notes that the lease has ended.
 func (s *staleness) slotNotRenewed() { s.fire(slotExpired) }
 
-// behindAfterPause takes what the check after a pause has found.
+// behindAfterPause takes what the check after a pause has found. It leaves notBehindCount as it is.
 func (s *staleness) behindAfterPause(target int64) {
 	if s.stage < snapshotRequested {
 		s.target = target
@@ -221,7 +231,7 @@
 	}
 }
 
-// What is done at the entry to a stage follows.
+// The rest is what transitions do at the entry to a stage, and retryDiscovery.
 
 func (s *staleness) reopenWatch() {
 	s.out.recordStep(StepWatchReopened, s.target, "still behind after %v", behindTimeout)
@@ -252,7 +262,7 @@
 
 func (s *staleness) noteReturn() { s.lastRecovered = s.out.now }
 
-// retryDiscovery goes on trying, by the watch and by the whole list in turn.
+// retryDiscovery tries discovery once more, by the watch and by the whole list in turn.
 func (s *staleness) retryDiscovery() {
 	s.triedAt = s.out.now
 	if s.fetchesNext {
--- a/internal/audit/tally.go
+++ b/internal/audit/tally.go
@@ -5,15 +5,15 @@
 const (
 	// The largest total that the counter gives exactly: it has seven digits.
 	maxExactTotal = 9_999_999
-	// How often one gateway's amount may have been added: once, or doubled on its way.
+	// How often one gateway's amount may have been added: once, or twice where the call was doubled on its way.
 	maxAddsPerVote = 2
-	// A version is the fleet's once one gateway in so many has acted on it, and minQuorum at least: the word of one
-	// gateway is not enough.
+	// A version is the fleet's once one gateway in gatewaysPerQuorumVote has acted on it, and minQuorum at least: the vote
+	// of one gateway is not enough.
 	gatewaysPerQuorumVote = 16
 	minQuorum             = 2
 )
 
-// quorumOf is how many different gateways make a version the fleet's.
+// quorumOf is how many different voters are a quorum.
 func quorumOf(gateways int) int {
 	return max(minQuorum, (gateways+gatewaysPerQuorumVote-1)/gatewaysPerQuorumVote)
 }
@@ -42,7 +42,7 @@
 	return math.Pow(t.base, float64(gatewayIndex%t.classes))
 }
 
-// voters is how many different gateways have added to a total, at least. What can't be a total counts as none.
+// voters is a lower bound of how many different gateways have added to a total; 0 for what can't be a total.
 func (t tally) voters(total float64) int {
 	if !isExactTotal(total) {
 		return 0
@@ -64,8 +64,8 @@
 // totalOfVersion gives a version as a total above 0: a number that nobody has added to must not look like a version.
 func totalOfVersion(version int64) float64 { return float64(moduloTotal(version)) + 1 }
 
-// versionOfTotal reads a version out of a total. Versions have more digits than totals, so it is the one nearest to a
-// version that the reader knows; ok is false where there is none.
+// versionOfTotal reads a version out of a total. A version may have more digits than a total, so it is the one nearest to
+// a version that the reader knows; ok is false where the total stands for none.
 func versionOfTotal(total float64, near int64) (version int64, ok bool) {
 	if !isExactTotal(total) || total < 1 {
 		return 0, false
--- a/internal/audit/versions.go
+++ b/internal/audit/versions.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// foldWithin is how long a version has to be in force for a record of its own: those before are recorded together with
-// the next one, so that fast changes do not flood the log.
+// foldWithin is how long a record has to hold before the next version gets one of its own. A version that comes sooner is
+// recorded together with those before it, so that fast changes do not flood the log.
 const foldWithin = 500 * time.Millisecond
 
 // versionHistory owns the version and the configuration in force, and the record of what is done under them.
 type versionHistory struct {
 	current VersionRecord
 	known   bool // there is a version in force
-	logged  bool // the log has been told that current is in force
+	logged  bool // current is on the log as in force
 	config  Configured
 }
 
@@ -23,8 +23,8 @@
 // revision is that of the configuration in force, alike at all gateways that have taken it.
 func (h *versionHistory) revision() uint64 { return h.config.Revision }
 
-// adopt notes that another version is in force. It goes on with the record of the one before where that was in force
-// only shortly, else starts a new record and returns the one that has ended, if there was one.
+// adopt notes that another version is in force. Within foldWithin of the current record's start it goes on with that
+// record; else it starts a new one and returns the one that has ended, if there was one.
 func (h *versionHistory) adopt(now time.Duration, version VersionAdopted) (ended VersionRecord, ok bool) {
 	if !h.known || now-h.current.InForceAt >= foldWithin {
 		return h.start(now, version)
