--- a/internal/gateway/auditconfig.go
+++ b/internal/gateway/auditconfig.go
@@ -13,13 +13,14 @@
 	"bellwood/internal/audit"
 )
 
-// What the section audit has where the configuration does not say.
+// Defaults of the section audit.
 const (
-	defaultCallsPerSecond = 830.0 // of the smallest counter
+	defaultCallsPerSecond = 830.0 // that the smallest counter takes
 	defaultAuditShare     = 0.05
 )
 
-// Audit is the section audit of the configuration, which turns the audit of the fleet on. README, "Audit of the fleet".
+// Audit is the section audit of the configuration, which turns the audit of the fleet on. docs/OPERATIONS.md, "Audit of
+// the fleet".
 type Audit struct {
 	// CallsPerSecond is how many calls the counter takes, from all gateways for all purposes. Default 830.
 	CallsPerSecond float64 `json:"calls_per_second"`
@@ -36,10 +37,10 @@
 // ownSettings are the paths of settings that differ from gateway to gateway.
 var ownSettings = []string{"rank", "locality"}
 
-// ErrNoSharedCounter is the reason of a SettingError: the audit can't run without a shared counter.
+// ErrNoSharedCounter is the reason of a SettingError: the audit needs a shared counter.
 var ErrNoSharedCounter = errors.New("the settings have no shared counter")
 
-// readAudit reads the section; nil without one: the audit is off. Settings are those of the whole configuration, by
+// readAudit reads the section; nil: there is none, so the audit is off. settings are those of the whole configuration, by
 // their paths. The error is a *SettingError.
 func readAudit(section json.RawMessage, settings map[string]string) (*Audit, error) {
 	if len(section) == 0 || bytes.Equal(section, []byte("null")) {
@@ -73,7 +74,7 @@
 	return a.Revision
 }
 
-// checkAudit says why the audit could not run, by a *SettingError.
+// checkAudit returns a *SettingError if the audit can't run; nil if it can, or is off.
 func (c *Config) checkAudit() error {
 	if c.Audit == nil {
 		return nil
--- a/internal/gateway/clientgone_test.go
+++ b/internal/gateway/clientgone_test.go
@@ -397,7 +397,7 @@
 			called.socket.Write([]byte("ok 1\r\n"))
 		}
 	}()
-	gateway.until(func() bool { return gateway.server.counter.Unreported() == 0 && len(gateway.server.events) == 0 })
+	gateway.until(func() bool { return gateway.server.counter.Undelivered() == 0 && len(gateway.server.events) == 0 })
 	if !rawsocket.Quiet(backend.socket) {
 		t.Error("it was forwarded")
 	}
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -16,9 +16,9 @@
 	"bellwood/internal/simprotocol"
 )
 
-// Config is what a gateway is told at its start (DEPLOY-bellwood, "What a front door is told"). ReadConfig fills it from
-// the configuration file; the environment may replace Name, Listen and Discovery; Check then says whether it can be run
-// with. New takes it over: nobody may change it afterwards.
+// Config is what a gateway is told at its start; the operators' page DEPLOY-bellwood, which is not in this repository,
+// describes the file. ReadConfig fills it from the configuration file; the environment may replace Name, Listen and
+// Discovery; Check then says whether a gateway can run with it. New takes it over: nobody may change it afterwards.
 type Config struct {
 	// Name is the gateway's name in its log. It is the same after a restart. Default: empty.
 	Name string
@@ -29,24 +29,24 @@
 	// Counter is the IP address and port of the shared counter. Required where Settings.SharedCounter is set, else
 	// not used. Server.Reload replaces it.
 	Counter string
-	// Seed begins the random draws of the decision module; the file has it in hex. Required; new with each start.
+	// Seed begins the random draws of the engine; the file has it in hex. Required; new with each start.
 	Seed uint64
 	// MemoryMB is the memory limit of the process in MiB; over it the process is killed. Default 0: no limit is known.
 	MemoryMB int
 	// Sockets is the limit on the descriptors that the process may hold. Default 0: no limit is known.
 	Sockets int
-	// Settings are those of the decision module. Required; a restart alone changes them.
+	// Settings are those of the engine. Required; a restart alone changes them.
 	Settings policy.Settings
 	// Transport is the part of the settings that concerns sockets and names. Required as Settings are.
 	Transport simprotocol.Transport
-	// Known is the endpoint list as last had; it may be old. Default: no endpoint, and index 0, from which discovery
-	// sends everything.
+	// Known is the endpoint list that was known last, perhaps an old one. Default: no endpoint, and index 0, from which
+	// discovery sends everything.
 	Known endpoint.List
 	// Audit turns the audit of the fleet on. Default nil: it is off.
 	Audit *Audit
 
-	// Tests that can't wait so long, or must not be disturbed, set watchSilence and settleFor; 0: the usual times. Tests
-	// that play the network set discoveryDial; nil: TCP.
+	// Tests alone set these. watchSilence and settleFor replace the times of discovery.Options.Silence and of settleTime;
+	// 0: the usual ones. discoveryDial replaces the network to discovery; nil: TCP.
 	watchSilence, settleFor time.Duration
 	discoveryDial           func(ctx context.Context, network, address string) (net.Conn, error)
 }
@@ -115,8 +115,8 @@
 	return &SettingError{"settings", err}
 }
 
-// Check says what a gateway could not run with, by a *SettingError. It stands apart from ReadConfig because the
-// environment may name addresses too.
+// Check returns a *SettingError for the first setting that a gateway can't run with; nil if there is none. It is apart
+// from ReadConfig because the environment may name addresses too.
 func (c *Config) Check() error {
 	if err := checkAddress("listen", c.Listen); err != nil {
 		return err
@@ -144,7 +144,7 @@
 	return nil
 }
 
-// checkAddress says why an address is not one of host and port.
+// checkAddress returns a *SettingError for an address that is not a host and a port.
 func checkAddress(setting, address string) error {
 	if _, _, err := net.SplitHostPort(address); err != nil {
 		return &SettingError{setting, err}
@@ -152,8 +152,9 @@
 	return nil
 }
 
-// flatten turns nested settings into the paths of the simulator's protocol (WIRE-bellwood): objects and lists of
-// objects by dots, a list of objects also with its length under .count, a list of plain values joined with commas.
+// flatten turns nested settings into the paths of the simulator's protocol (the operators' page WIRE-bellwood): objects
+// and lists of objects by dots, a list of objects also with its length under .count, a list of plain values joined with
+// commas.
 func flatten(settings map[string]string, path string, value any) {
 	switch value := value.(type) {
 	case map[string]any:
@@ -180,7 +181,7 @@
 	}
 	switch {
 	case objects > 0 && len(plain) > 0:
-		settings[path+".count"] = "mixed" // no number, so whoever reads the list rejects it
+		settings[path+".count"] = "mixed" // is no number, so the parser of the list fails
 	case objects > 0:
 		settings[path+".count"] = strconv.Itoa(objects)
 	default:
--- a/internal/gateway/counter.go
+++ b/internal/gateway/counter.go
@@ -15,7 +15,7 @@
 		Timeout: cfg.Settings.CounterTimeout, DialTimeout: cfg.Transport.DialTimeout})
 }
 
-// addToCounter makes a counter call for the decision module.
+// addToCounter makes a counter call for the engine.
 func (server *Server) addToCounter(call policy.AddToCounter) {
 	server.counter.Add(call.Name, call.Amount, call.TTL, func(result counter.Result) {
 		server.emit(policy.CounterResult{Name: call.Name, Status: result.Status, Total: result.Total})
--- a/internal/gateway/counter/client.go
+++ b/internal/gateway/counter/client.go
@@ -1,5 +1,6 @@
-// Package counter is the client of the counter that all gateways share (PROTOCOL-bellwood, "The counter"): it adds
-// amounts to named numbers and reports the totals.
+// Package counter is the client of the counter that all gateways share: it adds amounts to named numbers and reports the
+// totals. The section "The counter" of the operators' page PROTOCOL-bellwood, which is not in this repository, describes
+// the counter.
 //
 // # Order
 //
@@ -12,7 +13,7 @@
 // # Goroutines
 //
 // The event loop's goroutine owns the Client and its connections: all methods are called there, and nothing is locked.
-// Each socket has a goroutine that reads and one that writes; both are given what they need at their start and tell
+// Each socket has a goroutine that reads and one that writes; both are given what they need at their start and report to
 // the loop by tasks. The loop ends them by closing the socket and the channel of bytes to write, in connection.close.
 // A goroutine that dials ends with the dial timeout.
 package counter
@@ -54,7 +55,7 @@
 type Options struct {
 	Enabled     bool          // there is a counter; else every call ends as policy.ConnectFailed at once
 	Address     string        // IP address and port
-	Timeout     time.Duration // after which a call without a reply is reported as such
+	Timeout     time.Duration // after which a call without a reply ends
 	DialTimeout time.Duration
 }
 
@@ -63,26 +64,26 @@
 	loop        EventLoop
 	options     Options // Address is the one in use
 	connections [MaxConns]*connection
-	// unreported has the calls whose result was not reported yet, by name in the order of the calls. It goes beyond the
-	// connections' pending replies: after a move two connections may owe replies for one name.
-	unreported map[uint64][]*call
+	// undelivered has the calls whose result was not handed to onResult yet, by name in the order of the calls. It is not
+	// the same as the connections' pending replies: after a move two connections may owe replies for one name.
+	undelivered map[uint64][]*call
 }
 
 // call is one addition.
 type call struct {
-	name    uint64
-	report  func(Result)
-	conn    *connection
-	request []byte
-	written bool // handed to the socket: it may have reached the counter
-	ended   bool
-	result  Result // once it has ended
-	timeout *timerqueue.Timer
+	name     uint64
+	onResult func(Result)
+	conn     *connection
+	request  []byte
+	written  bool // handed to the socket: it may have reached the counter
+	ended    bool
+	result   Result // once it has ended
+	timeout  *timerqueue.Timer
 }
 
 // New returns a Client that makes no connection before the first call.
 func New(loop EventLoop, options Options) *Client {
-	c := &Client{loop: loop, options: options, unreported: map[uint64][]*call{}}
+	c := &Client{loop: loop, options: options, undelivered: map[uint64][]*call{}}
 	now := loop.Now()
 	for i := range c.connections {
 		c.connections[i] = c.newConnection(now)
@@ -97,18 +98,18 @@
 // Address returns the counter's address.
 func (c *Client) Address() string { return c.options.Address }
 
-// Unreported returns for how many names there are calls whose result was not reported yet.
-func (c *Client) Unreported() int { return len(c.unreported) }
+// Undelivered returns for how many names there are calls whose result was not handed to onResult yet.
+func (c *Client) Undelivered() int { return len(c.undelivered) }
 
-// Move takes further calls, and those not yet written, to another address. The replies to those written may still
-// come, for movedTimeout.
+// Move sends further calls, and those not yet written, to another address. The replies to those already written may
+// still come, for movedTimeout.
 func (c *Client) Move(address string) {
 	c.options.Address = address
 	now := c.loop.Now()
 	for i, old := range c.connections {
 		next := c.newConnection(now)
 		c.connections[i] = next
-		next.pending = old.retire(now)
+		next.pending = old.leaveAddress(now)
 		for _, call := range next.pending {
 			call.conn = next
 		}
@@ -118,12 +119,13 @@
 	}
 }
 
-// Add adds an amount to a number, which is forgotten ttl after it was named for the first time, and calls report once
-// on the loop, in the order of the calls of one name and perhaps before Add returns. report must not call the Client.
-func (c *Client) Add(name uint64, amount float64, ttl time.Duration, report func(Result)) {
+// Add adds an amount to a number, which the counter forgets ttl after it was named for the first time. It calls onResult
+// once on the loop, in the order of the calls of one name and perhaps before Add returns. onResult must not call the
+// Client.
+func (c *Client) Add(name uint64, amount float64, ttl time.Duration, onResult func(Result)) {
 	conn := c.connections[name%MaxConns]
-	call := &call{name: name, report: report, conn: conn}
-	c.unreported[name] = append(c.unreported[name], call)
+	call := &call{name: name, onResult: onResult, conn: conn}
+	c.undelivered[name] = append(c.undelivered[name], call)
 	if !c.options.Enabled || len(conn.pending) >= maxPending {
 		c.end(call, Result{Status: policy.ConnectFailed})
 		return
@@ -149,7 +151,7 @@
 	c.end(late, Result{Status: policy.ConnectFailed})
 }
 
-// end gives a call its one result, and reports it once those of the calls of its name before it are reported.
+// end gives a call its one result, and hands it to onResult once those of the calls of its name before it have theirs.
 func (c *Client) end(ended *call, result Result) {
 	if ended.ended {
 		return
@@ -157,19 +159,19 @@
 	ended.ended = true
 	ended.result = result
 	c.loop.StopTimer(ended.timeout)
-	calls := c.unreported[ended.name]
+	calls := c.undelivered[ended.name]
 	for len(calls) > 0 && calls[0].ended {
 		first := calls[0]
 		calls = calls[1:]
-		first.report(first.result)
+		first.onResult(first.result)
 	}
-	if c.unreported[ended.name] = calls; len(calls) == 0 {
-		delete(c.unreported, ended.name)
+	if c.undelivered[ended.name] = calls; len(calls) == 0 {
+		delete(c.undelivered, ended.name)
 	}
 }
 
-// Sweep closes connections that are idle, before the counter does, and those that owe a reply for too long. The loop
-// calls it each second.
+// Sweep closes connections that are idle, before the counter closes them, and gives up those that have owed a reply for
+// too long. The loop calls it each second.
 func (c *Client) Sweep() {
 	now := c.loop.Now()
 	for _, conn := range c.connections {
--- a/internal/gateway/counter/connection.go
+++ b/internal/gateway/counter/connection.go
@@ -10,43 +10,44 @@
 )
 
 const (
-	// idleTimeout closes a connection without calls before the counter does, after 10 s or less: a call written across
-	// the counter's close would be reported as one that may have been added.
+	// idleTimeout is after how long a connection without calls is closed. The counter closes one after 10 s or less, and a
+	// call that is written just then would end as one that may have been added.
 	idleTimeout = 3 * time.Second
-	// silenceTimeout gives up a connection that owes a reply for so long, and a write that takes so long. A counter that
-	// is gone without a reset would else get the calls of a quarter of all names until TCP gives up.
+	// silenceTimeout is after how long a connection that owes a reply is given up, and how long a write may take. Without
+	// it a connection whose counter is gone without a reset would take the calls of a quarter of all names until TCP gives
+	// it up.
 	silenceTimeout = 2 * time.Second
 	// movedTimeout is how long replies of the old address are awaited after a move.
 	movedTimeout = 2 * time.Second
 	// maxPending bounds the calls of a connection whose replies are still to come, those that timed out too.
 	maxPending = 1024
-	// maxUnwritten bounds the blocks of calls that wait for the goroutine that writes. The loop never waits for it: where
-	// they are full the counter takes nothing any more, and the connection is given up.
+	// maxUnwritten bounds the blocks of calls that wait for the goroutine that writes. The loop never waits for that
+	// goroutine: where so many blocks wait the counter takes nothing any more, and the connection is given up.
 	maxUnwritten = 64
 )
 
-// connection is a place for a connection to the counter and the calls that go by it. It is made anew when it is needed
-// and ends when it is idle, so socket changes. The event loop's goroutine owns it.
+// connection is one of the places for a connection to the counter, with the calls that go by it. It dials when it has
+// calls and no socket, and closes the socket when it is idle, so socket changes. The event loop's goroutine owns it.
 type connection struct {
-	client  *Client
-	address string
-	socket  *socket // nil: none, or being dialled
-	dialing bool
-	retired bool    // the counter is at another address now, and other connections are used
-	pending []*call // in the order of their replies, those that timed out too; the written ones come first
+	client      *Client
+	address     string
+	socket      *socket // nil: none, or being dialed
+	dialing     bool
+	addressLeft bool    // calls go to another address now, by other connections
+	pending     []*call // in the order of their replies, those that timed out too; the written ones come first
 
 	lastUsed      time.Duration // when a call or a reply last went by
 	replyDueSince time.Duration // since when the first of pending waits for its reply
 }
 
-// socket is one TCP connection with its two goroutines. They hand it back with what they report, so that a report of
-// an earlier socket is not taken for one of its successor.
+// socket is one TCP connection with its two goroutines. They name it in what they report, so that the report of an
+// earlier socket is not taken for one of its successor.
 type socket struct {
 	conn      net.Conn
 	unwritten chan []byte // closed by the loop
 }
 
-// add puts a call behind the others.
+// add puts a call behind the pending ones. It writes nothing; flush does.
 func (c *connection) add(call *call, now time.Duration) {
 	if len(c.pending) == 0 {
 		c.replyDueSince = now
@@ -55,15 +56,15 @@
 	c.lastUsed = now
 }
 
-// retire takes the calls that are not yet written off a connection whose address is left, and returns them. The
+// leaveAddress removes the unwritten calls from a connection whose address is no longer used, and returns them. The
 // replies to the others are awaited for movedTimeout.
-func (c *connection) retire(now time.Duration) (unwritten []*call) {
+func (c *connection) leaveAddress(now time.Duration) (unwritten []*call) {
 	written := 0
 	for written < len(c.pending) && c.pending[written].written {
 		written++
 	}
 	unwritten, c.pending = slices.Clone(c.pending[written:]), c.pending[:written]
-	c.retired = true
+	c.addressLeft = true
 	if len(c.pending) == 0 {
 		c.close()
 	} else {
@@ -75,7 +76,7 @@
 // flush writes the calls that are not written yet, or dials first.
 func (c *connection) flush() {
 	if c.socket == nil {
-		if !c.dialing && !c.retired {
+		if !c.dialing && !c.addressLeft {
 			c.dialing = true
 			go c.dial(c.address, c.client.options.DialTimeout)
 		}
@@ -104,11 +105,11 @@
 	c.client.loop.Post(func() { c.dialed(conn, err) })
 }
 
-// dialed takes the end of a dial.
+// dialed takes the result of a dial.
 func (c *connection) dialed(conn net.Conn, err error) {
 	c.dialing = false
 	switch {
-	case c.retired: // its calls have moved
+	case c.addressLeft: // its calls have moved
 		if err == nil {
 			conn.Close()
 		}
@@ -151,7 +152,7 @@
 	if socket != c.socket {
 		return
 	}
-	if len(c.pending) == 0 || !c.pending[0].written { // a reply to nothing
+	if len(c.pending) == 0 || !c.pending[0].written { // a reply to no call
 		c.fail()
 		return
 	}
@@ -161,19 +162,19 @@
 	c.lastUsed = c.client.loop.Now()
 	c.replyDueSince = c.lastUsed
 	c.client.end(first, result)
-	if c.retired && len(c.pending) == 0 {
+	if c.addressLeft && len(c.pending) == 0 {
 		c.close()
 	}
 }
 
-// broke takes the end of a socket.
+// broke takes the end of a socket that its goroutines found.
 func (c *connection) broke(socket *socket) {
 	if socket == c.socket {
 		c.fail()
 	}
 }
 
-// fail gives up the socket, or the try to get one, and the calls that wait for it.
+// fail closes the socket, if there is one, and ends all pending calls: the unwritten ones as not added.
 func (c *connection) fail() {
 	c.close()
 	pending := c.pending
@@ -187,7 +188,7 @@
 	}
 }
 
-// close ends the socket and its goroutines; calls that are pending stay so.
+// close closes the socket and so ends its goroutines; the pending calls stay.
 func (c *connection) close() {
 	if c.socket != nil {
 		c.socket.conn.Close()
--- a/internal/gateway/discovery/client.go
+++ b/internal/gateway/discovery/client.go
@@ -15,8 +15,8 @@
 	"bellwood/internal/policy"
 )
 
-// A change counts as told 6 s after discovery had it and could be reached, whatever became of a call (the operators'
-// term). Two calls that come to nothing and the pauses behind them take 5.5 s at most.
+// By the operators' rule a change counts as told 6 s after discovery had it and could be reached, whatever became of a
+// call. Two calls in a row that come to nothing, with the pauses behind them, take 5.5 s at most.
 const (
 	// watchSilence ends a watch that gives no sign of life; the agent gives one every 2 s.
 	watchSilence = 2500 * time.Millisecond
@@ -25,7 +25,7 @@
 	// rewatchPause is the pause behind a watch that ended. A backend that drains is told as soon as the agent has it,
 	// and nothing may be sent to it 250 ms later: so the pause is short.
 	rewatchPause = 50 * time.Millisecond
-	// maxRewatchPause is the pause it doubles up to where the agent's answers are malformed.
+	// maxRewatchPause bounds the pause, which doubles from watch to watch while the agent's responses are malformed.
 	maxRewatchPause = 250 * time.Millisecond
 	// dialTimeout bounds the making of a connection to the agent.
 	dialTimeout = time.Second
@@ -34,10 +34,10 @@
 // MaxConns is how many connections to one address of the agent there are at most, as each takes a descriptor.
 const MaxConns = 4
 
-// ErrNotSnapshot says that the answer to a call for the whole list had only changes.
+// ErrNotSnapshot says that the response to a call for the whole list had only changes.
 var ErrNotSnapshot = errors.New("not a snapshot")
 
-// StatusError says that the agent answered a call with another HTTP status than 200.
+// StatusError says that the agent's response to a call has another HTTP status than 200.
 type StatusError struct{ Status string }
 
 func (e *StatusError) Error() string { return "HTTP status " + e.Status }
@@ -78,9 +78,9 @@
 	table   *table
 	address string
 	index   int64 // of the list or change applied last
-	// following ends when the client follows another agent, or the same one anew. What a call that began under it reads
-	// later is not applied: the next watch brings it, from the index that the loop has. It is ended on the loop and asked
-	// there, so no part of a superseded list can come behind the first one of its successor.
+	// following is cancelled when the client follows another agent, or the same one anew. What a call that began under it
+	// reads later is not applied: the next watch brings it, from the index that the loop has. It is cancelled on the loop
+	// and looked at there, so no part of a superseded list can come behind the first one of its successor.
 	following context.Context
 	unfollow  context.CancelFunc
 }
@@ -109,9 +109,9 @@
 func (c *Client) Knows(name string) bool { return c.table.byName[name] != nil }
 
 // Len returns how many backends are known, in whatever state.
-func (c *Client) Len() int { return len(c.table.entries) }
+func (c *Client) Len() int { return len(c.table.backends) }
 
-// Follow begins to watch the agent at an address, from the index applied last, and leaves the watch before.
+// Follow begins to watch the agent at an address, from the index applied last, and ends the watch before it.
 func (c *Client) Follow(address string) {
 	c.unfollow()
 	c.address = address
@@ -119,11 +119,11 @@
 	go c.keepWatching(c.following, address, c.index)
 }
 
-// Stop leaves the watch for good.
+// Stop ends the watch for good.
 func (c *Client) Stop() { c.unfollow() }
 
-// Fetch gets the whole list once, for a decision module that polls. It moves no index: what the watch is to bring, the
-// watch brings. Where it fails, the decision module is told so, and asks again.
+// Fetch gets the whole list once, for an engine that polls. It moves no index, so the watch still brings all that it
+// would have brought. Where it fails, the engine is told so and polls again.
 func (c *Client) Fetch() {
 	c.fetch(func(_ endpoint.List, err error) {
 		if err != nil {
@@ -132,7 +132,7 @@
 	})
 }
 
-// FetchAndFollow gets the whole list once and, if it has another index than the one applied last, watches on from
+// FetchAndFollow gets the whole list once and, if it has another index than the one applied last, opens a new watch from
 // there. It calls done on the loop, at the end, with whether the list was applied.
 func (c *Client) FetchAndFollow(done func(applied bool)) {
 	c.fetch(func(list endpoint.List, err error) {
@@ -156,13 +156,13 @@
 	}
 	c.table.close(list)
 	if kind == policy.Snapshot {
-		kind = policy.Delta // the decision module keeps what it is not told of
+		kind = policy.Delta // the changes name what the snapshot lacks, too
 	}
 	c.loop.Update(policy.EndpointUpdate{Kind: kind, Backends: changes})
 	c.reportReachable()
 }
 
-// ReadList reads one list or change from a stream and has the loop apply it, as it does with the agent's answers; it
+// ReadList reads one list or change from a stream and has the loop apply it, as it does with the agent's responses; it
 // moves no index. It blocks while the loop applies it, so any goroutine but the loop's may call it. Measurements of the
 // loop use it.
 func (c *Client) ReadList(body io.Reader) error {
@@ -175,7 +175,7 @@
 // Sweep takes some of the terminated backends out of memory. The loop calls it each second.
 func (c *Client) Sweep() { c.table.removeTerminated() }
 
-// update tells the decision module of changes, if there are any.
+// update tells the engine of changes, if there are any.
 func (c *Client) update(changes []policy.Backend) {
 	if len(changes) > 0 {
 		c.loop.Update(policy.EndpointUpdate{Kind: policy.Delta, Backends: changes})
@@ -188,7 +188,8 @@
 	c.loop.Adopted(list.Index, list.Snapshot)
 }
 
-// reportReachable says that requests can be served, once a list that says so has been applied to its end.
+// reportReachable tells the loop that requests can be served, if a backend has ever been in service. It is called when a
+// list has been applied to its end.
 func (c *Client) reportReachable() {
 	if c.table.everInService {
 		c.loop.Reachable()
@@ -210,7 +211,7 @@
 	}
 }
 
-// nextPause is how long to wait behind a watch that ended with an error, if the pause before was last.
+// nextPause is how long to wait behind a watch that ended with an error; last is the pause before that watch.
 func nextPause(last time.Duration, err error) time.Duration {
 	if errors.Is(err, ErrMalformed) {
 		return min(2*last, maxRewatchPause)
@@ -218,7 +219,7 @@
 	return rewatchPause
 }
 
-// watch follows one watch from an index to its end, and returns the index it has come to and why it ended.
+// watch reads one watch from an index on until it ends, and returns the index that it has come to and why it ended.
 func (c *Client) watch(following context.Context, address string, index int64) (int64, error) {
 	ctx, cancel := context.WithCancel(following)
 	defer cancel()
@@ -243,7 +244,7 @@
 
 func membersURL(address string) string { return "http://" + address + "/catalog/members" }
 
-// get returns the body of the agent's answer; the caller closes it.
+// get returns the body of the agent's response; the caller closes it.
 func (c *Client) get(ctx context.Context, url string) (io.ReadCloser, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
@@ -260,8 +261,8 @@
 	return response.Body, nil
 }
 
-// fetch gets the whole list once. It calls done on the loop when the list has been applied, or with the error. The
-// call itself goes on though the client follows another agent meanwhile; its list is then not applied.
+// fetch gets the whole list once. It calls done on the loop when the list has been applied, or with the error. If the
+// client follows another agent meanwhile the call itself goes on, but its list is not applied.
 func (c *Client) fetch(done func(endpoint.List, error)) {
 	list, address, following := c.table.open(), c.address, c.following
 	go func() {
--- a/internal/gateway/discovery/client_test.go
+++ b/internal/gateway/discovery/client_test.go
@@ -133,7 +133,7 @@
 	if worst := callsThatFail*(watchSilence+maxRewatchPause) + bring; worst > notifiedWithin {
 		t.Errorf("by the watch a change may come after %v", worst)
 	}
-	const pollPause = 750 * time.Millisecond // the longest that a decision module may take to ask again
+	const pollPause = 750 * time.Millisecond // the longest that an engine may take to ask again
 	if worst := callsThatFail*(fetchSilence+pollPause) + bring; worst > notifiedWithin {
 		t.Errorf("by calls for the list a change may come after %v", worst)
 	}
--- a/internal/gateway/discovery/decoder.go
+++ b/internal/gateway/discovery/decoder.go
@@ -14,12 +14,12 @@
 const (
 	// maxEntries bounds a list: three times the largest fleet (11,000 backends), for which a gateway holds 1 KB each.
 	maxEntries = 1 << 15
-	// After yieldEach entries, some 0.2 ms, the decoder lets other goroutines run: the gateway has one thread, and the
-	// event loop must not wait for a list of 11,000 entries.
+	// After each yieldEach entries, some 0.2 ms, the decoder lets other goroutines run: the gateway has one thread, and
+	// the event loop must not wait for a list of 11,000 entries.
 	yieldEach = 32
 )
 
-// ErrMalformed says that an answer of discovery is no endpoint list, or one beyond the bounds. The reason is wrapped
+// ErrMalformed says that a response of discovery is no endpoint list, or one beyond the bounds. The reason is wrapped
 // beside it.
 var ErrMalformed = errors.New("malformed endpoint list")
 
@@ -30,7 +30,7 @@
 	errTooLong   = errors.New("too many entries")
 )
 
-// tokenError says that a list has another JSON token than its form wants.
+// tokenError says that a list has another JSON token than its form requires.
 type tokenError struct {
 	got  json.Token
 	want string
@@ -41,9 +41,9 @@
 // consumer takes what a decoder reads of one list. The calls come from the goroutine that decodes and may block it; an
 // error ends the list and is returned by the decoder.
 type consumer interface {
-	// part takes entries that are not the last of their list. They are good until it returns.
+	// part takes entries that are not the last of their list. They are valid until it returns.
 	part(entries []endpoint.Entry) error
-	// last takes the entries that remain. The list has the index and kind, which may stand behind the entries, alone.
+	// last takes the entries that remain. list has only the index and the kind, as these may stand behind the entries.
 	last(list endpoint.List, entries []endpoint.Entry) error
 }
 
--- a/internal/gateway/discovery/doc.go
+++ b/internal/gateway/discovery/doc.go
@@ -1,18 +1,19 @@
-// Package discovery follows the endpoint list of the discovery agent (PROTOCOL-bellwood, "Discovery") and tells the
-// gateway's event loop of its changes. It does three things, each in files of its own:
+// Package discovery follows the endpoint list of the discovery agent (section "Discovery" of the operators' page
+// PROTOCOL-bellwood, which is not in this repository) and tells the gateway's event loop of its changes. It does three
+// things, each in files of its own:
 //
 //   - client.go: the HTTP calls. A watch stays open for as long as the agent is followed and is opened anew when it
 //     ends; the whole list is fetched once where it is asked for.
-//   - decoder.go, stream.go: the endpoint lists and changes in the answer's body, read entry by entry.
-//   - table.go: who is known. receiver.go brings what a decoder read to it, in parts.
+//   - decoder.go, stream.go: the endpoint lists and changes in a response's body, read entry by entry.
+//   - table.go: the backends that are known. receiver.go brings what a decoder read to it, in parts.
 //
 // # Goroutines
 //
 // The event loop's goroutine owns the Client and its table: all exported methods but the constructor's are called
 // there, and so are the methods of EventLoop but for Post and Done. Each watch and each fetch reads in a goroutine of
 // its own, which knows only what it was given at its start and reaches the table by tasks that it posts, one at a time.
-// A watch's goroutine ends when Follow leaves for another address or at Stop; a fetch's with its answer or with the
-// silence that bounds it.
+// A watch's goroutine ends with the next Follow or at Stop; a fetch's with its response or with the silence that bounds
+// it.
 package discovery
 
 import "bellwood/internal/policy"
@@ -25,13 +26,13 @@
 	// Done is closed when the loop has ended and runs no further task.
 	Done() <-chan struct{}
 	// EndpointChanged tells the connection pools what is now known of one backend, and its address. It comes before
-	// the Update that tells the decision module.
+	// the Update that tells the engine.
 	EndpointChanged(backend policy.Backend, address string)
-	// Update is an event for the decision module's next Step.
+	// Update is an event for the engine's next Step.
 	Update(update policy.EndpointUpdate)
-	// Adopted says that the list or change with this index came from discovery and has been applied to its end.
+	// Adopted notes that the list or change with this index came from discovery and has been applied to its end.
 	Adopted(index int64, snapshot bool)
-	// Reachable says that a list has been applied to its end and that a backend has been in service, in this list or
+	// Reachable notes that a list has been applied to its end and that a backend has been in service, in this list or
 	// an earlier one.
 	Reachable()
 }
--- a/internal/gateway/discovery/receiver.go
+++ b/internal/gateway/discovery/receiver.go
@@ -13,14 +13,14 @@
 // earlier call still reads is not applied.
 var ErrSuperseded = errors.New("superseded by a later watch")
 
-// receiver reads the lists of one answer and has the event loop apply them, part by part. The goroutine that reads the
-// answer uses it; the tasks that it posts run on the loop while it waits for them.
+// receiver reads the lists of one response and has the event loop apply them, part by part. The goroutine that reads the
+// response uses it; the tasks that it posts run on the loop while it waits for them.
 type receiver struct {
 	client  *Client
 	decoder *decoder
 	silence *silenceTimer
-	wanted  func() bool         // asked on the loop before each part: is the list still to be applied?
-	applied func(endpoint.List) // told on the loop that a list was applied to its end; without its entries
+	wanted  func() bool         // whether the list is still to be applied; called on the loop before each part
+	applied func(endpoint.List) // called on the loop when a list was applied to its end, without the entries
 	list    *openList           // being read; nil: it is opened with its first part
 }
 
@@ -43,7 +43,7 @@
 	return list, err
 }
 
-// part is called by the decoder.
+// part has the loop apply entries that are not the last of their list, for the decoder (consumer).
 func (r *receiver) part(entries []endpoint.Entry) error {
 	for some := range slices.Chunk(entries, partSize) {
 		err := r.onLoop(func() { r.client.update(r.client.table.apply(r.list, some)) })
@@ -54,7 +54,8 @@
 	return nil
 }
 
-// last is called by the decoder. Behind the last part comes, in parts too, what a snapshot has not named.
+// last has the loop apply the last entries of a list and then, in parts too, terminate what a snapshot does not name. The
+// decoder calls it (consumer).
 func (r *receiver) last(list endpoint.List, entries []endpoint.Entry) error {
 	for finished := false; !finished; {
 		err := r.onLoop(func() {
@@ -80,7 +81,7 @@
 			return false
 		}
 	}
-	// Told even where nothing has changed: the decision module waits to hear that the list has come.
+	// Even where nothing has changed: the engine waits for the update to know that the list has come.
 	r.client.loop.Update(policy.EndpointUpdate{Kind: policy.Delta, Backends: changes})
 	r.applied(list)
 	r.client.table.close(r.list)
@@ -88,8 +89,8 @@
 	return true
 }
 
-// onLoop has the loop run a task for the list being read and waits for it: one part goes into a Step, and requests go
-// in between.
+// onLoop has the loop run a task for the list being read, and waits for it. So one part goes into a Step, and requests
+// are served between the parts.
 func (r *receiver) onLoop(task func()) error {
 	r.silence.suspend() // the loop's time is not discovery's silence
 	defer r.silence.signOfLife()
--- a/internal/gateway/discovery/receiver_test.go
+++ b/internal/gateway/discovery/receiver_test.go
@@ -99,7 +99,7 @@
 	}
 }
 
-// The decision module hears the same of a snapshot as from the list itself: of what is new, has changed, drains or is
+// The engine hears the same of a snapshot as from the list itself: of what is new, has changed, drains or is
 // left out.
 func TestChangesOfASnapshot(t *testing.T) {
 	client, loop := newTestClient(t)
--- a/internal/gateway/discovery/stream.go
+++ b/internal/gateway/discovery/stream.go
@@ -15,7 +15,7 @@
 // silenceTimer ends a call to discovery that gives no sign of life for a time. It is there for machines that fall
 // silent without a reset, by a lost route or a power cut: TCP alone would let the call wait for hours, and the gateway
 // would go on with an old list. It runs from the start of the call, so a connection or a head that never comes ends
-// the call as well. The goroutine that reads the answer uses it.
+// the call as well. The goroutine that reads the response uses it.
 type silenceTimer struct {
 	timer *time.Timer
 	limit time.Duration
@@ -32,13 +32,13 @@
 // suspend stops the time until the next sign of life.
 func (s *silenceTimer) suspend() { s.timer.Stop() }
 
-// stream is the body of an answer on its way to the decoder. Blank lines between lists are signs of life; they are
-// kept from the decoder, which would gather them without end. A list may stand on several lines.
+// stream is the body of a response on its way to the decoder. Blank lines between lists are signs of life; they are kept
+// from the decoder, whose buffer would grow with them without end. A list may stand on several lines.
 type stream struct {
 	source  io.Reader
 	silence *silenceTimer
 	left    int   // bytes that the entry may still have
-	between bool  // no list has begun since the last one
+	between bool  // the source stands between two lists, or before the first one
 	err     error // by which the source ended
 }
 
@@ -71,10 +71,10 @@
 	}
 }
 
-// entryBegins lets what comes next be as long as an entry may be.
+// entryBegins counts the bytes of an entry anew.
 func (s *stream) entryBegins() { s.left = maxEntryBytes }
 
-// listEnded says that a list has been read to its end, with ahead read behind it.
+// listEnded notes that a list has been read to its end, with the bytes ahead read behind it.
 func (s *stream) listEnded(ahead []byte) {
 	s.entryBegins()
 	s.between = len(bytes.TrimSpace(ahead)) == 0
--- a/internal/gateway/discovery/table.go
+++ b/internal/gateway/discovery/table.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// A list of up to partThreshold entries reaches the decision module in one update. A longer one comes in parts of
+	// A list of up to partThreshold entries reaches the engine in one update. A longer one comes in parts of
 	// partSize entries, which the loop applies in under 1 ms, so that requests are served in between.
 	partThreshold = 256
 	partSize      = 64
@@ -18,46 +18,46 @@
 	removeSize = 256
 )
 
-// table is what the decision module has been told of each backend. The event loop's goroutine owns it.
+// table has what the engine has been told of each backend. The event loop's goroutine owns it.
 //
 // Several lists may be open at the same time: a fetch that was asked for before a change came by the watch may be
 // read after it. If it were applied as it comes, the older list would put a backend that has begun to drain back into
 // service, and requests would go to it. So lists are numbered in the order in which they were asked for or, for the
-// watch, began to come, and an entry keeps the number of the list that named it last: an older list changes nothing
+// watch, began to come, and a backend keeps the number of the latest list that named it: an older list changes nothing
 // of it.
 type table struct {
 	names   endpoint.Names
 	log     *slog.Logger
-	changed func(backend policy.Backend, address string) // told of each change, at once
+	changed func(backend policy.Backend, address string) // called at each change
 
-	byName        map[string]*entry
-	entries       []*entry // in no order; each knows its position
-	lastNumber    uint64   // of a list
-	openLists     int      // begun and not closed
-	terminated    []*entry // to be taken out, unless they come back
-	everInService bool     // a backend has been in service
+	byName        map[string]*knownBackend
+	backends      []*knownBackend // in no order; each knows its position
+	lastNumber    uint64          // of a list
+	openLists     int             // begun and not closed
+	terminated    []*knownBackend // to be taken out, unless they come back
+	everInService bool            // a backend has been in service
 }
 
-// entry is what is known of one backend.
-type entry struct {
+// knownBackend has what is known of one backend.
+type knownBackend struct {
 	backend  policy.Backend
 	address  string
 	namedBy  uint64 // number of the latest list that named it
-	position int    // in table.entries
+	position int    // in table.backends
 }
 
 // openList is a list, or a change of it, that is being applied.
 type openList struct {
 	number uint64
-	swept  int // entries of the table that were looked at for whether the list names them
+	swept  int // backends of the table, from the first, of which is known whether the list names them
 	closed bool
 }
 
 func newTable(names endpoint.Names, log *slog.Logger, changed func(policy.Backend, string)) *table {
-	return &table{names: names, log: log, changed: changed, byName: map[string]*entry{}}
+	return &table{names: names, log: log, changed: changed, byName: map[string]*knownBackend{}}
 }
 
-// open numbers a list. Until it is closed no entry is taken out or changes its position.
+// open numbers a list. Until it is closed no backend is taken out or changes its position.
 func (t *table) open() *openList {
 	t.lastNumber++
 	t.openLists++
@@ -74,7 +74,7 @@
 	t.removeTerminated()
 }
 
-// apply takes entries of a list into the table, and returns the changes that the decision module has to be told of.
+// apply takes entries of a list into the table, and returns the changes that the engine has to be told of.
 // An invalid entry is passed over: the others still hold.
 func (t *table) apply(list *openList, endpoints []endpoint.Entry) (changes []policy.Backend) {
 	invalid := 0
@@ -96,13 +96,13 @@
 	return changes
 }
 
-// set keeps what a list says of one backend unless a later list has named it, and says whether that is a change.
+// set keeps what a list has of one backend unless a later list has named it, and says whether that is a change.
 func (t *table) set(list *openList, backend policy.Backend, address string) bool {
 	known := t.byName[backend.Name]
 	if known == nil {
-		known = &entry{position: len(t.entries)}
+		known = &knownBackend{position: len(t.backends)}
 		t.byName[backend.Name] = known
-		t.entries = append(t.entries, known)
+		t.backends = append(t.backends, known)
 	} else if known.namedBy > list.number {
 		return false
 	}
@@ -121,16 +121,16 @@
 	return true
 }
 
-// terminateUnnamed takes as terminated what a snapshot has not named, a part at a time. It returns the changes that
-// the decision module has to be told of, and whether that was the last part.
+// terminateUnnamed marks the backends that a snapshot has not named as terminated, a part at each call. It returns the
+// changes that the engine has to be told of, and whether that was the last part.
 func (t *table) terminateUnnamed(list *openList) (changes []policy.Backend, last bool) {
 	maxChanges := partThreshold
-	if len(t.entries) > sweepSize {
+	if len(t.backends) > sweepSize {
 		maxChanges = partSize
 	}
-	end := min(len(t.entries), list.swept+sweepSize)
+	end := min(len(t.backends), list.swept+sweepSize)
 	for ; list.swept < end && len(changes) < maxChanges; list.swept++ {
-		known := t.entries[list.swept]
+		known := t.backends[list.swept]
 		if known.namedBy >= list.number || known.backend.State == policy.Terminated {
 			continue
 		}
@@ -139,7 +139,7 @@
 		t.set(list, backend, known.address)
 		changes = append(changes, backend)
 	}
-	return changes, list.swept == len(t.entries)
+	return changes, list.swept == len(t.backends)
 }
 
 // removeTerminated takes some of the terminated backends out of the table. While a list is open it does nothing: the
@@ -159,11 +159,11 @@
 	}
 }
 
-// remove takes an entry out; the last one takes its position.
-func (t *table) remove(known *entry) {
-	last := t.entries[len(t.entries)-1]
-	t.entries[known.position], last.position = last, known.position
-	t.entries[len(t.entries)-1] = nil
-	t.entries = t.entries[:len(t.entries)-1]
+// remove takes a backend out; the last one takes its position.
+func (t *table) remove(known *knownBackend) {
+	last := t.backends[len(t.backends)-1]
+	t.backends[known.position], last.position = last, known.position
+	t.backends[len(t.backends)-1] = nil
+	t.backends = t.backends[:len(t.backends)-1]
 	delete(t.byName, known.backend.Name)
 }
--- a/internal/gateway/discovery/table_test.go
+++ b/internal/gateway/discovery/table_test.go
@@ -20,7 +20,7 @@
 	}
 	left, _ := table.terminateUnnamed(fetched)
 	table.close(fetched)
-	if len(left) != 0 || len(table.entries) != 4 || len(table.byName) != 4 || table.openLists != 0 ||
+	if len(left) != 0 || len(table.backends) != 4 || len(table.byName) != 4 || table.openLists != 0 ||
 		len(table.terminated) != 0 {
 		t.Errorf("left out %v; %d known, %d open", left, len(table.byName), table.openLists)
 	}
--- a/internal/gateway/endpoint/endpoint.go
+++ b/internal/gateway/endpoint/endpoint.go
@@ -1,5 +1,6 @@
-// Package endpoint is the form in which discovery and the configuration file have the backends (PROTOCOL-bellwood,
-// "Discovery"; DEPLOY-bellwood, "known"), and turns it into that of the decision module.
+// Package endpoint has the form in which discovery and the configuration file list the backends, and turns it into that
+// of the engine. The operators' pages PROTOCOL-bellwood ("Discovery") and DEPLOY-bellwood ("known"), which are not in
+// this repository, describe it.
 package endpoint
 
 import (
@@ -13,7 +14,7 @@
 // List is an endpoint list or changes of it.
 type List struct {
 	Index     int64 // of the agent's state that it leads to
-	Snapshot  bool  // it is whole: a backend that it doesn't name is not in service
+	Snapshot  bool  // it is the whole list: a backend that it doesn't name is not in service
 	Endpoints []Entry
 }
 
@@ -23,7 +24,7 @@
 	Address string // IP address and port
 	Zone    string
 	Type    string
-	Group   int     // the decision module's Cell
+	Group   int     // policy.Backend.Cell
 	Status  string  // SERVING, DRAINING or DELETED
 	Weight  float64 // relative to the other backends
 	SinceMS int64   `json:"since_ms"` // when the process began, in ms of Unix time
@@ -39,11 +40,11 @@
 	return fmt.Sprintf("endpoint %.40q has the status %.40q", e.Name, e.Status)
 }
 
-// Names are the zones and types of backends, in the order of the numbers that the decision module has for them.
+// Names are the zones and types of backends, in the order of the numbers that the engine has for them.
 type Names struct{ Zones, Types []string }
 
-// Backend is an entry as the decision module wants it. An unknown zone or type counts as the first one. The error is
-// an *InvalidError.
+// Backend is an entry in the engine's form. An unknown zone or type counts as the first one. The error is an
+// *InvalidError.
 func (n *Names) Backend(e *Entry) (policy.Backend, error) {
 	state, known := states[e.Status]
 	if !known || e.Name == "" {
--- a/internal/gateway/endpoint/endpoint_test.go
+++ b/internal/gateway/endpoint/endpoint_test.go
@@ -9,7 +9,7 @@
 	"bellwood/internal/policy"
 )
 
-// A list in discovery's form becomes backends in that of the decision module.
+// A list in discovery's form becomes backends in that of the engine.
 func TestBackend(t *testing.T) {
 	const text = `{"index":41,"snapshot":true,"endpoints":[
 		{"name":"s-1","address":"10.1.0.18:6379","zone":"b","type":"m3","group":3,"status":"SERVING","weight":0.5,"since_ms":1500},
