--- a/internal/gateway/audit.go
+++ b/internal/gateway/audit.go
@@ -13,42 +13,43 @@
 	"bellwood/internal/policy"
 )
 
-// auditedGateway is what the audit needs of the gateway round it. All methods are for the event loop.
+// auditedGateway is what the audit needs of its gateway. All methods are called on the event loop.
 type auditedGateway interface {
 	// now is the loop's clock: Unix time that does not go back.
 	now() time.Duration
 	// every runs a task again and again.
 	every(interval time.Duration, task func())
-	// emit keeps an event for the engine's next Step, and step runs it.
+	// emit keeps an event for the engine's next Step, and step runs that Step.
 	emit(policy.Event)
 	step()
-	// setOutOfService stops or starts the taking of requests. Attempts in flight go on.
+	// setOutOfService takes the gateway out of service or puts it back. Attempts that are written go on.
 	setOutOfService(out bool)
 	// reopenWatch opens discovery's watch anew, from the version in force.
 	reopenWatch()
-	// fetchSnapshot gets the whole list and watches on from there. It calls ended once, when that is done.
+	// fetchSnapshot gets the whole list and opens a watch from there. It calls ended once, at the end, with whether the
+	// list was applied.
 	fetchSnapshot(ended func(ok bool))
 	// addToCounter makes a counter call. It calls ended once, possibly before it returns.
 	addToCounter(name uint64, amount float64, ttl time.Duration, ended func(policy.Status, float64))
 }
 
 // auditor stands between the event loop and the audit of the fleet: it collects what happens at this gateway as events
-// of the audit's machine, and carries out the machine's actions. The loop owns it. All methods may be called on nil,
-// which is the audit turned off; they do nothing then.
+// of the audit's machine, and carries out the machine's actions. The loop owns it. nil is the audit turned off: the
+// methods that the gateway calls do nothing then.
 type auditor struct {
 	gateway auditedGateway
 	config  *Config
 	log     *slog.Logger
 	machine *audit.Machine
 	events  []audit.Event // for the machine's next Step
-	// Versions that the loop has taken to their ends. They are in force once the engine's next Step has seen them.
-	taken []audit.VersionAdopted
-	// When the last pass of the loop began or ended. The engine's check of its queues alone brings a pass every 20 ms, so
-	// a much longer time without one is a process that stood still.
+	// Versions whose last part the loop has applied. They are in force once the engine's next Step has taken their events.
+	appliedVersions []audit.VersionAdopted
+	// When the last pass of the loop began or ended. The engine's periodic check alone brings a pass every 20 ms, so a
+	// much longer time without one is a pause of the process.
 	lastPass time.Duration
 }
 
-// newAuditor returns nil where the configuration has no section audit. The error is a *SettingError.
+// newAuditor returns nil if the configuration has no section audit. The error is a *SettingError.
 func newAuditor(server *Server) (*auditor, error) {
 	if server.cfg.Audit == nil {
 		return nil, nil
@@ -60,7 +61,7 @@
 	return &auditor{gateway: auditedServer{server}, config: server.cfg, log: server.log, machine: machine}, nil
 }
 
-// start begins the audit, with the list of the configuration. It has to come before the first pass.
+// start begins the audit, with the endpoint list of the configuration. It has to be called before the first pass.
 func (a *auditor) start() {
 	if a == nil {
 		return
@@ -74,10 +75,10 @@
 	a.gateway.every(audit.TickInterval, a.step)
 }
 
-// What happens at the gateway follows.
+// The methods from here on are called when something happens at the gateway.
 
-// configured tells of the configuration in force: the addresses of discovery and the counter, and the name that the
-// operators gave it.
+// configured tells the audit the configuration in force: the addresses of discovery and the counter, and the name that
+// the operators gave the configuration.
 func (a *auditor) configured(discovery, counter, revision string) {
 	if a == nil {
 		return
@@ -87,39 +88,39 @@
 	a.tell(audit.Configured{Revision: xxhash.Sum64String(fleetWide), Digest: xxhash.Sum64String(own)})
 }
 
-// adopted notes a version that the loop has taken to its end. The engine acts on it from its next Step on.
+// adopted notes a version whose last part the loop has applied. The engine acts on it from its next Step on.
 func (a *auditor) adopted(index int64, source audit.Source) {
 	if a != nil {
-		a.taken = append(a.taken, audit.VersionAdopted{Index: index, Source: source, ReadAt: a.gateway.now(), Changes: 1})
+		a.appliedVersions = append(a.appliedVersions, audit.VersionAdopted{Index: index, Source: source, ReadAt: a.gateway.now(), Changes: 1})
 	}
 }
 
-// inForce says that the engine has had a Step, so it acts on what was adopted before.
+// inForce notes that the engine has had a Step, so it acts on what was adopted before.
 func (a *auditor) inForce() {
 	if a == nil {
 		return
 	}
-	for _, version := range a.taken {
+	for _, version := range a.appliedVersions {
 		a.tell(version)
 	}
-	a.taken = a.taken[:0]
+	a.appliedVersions = a.appliedVersions[:0]
 }
 
-// decided notes that a client's request is decided on.
+// decided notes that the engine is given a client's request. requestID is the id that the client gave it.
 func (a *auditor) decided(requestID []byte) {
 	if a != nil {
 		a.tell(audit.RequestDecided{RequestID: string(requestID)})
 	}
 }
 
-// attempted notes that an attempt is sent.
+// attempted notes that an attempt is started.
 func (a *auditor) attempted() {
 	if a != nil {
 		a.tell(audit.AttemptSent{})
 	}
 }
 
-// quotaCallEnded notes how a counter call for a quota ended: where the counter does not answer, the audit spares it.
+// quotaCallEnded notes how a counter call for a quota ended: after a failed one the audit makes no calls for a while.
 func (a *auditor) quotaCallEnded(status policy.Status) {
 	if a != nil && status != policy.OK {
 		a.tell(audit.QuotaCallFailed{})
@@ -128,7 +129,7 @@
 
 func (a *auditor) tell(event audit.Event) { a.events = append(a.events, event) }
 
-// beginPass tells the audit, before anything else that has gathered, that the process stood still.
+// beginPass tells the audit, before anything else that has gathered, if the process was paused.
 func (a *auditor) beginPass() {
 	if a == nil {
 		return
@@ -142,7 +143,7 @@
 	}
 }
 
-// endPass lets the audit act on what has happened in a pass. Where the process stood still within the pass, the next
+// endPass lets the audit act on what has happened in a pass. If the process was paused within the pass, the next
 // beginPass finds it.
 func (a *auditor) endPass() {
 	if a == nil {
@@ -160,7 +161,7 @@
 // stoodStill says whether the process has stood still in this pass, so that what was decided before is old.
 func (a *auditor) stoodStill(now time.Duration) bool { return a.pauseAt(now) > 0 }
 
-// pauseAt is how long the process stood still; 0 if it did not.
+// pauseAt is how long the process has been paused since lastPass; 0 if it was not, or for less than audit.MinPause.
 func (a *auditor) pauseAt(now time.Duration) time.Duration {
 	if a == nil || a.lastPass == 0 || now-a.lastPass < audit.MinPause {
 		return 0
@@ -168,9 +169,10 @@
 	return now - a.lastPass
 }
 
-// What the audit wants follows.
+// The methods from here on carry out what the audit wants.
 
-// step runs the machine and carries out what it wants. An action may end at once and so bring the next event.
+// step runs the machine and carries out its actions, until no event is left: an action may end at once and bring an
+// event.
 func (a *auditor) step() {
 	for first := true; first || len(a.events) > 0; first = false {
 		events := a.events
@@ -205,7 +207,7 @@
 	})
 }
 
-// auditCallStatus is how a counter call ended, as the audit takes it.
+// auditCallStatus is how a counter call ended, in the audit's terms.
 func auditCallStatus(status policy.Status) audit.CallStatus {
 	switch status {
 	case policy.OK:
@@ -216,7 +218,8 @@
 	return audit.MaybeAdded
 }
 
-// writeLog logs a record. Steps are warnings: the gateway is behind, or another thing is wrong with it.
+// writeLog logs a record. Steps are warnings: they are logged only if the gateway is behind, was paused, or has another
+// configuration than the fleet.
 func (a *auditor) writeLog(record audit.Record) {
 	level := slog.LevelInfo
 	if _, ok := record.(audit.StepRecord); ok {
@@ -225,7 +228,7 @@
 	a.log.LogAttrs(context.Background(), level, record.Message(), record.Attrs()...)
 }
 
-// auditedServer is a Server as the audit needs it.
+// auditedServer is the auditedGateway of a Server.
 type auditedServer struct{ *Server }
 
 func (s auditedServer) setOutOfService(out bool) {
