--- a/internal/gateway/audit.go
+++ b/internal/gateway/audit.go
@@ -91,7 +91,8 @@
 // adopted notes a version whose last part the loop has applied. The engine acts on it from its next Step on.
 func (a *auditor) adopted(index int64, source audit.Source) {
 	if a != nil {
-		a.appliedVersions = append(a.appliedVersions, audit.VersionAdopted{Index: index, Source: source, ReadAt: a.gateway.now(), Changes: 1})
+		version := audit.VersionAdopted{Index: index, Source: source, ReadAt: a.gateway.now(), Changes: 1}
+		a.appliedVersions = append(a.appliedVersions, version)
 	}
 }
 
