--- a/internal/audit/event.go
+++ b/internal/audit/event.go
@@ -46,8 +46,8 @@
 	Digest   uint64 // digest with the gateway's own addresses besides
 }
 
-// RequestDecided tells that the engine was given a client's request. RequestID is the id that the client gave it.
-type RequestDecided struct{ RequestID string }
+// RequestDecided tells that the engine was given a client's request. ClientID is the id that the client gave it.
+type RequestDecided struct{ ClientID string }
 
 // AttemptSent tells that an attempt was started at a backend.
 type AttemptSent struct{}
--- a/internal/audit/machine.go
+++ b/internal/audit/machine.go
@@ -96,7 +96,7 @@
 	case Configured:
 		m.recordEnded(m.versions.configure(m.out.now, event))
 	case RequestDecided:
-		m.versions.requestDecided(event.RequestID)
+		m.versions.requestDecided(event.ClientID)
 	case AttemptSent:
 		m.versions.attemptSent()
 	case CounterResult:
--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -14,14 +14,14 @@
 	backend       string // its name
 	startedAt     time.Duration
 	deadline      time.Duration // it is given up then
-	sendBefore    time.Duration // nothing may be written from then on; 0: until the deadline
+	sendBefore    time.Duration // writing may not begin from then on; 0: until the deadline
 	deadlineTimer *timerqueue.Timer
 	conn          *backendConn // that carries it; nil: none yet, or none any more
 	ended         bool
 }
 
-// attemptOutcome is how an attempt ended.
-type attemptOutcome struct {
+// attemptResult is how an attempt ended.
+type attemptResult struct {
 	status     policy.Status
 	quotaUsage int     // 1 + percent of the quota used, as the backend reported; 0: not reported
 	cost       float64 // in units, as the backend reported; 0: not reported
--- a/internal/gateway/audit.go
+++ b/internal/gateway/audit.go
@@ -107,10 +107,10 @@
 	a.appliedVersions = a.appliedVersions[:0]
 }
 
-// decided notes that the engine is given a client's request. requestID is the id that the client gave it.
-func (a *auditor) decided(requestID []byte) {
+// decided notes that the engine is given a client's request. clientID is the id that the client gave it.
+func (a *auditor) decided(clientID []byte) {
 	if a != nil {
-		a.tell(audit.RequestDecided{RequestID: string(requestID)})
+		a.tell(audit.RequestDecided{ClientID: string(clientID)})
 	}
 }
 
@@ -159,8 +159,8 @@
 	}
 }
 
-// stoodStill says whether the process has stood still in this pass, so that what was decided before is old.
-func (a *auditor) stoodStill(now time.Duration) bool { return a.pauseAt(now) > 0 }
+// pausedInPass says whether the process was paused in this pass, so that what was decided before is old.
+func (a *auditor) pausedInPass(now time.Duration) bool { return a.pauseAt(now) > 0 }
 
 // pauseAt is how long the process has been paused since lastPass; 0 if it was not, or for less than audit.MinPause.
 func (a *auditor) pauseAt(now time.Duration) time.Duration {
--- a/internal/gateway/audit_test.go
+++ b/internal/gateway/audit_test.go
@@ -81,7 +81,7 @@
 	}
 	a.endPass()
 	gateway.clock += audit.MinPause
-	if !a.stoodStill(gateway.clock) {
+	if !a.pausedInPass(gateway.clock) {
 		t.Error("attempts of the pass are not held back")
 	}
 	a.beginPass()
--- a/internal/gateway/backendconn.go
+++ b/internal/gateway/backendconn.go
@@ -23,7 +23,7 @@
 )
 
 // backendConn is a connection to a backend. It carries one thing at a time, an attempt or a health check, and is closed
-// when that is given up: so it never owes an answer when it is used again.
+// when that is given up: so no reply is owed on it when it is used again.
 //
 // The loop owns it. A goroutine dials and then reads (dialAndRead); another one writes what the socket does not take at
 // once (writeRest). Both end when the loop closes the socket or cancels the dial, and share with it the atomic fields.
@@ -40,7 +40,7 @@
 
 	writeState   atomic.Int32 // of the command that was last given to it
 	readEnded    atomic.Bool  // the reader has ended
-	malformed    atomic.Bool  // the reader has ended because what came is no answer
+	malformed    atomic.Bool  // the reader has ended because what came is no reply
 	commandsSent atomic.Int32 // commands given to it; the reader counts replies against it
 }
 
@@ -56,18 +56,18 @@
 	return attempt, check
 }
 
-// reusableAfter says whether the connection may be used again after a reply to what it carried: not if nothing was
-// asked, more came than was asked for, it is no answer, the command was not wholly written, or the backend is out of
-// service or another process by now.
+// reusableAfter says whether the connection may be used again after a reply: not if it carried nothing, more came than
+// the reply, this is none that the protocol has for what was sent, the command was not wholly written, or the backend
+// is out of service or another process by now.
 func (conn *backendConn) reusableAfter(reply protocol.Reply, attempt *backendAttempt, check *healthCheck) bool {
 	asked := attempt != nil || check != nil
-	answered := !reply.Unexpected || check != nil && reply.Pong
+	answered := !reply.Unexpected || check != nil && reply.SimpleString
 	atRest := !reply.TrailingBytes && conn.writeState.Load() == commandWritten
 	sameBackend := conn.pool.inService && conn.generation == conn.pool.generation
 	return asked && answered && atRest && sameBackend
 }
 
-// dialAndRead dials and then reads answers until the connection ends. It is the connection's own goroutine.
+// dialAndRead dials and then reads replies until the connection ends. It is the connection's own goroutine.
 func (conn *backendConn) dialAndRead(ctx context.Context, addr string) {
 	socket, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -78,7 +78,7 @@
 	conn.readReplies(socket)
 }
 
-// readReplies reads answers until the connection ends.
+// readReplies reads replies until the connection ends.
 func (conn *backendConn) readReplies(socket net.Conn) {
 	reader := newReplyReader(socket, &conn.commandsSent)
 	for {
@@ -107,9 +107,9 @@
 //
 // Failure: the connection breaks while its command is being written, and the reader sees it first. How it shows: a
 // command that never ran counts as one that may have run and is not retried, or the other way round. Why this holds: as
-// long as the command is being written the end is left to who writes, who knows how far it got; that one stores the
+// long as the command is being written the end is left to the writer, which knows how far it got. The writer stores the
 // state before it looks whether the reader has ended, and the reader the other way round, so at least one of them posts
-// the end, and the loop takes a second one for nothing. TestOneOutcomeForEachAttempt,
+// the end; a second post changes nothing. TestOneResultForEachAttempt,
 // TestNonIdempotentRequestIsNotRetried.
 func (conn *backendConn) readFailed(socket net.Conn, err error) {
 	conn.malformed.Store(errors.Is(err, resp.ErrMalformed) || errors.Is(err, errUnsolicitedReply) ||
@@ -152,7 +152,7 @@
 	conn.commandWriteEnded(err)
 }
 
-// commandWriteEnded notes how the writing of a command ended. Who wrote calls it.
+// commandWriteEnded notes how the writing of a command ended. The goroutine that wrote calls it: the loop or writeRest.
 func (conn *backendConn) commandWriteEnded(err error) {
 	if err != nil {
 		conn.writeState.Store(commandCutOff)
@@ -166,7 +166,7 @@
 }
 
 // connectionEnded takes the end of a connection, on the loop. If it broke before the last byte was written, the command
-// never ran; if what came is no answer, it has run, and the backend lives.
+// never ran; if what came is no reply, the backend has run it and is alive.
 func (conn *backendConn) connectionEnded() {
 	conn.pool.removeIdle(conn)
 	if conn.attempt != nil && conn.commandsSent.Load() > 1 {
--- a/internal/gateway/budget/budget.go
+++ b/internal/gateway/budget/budget.go
@@ -12,8 +12,8 @@
 	// is being accepted and one for the configuration; some are left for what the system loads with the program.
 	reserved = 32
 
-	// ConnsPerRejected: for so many clients' connections one more may be held on which the rest of what was sent is
-	// read after it was rejected for want of room.
+	// ConnsPerRejected is for how many connections of clients one more may be held that was rejected for want of room, and
+	// on which the rest of what the client sent is read.
 	ConnsPerRejected = 32
 
 	defaultConns = 400 // for clients and for backends each, where the configuration sets no limit
@@ -46,7 +46,7 @@
 	return max(1, int64(share))
 }
 
-// RejectedConns returns how many connections that found no room may be held beside so many of clients.
+// RejectedConns returns how many rejected connections may be held beside so many connections of clients.
 func RejectedConns(clientConns int64) int64 { return clientConns / ConnsPerRejected }
 
 // ClientMemory returns how many bytes clients may make the gateway hold, with a memory limit in MB; 0: no limit is set.
--- a/internal/gateway/clientclose.go
+++ b/internal/gateway/clientclose.go
@@ -34,7 +34,7 @@
 	return conn.closed
 }
 
-// isFinishing says that nothing more is forwarded for the connection.
+// isFinishing says whether no further request of the connection is forwarded.
 func (conn *clientConn) isFinishing() bool {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
@@ -101,7 +101,7 @@
 // again soon. It says whether the connection may be closed.
 func (conn *clientConn) evictionRank(now time.Duration, left room) (rank time.Duration, ok bool) {
 	since := time.Duration(conn.idleSince.Load())
-	if since == 0 {
+	if since == notEvictable {
 		return 0, false
 	}
 	switch idle := now - since; {
--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -26,6 +26,10 @@
 	maxUnusableInRow = 16                    // unusable commands in a row at which the connection is closed
 )
 
+// notEvictable is the value of clientConn.idleSince while a reply is pending, and on a connection that was chosen to make
+// room, so that it is not chosen again before it has given its next reply.
+const notEvictable = 0
+
 // clientConn is one connection of a client.
 //
 // Its reader, the goroutine of serve, owns it: it takes commands until the connection ends and then cleans up. The
@@ -44,7 +48,7 @@
 	unusableInRow   int       // commands in a row that could not be used
 
 	commandSeen atomic.Bool  // it has asked something
-	idleSince   atomic.Int64 // since when no request is open, on the loop's clock; 0: one is
+	idleSince   atomic.Int64 // since when no reply is pending, on the loop's clock; or notEvictable
 
 	// mu guards the fields below, and the closing of the socket. Whoever closes holds it; see receive for what that
 	// means to the reader.
@@ -79,7 +83,7 @@
 	for {
 		message, err := conn.commands.Next()
 		if err != nil {
-			if !conn.goOnAfter(err) {
+			if !conn.handleReadError(err) {
 				return
 			}
 			continue
@@ -91,9 +95,10 @@
 	}
 }
 
-// goOnAfter says whether a connection that could not be read is read on. What can't be read is answered, unless no part
-// of a command has come: a line would cross the client's next request.
-func (conn *clientConn) goOnAfter(err error) bool {
+// handleReadError answers a command that could not be read, unless no part of it has come: the client would take the line
+// for the reply to its next command. It says whether to read on, which is only where the first command comes just at its
+// deadline.
+func (conn *clientConn) handleReadError(err error) bool {
 	switch {
 	case errors.Is(err, resp.ErrMalformed):
 		conn.rejectAndDiscard(protocol.ProtocolError)
--- a/internal/gateway/clientgone_test.go
+++ b/internal/gateway/clientgone_test.go
@@ -35,13 +35,13 @@
 			waitForEnd(t, conn)
 			server.events = nil
 			for _, request := range server.requests.byID {
-				server.requests.startAttempt(request, policy.SendAttempt{ID: request.id, Backend: "s-0"})
+				server.requests.addAttempt(request, policy.SendAttempt{ID: request.id, Backend: "s-0"})
 				break
 			}
-			if len(attemptOutcomes(server)) == 0 {
+			if len(attemptResults(server)) == 0 {
 				t.Fatal("it is forwarded")
 			}
-			wantOutcome(t, server, policy.NotSent)
+			wantResult(t, server, policy.NotSent)
 			runTasksUntil(t, server, func() bool { return len(server.requests.byID) == 0 && len(server.downstream.conns) == 0 })
 			if held := server.downstream.memory.Held(); held != 0 || server.upstream.connCount != 0 {
 				t.Errorf("%d bytes and %d connections are kept", held, server.upstream.connCount)
@@ -97,14 +97,14 @@
 func (test *leavingClient) sendRequest() {
 	test.t.Helper()
 	test.leaving.sendRequest("victim")
-	test.gateway.until(func() bool { return test.gateway.server.requests.idInUse["victim"] })
+	test.gateway.until(func() bool { return test.gateway.server.requests.clientIDInUse["victim"] })
 }
 
 // leave lets the client leave, and waits until the loop knows.
 func (test *leavingClient) leave() {
 	test.t.Helper()
 	test.leaving.socket.Close()
-	test.gateway.until(func() bool { return !test.gateway.server.requests.idInUse["victim"] })
+	test.gateway.until(func() bool { return !test.gateway.server.requests.clientIDInUse["victim"] })
 }
 
 // wantOnlyLaterRequest fails unless the next command that the backend gets is a request sent from now on.
@@ -143,7 +143,7 @@
 	for i := 0; ; i++ {
 		id := fmt.Sprint("filler", i)
 		test.staying.sendRequest(id)
-		test.gateway.until(func() bool { return test.gateway.server.requests.idInUse[id] })
+		test.gateway.until(func() bool { return test.gateway.server.requests.clientIDInUse[id] })
 		if test.attemptsOfOpenRequests() == i {
 			return inFlight
 		}
@@ -214,14 +214,14 @@
 	runTasksUntil(t, server, func() bool { return len(server.requests.byID) == 1 })
 	server.events = nil
 	for _, request := range server.requests.byID {
-		server.requests.startAttempt(request, policy.SendAttempt{ID: request.id, Backend: "s-0"})
+		server.requests.addAttempt(request, policy.SendAttempt{ID: request.id, Backend: "s-0"})
 	}
 	if backendSide.attempt == nil || backendSide.writeState.Load() != commandBeingWritten {
 		t.Fatal("the command is not half written")
 	}
 	client.socket.Close()
 	runTasksUntil(t, server, func() bool { return len(server.requests.byID) == 0 })
-	wantOutcome(t, server, policy.Cancelled)
+	wantResult(t, server, policy.Cancelled)
 	if !backendSide.closed || server.upstream.connCount != 0 {
 		t.Error("the connection stays open")
 	}
@@ -256,7 +256,7 @@
 	gateway := startGateway(t, []string{l.listener.Addr().String()})
 	client := gateway.dial()
 	client.command(requestWith("d=20000", fmt.Sprint("d=", most.Milliseconds()))...)
-	gateway.until(func() bool { return gateway.server.requests.idInUse["1"] })
+	gateway.until(func() bool { return gateway.server.requests.clientIDInUse["1"] })
 	come := time.Now() // or before
 	for _, which := range []string{"first", "second"} {
 		gateway.waitForDial()
@@ -403,7 +403,7 @@
 	}
 	ln.Close()
 	gateway.until(func() bool { return gateway.server.upstream.connCount <= 1 })
-	if len(gateway.server.requests.idInUse) != 0 {
+	if len(gateway.server.requests.clientIDInUse) != 0 {
 		t.Error("its id is kept")
 	}
 }
--- a/internal/gateway/clientreader.go
+++ b/internal/gateway/clientreader.go
@@ -39,19 +39,19 @@
 // connection for one that stands between two requests.
 //
 // Failure: a close of a socket waits until nobody is within a read of it, and whoever closes holds the lock: a reader
-// that waits for the lock within a read and the one who closes wait for each other. How it shows: the loop, or whoever
-// accepts connections, stands still for good. Why this holds: within a read the lock is only tried for (readLocked); it
-// is waited for outside, where a close does not wait for the reader. TestCloseCrossingServe, TestCloseCrossingARead,
-// TestReadWaitsForTheLock.
+// that waits for the lock within a read and the one who closes wait for each other. How it shows: the loop, or the
+// goroutine that accepts connections, is stuck for good. Why this holds: within a read the lock is only tried for
+// (readLocked); it is waited for outside, where a close does not wait for the reader. TestCloseCrossingServe,
+// TestCloseCrossingARead, TestReadWaitsForTheLock.
 func (conn *clientConn) receive(buffer []byte) (int, error) {
 	if conn.rawSocket == nil {
 		return conn.socket.Read(buffer)
 	}
 	for {
-		n, lockHeld := 0, false
+		n, lockBusy := 0, false
 		var failure error
 		err := conn.rawSocket.Read(func(fd uintptr) (done bool) {
-			if lockHeld = !conn.mu.TryLock(); lockHeld {
+			if lockBusy = !conn.mu.TryLock(); lockBusy {
 				return true
 			}
 			defer conn.mu.Unlock()
@@ -61,7 +61,7 @@
 		switch {
 		case err != nil:
 			return 0, err
-		case lockHeld:
+		case lockBusy:
 			conn.mu.Lock()
 			conn.mu.Unlock() // whoever held it is done
 		case failure != nil:
--- a/internal/gateway/clientreply.go
+++ b/internal/gateway/clientreply.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	maxPipelined      = 256             // commands of one connection that may wait for their replies
-	maxUnreadBytes    = 256 << 10       // of replies left unread, at which no further command is read
-	maxUnwrittenBytes = 1 << 20         // of replies left unread, at which the client is given up
-	writeTimeout      = 5 * time.Second // a client that takes nothing for so long has gone
+	maxPipelined        = 256             // commands of one connection that may wait for their replies
+	pauseUnwrittenBytes = 256 << 10       // of replies that the client has not taken, above which no command is read
+	maxUnwrittenBytes   = 1 << 20         // of replies that the client has not taken, above which it is given up
+	writeTimeout        = 5 * time.Second // a client that takes nothing for so long has gone
 )
 
 // pendingReply keeps the place of a command's reply among those of its connection. The connection's lock guards it.
@@ -32,9 +32,9 @@
 	writing   bool // a goroutine writes
 }
 
-// full says whether too many replies are pending, or those before are not read.
+// full says whether too many replies are pending, or too many bytes of those before are not taken by the client.
 func (queue *replyQueue) full() bool {
-	return len(queue.pending) >= maxPipelined || len(queue.unwritten) > maxUnreadBytes
+	return len(queue.pending) >= maxPipelined || len(queue.unwritten) > pauseUnwrittenBytes
 }
 
 // owed says whether a reply is still to be given or written.
@@ -63,8 +63,8 @@
 	return moved
 }
 
-// tooMuchUnread says whether the client is given up for what it leaves unread.
-func (queue *replyQueue) tooMuchUnread() bool {
+// tooMuchUnwritten says whether the client is given up for the replies that it does not take.
+func (queue *replyQueue) tooMuchUnwritten() bool {
 	unwritten := len(queue.unwritten)
 	return unwritten > maxUnwrittenBytes || unwritten > resp.MaxValueBytes && queue.memory.Exceeded()
 }
@@ -122,7 +122,7 @@
 // appendReply keeps a place. The caller holds mu.
 func (conn *clientConn) appendReply(request *clientRequest, memory int64) *pendingReply {
 	reply := conn.replies.add(request, memory)
-	conn.idleSince.Store(0)
+	conn.idleSince.Store(notEvictable)
 	return reply
 }
 
@@ -144,7 +144,7 @@
 	if len(conn.replies.pending) == 0 {
 		conn.idleSince.Store(int64(conn.downstream.loop.now()))
 	}
-	if conn.replies.tooMuchUnread() {
+	if conn.replies.tooMuchUnwritten() {
 		conn.closeLocked()
 	} else if len(conn.replies.unwritten) > 0 && !conn.replies.writing && !conn.closed {
 		conn.writeSome()
--- a/internal/gateway/clientrequest.go
+++ b/internal/gateway/clientrequest.go
@@ -11,7 +11,7 @@
 	*protocol.Request
 	conn      *clientConn
 	reply     *pendingReply // the place of its answer among those of the connection
-	requestID uint64        // the loop's; 0: it was not taken in
+	id        uint64        // that requestTable gave it; 0: it was not taken in. The client's is ClientID
 	arrivedAt time.Duration // when its last byte was read, on the loop's clock
 }
 
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// Changes reach the pools and the decision module, and a watch that ends is taken up from the last index.
+// Changes reach the pools and the engine, and a watch that ends is taken up from the last index.
 func TestWatch(t *testing.T) {
 	first, second := listen(t), listen(t)
 	gateway := startGateway(t, []string{first.Addr().String()})
--- a/internal/gateway/eventloop.go
+++ b/internal/gateway/eventloop.go
@@ -17,7 +17,7 @@
 	now() time.Duration
 	// post hands the loop a task. It waits while too many are there, and drops the task once the loop has ended.
 	post(task func())
-	// emit keeps an event for the decision module's next step.
+	// emit keeps an event for the engine's next Step.
 	emit(event policy.Event)
 	// addTimer runs a task on the loop when its time has come.
 	addTimer(at time.Duration, task func()) *timerqueue.Timer
@@ -25,8 +25,8 @@
 	stopTimer(timer *timerqueue.Timer)
 }
 
-// eventLoop holds what waits for the loop goroutine: tasks from other goroutines, timers, and events for the decision
-// module. Server runs it. All but the channels belongs to the loop goroutine.
+// eventLoop holds what waits for the loop goroutine: tasks from other goroutines, timers, and events for the engine.
+// Server runs it. All but the channels belongs to the loop goroutine.
 type eventLoop struct {
 	startedAt time.Time
 	tasks     chan func()
@@ -69,7 +69,7 @@
 }
 
 // runWaiting runs a task, where there is one, all others that wait behind it, and the timers that are due: what is
-// there together goes into one step of the decision module.
+// there together goes into one step of the engine.
 func (loop *eventLoop) runWaiting(task func()) {
 	if task != nil {
 		task()
--- a/internal/gateway/idleserver_test.go
+++ b/internal/gateway/idleserver_test.go
@@ -32,9 +32,9 @@
 	}
 	received := &clientRequest{Request: parsed, conn: &clientConn{}, arrivedAt: server.now()}
 	server.requests.requestArrived(received)
-	request := server.requests.byID[received.requestID]
+	request := server.requests.byID[received.id]
 	server.events = nil
-	server.requests.startAttempt(request, policy.SendAttempt{ID: request.id, Backend: "s-0", Timeout: 10 * time.Second})
+	server.requests.addAttempt(request, policy.SendAttempt{ID: request.id, Backend: "s-0", Timeout: 10 * time.Second})
 	return request.attempts[0]
 }
 
@@ -52,8 +52,8 @@
 	}
 }
 
-// attemptOutcomes returns the outcomes told so far.
-func attemptOutcomes(server *Server) (all []policy.AttemptResult) {
+// attemptResults returns the outcomes told so far.
+func attemptResults(server *Server) (all []policy.AttemptResult) {
 	for _, ev := range server.events {
 		if o, ok := ev.(policy.AttemptResult); ok {
 			all = append(all, o)
@@ -62,10 +62,10 @@
 	return all
 }
 
-// wantOutcome fails unless the engine is told of one outcome, and of this one.
-func wantOutcome(t *testing.T, server *Server, want policy.Status) {
+// wantResult fails unless the engine is told of one outcome, and of this one.
+func wantResult(t *testing.T, server *Server, want policy.Status) {
 	t.Helper()
-	if got := attemptOutcomes(server); len(got) != 1 || got[0].Status != want {
+	if got := attemptResults(server); len(got) != 1 || got[0].Status != want {
 		t.Errorf("outcomes %+v, want one %v", got, want)
 	}
 }
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -126,8 +126,9 @@
 	return clients.closeLongestIdle(left) || left != noRoom
 }
 
-// closeLongestIdle closes the connection that has stood idle longest, if that may be, and says whether it did. Clients
-// that ask once, or never, and keep their connections would else fill the share, and the usual ones be rejected.
+// closeLongestIdle closes the connection that has been idle longest, if one may be closed, and says whether it did.
+// Clients that ask once, or never, and keep their connections would else fill the share, and the usual ones be
+// rejected.
 //
 // Failure: a request comes on the very connection that is being closed. How it shows: the client gets a reset for a
 // request that it sent in time. Why this holds: a connection is closed only where neither its buffer nor its socket
@@ -139,8 +140,8 @@
 		return false
 	}
 	ended := longest.closeIfBetweenRequests()
-	longest.idleSince.Store(0) // it makes room once
-	if !ended {                // a request has come on it just now
+	longest.idleSince.Store(notEvictable) // it makes room once
+	if !ended {                           // a request has come on it just now
 		return clients.closeLongestIdle(left)
 	}
 	runtime.Gosched() // its reader gives the descriptor back
--- a/internal/gateway/overduerequest_test.go
+++ b/internal/gateway/overduerequest_test.go
@@ -10,7 +10,7 @@
 
 // A loop that is late finds the engine's timer and the client's deadline due together. The engine answers, as only it
 // knows whether the request may be rejected; the loop's own deadline is for what the engine has lost.
-func TestModuleAnswersThoughTheLoopIsLate(t *testing.T) {
+func TestEngineAnswersThoughTheLoopIsLate(t *testing.T) {
 	const wait = 700 * time.Millisecond // under half a second the engine would reject it on its arrival
 	for name, late := range map[string]func(gateway *testGateway, ask func()){
 		"late at the deadline": func(gateway *testGateway, ask func()) {
--- a/internal/gateway/protocol/answer.go
+++ b/internal/gateway/protocol/answer.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// What clients are answered with beside the values of backends.
+// Replies to clients, beside the values of backends.
 const (
 	Pong              = "+PONG\r\n"
 	NoBackendKnown    = "-LOADING no backend is known yet\r\n" // to a PING: requests would wait
--- a/internal/gateway/protocol/parser.go
+++ b/internal/gateway/protocol/parser.go
@@ -30,12 +30,12 @@
 	defaultMaxRequestCost = 1e9         // units of a request, where the settings do not say
 	usualFields           = 16          // of a request: for these no memory is taken
 	tenantDigits          = 16          // hex digits of a tenant's name
-	maxTenant             = 1 << 33     // names of tenants are below
+	maxTenant             = 1 << 33     // names of tenants, as numbers, are below this
 )
 
 // What is wrong with a request; clients get these texts behind -ERR.
 var (
-	errTenant       = errors.New("the customer is not 16 hex digits")
+	errTenant       = errors.New("the customer is not 16 hex digits") // or not below maxTenant; the text stays
 	errEmptyID      = errors.New("the id is empty")
 	errFieldMissing = errors.New("one of c, t, d, units, spread and first is missing")
 	errKeyMissing   = errors.New("k is missing")
--- a/internal/gateway/protocol/protocol_test.go
+++ b/internal/gateway/protocol/protocol_test.go
@@ -20,7 +20,7 @@
 		"-BUSY cost=1,used=120\r\n":                          {Status: policy.Rejected, QuotaUsage: 121},
 		"-ER\x00 x used=3\r\n":                               {Status: policy.Failed, Unexpected: true, QuotaUsage: 4},
 		"-BUSY\r\n":                                          {Status: policy.Rejected},
-		"+PONG\r\n":                                          {Status: policy.OK, Unexpected: true, Pong: true},
+		"+PONG\r\n":                                          {Status: policy.OK, Unexpected: true, SimpleString: true},
 		"*1\r\n$-1\r\n":                                      {Status: policy.Failed, Unexpected: true},
 		"*0\r\n":                                             {Status: policy.Failed, Unexpected: true},
 		"$2\r\nhi\r\n":                                       {Status: policy.Failed, Unexpected: true},
--- a/internal/gateway/protocol/reply.go
+++ b/internal/gateway/protocol/reply.go
@@ -25,19 +25,19 @@
 	Value         []byte  // as a bulk string, to be passed on
 	QuotaUsage    int     // 1 + percent of the quota used; 0: not reported
 	Cost          float64 // in units; 0: not reported
-	Unexpected    bool    // it is not what a backend answers to a request
-	Pong          bool    // it is what a backend answers to a health check
+	Unexpected    bool    // it is no reply to a request
+	SimpleString  bool    // it is a simple string; any is taken for the reply to a health check
 	TrailingBytes bool    // more bytes came behind it
 }
 
-// ReadReply reads an answer: an array of the value, the figures on use and the load report, or an error line behind
-// whose first word the figures may stand.
+// ReadReply reads a reply: an array of the value, the figures and the load report, or an error line with the figures
+// behind its first word.
 func ReadReply(message redcon.RESP) Reply {
 	switch message.Type {
 	case redcon.Error:
 		return readErrorReply(message.Data)
 	case redcon.String:
-		return Reply{Status: policy.OK, Unexpected: true, Pong: true}
+		return Reply{Status: policy.OK, Unexpected: true, SimpleString: true}
 	case redcon.Array:
 		return readValueReply(message)
 	}
--- a/internal/gateway/protocol/request.go
+++ b/internal/gateway/protocol/request.go
@@ -27,8 +27,8 @@
 	timeLeftFrom, timeLeftTo int      // where the figure of d stands in the list of fields
 }
 
-// ID is the id that the client gave the request. It must not be changed.
-func (request *Request) ID() []byte { return request.args[argumentID] }
+// ClientID is the id that the client gave the request. It must not be changed.
+func (request *Request) ClientID() []byte { return request.args[argumentID] }
 
 // Forward returns the command for a backend: as it came but for d, which tells how long this gateway will wait.
 func (request *Request) Forward(wait time.Duration) []byte {
--- a/internal/gateway/reach_test.go
+++ b/internal/gateway/reach_test.go
@@ -196,7 +196,7 @@
 	reaches(t, watchCalls, listWithNews(t, false))
 }
 
-// A list that the decision module polls for comes though two calls in a row came to nothing.
+// A list that the engine polls for comes though two calls in a row came to nothing.
 func TestListComesBehindFailedCalls(t *testing.T) {
 	reaches(t, listCalls, listWithNews(t, true), func(c *Config, t *testing.T) { c.Settings.PollEndpoints = true })
 }
--- a/internal/gateway/ready_test.go
+++ b/internal/gateway/ready_test.go
@@ -195,7 +195,7 @@
 
 // BenchmarkWholeList takes a list of the largest fleet, for the first time, again, and half of it, on one thread and
 // with as much garbage as the program does. It reports the longest task of the loop in the program's processor time,
-// without and with the decision module's Step, and the memory that stays for a backend.
+// without and with the engine's Step, and the memory that stays for a backend.
 func BenchmarkWholeList(b *testing.B) {
 	asTheProgram(b)
 	whole := discoverytest.Line(b, discoverytest.Fleet(2, discoverytest.FleetSize))
--- a/internal/gateway/replyreader.go
+++ b/internal/gateway/replyreader.go
@@ -10,13 +10,13 @@
 	"bellwood/internal/resp"
 )
 
-// replyStallTimeout: an answer that has begun and then stops for so long has a wrong length.
+// replyStallTimeout is after how long a reply that has begun and stops counts as malformed: its length is wrong.
 const replyStallTimeout = 250 * time.Millisecond
 
-// errUnsolicitedReply says that bytes came on a connection that owed no answer.
+// errUnsolicitedReply says that bytes came on a connection on which no reply was owed.
 var errUnsolicitedReply = errors.New("backend connection: a reply to no command")
 
-// replyReader reads a backend's answers. The goroutine that reads the connection owns it.
+// replyReader reads a backend's replies. The goroutine that reads the connection owns it.
 type replyReader struct {
 	socket       net.Conn
 	commandsSent *atomic.Int32 // on the connection
@@ -31,8 +31,8 @@
 	return reader
 }
 
-// next returns the next answer. It fails with resp.ErrMalformed, errUnsolicitedReply, os.ErrDeadlineExceeded for an
-// answer that stalls, or an error of the network.
+// next returns the next reply. It fails with resp.ErrMalformed, errUnsolicitedReply, os.ErrDeadlineExceeded for a reply
+// that stalls, or an error of the network.
 func (reader *replyReader) next() (protocol.Reply, error) {
 	message, err := reader.messages.Next()
 	if err != nil {
@@ -44,9 +44,9 @@
 	return reply, nil
 }
 
-// Read reads from the socket for messages. It takes nothing while no answer is owed: that would be found in front of
-// the next answer, and a client be given another one's value (TestUnsolicitedReplyReachesNobody). And an answer that
-// has begun must go on.
+// Read reads from the socket for messages. Bytes that come while no reply is owed are an error: they would stand in front
+// of the next reply, and a client would be given another one's value (TestUnsolicitedReplyReachesNobody). And a reply
+// that has begun must go on within replyStallTimeout.
 func (reader *replyReader) Read(buffer []byte) (int, error) {
 	if reader.messages.Partial() {
 		reader.socket.SetReadDeadline(time.Now().Add(replyStallTimeout))
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -1,11 +1,25 @@
-// Package gateway carries events from sockets to the decision module (policy.Engine) and the module's actions back to
-// sockets. It decides nothing itself.
+// Package gateway carries events from sockets to the engine (policy.Engine) and the engine's actions back to sockets.
 //
 // A Server composes the parts and runs the event loop; each part owns its state and knows the others by small
 // interfaces. A request passes them in this order: downstream (listener.go, clientconn.go) accepts and reads,
-// protocol.Parser parses, requestTable keeps it open and hands it to the module, upstream (backendpool.go,
-// backendconn.go) sends the attempts that the module wants, and the reply goes back by requestTable to the client's
+// protocol.Parser parses, requestTable keeps it open and hands it to the engine, upstream (backendpool.go,
+// backendconn.go) sends the attempts that the engine wants, and the reply goes back by requestTable to the client's
 // connection.
+//
+// # What is answered without the engine
+//
+// The engine decides what becomes of a request. The gateway rejects by itself, with -BUSY, only for want of its own
+// means or at its end:
+//
+//   - a connection for which there is no room (downstream.rejectConn, listener.go);
+//   - a request during a shutdown, or one for which there is no memory (clientConn.takeRequest, clientconn.go);
+//   - a request beyond limits.open-cap (requestTable.requestArrived, requesttable.go).
+//
+// It answers with an error what it can't read (clientConn.handleReadError, handleCommand and takeRequest), the id of an
+// open request (requestTable.requestArrived), and what the engine has not answered by the deadline or by the end of a
+// shutdown (requestTable.abandon). PING is answered by Server.pingReply. An attempt that can't be started any more when
+// its action is carried out ends as policy.NotSent (requestTable.mayStart, upstream.startAttempt); what follows from that
+// is the engine's decision.
 package gateway
 
 import (
@@ -36,7 +50,7 @@
 	engine *policy.Engine
 
 	ready     atomic.Bool // a backend in service has been known, so requests can be served
-	suspended atomic.Bool // out of service, as the audit wants it
+	suspended atomic.Bool // the audit has taken the gateway out of service
 
 	watchdog   watchdog.Watchdog
 	requests   *requestTable
@@ -74,14 +88,15 @@
 	return server, nil
 }
 
-// Run serves what connects to the listener until the context ends, then answers what was taken and returns. It owns the
-// goroutines of the listener, of the watchdog and of all connections: they end with their sockets or with it.
+// Run serves the clients that connect to the listener until the context ends, then answers the requests that were taken
+// and returns. It owns the goroutines of the listener, of the watchdog and of all connections: they end with their
+// sockets or with it.
 func (server *Server) Run(ctx context.Context, ln net.Listener) {
 	defer close(server.done)
 	defer ln.Close()
 	server.discovery.Apply(server.cfg.Known.Endpoints, policy.CachedSnapshot)
 	server.audit.start()
-	server.step() // from here on it is able to serve
+	server.step() // the engine has the list of the configuration from here on
 	server.discovery.Follow(server.discovery.Address())
 	defer server.discovery.Stop()
 	go server.downstream.accept(ln)
@@ -112,7 +127,7 @@
 	})
 }
 
-// pingReply answers a client's PING: whether requests are served.
+// pingReply is the reply to a client's PING: whether requests are served.
 func (server *Server) pingReply() string {
 	switch {
 	case !server.ready.Load():
@@ -151,7 +166,7 @@
 	}
 }
 
-// waitTime is how long the loop may sleep if no task comes.
+// waitTime is how long the loop may wait for a task.
 func (server *Server) waitTime(ending shutdown) time.Duration {
 	wait := server.timers.Wait(server.now())
 	if ending.begun() {
@@ -169,7 +184,7 @@
 	return ending
 }
 
-// maxClientTimeout is the longest time that a client waits.
+// maxClientTimeout is the longest client timeout of all classes.
 func (server *Server) maxClientTimeout() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range server.cfg.Settings.Classes {
@@ -178,7 +193,7 @@
 	return longest
 }
 
-// runPass runs what waits for the loop, then lets the decision module and the audit act on it.
+// runPass runs the tasks and timers that wait for the loop, then lets the engine and the audit act on what they brought.
 func (server *Server) runPass(task func()) {
 	server.audit.beginPass()
 	server.runWaiting(task)
@@ -189,8 +204,8 @@
 	server.audit.endPass()
 }
 
-// step gives the engine what has happened and carries out what it wants, in order. An action may end at once and so
-// bring the next event.
+// step gives the engine what has happened and carries out what it wants, in order, until no event is left: an action may
+// end at once and bring the next event.
 func (server *Server) step() {
 	for len(server.events) > 0 {
 		events := server.takeEvents()
@@ -203,7 +218,7 @@
 	}
 }
 
-// carryOut does what the engine wants. Actions for a request that is forgotten are passed over.
+// carryOut does what the engine wants. Actions for a request that is no longer in the table are passed over.
 func (server *Server) carryOut(action policy.Action) {
 	switch action := action.(type) {
 	case policy.SendAttempt:
@@ -221,6 +236,7 @@
 	case policy.SetTimer:
 		server.addTimer(action.At, func() { server.emit(policy.Timer{Cookie: action.Cookie}) })
 	case policy.WatchEndpoints, policy.FetchEndpoints:
+		// The gateway has a watch open at all times, so an engine that wants one is given a fetch, as one that polls.
 		server.discovery.Fetch()
 	case policy.Log:
 		server.log.Info(action.Text)
--- a/internal/gateway/server_test.go
+++ b/internal/gateway/server_test.go
@@ -30,7 +30,7 @@
 	for _, request := range server.requests.overdue { // as abandonOverdue does, without the step behind it
 		server.requests.abandon(request)
 	}
-	wantOutcome(t, server, policy.ConnectFailed) // the loop has not heard of the connection
+	wantResult(t, server, policy.ConnectFailed) // the loop has not heard of the connection
 	if !attempt.request.ended || len(server.requests.byID) != 0 {
 		t.Error("the request goes on")
 	}
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -104,7 +104,7 @@
 	runTasksUntil(t, server, func() bool { return len(server.requests.byID) == 1 })
 	server.events = nil
 	for _, request := range server.requests.byID {
-		server.requests.startAttempt(request, policy.SendAttempt{ID: request.id, Backend: "s-0"})
+		server.requests.addAttempt(request, policy.SendAttempt{ID: request.id, Backend: "s-0"})
 	}
 	backend := accept(t, ln)
 	runTasksUntil(t, server, func() bool { return server.upstream.dialed("s-0") })
@@ -112,7 +112,7 @@
 	server.requests.abandonAll()
 	client.wants("-ERR no answer in time")
 	backend.wantsEnd()
-	if server.step(); len(server.requests.byID) != 0 || len(server.requests.idInUse) != 0 {
+	if server.step(); len(server.requests.byID) != 0 || len(server.requests.clientIDInUse) != 0 {
 		t.Error("the request is kept")
 	}
 }
--- a/internal/gateway/unreadend_test.go
+++ b/internal/gateway/unreadend_test.go
@@ -79,7 +79,7 @@
 	if err != nil || !conn.handleCommand(message) {
 		client.t.Fatal("the request is not taken: ", err)
 	}
-	runTasksUntil(client.t, server, func() bool { return server.requests.idInUse[id] })
+	runTasksUntil(client.t, server, func() bool { return server.requests.clientIDInUse[id] })
 	server.events = nil
 	return openRequestByID(server, id)
 }
@@ -87,7 +87,7 @@
 // openRequestByID returns the open request of a client's id; nil: there is none.
 func openRequestByID(server *Server, id string) *openRequest {
 	for _, request := range server.requests.byID {
-		if string(request.received.ID()) == id {
+		if string(request.received.ClientID()) == id {
 			return request
 		}
 	}
@@ -96,7 +96,7 @@
 
 // send sends an attempt of the first request.
 func (test *unreadEnd) send() {
-	test.server.requests.startAttempt(test.request, policy.SendAttempt{ID: test.request.id, Backend: "s-0"})
+	test.server.requests.addAttempt(test.request, policy.SendAttempt{ID: test.request.id, Backend: "s-0"})
 }
 
 // acceptWritten takes the connection of an attempt to the backend, and waits until the command is written.
@@ -162,7 +162,7 @@
 	if !last.ended {
 		test.t.Fatal("it is forwarded")
 	}
-	outcomes := attemptOutcomes(test.server)
+	outcomes := attemptResults(test.server)
 	if last := outcomes[len(outcomes)-1]; last.Status != policy.NotSent || !last.RequestClosed {
 		test.t.Errorf("outcomes %+v", outcomes)
 	}
@@ -175,7 +175,7 @@
 	runTasksUntil(test.t, test.server, func() bool {
 		return len(test.server.requests.byID) == 0 && len(test.server.downstream.conns) == 0
 	})
-	if !test.other.ended || len(test.server.requests.idInUse) != 0 {
+	if !test.other.ended || len(test.server.requests.clientIDInUse) != 0 {
 		test.t.Error("what else it asked goes on")
 	}
 }
--- a/internal/gateway/upstream.go
+++ b/internal/gateway/upstream.go
@@ -10,15 +10,15 @@
 	"bellwood/internal/timerqueue"
 )
 
-// healthCheckDialTimes the dial timeout a health check may take.
+// healthCheckDialTimes is how long a health check may take, in dial timeouts.
 const healthCheckDialTimes = 2
 
-// attemptResults is what upstream needs of the requests whose attempts it carries.
-type attemptResults interface {
-	// answer gives a request its final answer; this ends the request.
+// attemptOwner is what upstream needs of the table of requests, whose attempts it carries.
+type attemptOwner interface {
+	// answer gives a request its final reply, which ends the request.
 	answer(request *openRequest, text []byte)
-	// attemptEnded gives the one outcome of an attempt.
-	attemptEnded(attempt *backendAttempt, outcome attemptOutcome)
+	// attemptEnded takes the one result of an attempt.
+	attemptEnded(attempt *backendAttempt, result attemptResult)
 	// clientGone ends the request of a client that has left.
 	clientGone(received *clientRequest)
 }
@@ -32,7 +32,7 @@
 // upstream sends attempts and health checks to backends, over a pool of connections for each. The loop owns it.
 type upstream struct {
 	loop           loop
-	results        attemptResults
+	owner          attemptOwner
 	dialTimeout    time.Duration
 	backendIdle    time.Duration // after which backends close an idle connection; 0: never
 	settleTime     time.Duration
@@ -43,14 +43,14 @@
 	maxConns  int
 }
 
-func newUpstream(loop loop, results attemptResults, cfg *Config) *upstream {
-	return &upstream{loop: loop, results: results, dialTimeout: cfg.Transport.DialTimeout,
+func newUpstream(loop loop, results attemptOwner, cfg *Config) *upstream {
+	return &upstream{loop: loop, owner: results, dialTimeout: cfg.Transport.DialTimeout,
 		backendIdle: cfg.Transport.ConnIdleTimeout, settleTime: cmp.Or(cfg.settleFor, settleTime),
 		maxRequestCost: cfg.Settings.MaxRequestCost, pools: map[string]*backendPool{},
 		maxConns: budget.BackendConns(cfg.Sockets)}
 }
 
-// updateEndpoint takes what discovery says of one backend.
+// updateEndpoint takes what discovery has of one backend.
 func (backends *upstream) updateEndpoint(endpoint policy.Backend, addr string) {
 	pool := backends.pools[endpoint.Name]
 	if pool == nil {
@@ -62,32 +62,34 @@
 		backends.takeBackDialing(pool)
 	}
 	if pool.inService = endpoint.State == policy.InService; !pool.inService {
-		backends.retire(pool)
+		backends.stopUsing(pool)
 	}
 }
 
-// retire sees to it that nothing new reaches a backend that drains or is gone.
+// stopUsing makes sure that nothing new reaches a backend that drains or has terminated.
 //
 // Failure: an attempt waits for its connection, which comes up when sends to the backend must have ended (250 ms after
 // discovery told that it drains). How it shows: the backend gets a request that it may never answer. Why this holds:
-// the dial is given up and the attempt taken back unsent, so the engine sends it elsewhere.
-// TestPendingDialIsNotWritten.
-func (backends *upstream) retire(pool *backendPool) {
+// the dial is given up and the attempt ends as not sent. The engine may then retry the request, and this attempt has
+// used up one of policy.Settings.MaxAttempts. As the result reaches the engine before the EndpointUpdate of the same
+// Step, the retry may even choose the same backend once more. TestPendingDialIsNotWritten.
+func (backends *upstream) stopUsing(pool *backendPool) {
 	backends.closeIdleSince(pool, backends.loop.now())
 	backends.takeBackDialing(pool)
 	backends.forgetIfUnused(pool)
 }
 
-// startAttempt sends an attempt, on the idle connection used last if there is one: a new one costs the backend work.
+// startAttempt sends an attempt on the idle connection used last, or on a new one if there is none: a new one costs the
+// backend work.
 func (backends *upstream) startAttempt(attempt *backendAttempt) {
 	pool := backends.pools[attempt.backend]
 	if pool == nil || !pool.inService || backends.endIfClientLeft(attempt) {
-		backends.results.attemptEnded(attempt, attemptOutcome{status: policy.NotSent})
+		backends.owner.attemptEnded(attempt, attemptResult{status: policy.NotSent})
 		return
 	}
 	conn := backends.acquire(pool)
-	if conn == nil { // for want of descriptors here, which is no fault of the backend
-		backends.results.attemptEnded(attempt, attemptOutcome{status: policy.NotSent})
+	if conn == nil { // no descriptor is left here, which is no fault of the backend
+		backends.owner.attemptEnded(attempt, attemptResult{status: policy.NotSent})
 		return
 	}
 	conn.attempt, attempt.conn = attempt, conn
@@ -110,28 +112,28 @@
 // endIfClientLeft ends the request of an attempt if its client has left, and says whether it has.
 //
 // Failure: a client has ended its connection, but the end lies unread: behind what it sent before, or because its
-// reader waits for room. How it shows: a backend works on a request that nobody waits for, counted as one sent on after
-// its client had left. Why this holds: the socket itself is asked, whatever lies unread in it, before an attempt takes
-// a connection and again when a dialed one has come up; wherever the request has waited until then, nothing is written
-// in between. TestUnreadEndStopsTheSend, TestEndBehindReadAheadStopsTheSend.
+// reader waits for room. How it shows: a backend works on a request that nobody waits for, counted as one forwarded
+// after its client had left. Why this holds: the socket itself is asked, whatever lies unread in it, before an attempt
+// takes a connection and again when a dialed one has come up; wherever the request has waited until then, nothing is
+// written in between. TestUnreadEndStopsTheSend, TestEndBehindReadAheadStopsTheSend.
 func (backends *upstream) endIfClientLeft(attempt *backendAttempt) bool {
 	left := attempt.clientLeft()
 	if left {
-		backends.results.clientGone(attempt.request.received)
+		backends.owner.clientGone(attempt.request.received)
 	}
 	return left
 }
 
-// noReplyInTime is called when no answer came in time. If the backend has said nothing at all since the command was
-// sent, its machine may be gone, and the connections that idle since then with it: they would stay open and silent, so
-// the next attempts must find out by new ones.
+// noReplyInTime is called when no reply came in time to what was sent at a time. If the backend has sent no reply at all
+// since then, its machine may be gone, and the connections that have been idle since with it: they would stay open and
+// silent. They are closed, so that the next attempts dial.
 func (backends *upstream) noReplyInTime(pool *backendPool, since time.Duration) {
 	if pool.lastReplyAt < since {
 		backends.closeIdleSince(pool, since)
 	}
 }
 
-// cancelAttempt gives up an attempt. Its connection is closed, so that an answer still to come reaches nobody.
+// cancelAttempt gives up an attempt. Its connection is closed, so that a reply still to come reaches nobody.
 func (backends *upstream) cancelAttempt(attempt *backendAttempt) {
 	if attempt.ended || attempt.conn == nil {
 		return
@@ -143,8 +145,8 @@
 	backends.dropConn(attempt.conn, status)
 }
 
-// startHealthCheck asks a backend whether it answers. Its idle connections are closed first: the check is to tell
-// whether the backend can be reached anew.
+// startHealthCheck asks a backend whether it answers. Its idle connections are closed first: the check has to find out
+// whether a new connection to the backend comes up.
 func (backends *upstream) startHealthCheck(name string) {
 	check := &healthCheck{backend: name}
 	pool := backends.pools[name]
@@ -168,7 +170,7 @@
 	backends.loop.emit(policy.HealthCheckResult{Backend: check.backend, Status: status})
 }
 
-// replyReceived takes an answer.
+// replyReceived takes a reply that came on a connection, and ends the attempt or health check that it carries.
 func (backends *upstream) replyReceived(conn *backendConn, reply protocol.Reply) {
 	if conn.closed {
 		return
@@ -176,7 +178,7 @@
 	attempt, check := conn.takeLoad()
 	if attempt != nil {
 		attempt.conn = nil
-		if reply.Unexpected { // what no backend made for a request is no value to serve
+		if reply.Unexpected { // it is no reply to a request, so it is not passed on
 			reply.Status = policy.Failed
 		}
 	}
@@ -198,15 +200,15 @@
 	}
 }
 
-// attemptReplied gives an attempt its outcome. A value is first passed on to the client, which ends the request, and
-// the outcome says so.
+// attemptReplied ends an attempt to which a reply came. A value is passed on to the client first, which ends the request,
+// as the attempt's result then tells.
 func (backends *upstream) attemptReplied(attempt *backendAttempt, reply protocol.Reply) {
 	if reply.Status == policy.OK {
-		backends.results.answer(attempt.request, reply.Value)
+		backends.owner.answer(attempt.request, reply.Value)
 	}
-	outcome := attemptOutcome{status: reply.Status, quotaUsage: reply.QuotaUsage}
+	result := attemptResult{status: reply.Status, quotaUsage: reply.QuotaUsage}
 	if limit := backends.maxRequestCost; limit == 0 || reply.Cost <= limit {
-		outcome.cost = reply.Cost
+		result.cost = reply.Cost
 	}
-	backends.results.attemptEnded(attempt, outcome)
+	backends.owner.attemptEnded(attempt, result)
 }
--- a/internal/gateway/upstream_test.go
+++ b/internal/gateway/upstream_test.go
@@ -66,7 +66,7 @@
 
 // However an attempt ends, the engine is told of one outcome, and what comes later changes nothing: not a cancel, nor
 // its deadline, nor the end of its connection.
-func TestOneOutcomeForEachAttempt(t *testing.T) {
+func TestOneResultForEachAttempt(t *testing.T) {
 	ends := map[string]struct {
 		want policy.Status
 		do   func(server *Server, attempt *backendAttempt, backend *peer)
@@ -96,11 +96,11 @@
 			}
 			end.do(server, attempt, backend)
 			runTasksUntil(t, server, func() bool { return attempt.ended })
-			wantOutcome(t, server, end.want)
+			wantResult(t, server, end.want)
 			cancelAttempt(server, attempt, backend)
 			exceedDeadline(server, attempt, backend)
 			conn.connectionEnded()
-			wantOutcome(t, server, end.want)
+			wantResult(t, server, end.want)
 			if end.want != policy.Rejected && end.want != policy.OK {
 				backend.wantsEnd()
 			}
@@ -147,7 +147,7 @@
 			attempt := newAttempt(t, server)
 			backend := accept(t, ln) // the connection is up, but the loop has not heard of it
 			end(server, attempt, backend)
-			wantOutcome(t, server, policy.NotSent)
+			wantResult(t, server, policy.NotSent)
 			for len(server.tasks) > 0 {
 				(<-server.tasks)()
 			}
@@ -174,7 +174,7 @@
 	attempt, backend := newAttemptInFlight(t, server, first)
 	other := &backendAttempt{request: attempt.request, number: 1, backend: "s-1", deadline: attempt.deadline}
 	server.upstream.startAttempt(other)
-	wantOutcome(t, server, policy.NotSent)
+	wantResult(t, server, policy.NotSent)
 	backend.write("*1\r\n$1\r\nx\r\n")
 	runTasksUntil(t, server, func() bool { return attempt.ended })
 	server.events = nil
@@ -188,7 +188,7 @@
 	server := newIdleServer(t, freeAddr(t))
 	attempt := newAttempt(t, server)
 	runTasksUntil(t, server, func() bool { return attempt.ended })
-	wantOutcome(t, server, policy.ConnectFailed)
+	wantResult(t, server, policy.ConnectFailed)
 }
 
 // A backend that has fallen silent may be a machine that is gone: connections that were idle since then are not
@@ -254,14 +254,14 @@
 	server.discovery.Apply(endpointList(2, next.Addr().String()).Endpoints, policy.Snapshot)
 	backend.write("*1\r\n$1\r\nx\r\n")
 	runTasksUntil(t, server, func() bool { return attempt.ended })
-	wantOutcome(t, server, policy.OK)
+	wantResult(t, server, policy.OK)
 	backend.wantsEnd()
 	server.events = nil
 	attempt = newAttempt(t, server)
 	dialing := attempt.conn
 	// It moves while it is being dialed.
 	server.discovery.Apply(endpointList(3, ln.Addr().String()).Endpoints, policy.Snapshot)
-	wantOutcome(t, server, policy.NotSent)
+	wantResult(t, server, policy.NotSent)
 	if !dialing.closed {
 		t.Error("the dial to the old address goes on")
 	}
@@ -274,7 +274,7 @@
 	attempt, _ := newAttemptInFlight(t, server, ln)
 	server.discovery.Apply(endpointList(2).Endpoints, policy.Snapshot)
 	server.timers.Run(attempt.deadline)
-	wantOutcome(t, server, policy.TimedOut)
+	wantResult(t, server, policy.TimedOut)
 	if len(server.upstream.pools) != 0 || server.upstream.connCount != 0 {
 		t.Errorf("%d backends and %d connections are kept", len(server.upstream.pools), server.upstream.connCount)
 	}
@@ -348,11 +348,11 @@
 	backend := accept(t, ln) // it is up, but the loop has not heard of it
 	attempt.sendBefore = server.now()
 	runTasksUntil(t, server, func() bool { return attempt.ended })
-	wantOutcome(t, server, policy.NotSent)
+	wantResult(t, server, policy.NotSent)
 	backend.wantsEnd()
 	server.events = nil
 	retry := policy.SendAttempt{ID: attempt.request.id, Backend: "s-0", SendBefore: 5}
-	server.requests.startAttempt(attempt.request, retry)
+	server.requests.addAttempt(attempt.request, retry)
 	if got := attempt.request.attempts[1].sendBefore; got != 5 {
 		t.Errorf("it may begin until %v", got)
 	}
@@ -368,7 +368,7 @@
 		attempt, backend := newAttemptInFlight(t, server, ln)
 		backend.write("*3\r\n" + respBulk("x") + respBulk(figures) + "$-1\r\n")
 		runTasksUntil(t, server, func() bool { return attempt.ended })
-		if got := attemptOutcomes(server); len(got) != 1 || got[0].Status != policy.OK || got[0].Cost != want {
+		if got := attemptResults(server); len(got) != 1 || got[0].Status != policy.OK || got[0].Cost != want {
 			t.Errorf("%q: %+v", figures, got)
 		}
 	}
--- a/internal/gateway/upstreamconns.go
+++ b/internal/gateway/upstreamconns.go
@@ -8,15 +8,15 @@
 )
 
 const (
-	// idleTimeoutShare of the time after which a backend closes an idle connection it is closed here before.
+	// An idle connection is closed here after idleTimeoutShare of the time after which the backend closes it.
 	idleTimeoutShare = 0.6
 
-	// settleTime is how long a connection rests after an answer before it is used again.
+	// settleTime is how long a connection rests after a reply before it is used again.
 	//
-	// Failure: a backend sends a second answer to one command, and it comes when the next command has been written.
-	// How it shows: a client is given the value of another client's request. Why this holds: a second answer was seen
-	// up to 4 ms behind the first, so by the end of the rest it lies unread, and acquire closes a connection that is
-	// not quiet. One that comes later than that would still be taken. TestLateSecondAnswerReachesNobody.
+	// Failure: a backend sends a second reply to one command, and it comes when the next command has been written. How
+	// it shows: a client is given the value of another client's request. Why this holds: a second reply was seen up to
+	// 4 ms behind the first, so by the end of the rest it lies unread, and acquire closes a connection that is not quiet.
+	// One that comes later than the rest would still be taken for the next reply. TestLateSecondAnswerReachesNobody.
 	settleTime = 10 * time.Millisecond
 )
 
@@ -36,9 +36,9 @@
 	return conn
 }
 
-// acquireIdle returns the idle connection used last that has settled and is quiet; nil: there is none. What came since
-// the last answer would be taken for the next one, and a connection that has ended would leave it open whether the
-// command has run: such connections are closed.
+// acquireIdle returns the idle connection used last that has settled and is quiet; nil: there is none. Those that are not
+// quiet are closed: what came since the last reply would be taken for the next one, and on a connection that has ended
+// nobody would know whether the command has run.
 func (backends *upstream) acquireIdle(pool *backendPool) *backendConn {
 	settledBy := backends.loop.now() - backends.settleTime
 	for i := len(pool.idle) - 1; i >= 0; i-- {
@@ -86,7 +86,7 @@
 	pool.idle = kept
 }
 
-// closeExpiredIdle closes what has been idle for long, before the backend does.
+// closeExpiredIdle closes the connections that have been idle for so long that the backend would close them soon.
 func (backends *upstream) closeExpiredIdle() {
 	if backends.backendIdle > 0 {
 		since := backends.loop.now() - time.Duration(float64(backends.backendIdle)*idleTimeoutShare)
@@ -111,13 +111,13 @@
 	conn.cancelDial()
 }
 
-// dropConn closes a connection and ends what it carried. It closes first: the next attempt must not go out while this
-// one still can be answered.
+// dropConn closes a connection and ends what it carried. It closes first: the next attempt must not be sent while this
+// one may still get a reply.
 func (backends *upstream) dropConn(conn *backendConn, status policy.Status) {
 	attempt, check := conn.takeLoad()
 	backends.closeConn(conn)
 	if attempt != nil {
-		backends.results.attemptEnded(attempt, attemptOutcome{status: status})
+		backends.owner.attemptEnded(attempt, attemptResult{status: status})
 	}
 	if check != nil {
 		backends.healthCheckEnded(check, status)
@@ -125,7 +125,7 @@
 	backends.forgetIfUnused(conn.pool)
 }
 
-// takeBackDialing takes back what waits for a connection to a backend, unsent.
+// takeBackDialing ends the attempts and health checks that wait for a connection to a backend, as not sent.
 func (backends *upstream) takeBackDialing(pool *backendPool) {
 	for conn := range pool.conns {
 		if conn.dialing() {
@@ -134,7 +134,7 @@
 	}
 }
 
-// takeBackAllDialing takes back all that waits for a connection, as the gateway goes out of service.
+// takeBackAllDialing ends all attempts and health checks that wait for a connection, as the gateway goes out of service.
 func (backends *upstream) takeBackAllDialing() {
 	for _, pool := range backends.pools {
 		backends.takeBackDialing(pool)
--- a/internal/gateway/watchdog/watchdog.go
+++ b/internal/gateway/watchdog/watchdog.go
@@ -1,4 +1,4 @@
-// Package watchdog reports an event loop that stands still.
+// Package watchdog reports an event loop that is stuck.
 package watchdog
 
 import (
@@ -9,15 +9,15 @@
 )
 
 const (
-	// stuckChecks: a loop that is in the same pass at so many checks in a row stands still. Checks are counted, not
-	// time: a process that was stopped as a whole makes none meanwhile.
+	// stuckChecks is at how many checks in a row a loop has to be in the same pass to count as stuck. Checks are counted,
+	// not time: a process that was paused as a whole makes none meanwhile.
 	stuckChecks = 4
-	// Interval between two checks, so that a loop is reported after 5 s.
+	// Interval is the time between two checks, so that a stuck loop is reported after 5 s.
 	Interval      = 1250 * time.Millisecond
 	maxStackBytes = 256 << 10 // of all goroutines
 )
 
-// Watchdog writes to the log where all goroutines stand when the loop does not come round.
+// Watchdog writes the stacks of all goroutines to the log when the loop is stuck.
 //
 // Failure: the loop waits for something that waits for the loop (a lock held over a close, a pipe that nobody reads).
 // How it shows: no request is answered, and the log is silent, as the loop writes it. Why this finds it: it runs on a
