--- a/internal/gateway/protocol/protocol_test.go
+++ b/internal/gateway/protocol/protocol_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"strings"
 	"testing"
 	"time"
 
@@ -41,3 +42,17 @@
 		}
 	}
 }
+
+// A client may give any bytes as an id. What the log shows of it is bounded, and harms no terminal.
+func TestLoggedIDIsPrintableAndBounded(t *testing.T) {
+	for id, want := range map[string]string{
+		"9b1f03aa5c7e2d41":          "9b1f03aa5c7e2d41",
+		"a\x1b[2Jb\n":               "a?[2Jb?",
+		strings.Repeat("x", 64<<10): strings.Repeat("x", maxLoggedID),
+	} {
+		request := Request{args: [][]byte{argumentID: []byte(id)}}
+		if got := request.PrintableID(); got != want {
+			t.Errorf("%.20q: %q", id, got)
+		}
+	}
+}
--- a/internal/gateway/protocol/request.go
+++ b/internal/gateway/protocol/request.go
@@ -14,6 +14,9 @@
 	argumentFields = 3 // names and values: c=...,t=...,d=...
 )
 
+// maxLoggedID bounds a client's id on the log, in bytes. Those of the protocol page's examples have 16.
+const maxLoggedID = 64
+
 // Request is a client's request as it came.
 type Request struct {
 	TimeLeft    time.Duration // how long the client waits from its arrival on
@@ -30,6 +33,12 @@
 // ClientID is the id that the client gave the request. It must not be changed.
 func (request *Request) ClientID() []byte { return request.args[argumentID] }
 
+// PrintableID is the client's id for the log: its first maxLoggedID bytes, with ? for what can't be printed.
+func (request *Request) PrintableID() string {
+	id := request.ClientID()
+	return printable(id[:min(len(id), maxLoggedID)])
+}
+
 // Forward returns the command for a backend: as it came but for d, which tells how long this gateway will wait.
 func (request *Request) Forward(wait time.Duration) []byte {
 	command := redcon.AppendArray(nil, len(request.args))
--- a/internal/gateway/requesttable.go
+++ b/internal/gateway/requesttable.go
@@ -106,7 +106,8 @@
 	}
 	for _, request := range table.overdue {
 		if !request.ended {
-			table.log.Error("request deadline exceeded in the event loop", slog.Uint64("request_id", request.id))
+			table.log.Error("request deadline exceeded in the event loop",
+				slog.String("request_id", request.received.PrintableID()))
 			table.abandon(request)
 		}
 	}
