--- a/internal/gateway/backendconn.go
+++ b/internal/gateway/backendconn.go
@@ -41,12 +41,12 @@
 	writeState   atomic.Int32 // of the command that was last given to it
 	readEnded    atomic.Bool  // the reader has ended
 	malformed    atomic.Bool  // the reader has ended because what came is no reply
-	commandsSent atomic.Int32 // commands given to it; the reader counts replies against it
+	commandsSent atomic.Int32 // commands given to it; the reader compares its number of replies with this
 }
 
 func (conn *backendConn) dialing() bool { return conn.socket == nil }
 
-// quiet says whether the connection stands and nothing lies unread in it.
+// quiet says whether the connection is open and nothing lies unread in it.
 func (conn *backendConn) quiet() bool { return !conn.readEnded.Load() && rawsocket.Quiet(conn.socket) }
 
 // takeLoad takes off what the connection carries.
@@ -170,7 +170,7 @@
 func (conn *backendConn) connectionEnded() {
 	conn.pool.removeIdle(conn)
 	if conn.attempt != nil && conn.commandsSent.Load() > 1 {
-		conn.upstream.closeIdleSince(conn.pool, conn.idleSince) // what has been idle for longer is no better
+		conn.upstream.closeIdleSince(conn.pool, conn.idleSince) // those idle for longer have probably ended, too
 	}
 	status := policy.ConnectionReset
 	if conn.malformed.Load() {
--- a/internal/gateway/backendpool.go
+++ b/internal/gateway/backendpool.go
@@ -5,11 +5,11 @@
 	"time"
 )
 
-// backendPool is what is known of one backend's address, and its connections. The loop owns it.
+// backendPool has what is known of one backend's address, and its connections. The loop owns it.
 type backendPool struct {
 	name, addr  string
 	startedAt   time.Duration // of the process at addr, as discovery gives it (Unix time)
-	generation  int           // of addr and startedAt
+	generation  int           // how often addr or startedAt has changed
 	inService   bool
 	conns       map[*backendConn]bool // all, those being dialed too
 	idle        []*backendConn        // the one used last at the end
--- a/internal/gateway/budget/budget.go
+++ b/internal/gateway/budget/budget.go
@@ -1,5 +1,6 @@
-// Package budget divides what the operators give a gateway (limits.sockets and limits.memory_mb of its configuration)
-// among those who use it, so that a crowd of clients never takes what backends, discovery and the counter need.
+// Package budget divides a gateway's descriptors and memory (limits.sockets and limits.memory_mb of its configuration)
+// among clients, backends and all else, so that a crowd of clients never takes what backends, discovery and the counter
+// need.
 package budget
 
 const (
@@ -18,7 +19,7 @@
 
 	defaultConns = 400 // for clients and for backends each, where the configuration sets no limit
 
-	clientMemoryShare   = 0.25     // of the memory limit, for what clients have sent and not yet read
+	clientMemoryShare   = 0.25     // of the memory limit, for what clients make the gateway hold (Bytes)
 	defaultClientMemory = 32 << 20 // bytes, where the configuration sets no limit
 )
 
--- a/internal/gateway/clientclose.go
+++ b/internal/gateway/clientclose.go
@@ -7,12 +7,13 @@
 )
 
 const (
-	lingerTimeout  = 1500 * time.Millisecond // for the rest of what was rejected
-	maxLingerBytes = 64 << 20                // of what was rejected that are read on one connection
+	lingerTimeout  = 1500 * time.Millisecond // for the rest of what a client sends behind a protocol error
+	maxLingerBytes = 64 << 20                // that are read of it on one connection
 	maxLingering   = 16                      // connections that linger at once
 )
 
-// startLinger closes the sending side once all is answered. The caller holds mu.
+// startLinger closes the sending side once all is answered, and lets what still comes be read for lingerTimeout: see
+// rejectAndDiscard. The caller holds mu.
 func (conn *clientConn) startLinger() {
 	half, ok := conn.socket.(halfCloser)
 	if conn.lingering = true; !conn.downstream.tryLinger() || !ok || half.CloseWrite() != nil {
@@ -23,8 +24,8 @@
 	conn.roomOrClosed.Broadcast()
 }
 
-// closeIfClientLeft says whether the client has ended its connection, which its reader may not know yet: it may wait
-// for room, or have more to read before the end. The connection is then closed here too, and all its requests end.
+// closeIfClientLeft says whether the connection has ended. The client may have ended it without the reader knowing yet,
+// which may wait for room, or have more to read before the end. It is then closed here too, and all its requests end.
 func (conn *clientConn) closeIfClientLeft() bool {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
@@ -48,7 +49,7 @@
 	conn.mu.Unlock()
 }
 
-// finish makes what comes from now on be rejected, and the connection end once it owes no reply.
+// finish makes what comes from now on be rejected, and the connection end once no reply is owed on it.
 func (conn *clientConn) finish() {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
@@ -80,8 +81,8 @@
 // betweenRequests says whether no part of a command has come. The caller holds mu.
 //
 // Failure: the connection is closed over a request that is half read, or unread in the socket. How it shows: the
-// request is lost, and what lies unread makes the kernel reset the connection, which can take answers on their way
-// along. Why this holds: the reader takes bytes only under mu (receive), so they are either in the socket, where Quiet
+// request is lost, and what lies unread makes the kernel reset the connection, which can lose replies on their
+// way. Why this holds: the reader takes bytes only under mu (receive), so they are either in the socket, where Quiet
 // sees them, or noted in commandBegun. TestUnreadRequestKeepsTheConnection.
 func (conn *clientConn) betweenRequests() bool {
 	return !conn.commandBegun && rawsocket.Quiet(conn.socket)
--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -20,10 +20,10 @@
 	firstCommandTimeout = 2500 * time.Millisecond // from connecting, for the first command
 	commandTimeout      = 2500 * time.Millisecond // from its first bytes, for any later one
 
-	requestOverheadBytes = 1 << 10 // of a request beside its text
+	requestOverheadBytes = 1 << 10 // memory of a request beside its text
 
-	unusablePause    = 50 * time.Millisecond // before the next command is taken, from the second unusable one in a row on
-	maxUnusableInRow = 16                    // unusable commands in a row at which the connection is closed
+	unusablePause    = 50 * time.Millisecond // after an unusable command, from the second in a row on
+	maxUnusableInRow = 16                    // at so many the connection is closed
 )
 
 // notEvictable is the value of clientConn.idleSince while a reply is pending, and on a connection that was chosen to make
@@ -33,7 +33,7 @@
 // clientConn is one connection of a client.
 //
 // Its reader, the goroutine of serve, owns it: it takes commands until the connection ends and then cleans up. The
-// loop, and any goroutine that evicts connections, give answers and close it under mu. A further goroutine writes what
+// loop, and any goroutine that evicts connections, answer on it and close it under mu. A further goroutine writes what
 // the socket does not take at once (writeRest), until all is written or the connection is closed.
 type clientConn struct {
 	downstream *downstream
@@ -45,9 +45,9 @@
 	commandDeadline time.Time // of the command that is being read; zero: none has begun
 	readingAhead    bool      // no further command may be taken, but it is read on to see the connection's end
 	deadlineSet     bool      // a read deadline is set
-	unusableInRow   int       // commands in a row that could not be used
+	unusableInRow   int       // commands in a row that were answered with an error
 
-	commandSeen atomic.Bool  // it has asked something
+	commandSeen atomic.Bool  // a command has come on it
 	idleSince   atomic.Int64 // since when no reply is pending, on the loop's clock; or notEvictable
 
 	// mu guards the fields below, and the closing of the socket. Whoever closes holds it; see receive for what that
@@ -131,7 +131,8 @@
 	return conn.rejectUnusable(protocol.UnknownCommand(args[0]))
 }
 
-// takeRequest hands a request of so many bytes to the loop, or answers it, and says whether to go on.
+// takeRequest hands a request to the loop, or answers it if it can't be read, the connection is finishing, or there is no
+// memory for it. size is that of the command in bytes. It says whether to go on.
 func (conn *clientConn) takeRequest(command string, args [][]byte, size int) bool {
 	clients := conn.downstream
 	arrivedAt := clients.loop.now()
@@ -140,7 +141,7 @@
 		return conn.rejectUnusable(protocol.Error(err))
 	}
 	conn.unusableInRow = 0
-	if conn.isFinishing() { // it has been taken, so it is answered; the client can turn to another gateway
+	if conn.isFinishing() { // the client can turn to another gateway
 		return conn.replyNow(string(protocol.Busy(0)))
 	}
 	memory := int64(size) + requestOverheadBytes
@@ -155,8 +156,8 @@
 	return true
 }
 
-// rejectUnusable answers a command that can't be used, and says whether to go on. The next one is read after a pause,
-// as a client that sends the same again and again would else take the core from the others.
+// rejectUnusable answers a command that can't be used with an error, and says whether to go on. From the second in a row
+// on the next command is read after a pause: a client that sends the same again and again must not take up the core.
 func (conn *clientConn) rejectUnusable(line string) bool {
 	if conn.unusableInRow++; conn.unusableInRow >= maxUnusableInRow {
 		conn.rejectAndDiscard(line)
--- a/internal/gateway/clientreader.go
+++ b/internal/gateway/clientreader.go
@@ -10,6 +10,7 @@
 	"bellwood/internal/resp"
 )
 
+// discardBufferBytes is the size of the buffer into which input is read that is thrown away.
 const discardBufferBytes = 32 << 10
 
 // Read reads from the socket for the reader of commands. A command has one deadline, however its bytes drip in, and so
@@ -63,7 +64,7 @@
 			return 0, err
 		case lockBusy:
 			conn.mu.Lock()
-			conn.mu.Unlock() // whoever held it is done
+			conn.mu.Unlock() // the goroutine that held it is done
 		case failure != nil:
 			return 0, failure
 		case n == 0:
@@ -84,8 +85,8 @@
 	return n, err
 }
 
-// pause waits, and says whether the connection stands. It reads on meanwhile, as far as that takes no memory, so that a
-// client that leaves is seen (TestPauseEndsWithTheConnection).
+// pause waits, and says whether the connection is still open. It reads on meanwhile, as far as that takes no memory, so
+// that a client that leaves is seen (TestPauseEndsWithTheConnection).
 func (conn *clientConn) pause(duration time.Duration) bool {
 	end := time.Now().Add(duration)
 	conn.socket.SetReadDeadline(end)
@@ -125,7 +126,7 @@
 	}
 }
 
-// signalRoom wakes whoever waits for room. The caller holds mu.
+// signalRoom wakes the reader if it waits for room. The caller holds mu.
 func (conn *clientConn) signalRoom() {
 	conn.roomOrClosed.Broadcast()
 	if conn.readerParked {
@@ -133,11 +134,12 @@
 	}
 }
 
-// rejectAndDiscard answers what can't be read and throws the rest away until the connection ends.
+// rejectAndDiscard answers input that can't be read with an error line, and throws the rest away until the connection
+// ends.
 //
 // Failure: the connection is closed while the client still sends, so the kernel resets it. How it shows: the client
-// loses the error line, and answers before it. Why this holds: what comes is read for a while behind the line; and from
-// the start, so that a client that leaves is seen though answers before this one are still owed.
+// loses the error line, and replies before it. Why this holds: what comes is read for a while behind the line; and from
+// the start, so that a client that leaves is seen even while replies before this one are still owed.
 // TestErrorLineOutlivesTheRest, TestLeavingClientIsSeen.
 func (conn *clientConn) rejectAndDiscard(line string) {
 	conn.socket.SetReadDeadline(time.Time{})
--- a/internal/gateway/clientreply.go
+++ b/internal/gateway/clientreply.go
@@ -19,7 +19,7 @@
 type pendingReply struct {
 	text    []byte
 	ready   bool
-	request *clientRequest // nil for what the gateway answers by itself
+	request *clientRequest // nil: the reply is to a command that is no request, or it is given
 	memory  int64          // bytes taken from the budget until it is answered
 }
 
@@ -84,7 +84,7 @@
 	return unwritten
 }
 
-// drop gives back the memory of all that is not answered or not written, and returns the requests that have no answer.
+// drop gives back the memory of all that is not answered or not written, and returns the requests that have no reply.
 func (queue *replyQueue) drop() (unanswered []*clientRequest) {
 	for _, reply := range queue.pending {
 		if reply.request != nil {
@@ -97,15 +97,15 @@
 	return unanswered
 }
 
-// replyNow answers a command that takes no request, in its order, and says whether the connection stands.
+// replyNow answers a command at once, in its order among the others, and says whether the connection is still open.
 func (conn *clientConn) replyNow(line string) bool {
 	reply := conn.reserveReply(nil, 0)
 	conn.answer(reply, []byte(line))
 	return reply != nil
 }
 
-// reserveReply keeps a place for the next reply. It waits while too many are kept already, or those before are not
-// read; nil: the connection ended. The memory has been taken from the budget.
+// reserveReply keeps a place for the next reply. It waits while the queue is full; nil: the connection ended. The caller
+// has taken the memory from the budget.
 func (conn *clientConn) reserveReply(request *clientRequest, memory int64) *pendingReply {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
@@ -126,8 +126,8 @@
 	return reply
 }
 
-// answer fills a place, once; nil is passed over. What then stands at the head is written as far as the socket takes
-// it, and the rest by a goroutine of its own: a slow client must not hold up the caller, which may be the loop.
+// answer fills a place, once; nil is passed over. The replies that are then ready are written as far as the socket takes
+// them, and the rest by a goroutine of its own: a slow client must not hold up the caller, which may be the loop.
 func (conn *clientConn) answer(reply *pendingReply, text []byte) {
 	if reply == nil {
 		return
@@ -166,7 +166,7 @@
 	}
 }
 
-// writeRest writes what is there.
+// writeRest writes replies until none is unwritten or the connection ends. It is a goroutine of its own.
 func (conn *clientConn) writeRest() {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
--- a/internal/gateway/clientrequest.go
+++ b/internal/gateway/clientrequest.go
@@ -10,10 +10,10 @@
 type clientRequest struct {
 	*protocol.Request
 	conn      *clientConn
-	reply     *pendingReply // the place of its answer among those of the connection
+	reply     *pendingReply // the place of its reply among those of the connection
 	id        uint64        // that requestTable gave it; 0: it was not taken in. The client's is ClientID
 	arrivedAt time.Duration // when its last byte was read, on the loop's clock
 }
 
-// answer gives the request its answer, once; a further one is passed over. It does not wait for the client.
+// answer gives the request its reply, once; a further one is passed over. It does not wait for the client.
 func (request *clientRequest) answer(text []byte) { request.conn.answer(request.reply, text) }
--- a/internal/gateway/counter/connection.go
+++ b/internal/gateway/counter/connection.go
@@ -99,7 +99,7 @@
 	}
 }
 
-// dial connects, in a goroutine of its own. The calls that wait for it end by their own timeouts.
+// dial connects, in a goroutine of its own. The calls that wait for it end by their own timeouts, or when it fails.
 func (c *connection) dial(address string, timeout time.Duration) {
 	conn, err := net.DialTimeout("tcp", address, timeout)
 	c.client.loop.Post(func() { c.dialed(conn, err) })
--- a/internal/gateway/downstream.go
+++ b/internal/gateway/downstream.go
@@ -10,8 +10,8 @@
 	"bellwood/internal/gateway/protocol"
 )
 
-// firstRequestGrace: a new connection brings its first request within this. A shutdown leaves it the time for it, as
-// its client has connected in good faith (TestNewConnectionHasTimeForItsRequest).
+// firstRequestGrace is how long a shutdown leaves a new connection open for its first request, which its client is about
+// to send (TestNewConnectionHasTimeForItsRequest).
 const firstRequestGrace = 100 * time.Millisecond
 
 // requestHandler is what downstream needs of the open requests. Both methods are called on the loop.
@@ -32,7 +32,7 @@
 	service  serviceState
 	log      *slog.Logger
 	maxConns int64         // connections of clients that may be open
-	memory   *budget.Bytes // that all clients together may make the gateway hold
+	memory   *budget.Bytes // what all clients together make the gateway hold
 }
 
 // downstream accepts the connections of clients and keeps them. Its methods may be called from any goroutine; accept
@@ -41,8 +41,8 @@
 	downstreamConfig
 	loop        loop
 	connCount   atomic.Int64
-	lingering   atomic.Int64  // connections on which only the rest of what was rejected is awaited
-	rejected    atomic.Int64  // connections that found no room, on which the rest of what was sent is awaited
+	lingering   atomic.Int64  // connections whose last reply was an error line, on which the rest of what comes is read
+	rejected    atomic.Int64  // connections for which there was no room, on which the rest of what comes is read
 	acceptEnded chan struct{} // closed once no more connections are taken
 
 	mu    sync.Mutex // guards conns; never taken under a connection's lock
@@ -70,14 +70,14 @@
 	clients.connCount.Add(-1)
 }
 
-// tryLinger says whether one more connection may be held for the rest of what was rejected; it counts as held in any
-// case, until lingerEnded.
+// tryLinger says whether one more connection may linger (startLinger). It counts as lingering in either case, until
+// lingerEnded.
 func (clients *downstream) tryLinger() bool { return clients.lingering.Add(1) <= maxLingering }
 
 func (clients *downstream) lingerEnded() { clients.lingering.Add(-1) }
 
-// drain closes the connections that stand between two requests, and the others with their last answer. It says whether
-// none is left. The loop calls it again and again during a shutdown.
+// drain closes the connections that stand between two requests, and makes the others end with their last reply. It says
+// whether none is left. The loop calls it again and again during a shutdown.
 func (clients *downstream) drain() bool {
 	conns, open := clients.drainable()
 	for _, conn := range conns { // all first, so that no client finds one closed and turns to another
--- a/internal/gateway/idleserver_test.go
+++ b/internal/gateway/idleserver_test.go
@@ -52,7 +52,7 @@
 	}
 }
 
-// attemptResults returns the outcomes told so far.
+// attemptResults returns the results of attempts that the engine is to be told, so far.
 func attemptResults(server *Server) (all []policy.AttemptResult) {
 	for _, ev := range server.events {
 		if o, ok := ev.(policy.AttemptResult); ok {
@@ -62,11 +62,11 @@
 	return all
 }
 
-// wantResult fails unless the engine is told of one outcome, and of this one.
+// wantResult fails unless the engine is told of one result, and of this one.
 func wantResult(t *testing.T, server *Server, want policy.Status) {
 	t.Helper()
 	if got := attemptResults(server); len(got) != 1 || got[0].Status != want {
-		t.Errorf("outcomes %+v, want one %v", got, want)
+		t.Errorf("results %+v, want one %v", got, want)
 	}
 }
 
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -15,18 +15,21 @@
 )
 
 const (
-	acceptRetryPause = 10 * time.Millisecond // after accept failed, for want of descriptors, say
+	acceptRetryPause = 10 * time.Millisecond // after accept failed, as for want of descriptors
 
-	nearlyFull            = 0.9                    // of the connections that may be open: then idle ones are closed
-	minIdle               = 2 * time.Second        // a connection with no open request may be closed after this
-	minIdleWithoutCommand = 500 * time.Millisecond // where there is none such, one on which nothing was ever asked
-	minIdleWhenFull       = 250 * time.Millisecond // with no room left at all, any one: the newcomer has a request
-	fullRetryAfter        = 100 * time.Millisecond // what a client is told for which there is no room
+	// Connections are closed to make room from nearlyFull of the allowed number on: those that have been idle for minIdle
+	// first, then those without any command yet for minIdleWithoutCommand. Only where no room is left at all, any that has
+	// been idle for minIdleWhenFull: the new connection most likely brings a request.
+	nearlyFull            = 0.9
+	minIdle               = 2 * time.Second
+	minIdleWithoutCommand = 500 * time.Millisecond
+	minIdleWhenFull       = 250 * time.Millisecond
 
-	rejectedLinger = 250 * time.Millisecond // for the rest of what came on a connection for which there is no room
+	fullRetryAfter = 100 * time.Millisecond // Retry-After of a rejection for want of room or memory
+	rejectedLinger = 250 * time.Millisecond // how long the rest is read of what came on a rejected connection
 
-	backlogPollTime = 5 * time.Millisecond   // with no connection for so long, none is left that came before
-	maxBacklogTime  = 100 * time.Millisecond // so long at most they are taken
+	backlogPollTime = 5 * time.Millisecond   // when no connection came for this long, the backlog is empty
+	maxBacklogTime  = 100 * time.Millisecond // connections are accepted from the backlog for this long at most
 )
 
 // deadlineListener is a listener whose Accept can be given a deadline, as that of TCP.
@@ -48,14 +51,14 @@
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			now := time.Now()
-			if backlog.taken(now) {
+			if backlog.ended(now) {
 				return
 			}
 			ln.(deadlineListener).SetDeadline(now.Add(backlogPollTime))
 			continue
 		}
 		backlog.emptied = false
-		if err != nil { // out of descriptors, say: what was taken goes on meanwhile
+		if err != nil { // as for want of descriptors: the open connections go on meanwhile
 			clients.log.Warn("accepting a client connection failed", slog.Any("error", err))
 			time.Sleep(acceptRetryPause)
 			continue
@@ -70,25 +73,26 @@
 	}
 }
 
-// stopAccepting makes accept end: with a deadline where the listener has one, so that its backlog is still taken.
+// stopAccepting makes accept end: by a deadline if the listener takes one, so that its backlog is still accepted.
 func stopAccepting(ln net.Listener) {
 	if listener, ok := ln.(deadlineListener); !ok || listener.SetDeadline(time.Now()) != nil {
 		ln.Close()
 	}
 }
 
-// backlog follows the connections that stand in a listener's backlog when it is to end.
+// backlog follows whether connections are left in the backlog of a listener that is to end.
 //
 // Failure: closing a listener resets the connections in its backlog. How it shows: their clients hold them for open,
-// have sent their requests, and get a reset during a shutdown. Why this holds: they are accepted until none came for a
-// poll; and under a load that never ends, for a bounded time. TestShutdownAcceptsTheBacklog, TestAcceptEndsUnderLoad.
+// have sent their requests, and get a reset during a shutdown. Why this holds: they are accepted until none came for
+// backlogPollTime; and under a load that never ends, for maxBacklogTime. TestShutdownAcceptsTheBacklog,
+// TestAcceptEndsUnderLoad.
 type backlog struct {
-	until   time.Time // no longer are they taken; zero: the listener has not been told to end
+	until   time.Time // connections are accepted until then; zero: the listener has not been told to end
 	emptied bool      // none has come since the last poll
 }
 
-// taken is told that Accept has come to its deadline, and says whether the backlog is taken.
-func (backlog *backlog) taken(now time.Time) bool {
+// ended notes that Accept has come to its deadline, and says whether no more connections are accepted.
+func (backlog *backlog) ended(now time.Time) bool {
 	if backlog.until.IsZero() {
 		backlog.until = now.Add(maxBacklogTime)
 	} else if backlog.emptied || now.After(backlog.until) {
@@ -104,9 +108,10 @@
 const (
 	roomForMany room = iota
 	roomForFew       // idle connections are closed
-	noRoom           // so are those that may be asked again soon
+	noRoom           // so are those that were used a moment ago
 )
 
+// room says how many more connections of clients may be opened now.
 func (clients *downstream) room() room {
 	switch open := clients.connCount.Load(); {
 	case open >= clients.maxConns:
@@ -127,8 +132,8 @@
 }
 
 // closeLongestIdle closes the connection that has been idle longest, if one may be closed, and says whether it did.
-// Clients that ask once, or never, and keep their connections would else fill the share, and the usual ones be
-// rejected.
+// Without this, clients that send one request, or none, and keep their connections would use up the clients' share of
+// descriptors, and all others would be rejected.
 //
 // Failure: a request comes on the very connection that is being closed. How it shows: the client gets a reset for a
 // request that it sent in time. Why this holds: a connection is closed only where neither its buffer nor its socket
@@ -140,8 +145,8 @@
 		return false
 	}
 	ended := longest.closeIfBetweenRequests()
-	longest.idleSince.Store(notEvictable) // it makes room once
-	if !ended {                           // a request has come on it just now
+	longest.idleSince.Store(notEvictable)
+	if !ended { // a request has come on it just now
 		return clients.closeLongestIdle(left)
 	}
 	runtime.Gosched() // its reader gives the descriptor back
--- a/internal/gateway/protocol/command.go
+++ b/internal/gateway/protocol/command.go
@@ -35,7 +35,7 @@
 	return args, true
 }
 
-// printable makes what a client sent fit for an error line.
+// printable makes what a client sent fit for an error line or the log.
 func printable(text []byte) string {
 	return strings.Map(func(char rune) rune {
 		if char < ' ' || char > '~' {
--- a/internal/gateway/protocol/parser.go
+++ b/internal/gateway/protocol/parser.go
@@ -21,14 +21,14 @@
 	fieldKey          = "k" // the idempotency key
 	fieldRetry        = "r" // 1: the client sends the request again
 	fieldCost         = "units"
-	fieldGateways     = "spread" // over how many gateways the tenant's requests are spread ...
-	fieldFirstGateway = "first"  // ... from which one on
+	fieldGateways     = "spread" // over how many gateways the tenant's requests are spread
+	fieldFirstGateway = "first"  // the index of the first of these
 )
 
 const (
 	timeLeftTolerance     = time.Second // by which a client may say it waits longer than its class's time
 	defaultMaxRequestCost = 1e9         // units of a request, where the settings do not say
-	usualFields           = 16          // of a request: for these no memory is taken
+	usualFields           = 16          // names of so many fields are kept without an allocation
 	tenantDigits          = 16          // hex digits of a tenant's name
 	maxTenant             = 1 << 33     // names of tenants, as numbers, are below this
 )
--- a/internal/gateway/protocol/reply.go
+++ b/internal/gateway/protocol/reply.go
@@ -16,7 +16,7 @@
 	figureCost       = "cost=" // of the request, where it is settled on the response
 )
 
-// maxQuotaUsage in percent: what is not below it is not believed.
+// maxQuotaUsage, in percent, is the bound from which on a reported usage is not believed.
 const maxQuotaUsage = 1e6
 
 // Reply is what a backend sent for one command.
--- a/internal/gateway/protocol/request.go
+++ b/internal/gateway/protocol/request.go
@@ -27,7 +27,7 @@
 	ClientRetry bool          // the client sends it again
 
 	args                     [][]byte // the command as it came
-	timeLeftFrom, timeLeftTo int      // where the figure of d stands in the list of fields
+	timeLeftFrom, timeLeftTo int      // where the value of d begins and ends in the list of fields
 }
 
 // ClientID is the id that the client gave the request. It must not be changed.
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -6,15 +6,15 @@
 	acceptAfterSignal   = 500 * time.Millisecond // new connections are still taken this long after SIGTERM
 	maxShutdownDeadline = 3 * time.Second        // a longer deadline counts as this: SIGKILL does not wait for it
 	lastReplyMargin     = 100 * time.Millisecond // beyond the longest deadline, for the last replies on their way
-	lastFlush           = 50 * time.Millisecond  // to write what is answered only then
-	shutdownPollTime    = 10 * time.Millisecond  // the loop comes round this often during a shutdown
+	lastFlush           = 50 * time.Millisecond  // behind abandonAt, to write the replies given then
+	shutdownPollTime    = 10 * time.Millisecond  // the longest time between two passes of the loop during a shutdown
 )
 
 // shutdown is the schedule of a graceful shutdown, on the loop's clock. The zero value: none has begun.
 //
-// Failure: a request that a client has sent is lost, as its connection or the process ends before the answer. How it
+// Failure: a request that a client has sent is lost, as its connection or the process ends before the reply. How it
 // shows: clients see resets during a rolling restart. Why this holds: connections are taken until drainFrom, by which
-// time clients have heard of the shutdown; each then ends between two requests or with its last answer; and what is
+// time clients have heard of the shutdown; each then ends between two requests or with its last reply; and what is
 // open at abandonAt is answered with an error, before the operators' SIGKILL. TestShutdownAnswersWhatWasTaken,
 // TestShutdownAnswersOpenRequests.
 type shutdown struct {
@@ -23,7 +23,7 @@
 	endAt     time.Duration // the loop ends, whatever is open
 }
 
-// newShutdown returns the schedule of a shutdown that begins now, where clients wait so long at most.
+// newShutdown returns the schedule of a shutdown that begins now. No client waits for longer than maxClientTimeout.
 func newShutdown(now, maxClientTimeout time.Duration) shutdown {
 	drainFrom := now + acceptAfterSignal
 	abandonAt := drainFrom + min(maxClientTimeout, maxShutdownDeadline) + lastReplyMargin
--- a/internal/gateway/unreadend_test.go
+++ b/internal/gateway/unreadend_test.go
@@ -162,9 +162,9 @@
 	if !last.ended {
 		test.t.Fatal("it is forwarded")
 	}
-	outcomes := attemptResults(test.server)
-	if last := outcomes[len(outcomes)-1]; last.Status != policy.NotSent || !last.RequestClosed {
-		test.t.Errorf("outcomes %+v", outcomes)
+	results := attemptResults(test.server)
+	if last := results[len(results)-1]; last.Status != policy.NotSent || !last.RequestClosed {
+		test.t.Errorf("results %+v", results)
 	}
 }
 
--- a/internal/gateway/upstream_test.go
+++ b/internal/gateway/upstream_test.go
@@ -64,7 +64,7 @@
 	client.wants("two")
 }
 
-// However an attempt ends, the engine is told of one outcome, and what comes later changes nothing: not a cancel, nor
+// However an attempt ends, the engine is told of one result, and what comes later changes nothing: not a cancel, nor
 // its deadline, nor the end of its connection.
 func TestOneResultForEachAttempt(t *testing.T) {
 	ends := map[string]struct {
