--- a/internal/audit/pausecheck_test.go
+++ b/internal/audit/pausecheck_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// A gateway that stood still forwards nothing until it has heard from discovery, or its time for that is over.
-func TestGatewayThatStoodStillWaitsForItsList(t *testing.T) {
+// A gateway whose process was paused forwards nothing until it has heard from discovery, or its time for that is over.
+func TestPausedGatewayWaitsForItsList(t *testing.T) {
 	for name, discoveryAnswers := range map[string]bool{"discovery answers": true, "discovery is silent": false} {
 		t.Run(name, func(t *testing.T) {
 			f := newSimFleet(t, 1, 5)
--- a/internal/gateway/audit_test.go
+++ b/internal/gateway/audit_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-// A process that stood still between two passes leaves service, and asks discovery, before the pass does anything else.
+// A process that was paused between two passes leaves service, and calls discovery, before the pass does anything else.
 func TestAuditLeavesServiceAfterAPauseOfTheProcess(t *testing.T) {
 	a, gateway := startAuditor(t)
 	a.adopted(2, audit.FromDelta)
--- a/internal/gateway/clientgone_test.go
+++ b/internal/gateway/clientgone_test.go
@@ -367,7 +367,7 @@
 	}
 }
 
-// A client leaves while the counter is asked for its request. The request is not forwarded when the answer comes.
+// A client leaves while a counter call for its request is in flight. The request is not forwarded when the result comes.
 func TestClientLeavesDuringACounterCall(t *testing.T) {
 	ln, counter := listen(t), listen(t)
 	gateway := startGateway(t, []string{ln.Addr().String()}, func(cfg *Config, t *testing.T) {
--- a/internal/gateway/descriptorlimit_test.go
+++ b/internal/gateway/descriptorlimit_test.go
@@ -15,7 +15,7 @@
 // While discovery is down, clients that idle fill a gateway's share of the descriptors, and hundreds more come again
 // and again. At the smallest limits the shares once added up to more than the limit, so when discovery and the counter
 // came back there was no descriptor for them. Now the watch is opened, the counter answers, and backends get as many
-// connections as their share holds, also when all is moved by a new configuration; and no descriptor is ever wanting.
+// connections as their share holds, also when all is moved by a new configuration; and no call ever fails for want of a descriptor.
 func TestCrowdLeavesDescriptorsToTheOthers(t *testing.T) {
 	const descriptors = 256
 	const backends, backendShare = 24, 71 // 28%
@@ -79,7 +79,7 @@
 }
 
 // A crowd stands in the listener's backlog while the clients' share is full. Each of it was once held until a goroutine
-// came to reject it, and descriptors wanted for the others. Now a connection for which there is no room is closed
+// came to reject it, and the others had no descriptors. Now a connection for which there is no room is closed
 // before the next is accepted, but for the few whose request is read.
 func TestCrowdInTheBacklogTakesNoDescriptors(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -87,7 +87,7 @@
 	return gateway, agent
 }
 
-// served says that a request reaches the backend and its value comes back.
+// served checks that a request reaches the backend and its value comes back.
 func (gateway *testGateway) served(backend net.Listener, id string) {
 	gateway.t.Helper()
 	client := gateway.dial()
--- a/internal/gateway/downstream_test.go
+++ b/internal/gateway/downstream_test.go
@@ -127,7 +127,7 @@
 	backend.wantsEnd()
 }
 
-// A client that takes no answers must not hold up the others.
+// A client that takes no replies must not hold up the others.
 func TestSlowClientDoesNotBlockOthers(t *testing.T) {
 	gateway, ln := startWithBackend(t)
 	slow := gateway.dial()
@@ -170,7 +170,7 @@
 	}
 }
 
-// A client that says nothing, or drips a command, must not hold a connection: one deadline holds for all of it.
+// A client that sends nothing, or a command byte by byte, must not hold a connection: one deadline holds for all of it.
 func TestSlowCommandsEnd(t *testing.T) {
 	gateway := startGateway(t, nil)
 	silent, dripping, later := gateway.dial(), gateway.dial(), gateway.dial()
--- a/internal/gateway/latelistener_test.go
+++ b/internal/gateway/latelistener_test.go
@@ -47,7 +47,7 @@
 }
 
 // lateListener is a backend's address at which connections come up late: the system drops what asks for one while the
-// line is full, and the asker tries again after a second.
+// backlog is full, and the other side tries again after a second.
 type lateListener struct {
 	t        *testing.T
 	listener net.Listener
--- a/internal/gateway/peer_test.go
+++ b/internal/gateway/peer_test.go
@@ -108,7 +108,7 @@
 	return []string{line}, nil
 }
 
-// wants reads one answer and compares it.
+// wants reads one reply and compares it.
 func (p *peer) wants(want string) {
 	p.t.Helper()
 	if m := p.message(); len(m) != 1 || m[0] != want {
@@ -116,7 +116,7 @@
 	}
 }
 
-// wantsPrefix reads one answer and compares its beginning.
+// wantsPrefix reads one reply and compares its beginning.
 func (p *peer) wantsPrefix(want string) {
 	p.t.Helper()
 	if m := p.message(); len(m) != 1 || !strings.HasPrefix(m[0], want) {
--- a/internal/gateway/reach_test.go
+++ b/internal/gateway/reach_test.go
@@ -139,8 +139,8 @@
 	return (&net.Dialer{}).DialContext(ctx, network, address)
 }
 
-// reaches says that a list that names s-7 gets through to the gateway behind failed calls of each kind of failure, and
-// from where the calls asked.
+// reaches checks that a list that names s-7 gets through to the gateway behind failed calls of each kind of failure, and
+// from which index the calls asked.
 func reaches(t *testing.T, kind callKind, list string, options ...option) {
 	for name, fail := range failures {
 		t.Run(name, func(t *testing.T) {
--- a/internal/gateway/testgateway_test.go
+++ b/internal/gateway/testgateway_test.go
@@ -196,7 +196,7 @@
 	}
 }
 
-// waitForPending waits until a connection owes so many answers.
+// waitForPending waits until so many replies are pending on a connection.
 func (gateway *testGateway) waitForPending(n int) {
 	gateway.t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
--- a/internal/gateway/unreadend_test.go
+++ b/internal/gateway/unreadend_test.go
@@ -10,9 +10,9 @@
 )
 
 // A client has ended its connection, but its reader has not read so far: it is late, or more lies unread before the
-// end. The loop once sent on what it had of that client, first and further attempts, though nobody waited for it. So a
+// end. The loop once forwarded what it had of that client, first attempts and retries, though nobody waited for it. So a
 // client counts as one that has left when the end has come to the socket: no attempt begins for it, whatever its way to
-// a backend, and all that it has asked ends.
+// a backend, and all its requests end.
 func TestUnreadEndStopsTheSend(t *testing.T) {
 	ways := map[string]func(*unreadEnd) (backend *peer){
 		"new connection":      (*unreadEnd).beforeANewConnection,
@@ -45,7 +45,7 @@
 	}
 }
 
-// unreadEnd is a client with two requests that have been taken and whose reader stands still.
+// unreadEnd is a client with two requests that have been taken and whose reader reads no further.
 type unreadEnd struct {
 	t              *testing.T
 	server         *Server
@@ -71,7 +71,7 @@
 	return test
 }
 
-// takeRequest makes a client send a request and takes it as its reader would, which then stands still.
+// takeRequest makes a client send a request and takes it as its reader would, which then reads no further.
 func takeRequest(client *peer, server *Server, conn *clientConn, id string) *openRequest {
 	client.t.Helper()
 	client.sendRequest(id)
--- a/internal/gateway/upstream_test.go
+++ b/internal/gateway/upstream_test.go
@@ -313,9 +313,9 @@
 }
 
 // A backend sends a second reply to one command some milliseconds late. Where the connection was used again at once,
-// the next request got it for its own. So a connection that was answered just now rests, however busy the backend is,
+// the next request got it for its own. So a connection rests after a reply, however busy the backend is,
 // and is used again when it has stayed quiet.
-func TestLateSecondAnswerReachesNobody(t *testing.T) {
+func TestLateSecondReplyReachesNobody(t *testing.T) {
 	ln := listen(t)
 	server := newIdleServer(t, ln.Addr().String())
 	server.upstream.settleTime = time.Hour
--- a/internal/gateway/upstreamconns.go
+++ b/internal/gateway/upstreamconns.go
@@ -16,7 +16,7 @@
 	// Failure: a backend sends a second reply to one command, and it comes when the next command has been written. How
 	// it shows: a client is given the value of another client's request. Why this holds: a second reply was seen up to
 	// 4 ms behind the first, so by the end of the rest it lies unread, and acquire closes a connection that is not quiet.
-	// One that comes later than the rest would still be taken for the next reply. TestLateSecondAnswerReachesNobody.
+	// One that comes later than the rest would still be taken for the next reply. TestLateSecondReplyReachesNobody.
 	settleTime = 10 * time.Millisecond
 )
 
