--- a/internal/audit/ballot.go
+++ b/internal/audit/ballot.go
@@ -1,6 +1,6 @@
 package audit
 
-// windowsPerConfigWindow: one window in so many compares the configuration and not the list.
+// windowsPerConfigWindow is in how many windows there is one that compares the configuration and not the list.
 const windowsPerConfigWindow = 8
 
 // isConfigWindow says whether a window compares the configuration and not the list.
--- a/internal/audit/schedule.go
+++ b/internal/audit/schedule.go
@@ -12,7 +12,7 @@
 	// An epoch is a number of windows, so that the calls for slots fit into a gateway's pace in a large fleet.
 	windowsPerEpoch = 2
 	minEpoch        = 4 * time.Second
-	// One gateway in so many may be out of service at once, and one at least.
+	// There is a slot for each gatewaysPerSlot gateways, and one at least.
 	gatewaysPerSlot = 10
 )
 
--- a/internal/audit/staleness.go
+++ b/internal/audit/staleness.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Times of the stages. docs/AUDIT.md, "What a stale gateway does", has the same ones.
+// Times of the stages. docs/AUDIT.md, "What a gateway that is behind does", has the same ones.
 const (
 	// A change counts as told to every gateway after this, so a gateway that is behind for longer needs a remedy.
 	behindTimeout = 6 * time.Second
--- a/internal/gateway/protocol/parser.go
+++ b/internal/gateway/protocol/parser.go
@@ -35,7 +35,7 @@
 
 // What is wrong with a request; clients get these texts behind -ERR.
 var (
-	errTenant       = errors.New("the customer is not 16 hex digits") // or not below maxTenant; the text stays
+	errTenant       = errors.New("the customer is not 16 hex digits") // or they are not below maxTenant
 	errEmptyID      = errors.New("the id is empty")
 	errFieldMissing = errors.New("one of c, t, d, units, spread and first is missing")
 	errKeyMissing   = errors.New("k is missing")
@@ -80,7 +80,7 @@
 }
 
 // Parse reads a request that came by a command, whose name is given in upper case, with its arguments, the name among
-// them. The request keeps the arguments. The error's text is fit for the client; what can't be read goes nowhere.
+// them. The request keeps the arguments. The error's text is fit for the client. A request that can't be read is not forwarded.
 func (parser *Parser) Parse(command string, args [][]byte) (*Request, error) {
 	if len(args) != 4 && len(args) != 5 {
 		return nil, argumentCountError{command}
