--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -2,7 +2,6 @@
 
 import (
 	"errors"
-	"fmt"
 	"net"
 	"os"
 	"strings"
@@ -13,6 +12,7 @@
 
 	"github.com/tidwall/redcon"
 
+	"bellwood/internal/gateway/protocol"
 	"bellwood/internal/resp"
 )
 
@@ -28,9 +28,9 @@
 
 // clientConn is one connection of a client.
 //
-// Its reader, the goroutine of serve, owns it: it takes commands until the connection ends and then cleans up. The loop,
-// and any goroutine that evicts connections, give answers and close it under mu. A further goroutine writes what the
-// socket does not take at once (writeRest), until all is written or the connection is closed.
+// Its reader, the goroutine of serve, owns it: it takes commands until the connection ends and then cleans up. The
+// loop, and any goroutine that evicts connections, give answers and close it under mu. A further goroutine writes what
+// the socket does not take at once (writeRest), until all is written or the connection is closed.
 type clientConn struct {
 	downstream *downstream
 	socket     net.Conn
@@ -49,15 +49,13 @@
 	// mu guards the fields below, and the closing of the socket. Whoever closes holds it; see receive for what that
 	// means to the reader.
 	mu           sync.Mutex
-	roomOrClosed *sync.Cond      // there is room for a further reply, or the connection has ended
-	pending      []*pendingReply // in the order of the commands
-	unwritten    []byte          // replies to be written
-	writing      bool            // a goroutine writes
-	commandBegun bool            // bytes were read that are not yet a command
-	readerParked bool            // the reader reads ahead until there is room
-	finishing    bool            // to be closed once all is answered: nothing more is forwarded
-	discarding   bool            // what still comes is thrown away
-	lingering    bool            // all is answered, and the rest of what is thrown away is awaited
+	roomOrClosed *sync.Cond // there is room for a further reply, or the connection has ended
+	replies      replyQueue
+	commandBegun bool // bytes were read that are not yet a command
+	readerParked bool // the reader reads ahead until there is room
+	finishing    bool // to be closed once all is answered: nothing more is forwarded
+	discarding   bool // what still comes is thrown away
+	lingering    bool // all is answered, and the rest of what is thrown away is awaited
 	closed       bool
 }
 
@@ -68,6 +66,7 @@
 			conn.rawSocket = raw
 		}
 	}
+	conn.replies.memory = clients.memory
 	conn.roomOrClosed = sync.NewCond(&conn.mu)
 	conn.commands = resp.NewReader(conn, clients.memory)
 	conn.idleSince.Store(int64(clients.loop.now()))
@@ -97,11 +96,11 @@
 func (conn *clientConn) goOnAfter(err error) bool {
 	switch {
 	case errors.Is(err, resp.ErrMalformed):
-		conn.rejectAndDiscard("-ERR Protocol error\r\n")
+		conn.rejectAndDiscard(protocol.ProtocolError)
 	case errors.Is(err, resp.ErrNoMemory):
-		conn.rejectAndDiscard("-ERR no memory for a command as long as this\r\n")
+		conn.rejectAndDiscard(protocol.NoMemory)
 	case errors.Is(err, os.ErrDeadlineExceeded) && conn.commands.Partial():
-		conn.rejectAndDiscard("-ERR the command has not come in time\r\n")
+		conn.rejectAndDiscard(protocol.CommandIncomplete)
 	case errors.Is(err, os.ErrDeadlineExceeded) && !conn.closeIfBetweenRequests(): // its first command has come just now
 		conn.commandDeadline = time.Now().Add(commandTimeout)
 		return true
@@ -111,38 +110,39 @@
 
 // handleCommand handles one command and says whether to go on.
 func (conn *clientConn) handleCommand(message redcon.RESP) bool {
-	args, ok := arguments(message)
+	args, ok := protocol.Arguments(message)
 	if !ok {
-		conn.rejectAndDiscard("-ERR Protocol error: expected an array of bulk strings\r\n")
+		conn.rejectAndDiscard(protocol.NotBulkStrings)
 		return false
 	}
 	conn.commandSeen.Store(true)
 	name := strings.ToUpper(string(args[0]))
 	switch name {
-	case commandPing:
+	case protocol.CommandPing:
 		return conn.replyNow(conn.downstream.service.pingReply())
-	case commandAsk, commandDo:
+	case protocol.CommandAsk, protocol.CommandDo:
 		return conn.takeRequest(name, args, len(message.Raw))
 	}
-	return conn.rejectUnusable(fmt.Sprintf("-ERR unknown command '%.40s'\r\n", printable(args[0])))
+	return conn.rejectUnusable(protocol.UnknownCommand(args[0]))
 }
 
 // takeRequest hands a request of so many bytes to the loop, or answers it, and says whether to go on.
 func (conn *clientConn) takeRequest(command string, args [][]byte, size int) bool {
 	clients := conn.downstream
-	request, err := clients.parser.parse(command, args, clients.loop.now())
+	arrivedAt := clients.loop.now()
+	parsed, err := clients.parser.Parse(command, args)
 	if err != nil {
-		return conn.rejectUnusable("-ERR " + err.Error() + "\r\n")
+		return conn.rejectUnusable(protocol.Error(err))
 	}
 	conn.unusableInRow = 0
 	if conn.isFinishing() { // it has been taken, so it is answered; the client can turn to another gateway
-		return conn.replyNow(string(busyReply(0)))
+		return conn.replyNow(string(protocol.Busy(0)))
 	}
-	request.conn = conn
 	memory := int64(size) + requestOverheadBytes
 	if !clients.memory.Reserve(memory) {
-		return conn.replyNow(string(busyReply(fullRetryAfter)))
+		return conn.replyNow(string(protocol.Busy(fullRetryAfter)))
 	}
+	request := &clientRequest{Request: parsed, conn: conn, arrivedAt: arrivedAt}
 	if request.reply = conn.reserveReply(request, memory); request.reply == nil {
 		return false
 	}
@@ -150,8 +150,8 @@
 	return true
 }
 
-// rejectUnusable answers a command that can't be used, and says whether to go on. The next one is read after a pause, as
-// a client that sends the same again and again would else take the core from the others.
+// rejectUnusable answers a command that can't be used, and says whether to go on. The next one is read after a pause,
+// as a client that sends the same again and again would else take the core from the others.
 func (conn *clientConn) rejectUnusable(line string) bool {
 	if conn.unusableInRow++; conn.unusableInRow >= maxUnusableInRow {
 		conn.rejectAndDiscard(line)
@@ -169,7 +169,7 @@
 	clients := conn.downstream
 	conn.mu.Lock()
 	conn.closeLocked()
-	left := conn.dropPending() // under the lock, as the loop may be answering
+	left := conn.replies.drop() // under the lock, as the loop may be answering
 	if conn.lingering {
 		clients.lingerEnded()
 	}
