--- a/internal/fleettest/auditfleet_test.go
+++ b/internal/fleettest/auditfleet_test.go
@@ -209,7 +209,7 @@
 func (g *auditGateway) sendRequests() {
 	schedule := requestSchedule{halt: g.fleet.halt, traffic: emulator.NewTraffic(emulator.TrafficConfig{
 		Gateways: auditGateways, GatewaysPerTenant: auditGateways, Tenants: 40, Plans: plans, Classes: classes,
-		RequestsPerSecond: requestRate, Seed: 3}, g.setup.index)}
+		RequestsPerSecond: requestRate, Seed: 3}, g.index())}
 	schedule.run(context.Background(), func(request *emulator.Request) {
 		ending, _ := g.clients.Do(context.Background(), request)
 		g.fleet.ledger.RequestEnded(request, ending)
--- a/internal/fleettest/load.go
+++ b/internal/fleettest/load.go
@@ -85,7 +85,7 @@
 
 // sendThrough sends a gateway its requests from now on, until halt is closed or there are no more.
 func (r *fleetRun) sendThrough(ctx context.Context, gateway *measuredGateway, halt <-chan struct{}) {
-	schedule := requestSchedule{traffic: emulator.NewTraffic(r.emulated.traffic, gateway.setup.index),
+	schedule := requestSchedule{traffic: emulator.NewTraffic(r.emulated.traffic, gateway.index()),
 		requests: r.options.Load.Requests, halt: halt}
 	schedule.run(ctx, func(request *emulator.Request) {
 		r.load.requestArrived()
--- a/internal/fleettest/measure.go
+++ b/internal/fleettest/measure.go
@@ -33,21 +33,26 @@
 	c := counters{countedAt: time.Now(), arrivals: r.load.arrivals.Load(),
 		connectionsOpened: r.emulated.backends.ConnectionsAccepted()}
 	for _, gateway := range r.ready {
-		one := gatewayCounters{
-			agentReceived:   gateway.agent.Meter.Received.Load(),
-			agentSent:       gateway.agent.Meter.Sent.Load(),
-			counterReceived: gateway.counter.Meter.Received.Load(),
-			counterSent:     gateway.counter.Meter.Sent.Load(),
-		}
-		one.usage, _ = gateway.process.usage() // a gateway that has ended is found out by reportEnded
-		one.answered = gateway.answered.Load()
-		c.gateways = append(c.gateways, one)
+		c.gateways = append(c.gateways, gateway.count())
 	}
 	c.counterCalls, c.counterRejected = r.emulated.numbers.Calls()
 	c.simulatedSteps = r.simulated.steps()
 	return c
 }
 
+// count reads the counters of one gateway.
+func (g *measuredGateway) count() gatewayCounters {
+	c := gatewayCounters{
+		agentReceived:   g.agent.Meter.Received.Load(),
+		agentSent:       g.agent.Meter.Sent.Load(),
+		counterReceived: g.counter.Meter.Received.Load(),
+		counterSent:     g.counter.Meter.Sent.Load(),
+	}
+	c.usage, _ = g.process.usage() // a gateway that has ended is found out by reportEnded
+	c.answered = g.answered.Load()
+	return c
+}
+
 // connectionSamples gather how many connections backends hold.
 type connectionSamples struct {
 	samples int64
--- a/internal/fleettest/realgateway.go
+++ b/internal/fleettest/realgateway.go
@@ -102,7 +102,10 @@
 	return listener.Addr().String(), nil
 }
 
-func (g *realGateway) name() string { return fmt.Sprint("n", g.setup.index) }
+// index is the gateway's index in its fleet.
+func (g *realGateway) index() int { return g.setup.index }
+
+func (g *realGateway) name() string { return fmt.Sprint("n", g.index()) }
 
 // config is the gateway's configuration, with an endpoint list as known.
 func (g *realGateway) config(known emulator.Members) (*gatewayConfig, error) {
--- a/internal/fleettest/run.go
+++ b/internal/fleettest/run.go
@@ -88,9 +88,8 @@
 			return r, err
 		}
 	}
-	r.simulated = &simulatedFleet{emulated: r.emulated, begun: begun, zones: o.Fleet.Zones,
-		cores: make(chan struct{}, simulatedCores), onArrival: r.load.requestArrived, onAttempt: r.drains.attemptArrived,
-		lateness: newHistogram(), stepTime: newHistogram()}
+	r.simulated = newSimulatedFleet(r.emulated, begun, o.Fleet.Zones)
+	r.simulated.onArrival, r.simulated.onAttempt = r.load.requestArrived, r.drains.attemptArrived
 	for i := range o.Fleet.SimulatedGateways {
 		if err := r.simulated.add(o.Fleet.RealGateways+i, o); err != nil {
 			return r, err
--- a/internal/fleettest/simulated.go
+++ b/internal/fleettest/simulated.go
@@ -34,7 +34,13 @@
 	stepTime  *histogram                                           // that one Step takes
 }
 
-// add adds a gateway with an index of its own, that gets so many requests; 0: without end.
+// newSimulatedFleet returns a fleet with no gateways. The caller sets onArrival and onAttempt.
+func newSimulatedFleet(emulated *emulatedSystems, begun time.Time, zones int) *simulatedFleet {
+	return &simulatedFleet{emulated: emulated, begun: begun, cores: make(chan struct{}, simulatedCores), zones: zones,
+		lateness: newHistogram(), stepTime: newHistogram()}
+}
+
+// add adds a gateway with an index of its own. It does not run yet.
 func (f *simulatedFleet) add(index int, o Options) error {
 	settings, err := newSettings(index, o.Fleet.ConfiguredGateways, f.zones).policySettings()
 	if err != nil {
