--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -6,9 +6,7 @@
 // In the paper's terms a token bucket promotes what the contract guarantees (stage 2); what follows is in
 // dispatch.go (stages 3 and 4). See doc.go for the whole way.
 //
-// Of the rules that can reject here the first in this order wins: admit (class and plan, service, deadline,
-// the queue for the hard limit), then decideQuota when it is the request's turn (requests in flight, hard
-// limit, quota), and for what is over its quota placeOverQuota (what the plan earns, hard limit).
+// The order of the rules that can reject, here and later, stands at the head of rejection.go.
 
 import (
 	"maps"
@@ -81,14 +79,15 @@
 }
 
 // serve decides for a tenant's requests in the order they came, until one has to wait: for the counter's
-// answer, for one of the tenant's requests in flight to end, or for the hard limit's share to fill.
+// answer, for one of the tenant's admitted requests to end, or for this gateway's share of the hard limit to
+// fill.
 func (e *Engine) serve(t *tenant) {
 	for r := t.firstWaiting(); r != nil; r = t.firstWaiting() {
 		switch decision := e.decideQuota(r); decision {
 		case mustWait:
 			e.tenants.noteWaiting(t)
 			return
-		case withinQuota:
+		case goesOn:
 			t.removeFirstWaiting()
 			e.dispatch(r)
 		default:
@@ -111,11 +110,11 @@
 type quotaDecision int
 
 const (
-	withinQuota          quotaDecision = iota // it may be queued at its priority level
-	mustWait                                  // for the counter, for a request in flight, or for the hard limit
-	overConcurrencyLimit                      // others in flight kept it waiting until it was too late
+	goesOn               quotaDecision = iota // within the limits, and paid, on credit or of no rate
+	mustWait                                  // for the counter, an admitted request's end, or the hard limit
+	overConcurrencyLimit                      // admitted requests kept it waiting until it was too late
 	overHardLimit                             // the hard limit's share does not fill in time
-	overQuota                                 // neither the lease nor fallback tokens pay for it
+	overQuota                                 // no tokens pay for it, and it may not go on credit
 )
 
 // rejectReason is the reason for a rejection that follows from the decision.
@@ -129,31 +128,32 @@
 	return OverQuota
 }
 
-// decideQuota holds a request against its tenant's limits, then pays for it. What is within both gets its
-// priority level and counts as in flight from here on.
+// decideQuota holds a request against its tenant's limits, then pays for it. What goes on gets its priority
+// level, counts as admitted and reserves its cost in the hard limit's share from here on.
 func (e *Engine) decideQuota(r *request) quotaDecision {
-	if decision := e.checkLimits(r); decision != withinQuota {
+	if decision := e.checkLimits(r); decision != goesOn {
 		return decision
 	}
 	r.level = e.priorityBand(r)
-	if decision := e.payQuota(r); decision != withinQuota {
+	if decision := e.payOrDemote(r); decision != goesOn {
 		return decision
 	}
 	r.quota.promoted = r.level < priorityBands
-	e.countInFlight(r)
+	e.countAdmitted(r)
 	if !r.hardLimit.hasBorrowed(e.now) {
 		e.reserveHardLimit(r)
 	}
-	return withinQuota
+	return goesOn
 }
 
-// checkLimits holds a request against the two limits of its plan that no tokens replace: requests in flight
-// at once, and the hard limit's rate.
+// checkLimits holds a request against the two limits of its plan that no tokens replace: requests admitted
+// at once, and the hard limit's rate. Where only the hard limit is in the way it also calls the counter to
+// borrow (borrow), if it may.
 func (e *Engine) checkLimits(r *request) quotaDecision {
 	full := e.concurrencyLimitReached(r)
 	short := r.tenant.hardLimit.Shortfall(e.now, r.cost)
 	if !full && (short <= 0 || r.hardLimit.hasBorrowed(e.now)) {
-		return withinQuota
+		return goesOn
 	}
 	late := e.tooLateToWait(r)
 	if !full && !late && e.mayBorrow(r) {
@@ -175,13 +175,13 @@
 	return (e.now-r.arrivedAt).Seconds()+e.expectedLatency(r) >= r.deadlineBudget.Seconds()*deadlineMargin
 }
 
-// payQuota promotes a request whose cost the lease pays (stage 2 of the paper). A request that is not
-// promoted, as its plan guarantees nothing or nobody has looked whether the bucket holds its cost, goes to
-// the band of the same worth among the lower levels.
-func (e *Engine) payQuota(r *request) quotaDecision {
+// payOrDemote pays for a request of a plan that has a rate (stage 2 of the paper). It demotes a request that
+// goes on credit, or whose plan guarantees nothing, to its band in the second group of levels: see
+// priority.go.
+func (e *Engine) payOrDemote(r *request) quotaDecision {
 	plan := &e.settings.Plans[r.plan]
 	if plan.Rate > 0 {
-		if decision := e.payCost(r); decision != withinQuota {
+		if decision := e.payCost(r); decision != goesOn {
 			return decision
 		}
 		if r.quota.onCredit {
@@ -190,11 +190,15 @@
 	} else if plan.MaxConcurrent == 0 {
 		r.level += priorityBands
 	}
-	return withinQuota
+	return goesOn
 }
 
-// placeOverQuota queues a request that no tokens pay at the lowest level, if its plan earns something for it
-// there and its hard limit holds it. Else it is rejected: for what left it unpaid, or for the hard limit.
+// placeOverQuota dispatches a request that is over a limit or its quota at the lowest level, if its plan
+// earns something for it there and its hard limit holds it. Else it is rejected: for what it is over, or for
+// the hard limit. At the lowest level a first attempt goes only to a backend with a free slot; it never joins
+// a queue behind others (waitsTooLong). The advice when to come back is always the quota's, also where it was
+// another limit: until the bucket should hold the cost (lease.TimeUntil), for a plan without a rate as if it
+// filled by 0.1 a second.
 func (e *Engine) placeOverQuota(r *request, decision quotaDecision) {
 	if !e.earnsOverQuota(r) {
 		e.reject(r, rejection{decision.rejectReason(), r.tenant.lease.TimeUntil(e.now, r.cost)})
