--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -1,7 +1,7 @@
 package policy
 
-// Admission: the way of a request from its arrival until it is queued for a backend, rejected, or kept
-// waiting for its tenant's quota.
+// Admission: the way of a request from its arrival until it is dispatched, rejected, or kept waiting for its
+// tenant's quota or limits.
 //
 // In the paper's terms a token bucket promotes what the contract guarantees (stage 2); what follows is in
 // dispatch.go (stages 3 and 4). See doc.go for the whole way.
@@ -52,12 +52,14 @@
 }
 
 // deadlineBudget is the time in which an answer to a request is of use: the time that its client has left,
-// and where a late answer earns nothing, the latency objective (a departure: the paper knows one limit; here
-// the client waits for longer than the answer has worth).
+// but where a late answer earns nothing at most the latency objective (a departure: the paper knows one
+// limit; here the client waits for longer than the answer has worth).
 //
-// What is found after the gateway stood still has waited unseen. How long shows in the time that the client
-// has left, against the most that clients of its class give; a client's retry has less from the start and
-// tells nothing.
+// After a stall of over 100 ms a request has waited unseen. The time waited is estimated as the most that a
+// client of the class ever had left, less what this one has left, and no more than the stall. The budget is
+// then at most the latency objective less that time: what a late answer earns counts for nothing, and where
+// the class has no latency objective the budget is 0 or less. A client's retry has less time left from the
+// start, so its budget stays as it is.
 func (e *Engine) deadlineBudget(ev Request) time.Duration {
 	class := &e.settings.Classes[ev.Class]
 	budget := ev.TimeLeft
@@ -65,15 +67,15 @@
 		budget = min(budget, class.LatencyObjective)
 	}
 	e.maxTimeLeft[ev.Class] = max(e.maxTimeLeft[ev.Class], ev.TimeLeft)
-	if stoodStill := e.now - e.previousStep; stoodStill > stalledAfter && !ev.ClientRetry {
-		waited := min(stoodStill, e.maxTimeLeft[ev.Class]-ev.TimeLeft)
+	if stalled := e.now - e.previousStep; stalled > stalledAfter && !ev.ClientRetry {
+		waited := min(stalled, e.maxTimeLeft[ev.Class]-ev.TimeLeft)
 		budget = min(budget, class.LatencyObjective-waited)
 	}
 	return budget
 }
 
-// deadlineCannotBeMet says whether less than half of a usual answer's time is left. Half, as some answers are
-// faster.
+// deadlineCannotBeMet says whether half of a usual answer's time or less is left. Half, as some answers are
+// faster than usual. A request that has to wait is held to tooLateToWait instead.
 func (e *Engine) deadlineCannotBeMet(r *request) bool {
 	return r.deadlineBudget.Seconds() <= e.expectedLatency(r)/2
 }
@@ -170,9 +172,10 @@
 	return mustWait
 }
 
-// tooLateToWait says whether a usual answer's time no longer fits into the deadline budget.
+// tooLateToWait says whether a usual answer's time no longer fits into the deadline budget, less the margin
+// for the error of the estimate. rejectStale asks the same for the backend in question.
 func (e *Engine) tooLateToWait(r *request) bool {
-	return (e.now-r.arrivedAt).Seconds()+e.expectedLatency(r) >= r.deadlineBudget.Seconds()*deadlineMargin
+	return e.answeredAfter(r, e.expectedLatency(r)) >= r.deadlineBudget.Seconds()*deadlineMargin
 }
 
 // payOrDemote pays for a request of a plan that has a rate (stage 2 of the paper). It demotes a request that
--- a/internal/policy/attempt.go
+++ b/internal/policy/attempt.go
@@ -2,10 +2,10 @@
 
 // Attempts: the guards before each, and what follows from its result.
 
-// send starts an attempt. It is the one place that does, and the guards are here, whatever was decided
-// before.
+// send starts an attempt. It is the one place that does. It asks all guards again, whatever was decided
+// before, and may reject the request or dispatch it to another backend.
 func (e *Engine) send(r *request, b *backend, kind attemptKind) {
-	if !b.listed { // nothing new from the moment it is known to be draining
+	if !b.inService { // nothing new from the moment it is known to be draining
 		e.dispatch(r)
 		return
 	}
@@ -27,7 +27,7 @@
 		b.detector.RecordWork(e.now)
 	}
 	r.addAttempt(b, kind, e.now)
-	e.watched.add(b)
+	e.toCheck.add(b)
 	b.slowStart.RecordAttempt(e.now)
 	e.emit(SendAttempt{ID: r.id, Backend: b.name, Timeout: timeout, SendBefore: e.sendBefore(r)})
 }
@@ -49,7 +49,7 @@
 	return 0, false
 }
 
-// attemptEnded takes the result of an attempt: what it tells of the backend, what it means for the
+// attemptEnded handles the result of an attempt: what it tells of the backend, what it means for the
 // request, and what may be sent to the backend instead.
 func (e *Engine) attemptEnded(result AttemptResult) {
 	r := e.requests[result.ID]
@@ -71,10 +71,10 @@
 	} else if !r.streaming && r.attemptsInFlight == 0 {
 		e.retry(r)
 	}
-	e.fill(a.backend)
+	e.sendQueued(a.backend)
 }
 
-// correctCost corrects what a request has paid by its true cost, where only the answer tells it.
+// correctCost replaces what a request has paid by its true cost, where only the answer tells it.
 func (e *Engine) correctCost(r *request, result AttemptResult) {
 	costKnown := result.Status == OK && e.settings.CostSettledOnResponse && result.Cost > 0
 	if costKnown && r.quota.promoted {
@@ -82,16 +82,18 @@
 	}
 }
 
-// firstByte takes that a streamed answer has begun: its deadline no longer runs, and it is not tried again.
+// firstByte notes that a streamed answer has begun: its deadline no longer runs, and it is not tried again.
 func (e *Engine) firstByte(ev FirstByte) {
 	if r := e.requests[ev.ID]; r != nil {
 		r.streaming = true
 	}
 }
 
-// hasTimeForAttempt says whether an attempt that starts now would be answered before the deadline.
+// hasTimeForAttempt says whether an attempt that starts now would be answered before the deadline. It counts
+// the whole deadline budget, where tooLateToWait and rejectStale keep a tenth for the error of the estimate:
+// it is asked for a request that has already been sent.
 func (e *Engine) hasTimeForAttempt(r *request) bool {
-	return (e.now-r.arrivedAt).Seconds()+e.expectedLatency(r) < r.deadlineBudget.Seconds()
+	return e.answeredAfter(r, e.expectedLatency(r)) < r.deadlineBudget.Seconds()
 }
 
 // deadlinePassed rejects a request whose deadline has come, unless its answer has begun.
--- a/internal/policy/backend.go
+++ b/internal/policy/backend.go
@@ -25,7 +25,7 @@
 	slowStart     slowstart.Budget
 	subsetPlace   // of the backendSubset
 	warmMark      throughput.Mark
-	watched       bool // in Engine.watched
+	inCheckList   bool // in Engine.toCheck
 	name          string
 	started       time.Duration // by the endpoint list; neverStarted before its first entry
 }
@@ -39,13 +39,19 @@
 	return b
 }
 
-// usable says whether new work may go to a backend, probes aside. One new in the list has no concurrency
-// limit yet.
-func (b *backend) usable() bool { return b.listed && !b.detector.Ejected() && b.limiter.Ready() }
+// usable says whether work other than probes may go to a backend. One that is new in the list has no
+// concurrency limit yet.
+func (b *backend) usable() bool { return b.inService && !b.detector.Ejected() && b.limiter.Ready() }
 
 // hasFreeSlot says whether a backend's concurrency limit allows one more attempt.
 func (b *backend) hasFreeSlot(now time.Duration) bool { return b.limiter.HasFree(now, len(b.inFlight)) }
 
+// answeredAfter is how many seconds after its arrival a request would be answered if it were sent now and the
+// answer took so many seconds.
+func (e *Engine) answeredAfter(r *request, latency float64) float64 {
+	return (e.now - r.arrivedAt).Seconds() + latency
+}
+
 // expectedLatency is how many seconds an answer to a request takes.
 func (e *Engine) expectedLatency(r *request) float64 { return e.latencies.Mean(r.class) }
 
--- a/internal/policy/concurrency/concurrency.go
+++ b/internal/policy/concurrency/concurrency.go
@@ -58,8 +58,8 @@
 	return inFlight < max(1, int(l.limit)) && now >= l.pausedUntil
 }
 
-// IsLow says whether so little is let in by the gateways together that waiting at the backend can't
-// explain its latency.
+// IsLow says whether the gateways together allow so few attempts at the backend that waiting there can't
+// explain its latency. It takes their limits to be equal.
 func (l *Limiter) IsLow(gateways float64) bool { return l.limit*gateways <= lowTotal }
 
 // Answer is what an answer tells of a backend.
@@ -71,10 +71,10 @@
 	Gateways float64 // that use the backend
 }
 
-// RecordAnswer grows the limit while latency is low and all of it is in use, and shrinks it when latency
-// is high. It also keeps latency near that of an idle fleet, where the paper knows the time limit alone:
-// that lets queues form inside the backends, where no priority counts and where work that nobody waits for
-// any more goes on.
+// RecordAnswer grows the limit while latency is low and all of it is in use, and shrinks it when latency is
+// high: over a share of the request's time, or over a multiple of an idle fleet's latency (a departure). The
+// paper's time limit alone would let queues form inside the backends, where no priority counts and where work
+// that nobody waits for any more goes on.
 func (l *Limiter) RecordAnswer(a Answer) {
 	high := min(a.Budget*shrinkBudgetShare, shrinkIdleRatio*a.Idle)
 	switch {
@@ -85,17 +85,18 @@
 	}
 }
 
-// RecordTimeout takes an attempt without an answer.
+// RecordTimeout notes an attempt without an answer in time.
 func (l *Limiter) RecordTimeout() { l.limit *= timeoutFactor }
 
-// RecordRejection takes a rejection by the backend: the limit falls under one at once.
+// RecordRejection notes a rejection by the backend: the limit falls under one at once.
 func (l *Limiter) RecordRejection() { l.limit = min(1, l.limit) * rejectionFactor }
 
-// RecordBroken takes a broken connection, or one that could not be made.
+// RecordBroken notes a broken connection, or one that could not be made.
 func (l *Limiter) RecordBroken() { l.limit *= rejectionFactor }
 
-// Pause begins a pause if the limit is under one and none is on: then it is used that part of the time. It
-// is called after each result, with the latency that the backend's answers take.
+// Pause begins a pause if the limit is under one and no pause is under way, so long that the backend has an
+// attempt for about that part of the time. It is called after each result, with the latency in seconds that
+// the backend's answers take.
 func (l *Limiter) Pause(now time.Duration, latency float64) {
 	l.limit = max(minLimit, l.limit)
 	if l.limit < 1 && now >= l.pausedUntil {
--- a/internal/policy/dispatch.go
+++ b/internal/policy/dispatch.go
@@ -10,17 +10,17 @@
 	// deadlineMargin is the share of the deadline budget that waiting and answer may take by estimate: f
 	// of EQ 3 and EQ 4 of the paper.
 	deadlineMargin = 0.9
-	// maxQueueShare is the share of that time that a request may be expected to take when it joins a
-	// queue, and that the requests of the open levels may take.
+	// maxQueueShare is the share of that time that a request of the top level may be expected to take when it
+	// joins a queue, and that the requests of the open levels may take.
 	maxQueueShare = 0.5
 
-	// Where the backends' latency tells of queues inside of them, requests are rejected by chance: none
-	// while these take less than minShedShare of the deadline budget, and more and more until at
-	// fullShedShare all are but a few, whose answers tell when it is over.
+	// Where the backends' latency tells of queues inside of them, requests are rejected by chance: none while
+	// the queues take less than minShedShare of the deadline budget, and more and more up to fullShedShare.
+	// From there on the chance is maxShedChance: the answers to the rest tell when it is over.
 	minShedShare  = 0.25
 	fullShedShare = 0.6
 	maxShedChance = 0.97
-	// shedLevelSlope is what the lowest level adds to that share, as a multiple.
+	// shedLevelSlope is by how much of itself that share counts for more at the lowest level.
 	shedLevelSlope = 1.5
 )
 
@@ -39,17 +39,18 @@
 		e.reject(r, rejection{reason: NoBackendForRetry})
 		return
 	}
-	if reason, overload := e.overload(r, b); overload {
+	if reason, overloaded := e.overload(r, b); overloaded {
 		e.reject(r, rejection{reason: reason})
 		return
 	}
 	e.queues.push(r, b)
-	e.fill(b)
+	e.sendQueued(b)
 }
 
-// overload says whether, and by which of two rules, a request is better rejected than queued at a backend:
-// now, while its client can still try again in time (a departure: the paper lets it wait until it is stale;
-// under overload every answer then comes at the last moment, and each client's next try too late).
+// overload says whether, and by which of two rules, a request is better rejected now than queued at a
+// backend, while its client can still try again in time (a departure: the paper lets it wait until it is
+// stale; under overload every answer then comes at the last moment, and each client's retry too late). Where
+// the backend has a free slot shedByLatency decides; where not, waitsTooLong, for first attempts only.
 func (e *Engine) overload(r *request, b *backend) (reason RejectReason, overload bool) {
 	if b.hasFreeSlot(e.now) {
 		return BackendsOverloaded, e.shedByLatency(r)
@@ -58,8 +59,10 @@
 }
 
 // shedByLatency decides by chance whether a request is rejected for the latency of all backends: with many
-// gateways the queue is inside the backends (a departure: the paper has one balancer). It draws one random
-// number.
+// gateways the queue is inside the backends (a departure: the paper has one balancer). What latency exceeds
+// that of an idle fleet by counts as a share of the time that is left beside an idle answer. A gateway that
+// gets half an answer a second or more of each backend rejects fewer, one that gets an answer a second none
+// (sparseness): it knows its backends, and queues at them. One random number is drawn whatever comes of it.
 func (e *Engine) shedByLatency(r *request) bool {
 	latency := e.expectedLatency(r) * max(1, e.latencies.FleetPressure())
 	idle := cmp.Or(e.latencies.Idle(r.class), latency)
@@ -77,13 +80,13 @@
 func (e *Engine) waitsTooLong(r *request, b *backend) bool {
 	ahead := 1 + b.queue.countUpTo(r.level)
 	latency := e.expectedLatencyAt(r, b)
-	share := maxQueueShare * (1 - float64(r.level)/(2*priorityBands))
+	queueShare := maxQueueShare * (1 - float64(r.level)/(2*priorityBands))
 	return (e.now-r.arrivedAt).Seconds()+float64(ahead)*latency/b.limiter.Limit()+latency >=
-		r.deadlineBudget.Seconds()*deadlineMargin*share
+		r.deadlineBudget.Seconds()*deadlineMargin*queueShare
 }
 
-// fill sends queued requests to a backend while it has room for them.
-func (e *Engine) fill(b *backend) {
+// sendQueued sends queued requests to a backend while it has room for them.
+func (e *Engine) sendQueued(b *backend) {
 	for b.usable() && e.hasRoom(b) {
 		from := e.queueToServe(b)
 		if from == nil {
@@ -117,7 +120,7 @@
 }
 
 // pick chooses a request from the queue of one backend for a slot of another, mostly the same: the oldest
-// of those in front of the open levels. It rejects what is stale.
+// of those in front of the open levels (levelIsOpen). It rejects what is stale.
 func (e *Engine) pick(from, to *backend) *request {
 	var oldest *request
 	waiting := 0
@@ -143,7 +146,7 @@
 func (e *Engine) rejectStale(from, to *backend, level int) {
 	for from.queue.count(level) > 0 {
 		r := from.queue.first(level)
-		if (e.now-r.arrivedAt).Seconds()+e.expectedLatencyAt(r, to) < r.deadlineBudget.Seconds()*deadlineMargin {
+		if e.answeredAfter(r, e.expectedLatencyAt(r, to)) < r.deadlineBudget.Seconds()*deadlineMargin {
 			return
 		}
 		e.reject(r, rejection{reason: StaleInQueue})
@@ -159,14 +162,15 @@
 		first.deadlineBudget.Seconds()*deadlineMargin*maxQueueShare
 }
 
-// fillAll releases what is queued: first each backend its own, then those with nothing queued help.
-func (e *Engine) fillAll() {
+// sendAllQueued sends what is queued where there is room: first each backend takes from its own queue, then
+// those with nothing queued take from others'.
+func (e *Engine) sendAllQueued() {
 	for _, backends := range [2][]*backend{e.queues.backlogged, e.subset.backends} {
 		for _, b := range backends {
 			if e.queues.isEmpty() {
 				break
 			}
-			e.fill(b)
+			e.sendQueued(b)
 		}
 	}
 	e.queues.prune()
--- a/internal/policy/doc.go
+++ b/internal/policy/doc.go
@@ -24,7 +24,7 @@
 //	  |                              from the lease, from fallback tokens, or by a call to the counter
 //	  dispatch        dispatch.go    choose (selection.go) picks a backend; is there overload?
 //	  priority queue  priorityqueue.go
-//	  fill, pick      dispatch.go    a backend has a free slot: who goes next, who has become stale?
+//	  sendQueued      dispatch.go    a backend has a free slot: who goes next (pick), who has become stale?
 //	  send            attempt.go     the last guards
 //	SendAttempt
 //	AttemptResult
@@ -63,7 +63,7 @@
 //	what no event tells                             periodic.go
 //
 // Each of these parts owns its state: the packages, and the types endpointRegistry, endpointPolling,
-// backendSubset, slowStarts, watchList, priorityQueues, tenantRegistry, counterCalls and callEstimates, of
+// backendSubset, slowStarts, checkList, priorityQueues, tenantRegistry, counterCalls and callEstimates, of
 // which the Engine is composed. The Engine's methods are what needs several of them, in the order of
 // events. All random numbers come from the Engine's one source.
 //
--- a/internal/policy/endpoints.go
+++ b/internal/policy/endpoints.go
@@ -1,6 +1,6 @@
 package policy
 
-// The endpoint list: which backends there are, and what a change of it brings about.
+// The endpoint list: which backends there are, and what follows from a change of it.
 
 import (
 	"cmp"
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// endpointsUpdated takes a change of the endpoint list, or the failure of a call for it.
+// endpointsUpdated handles a change of the endpoint list, or the failure of a call for it.
 func (e *Engine) endpointsUpdated(update EndpointUpdate) {
 	if update.Kind == UpdateFailed {
 		if retry, pause := e.polling.failed(e.rng); retry {
@@ -24,12 +24,12 @@
 	if update.Kind != Delta {
 		e.retireMissing()
 	}
-	e.endpoints.removeLeft()
+	e.endpoints.removeGone()
 	e.assignSubset()
-	e.fillAll()
+	e.sendAllQueued()
 }
 
-// applyEntry takes what the list says of one backend. One that was started lately is warming up.
+// applyEntry applies what the list says of one backend. One that was started lately begins a slow start.
 func (e *Engine) applyEntry(entry *Backend) {
 	b := e.endpoints.findOrAdd(entry)
 	if b == nil {
@@ -46,7 +46,7 @@
 	}
 	b.zone, b.cell, b.weight = entry.Zone, entry.Cell, cmp.Or(max(0, entry.Weight), 1)
 	if entry.State == InService {
-		e.endpoints.list(b)
+		e.endpoints.putInService(b)
 	} else {
 		e.retire(b)
 	}
@@ -56,8 +56,8 @@
 // retire takes a backend out of service: it gets nothing new, and what waits for it goes elsewhere. Its
 // attempts in flight go on.
 func (e *Engine) retire(b *backend) {
-	if b.listed {
-		e.endpoints.unlist(b)
+	if b.inService {
+		e.endpoints.takeOutOfService(b)
 		e.countWarm(b)
 		e.moveQueue(b)
 	}
@@ -73,7 +73,8 @@
 	}
 }
 
-// assignSubset deals the backends out anew, and gives those that are new their first concurrency limit.
+// assignSubset makes the subset follow the changes of the list, and gives backends that are new their first
+// concurrency limit. It deals all out anew only when the number of seats changes (beginRound).
 func (e *Engine) assignSubset() {
 	changed := e.endpoints.takeChanged()
 	e.subset.assign(&e.endpoints, changed)
@@ -88,20 +89,20 @@
 // endpointRegistry holds the backends that the endpoint list has named and that are not yet gone. It owns
 // its backends' membership.
 type endpointRegistry struct {
-	byName    map[string]*backend
-	all       []*backend // those of byName; written by findOrAdd and remove alone
-	leaving   []*backend // out of service; some with attempts in flight
-	changed   []*backend // came into service or left it since takeChanged
-	inService int
-	updates   uint64
+	byName         map[string]*backend
+	all            []*backend // those of byName; written by findOrAdd and remove alone
+	leaving        []*backend // out of service; some with attempts in flight
+	changed        []*backend // came into service or left it since takeChanged
+	inServiceCount int
+	updates        uint64
 }
 
 // membership is what the registry keeps with each backend.
 type membership struct {
-	listed  bool   // in service, by the list
-	leaving bool   // in endpointRegistry.leaving
-	namedIn uint64 // the update that named it last
-	index   int    // in endpointRegistry.all
+	inService bool   // in service, by the list
+	leaving   bool   // in endpointRegistry.leaving
+	namedIn   uint64 // the update that named it last
+	index     int    // in endpointRegistry.all
 }
 
 func newEndpointRegistry() endpointRegistry {
@@ -132,19 +133,19 @@
 // isMissing says whether the present update has not named a backend.
 func (r *endpointRegistry) isMissing(b *backend) bool { return b.namedIn != r.updates }
 
-// list takes a backend into service.
-func (r *endpointRegistry) list(b *backend) {
-	if !b.listed {
-		b.listed = true
-		r.inService++
+// putInService takes a backend into service.
+func (r *endpointRegistry) putInService(b *backend) {
+	if !b.inService {
+		b.inService = true
+		r.inServiceCount++
 		r.changed = append(r.changed, b)
 	}
 }
 
-// unlist takes a listed backend out of service.
-func (r *endpointRegistry) unlist(b *backend) {
-	b.listed = false
-	r.inService--
+// takeOutOfService takes a backend that is in service out of it.
+func (r *endpointRegistry) takeOutOfService(b *backend) {
+	b.inService = false
+	r.inServiceCount--
 	r.changed = append(r.changed, b)
 }
 
@@ -163,12 +164,12 @@
 	return changed
 }
 
-// removeLeft forgets the backends that are out of service and have no attempt in flight.
-func (r *endpointRegistry) removeLeft() {
+// removeGone forgets the backends that are out of service and have no attempt in flight.
+func (r *endpointRegistry) removeGone() {
 	kept := r.leaving[:0]
 	for _, b := range r.leaving {
 		switch {
-		case b.listed: // it is back
+		case b.inService: // it is back
 			b.leaving = false
 		case len(b.inFlight) > 0:
 			kept = append(kept, b)
@@ -189,26 +190,26 @@
 }
 
 const (
-	// firstPollBackoff is the pause after a call for the list has failed, half of it by chance: gateways
-	// fail together.
+	// firstPollBackoff is the longest pause after the first call for the list that failed. Of each pause one
+	// half is fixed and the other random, as gateways fail together.
 	firstPollBackoff = 250 * time.Millisecond
-	// maxPollBackoff is the longest pause. A change counts as known after 6 s: two calls that fail after
+	// maxPollBackoff is the longest pause of all. A change counts as known after 6 s: two calls that fail after
 	// 2 s each, and their pauses, leave time for a third.
 	maxPollBackoff = 750 * time.Millisecond
 )
 
 // endpointPolling says when to ask for the endpoint list.
 type endpointPolling struct {
-	lastPoll     time.Duration // or when an update came
-	backoff      time.Duration // the last; 0: the last call brought the list
-	retryPending bool
+	lastPoll     time.Duration // when the list was asked for, or when an update came
+	backoff      time.Duration // the longest that the last pause could be; 0: the last call brought the list
+	retryPending bool          // a pause is under way
 }
 
-// succeeded says that an update has come.
+// succeeded notes that an update has come.
 func (p *endpointPolling) succeeded(now time.Duration) { p.lastPoll, p.backoff = now, 0 }
 
-// failed says that a call for the list has failed, and returns the pause after which to ask again, unless
-// that is under way.
+// failed notes that a call for the list has failed, and returns the pause after which to ask again, unless
+// one is under way already. It draws a random number for the pause.
 func (p *endpointPolling) failed(rng *rand.Rand) (retry bool, pause time.Duration) {
 	if p.retryPending {
 		return false, 0
@@ -218,11 +219,12 @@
 	return true, p.backoff/2 + time.Duration(rng.Int64N(int64(p.backoff/2)+1))
 }
 
-// retried says that the pause is over.
+// retried notes that the pause is over.
 func (p *endpointPolling) retried() { p.retryPending = false }
 
-// isDue says whether the list would else become older than the interval, and takes it for asked for.
-func (p *endpointPolling) isDue(now, interval time.Duration) bool {
+// takeDue says whether the list is to be asked for: it is older than half the interval. If so it notes that
+// the caller asks for it now.
+func (p *endpointPolling) takeDue(now, interval time.Duration) bool {
 	if interval <= 0 || now-p.lastPoll <= interval/2 {
 		return false
 	}
--- a/internal/policy/endpoints_test.go
+++ b/internal/policy/endpoints_test.go
@@ -47,7 +47,7 @@
 	}
 	engine.Step(time.Second, []Event{EndpointUpdate{Backends: list[:20]}})
 	subset, known := len(engine.subset.backends), len(engine.endpoints.all)
-	inService, warm := engine.endpoints.inService, engine.throughput.Warm()
+	inService, warm := engine.endpoints.inServiceCount, engine.throughput.Warm()
 	if subset+known+inService+warm != 0 {
 		t.Fatalf("%d in the subset, %d known, %d in service, %d warm", subset, known, inService, warm)
 	}
@@ -130,14 +130,14 @@
 		if b.inSubset {
 			inSubset++
 		}
-		if b.listed {
+		if b.inService {
 			listed++
 		}
 		if b.usable() && !b.slowStart.Warming() {
 			warm++
 		}
 	}
-	subset, inService := len(engine.subset.backends), engine.endpoints.inService
+	subset, inService := len(engine.subset.backends), engine.endpoints.inServiceCount
 	if inSubset != subset || warm != engine.throughput.Warm() || listed != inService {
 		t.Fatalf("%s: subset of %d, %d, %d warm of %d, %d in service of %d", when, subset, inSubset,
 			engine.throughput.Warm(), warm, inService, listed)
--- a/internal/policy/engine.go
+++ b/internal/policy/engine.go
@@ -9,7 +9,8 @@
 	"bellwood/internal/policy/throughput"
 )
 
-// Engine decides for one gateway. It is the order in which its parts act; the state is theirs.
+// Engine decides for one gateway. It calls its parts in the order of the events. The requests, the clock and
+// whether it is suspended are its own; all other state belongs to the parts.
 type Engine struct {
 	settings Settings
 	rng      *rand.Rand // all random numbers come from here, in the order of the events
@@ -36,7 +37,7 @@
 	latencies  *latency.Estimator
 	throughput throughput.Meter
 	slowStarts slowStarts
-	watched    watchList
+	toCheck    checkList
 
 	queues     priorityQueues
 	roundRobin int // the turn of choose
--- a/internal/policy/latency/latency.go
+++ b/internal/policy/latency/latency.go
@@ -71,12 +71,12 @@
 	return min(latency/e.classes[class].mean, maxRatio)
 }
 
-// RecordRatio takes the latency of an answer or a time-out, by its Ratio, for the fleet's pressure.
+// RecordRatio notes the latency of an answer or a time-out, by its Ratio, for the fleet's pressure.
 func (e *Estimator) RecordRatio(now time.Duration, ratio float64) {
 	e.recordPressure(now, min(ratio, maxPressure))
 }
 
-// RecordRejection takes a backend's rejection for the fleet's pressure.
+// RecordRejection notes a backend's rejection for the fleet's pressure.
 func (e *Estimator) RecordRejection(now time.Duration) { e.recordPressure(now, rejectionPressure) }
 
 func (e *Estimator) recordPressure(now time.Duration, pressure float64) {
@@ -84,16 +84,16 @@
 	e.pressureAt = now
 }
 
-// RecordAnswer takes the latency of an answer for its class's mean.
+// RecordAnswer notes the latency of an answer for its class's mean.
 func (e *Estimator) RecordAnswer(class int, latency float64) {
 	c := &e.classes[class]
 	c.answers++
 	c.mean += max(minAnswerWeight, 1/float64(c.answers)) * (latency - c.mean)
 }
 
-// RecordIdle lets the idle latency of a class follow its mean down at once, and up only when little waits:
-// when so few requests are let in that waiting can't be the cause. So a slowness of everything is told
-// from overload.
+// RecordIdle lets the idle latency of a class follow its mean down at once, and up slowly, and only if little
+// waits: when so few attempts are allowed that waiting can't be the cause. So a general slowness is told from
+// overload.
 func (e *Estimator) RecordIdle(class int, littleWaits bool) {
 	c := &e.classes[class]
 	if c.mean < c.idle || c.idle == 0 {
@@ -103,20 +103,20 @@
 	}
 }
 
-// Factor is a backend's latency against its peers: 1 is as they, 2 takes twice as long. Its zero value is
-// of no use before Reset.
+// Factor is a backend's latency against its peers': 1 is as long, 2 twice as long. Its zero value is of no
+// use before Reset.
 type Factor struct{ value float64 }
 
 // Value is the factor; 0 before Reset.
 func (f *Factor) Value() float64 { return f.value }
 
-// Reset takes the backend for as fast as its peers.
+// Reset assumes that the backend is as fast as its peers.
 func (f *Factor) Reset() { f.value = 1 }
 
-// RecordAnswer takes an answer by its Ratio.
+// RecordAnswer notes an answer by its Ratio.
 func (f *Factor) RecordAnswer(ratio float64) {
 	f.value = max(minFactor, f.value+factorGain*(ratio-f.value))
 }
 
-// RecordTimeout takes the time of an attempt without an answer by its Ratio.
+// RecordTimeout notes the time of an attempt without an answer in time, by its Ratio.
 func (f *Factor) RecordTimeout(ratio float64) { f.value += factorGain * (ratio - f.value) }
--- a/internal/policy/lease/lease.go
+++ b/internal/policy/lease/lease.go
@@ -223,9 +223,10 @@
 	// Overflow is to be added to the counter at once if it is above 0: what the bucket held beyond its burst has
 	// overflowed, and what it seems to have gained beyond its rate the counter has lost.
 	Overflow float64
-	// Short says that the bucket did not hold the block. What was added too much is in Excess.
+	// Short says that the bucket did not hold the block.
 	Short bool
-	// Excess is to be added to the counter, at once or by AddWithNextCall. It is negative.
+	// Correction takes back what the call added too much, if Short. It is negative, and is to be added to the
+	// counter at once or by AddWithNextCall.
 	Correction float64
 }
 
--- a/internal/policy/outlier.go
+++ b/internal/policy/outlier.go
@@ -10,30 +10,30 @@
 
 const (
 	// minProbeBudget is the deadline budget that a request must have to serve as a probe of an ejected
-	// backend, in latencies of its class.
+	// backend, in mean latencies of its class.
 	minProbeBudget = 7.0
-	// probeTimeout is what the probe may take, in latencies of its class. The rest of the budget is for
+	// probeTimeout is what the probe may take, in mean latencies of its class. The rest of the budget is for
 	// another attempt.
 	probeTimeout = 4.0
 )
 
-// watchList holds the backends that the periodic check looks at: those with attempts in flight or ejected,
-// and for a while others.
-type watchList []*backend
+// checkList holds the backends whose health the periodic check looks at: all with attempts in flight, all
+// that are ejected, and some others until prune drops them.
+type checkList []*backend
 
 // add has the periodic check look at a backend.
-func (w *watchList) add(b *backend) {
-	if !b.watched {
-		b.watched = true
+func (w *checkList) add(b *backend) {
+	if !b.inCheckList {
+		b.inCheckList = true
 		*w = append(*w, b)
 	}
 }
 
-// prune drops those that need no look any more.
-func (w *watchList) prune() {
+// prune drops those with no attempt in flight that are not ejected or no longer in service.
+func (w *checkList) prune() {
 	kept := (*w)[:0]
 	for _, b := range *w {
-		if b.watched = len(b.inFlight) > 0 || b.detector.Ejected() && b.listed; b.watched {
+		if b.inCheckList = len(b.inFlight) > 0 || b.detector.Ejected() && b.inService; b.inCheckList {
 			kept = append(kept, b)
 		}
 	}
@@ -63,8 +63,8 @@
 	}
 }
 
-// othersRespond says whether a quarter of the backends, or more, answer while one is silent. Else the
-// fault is not that backend's.
+// othersRespond says whether enough other backends respond while one is silent: as many as a quarter of the
+// subset, and one at least. Else the fault is not that backend's.
 func (e *Engine) othersRespond(silent *backend) bool {
 	responding := 0
 	for _, b := range e.subset.backends {
@@ -72,7 +72,7 @@
 			responding++
 		}
 	}
-	for _, b := range e.watched {
+	for _, b := range e.toCheck {
 		if !b.inSubset && b.usable() && b.detector.RespondsWhileSilent(e.now, &silent.detector) {
 			responding++
 		}
@@ -86,7 +86,7 @@
 func (e *Engine) eject(b *backend) {
 	b.detector.Eject(e.now, e.subset.gatewaysPerBackend, e.rng)
 	e.countWarm(b)
-	e.watched.add(b)
+	e.toCheck.add(b)
 	e.emit(Log{"no longer used: " + b.name})
 	e.moveQueue(b)
 	if !e.settings.AllowCancel {
@@ -101,7 +101,7 @@
 
 // sendHealthCheck checks an ejected backend, if the settings allow it and it is due.
 func (e *Engine) sendHealthCheck(b *backend) {
-	if b.listed && e.settings.AllowHealthChecks && b.detector.ProbeDue(e.now) {
+	if b.inService && e.settings.AllowHealthChecks && b.detector.ProbeDue(e.now) {
 		b.detector.StartProbe()
 		e.emit(HealthCheck{b.name})
 	}
@@ -128,7 +128,7 @@
 	e.countWarm(b)
 }
 
-// restore takes a backend into use again; the caller counts it.
+// restore takes a backend into use again. The caller must call countWarm.
 func (e *Engine) restore(b *backend) {
 	b.detector.Reset(e.now)
 	e.emit(Log{"used again: " + b.name})
@@ -140,15 +140,16 @@
 	if e.settings.AllowHealthChecks || !e.mayProbe(r) {
 		return nil
 	}
-	for _, b := range e.watched {
-		if b.listed && b.inSubset && b.detector.ProbeDue(e.now) && !e.slowStartSpent(b) {
+	for _, b := range e.toCheck {
+		if b.inService && b.inSubset && b.detector.ProbeDue(e.now) && !e.slowStartSpent(b) {
 			return b
 		}
 	}
 	return nil
 }
 
-// mayProbe says whether a request loses nothing when its first attempt has no answer.
+// mayProbe says whether a request can serve as a probe: if its first attempt brings no answer it may have
+// another, and time is left for it.
 func (e *Engine) mayProbe(r *request) bool {
 	return e.settings.Classes[r.class].Idempotency == Idempotent && len(r.attempts) == 0 &&
 		e.settings.MaxAttempts >= 2 && r.deadlineBudget.Seconds() >= minProbeBudget*e.expectedLatency(r)
--- a/internal/policy/outlier/outlier_test.go
+++ b/internal/policy/outlier/outlier_test.go
@@ -24,18 +24,18 @@
 
 func TestFailuresInARowBreak(t *testing.T) {
 	var d Detector
-	for want := 1; want < maxFailures; want++ {
-		if got := d.RecordFailure(); got != want || d.Broken() {
+	for want := 1; want < maxBrokenConnections; want++ {
+		if got := d.RecordBrokenConnection(); got != want || d.Broken() {
 			t.Errorf("after %d: counted %d, broken %v", want, got, d.Broken())
 		}
 	}
 	d.RecordResponse(time.Second, Answer)
-	if got := d.RecordFailure(); got != 1 {
+	if got := d.RecordBrokenConnection(); got != 1 {
 		t.Errorf("after an answer the next counts as number %d", got)
 	}
-	d.RecordFailure()
-	if d.RecordFailure(); !d.Broken() {
-		t.Errorf("not broken after %d in a row", maxFailures)
+	d.RecordBrokenConnection()
+	if d.RecordBrokenConnection(); !d.Broken() {
+		t.Errorf("not broken after %d in a row", maxBrokenConnections)
 	}
 	if d.Eject(time.Second, 1, random()); d.Broken() {
 		t.Error("an ejected backend is to be ejected")
@@ -151,8 +151,8 @@
 
 func TestReset(t *testing.T) {
 	var d Detector
-	d.RecordFailure()
-	d.RecordFailure()
+	d.RecordBrokenConnection()
+	d.RecordBrokenConnection()
 	d.RecordTimeout()
 	d.Eject(time.Second, 1, random())
 	d.StartProbe()
@@ -160,7 +160,7 @@
 		t.Error("a restart takes longer than restartTime")
 	}
 	d.Reset(5 * time.Second)
-	if d.State() != Serving || d.MayHaveRestarted(5*time.Second) || d.RecordFailure() != 1 || d.Silent(6*time.Second, inFlight()) {
+	if d.State() != Serving || d.MayHaveRestarted(5*time.Second) || d.RecordBrokenConnection() != 1 || d.Silent(6*time.Second, inFlight()) {
 		t.Errorf("after it: %+v", d)
 	}
 }
--- a/internal/policy/result.go
+++ b/internal/policy/result.go
@@ -11,7 +11,7 @@
 // clock.
 const minLatency = 1e-3
 
-// learn takes what a result tells of its backend.
+// learn notes what a result tells of its backend.
 func (e *Engine) learn(a *attempt, result AttemptResult) {
 	b := a.backend
 	took := max(minLatency, result.Latency.Seconds())
@@ -19,7 +19,7 @@
 	e.learnPressure(b, result.Status, ratio)
 	switch result.Status {
 	case ConnectionReset, ConnectFailed:
-		e.learnFailure(b)
+		e.learnBrokenConnection(b)
 	case TimedOut:
 		e.learnTimeout(b, ratio)
 	case Rejected:
@@ -38,7 +38,7 @@
 	b.limiter.Pause(e.now, e.expectedLatencyAt(a.request, b))
 }
 
-// learnPressure takes what a result tells of the whole fleet. A backend that rejects again and again is
+// learnPressure notes what a result tells of the whole fleet. A backend that rejects again and again is
 // draining or has no connection left: that is its own state, unless most do so.
 func (e *Engine) learnPressure(b *backend, status Status, ratio float64) {
 	switch {
@@ -60,9 +60,9 @@
 	return 2*rejecting >= len(e.subset.backends)
 }
 
-// learnFailure takes a broken connection. One alone says nothing of its backend.
-func (e *Engine) learnFailure(b *backend) {
-	if b.detector.RecordFailure() > 1 {
+// learnBrokenConnection notes a broken connection. One alone says nothing of its backend.
+func (e *Engine) learnBrokenConnection(b *backend) {
+	if b.detector.RecordBrokenConnection() > 1 {
 		b.limiter.RecordBroken()
 	}
 	if b.detector.Broken() {
@@ -70,7 +70,7 @@
 	}
 }
 
-// learnTimeout takes an attempt without an answer. One at an ejected backend is what its ejection expects.
+// learnTimeout notes an attempt without an answer in time. At an ejected backend that tells nothing new.
 func (e *Engine) learnTimeout(b *backend, ratio float64) {
 	if b.detector.Ejected() {
 		return
@@ -80,8 +80,8 @@
 	b.limiter.RecordTimeout()
 }
 
-// learnResponse takes a sign of life, which brings an ejected backend back. It is no sign of a restart:
-// the response ends the silence by which a restart is suspected.
+// learnResponse notes a sign of life, which brings an ejected backend back. It begins no slow start: a
+// restart is suspected only where a health check ends a long silence (healthChecked).
 func (e *Engine) learnResponse(b *backend, response outlier.Response) {
 	b.detector.RecordResponse(e.now, response)
 	if b.detector.Ejected() {
@@ -90,9 +90,8 @@
 	}
 }
 
-// learnAnswer takes the latency of an answer: for the throughput of a warm backend, the class's latency
-// and the backend's concurrency limit. What still comes from backends that are no longer in use would
-// count for few.
+// learnAnswer notes the latency of an answer: for the class's latency, the backend's concurrency limit, and
+// if the backend is in use and warm for the throughput of the warm ones.
 func (e *Engine) learnAnswer(b *backend, r *request, took float64) {
 	if b.warmMark.Warm() {
 		e.throughput.RecordAnswer(e.now)
--- a/internal/policy/selection.go
+++ b/internal/policy/selection.go
@@ -11,11 +11,11 @@
 	// maxSeenOutside is how many backends are looked at if none of the subset can serve.
 	maxSeenOutside = 256
 
-	// A backend's load cost is about the attempts there over its weight and speed. These are added to it,
-	// each over any sum of the ones before:
-	costNoFreeSlot = 1e3 // it has no free slot
-	costOutside    = 1e4 // it is outside the subset
-	costWarmingUp  = 1e6 // its slow-start budget is spent
+	// A backend's load cost is about the attempts there over its weight and speed. These are added to it. Each
+	// is usually more than the rest of the cost and the ones before together:
+	costNoFreeSlot  = 1e3 // it has no free slot
+	costOutside     = 1e4 // it is outside the subset
+	costBudgetSpent = 1e6 // its slow-start budget is spent
 	// costOtherZone is a factor for a backend of another zone than the gateway's.
 	costOtherZone = 1.05
 	// costBusyFactor is a factor for one without a free slot.
@@ -40,9 +40,9 @@
 	return c
 }
 
-// choose picks a backend for a request, or nil if none may have it: round robin, passing over one on which
-// more work waits for its weight and speed, and one in a pause. It looks at a bounded part of the fleet,
-// however large that is.
+// choose picks the backend with the least cost for a request, or nil if none may have it: what is in doubt
+// goes only where mayRepeat allows. The round robin breaks ties, and gives the backends to begin with: a
+// bounded part of the fleet is looked at, however large that is.
 func (e *Engine) choose(r *request) *backend {
 	e.roundRobin++
 	best := e.cheapestInside(r)
@@ -55,10 +55,10 @@
 }
 
 // cheapestInside looks through the backends of the subset from this turn's on, until it has compared
-// enough of them and found one that is free.
+// maxCompared and found one with a free slot, or has seen all.
 func (e *Engine) cheapestInside(r *request) candidate {
 	best, compared := noCandidate, 0
-	chance := e.sparseness()
+	randomPart := e.sparseness()
 	backends := e.subset.backends
 	for i := range backends {
 		if compared >= maxCompared && best.cost < costNoFreeSlot {
@@ -68,10 +68,10 @@
 		if !b.usable() || !e.mayRepeat(r, b) {
 			continue
 		}
-		cost := e.loadCost(b, e.capacityShare(b), chance)
+		cost := e.loadCost(b, e.capacityShare(b), randomPart)
 		compared++
 		if e.slowStartSpent(b) {
-			cost += costWarmingUp
+			cost += costBudgetSpent
 		}
 		best = best.cheaper(candidate{b, cost})
 	}
@@ -79,10 +79,10 @@
 }
 
 // cheapestOutside looks through a part of all backends from this turn's on, for one that is outside the
-// subset and warm: a backend's slow-start budget is that of the gateways that have it in their subsets.
+// subset and warm: a backend's slow-start budget is divided by the gateways that have it in their subsets.
 func (e *Engine) cheapestOutside(r *request) candidate {
 	best := noCandidate
-	chance := e.sparseness()
+	randomPart := e.sparseness()
 	backends := e.endpoints.all
 	for i := range min(maxSeenOutside, len(backends)) {
 		b := backends[(e.roundRobin+i)%len(backends)]
@@ -93,22 +93,23 @@
 		if share < 1 {
 			continue
 		}
-		best = best.cheaper(candidate{b, e.loadCost(b, share, chance) + costOutside})
+		best = best.cheaper(candidate{b, e.loadCost(b, share, randomPart) + costOutside})
 	}
 	return best
 }
 
-// loadCost compares a backend with others, by the attempts there over its weight, its speed and the share
-// of its capacity that it has. Where a gateway sends to each so rarely that what it knows is old or luck,
-// chance has a part, and a random number is drawn (a departure: then all gateways together give each
-// backend by its weight and speed; none is found by all).
-func (e *Engine) loadCost(b *backend, share, chance float64) float64 {
-	cost := (float64(len(b.inFlight)+b.queue.length) + 1) * b.latencyFactor.Value() / (b.weight * share)
+// loadCost compares a backend with others: the attempts and requests there and one more, times its latency
+// factor, over its weight and the share of its capacity that it has (capacityShare). Where a gateway sends to
+// each so rarely that what it knows is old or luck, randomPart of the cost, from 0 to 1, is random, and a
+// number is drawn if it is over 0 (a departure: then all gateways together send to each backend by its weight
+// and speed, instead of all to the same one).
+func (e *Engine) loadCost(b *backend, capacityShare, randomPart float64) float64 {
+	cost := (float64(len(b.inFlight)+b.queue.length) + 1) * b.latencyFactor.Value() / (b.weight * capacityShare)
 	if b.zone != e.settings.Zone {
 		cost *= costOtherZone
 	}
-	if chance > 0 {
-		cost *= 1 - chance + chance*e.rng.ExpFloat64()
+	if randomPart > 0 {
+		cost *= 1 - randomPart + randomPart*e.rng.ExpFloat64()
 	}
 	if !b.hasFreeSlot(e.now) {
 		cost = cost*costBusyFactor/min(1, b.limiter.Limit()) + costNoFreeSlot
--- a/internal/policy/slowstart/slowstart.go
+++ b/internal/policy/slowstart/slowstart.go
@@ -14,19 +14,20 @@
 )
 
 const (
-	// usedShare is the share of the budget that is used: the cost of requests differs from their mean.
+	// usedShare is the share of what the backend can bear that is used: the cost of requests differs from their
+	// mean.
 	usedShare = 0.5
-	// minWindowAttempts is how many attempts in one window all gateways together may send whatever they have
-	// measured: however little that is, the turn of each comes.
+	// minWindowAttempts is how many attempts in one window all gateways together may send, even if what they
+	// have measured allows fewer: so that each gateway gets its turn.
 	minWindowAttempts = 3.0
 )
 
-// Settings say how a started backend warms up, and what it fails of.
+// Settings say how a started backend warms up, and how much makes it fail.
 type Settings struct {
 	MinShare         float64       // of its capacity, that a backend has at its start
 	Duration         time.Duration // until it has all of it
 	OverloadMultiple float64       // of its present capacity: a backend that gets so much for a window fails
-	OverloadWindow   time.Duration // of which OverloadMultiple speaks
+	OverloadWindow   time.Duration // the length of that window
 }
 
 // Budget is what one backend may get while it warms up. The zero value is warm.
@@ -37,15 +38,15 @@
 	notBefore time.Duration   // no attempt before this; 0: not drawn yet
 }
 
-// Begin says that the backend has started.
+// Begin notes that the backend started at a time.
 func (b *Budget) Begin(since time.Duration) { b.warming, b.since = true, since }
 
 // Warming says whether the backend counts as warming up. It does until CapacityShare finds that it no
 // longer is.
 func (b *Budget) Warming() bool { return b.warming }
 
-// CapacityShare is the share of its capacity that the backend has at least. It ends the warming up when
-// its time is over.
+// CapacityShare is the share of its capacity that the backend has at least: MinShare at its start, all after
+// Duration, and in between on a line. When Duration is over it also ends the warming up.
 func (b *Budget) CapacityShare(now time.Duration, set *Settings) float64 {
 	age := float64(now - b.since)
 	if !b.warming || age >= float64(set.Duration) {
@@ -55,7 +56,7 @@
 	return set.MinShare + (1-set.MinShare)*max(0, age)/float64(set.Duration)
 }
 
-// RecordAttempt takes an attempt that is sent to the backend.
+// RecordAttempt notes an attempt that is sent to the backend.
 func (b *Budget) RecordAttempt(now time.Duration) {
 	if b.warming {
 		b.sent = append(b.sent, now)
@@ -71,16 +72,21 @@
 	Gateways   float64 // that use the backend
 }
 
-// Spent says whether the backend has had its budget: this gateway's part of multiple x present capacity x
-// window, the capacity taken for no more than what a warm backend of its weight is seen to carry. Where
-// that is under one attempt, as with many gateways, it is a rarer turn, the first at a time by chance, as
-// all gateways learn of a start together; this can leave a backend that only this gateway knows idle for a
-// while. Rng is drawn from once for each start, if at all.
+// Spent says whether the backend has had its budget, which is in attempts for each OverloadWindow
+//
+//	usedShare x OverloadMultiple x Share x PerBackend x OverloadWindow x Weight / MeanWeight
+//
+// Share x PerBackend is this gateway's part of the backend's present capacity, taken for no more than a warm
+// backend of its weight is seen to carry. The budget is used in whole attempts: floor(budget), in a window as
+// much shorter. Under one attempt a window, as with many gateways, it is one attempt in a longer time, and
+// the first comes at a random moment of that time, as all gateways learn of a start together; this can leave
+// a backend that only this gateway knows idle for a while. One random number is drawn for each start, if the
+// budget is ever under one attempt.
 func (b *Budget) Spent(now time.Duration, set *Settings, load Load, rng *rand.Rand) bool {
 	span := set.OverloadWindow.Seconds()
 	budget := usedShare * set.OverloadMultiple * load.Share * load.PerBackend * span *
 		load.Weight / cmp.Or(load.MeanWeight, load.Weight)
-	// Whole attempts, in a time as much longer or shorter: else all gateways would round alike.
+	// Whole attempts, in a time as much longer or shorter: else all gateways would round the same way.
 	whole := max(1, math.Floor(budget))
 	span *= whole / budget
 	if budget < 1 {
--- a/internal/policy/subset.go
+++ b/internal/policy/subset.go
@@ -12,17 +12,18 @@
 )
 
 const (
-	// maxGatewaysPerBackend is how many gateways have one backend in their subsets, as a mean: so many
-	// that their traffic to it is even in sum.
+	// maxGatewaysPerBackend is how many gateways have one backend in their subsets on average: so many that
+	// their traffic to it is even in sum.
 	maxGatewaysPerBackend = 16.0
 	// minSubset is the least size of a subset, so that one backend lost is no great part.
 	minSubset = 8
 	// mixedSubset is the size from which a subset has backends of all zones by chance alone.
 	mixedSubset = 4 * minSubset
-	// subsetSlack is what a gateway may have over the mean size, as a share: so few change when a backend
-	// goes.
+	// subsetSlack is what a gateway may be dealt over the mean, as a share of it, so that few subsets change
+	// when a backend goes.
 	subsetSlack = 0.0625
-	// keepSeatsShare is the share of minSubset down to which the gateways of a round stay as many.
+	// keepSeatsShare says how long the seats of a round are kept while the list shrinks: until they would have
+	// fewer than keepSeatsShare x minSubset backends each.
 	keepSeatsShare = 0.6
 )
 
@@ -35,15 +36,15 @@
 	gateways           int
 	gatewayIndex       int
 	backends           []*backend // written by set alone
-	extra              []*backend // those by fill
+	extra              []*backend // those by addExtras
 	round              *subset.Round[*backend]
-	gatewaysPerBackend float64 // that have one backend in their subsets, as a mean; 1 at least
+	gatewaysPerBackend float64 // that have one backend in their subsets, on average; 1 at least
 }
 
 // subsetPlace is what the subset keeps with each backend.
 type subsetPlace struct {
 	inSubset    bool
-	extra       bool // in the subset by fill
+	extra       bool // in the subset by addExtras
 	subsetIndex int  // in backendSubset.backends
 	member      subset.Member[*backend]
 }
@@ -55,12 +56,12 @@
 
 // assign makes the subset follow the endpoint list, of which these backends have changed.
 func (s *backendSubset) assign(endpoints *endpointRegistry, changed []*backend) {
-	seats := s.seats(endpoints.inService)
-	inService := float64(endpoints.inService)
-	size := max(inService/float64(seats), float64(min(minSubset, endpoints.inService)))
+	seats := s.seats(endpoints.inServiceCount)
+	inService := float64(endpoints.inServiceCount)
+	size := max(inService/float64(seats), float64(min(minSubset, endpoints.inServiceCount)))
 	s.gatewaysPerBackend = max(1, float64(s.gateways)*size/max(1, inService))
 	for _, b := range changed {
-		if !b.listed && b.member.Seated() {
+		if !b.inService && b.member.Seated() {
 			s.round.Remove(&b.member)
 		}
 	}
@@ -68,16 +69,16 @@
 		s.beginRound(endpoints, seats)
 	}
 	for _, b := range changed {
-		if b.listed && !b.member.Seated() {
+		if b.inService && !b.member.Seated() {
 			s.round.Add(&b.member, b.name)
 		}
 	}
-	s.fill(endpoints)
+	s.addExtras(endpoints)
 }
 
-// seats is how many gateways share out the list: so many that each backend is in some
-// maxGatewaysPerBackend subsets, but not so many that these would have under minSubset backends. A list
-// that shrinks a little changes nothing.
+// seats is how many gateways share out the list: so many that each backend is in about maxGatewaysPerBackend
+// subsets, but not so many that these would have under minSubset backends. A list that shrinks a little
+// changes nothing.
 func (s *backendSubset) seats(inService int) int {
 	wanted := max(1, int(math.Round(float64(s.gateways)/maxGatewaysPerBackend)))
 	fitting := max(1, coarse((inService+minSubset/2)/minSubset))
@@ -87,8 +88,8 @@
 	return min(wanted, fitting)
 }
 
-// coarse rounds a number of seats down to three binary digits: a list that grows then changes it seldom,
-// and each change deals all backends out anew.
+// coarse rounds a number of seats down to three binary digits, so that a list that grows changes it seldom:
+// each change deals all backends out anew.
 func coarse(seats int) int {
 	drop := max(0, bits.Len(uint(seats))-3)
 	return seats >> drop << drop
@@ -106,14 +107,14 @@
 	}
 	s.round = subset.New(uint64(s.gatewayIndex/seats), seats, s.gatewayIndex%seats, subsetSlack, s.moved)
 	for _, b := range endpoints.all {
-		if b.listed {
+		if b.inService {
 			s.round.Add(&b.member, b.name)
 		}
 	}
 }
 
-// moved takes from the round that a backend has come to this gateway's seat or left it. One that is in the
-// subset by fill stays; that it is there by the round, or by nothing, fill finds.
+// moved notes that a backend has come to this gateway's seat in the round or left it. One that was an extra
+// is in the subset already, and from now on belongs to the round.
 func (s *backendSubset) moved(b *backend, in bool) {
 	if !b.extra {
 		s.set(b, in)
@@ -137,9 +138,9 @@
 	s.backends = s.backends[:last]
 }
 
-// fill gives a gateway that was dealt too few backends some more, by an order of its own: too few in all,
-// or too few outside some zone, which may be lost.
-func (s *backendSubset) fill(endpoints *endpointRegistry) {
+// addExtras replaces the extra backends. It gives a gateway that was dealt too few backends some more, in its
+// own order: too few in all, or too few outside some zone, as that zone may be lost.
+func (s *backendSubset) addExtras(endpoints *endpointRegistry) {
 	for _, b := range s.extra {
 		if b.extra {
 			b.extra = false
@@ -147,9 +148,10 @@
 		}
 	}
 	s.extra = s.extra[:0]
-	for zone, short := s.shortage(endpoints.inService); short; zone, short = s.shortage(endpoints.inService) {
+	inService := endpoints.inServiceCount
+	for zone, short := s.shortage(inService); short; zone, short = s.shortage(inService) {
 		b := s.firstOutside(endpoints, zone)
-		if b == nil { // there are none besides
+		if b == nil { // all are in the subset
 			return
 		}
 		b.extra = true
@@ -194,7 +196,7 @@
 	var first *backend
 	firstPlace := uint64(math.MaxUint64)
 	for _, b := range endpoints.all {
-		if !b.listed || b.inSubset || b.zone == zone {
+		if !b.inService || b.inSubset || b.zone == zone {
 			continue
 		}
 		if place := s.ownOrder(b); first == nil || place < firstPlace {
--- a/internal/policy/subset_test.go
+++ b/internal/policy/subset_test.go
@@ -119,7 +119,7 @@
 	}
 	fresh := newTestEngine(t, settings, list[100:]...)
 	oldSubset, freshSubset := old.subset.backends, fresh.subset.backends
-	if len(oldSubset) != len(freshSubset) || len(old.endpoints.all) != 500 || old.endpoints.inService != 500 {
+	if len(oldSubset) != len(freshSubset) || len(old.endpoints.all) != 500 || old.endpoints.inServiceCount != 500 {
 		t.Fatalf("subsets of %d and %d, %d known", len(oldSubset), len(freshSubset), len(old.endpoints.all))
 	}
 	for _, b := range freshSubset {
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -45,10 +45,10 @@
 	member   *Member[T]
 }
 
-// New makes an empty round. Rounds of other numbers deal otherwise. No seat holds over 1+slack times the
-// mean, rounded up; a larger slack moves fewer members when one comes or goes, and deals less evenly.
-// Moved is called with the value of each member that comes to ownSeat (true) or leaves it (false), from
-// Add and Remove.
+// New makes an empty round. Its number goes into the order of seats of each member, so rounds with different
+// numbers deal differently. No seat holds over 1+slack times the mean, rounded up; a larger slack moves fewer
+// members when one comes or goes, and deals less evenly. Moved is called with the value of each member that
+// comes to ownSeat (true) or leaves it (false), from Add and Remove.
 func New[T any](number uint64, seats, ownSeat int, slack float64, moved func(T, bool)) *Round[T] {
 	return &Round[T]{number: number, ownSeat: ownSeat, slack: slack, moved: moved,
 		occupants: make([][]place[T], seats), displaced: make([][]place[T], seats)}
@@ -70,7 +70,7 @@
 		}
 	}
 	r.resize(r.size + 1)
-	r.settle(m)
+	r.findSeat(m)
 }
 
 // Remove takes a member out. One that is not in a round stays out.
@@ -83,7 +83,7 @@
 	}
 	m.seated = false
 	r.leave(m)
-	r.fill(m.seat)
+	r.refill(m.seat)
 	r.resize(r.size - 1)
 }
 
@@ -94,7 +94,7 @@
 	for r.capacity < capacity {
 		r.capacity++
 		for seat := range r.occupants {
-			r.fill(seat)
+			r.refill(seat)
 		}
 	}
 	for r.capacity > capacity {
@@ -104,14 +104,15 @@
 				weakest := r.occupants[seat][lowestPriority(r.occupants[seat])].member
 				r.leave(weakest)
 				r.displace(weakest, seat)
-				r.settle(weakest)
+				r.findSeat(weakest)
 			}
 		}
 	}
 }
 
-// settle finds a seat for a member that has none, from its present choice on, and for whom it displaces.
-func (r *Round[T]) settle(m *Member[T]) {
+// findSeat finds a seat for a member that has none, from its present choice on, and for each that it
+// displaces.
+func (r *Round[T]) findSeat(m *Member[T]) {
 	for {
 		seat := r.seatAt(m, m.choice)
 		if len(r.occupants[seat]) < r.capacity {
@@ -134,9 +135,9 @@
 	m.choice++
 }
 
-// fill gives room on a seat to the first of those that it displaced; so there is room where that one sat,
-// and so on.
-func (r *Round[T]) fill(seat int) {
+// refill gives room on a seat to the member of highest priority of those that it displaced. That leaves room
+// where this one sat, which is filled in the same way, and so on.
+func (r *Round[T]) refill(seat int) {
 	for len(r.occupants[seat]) < r.capacity && len(r.displaced[seat]) > 0 {
 		m := r.displaced[seat][highestPriority(r.displaced[seat])].member
 		r.leave(m)
@@ -219,8 +220,8 @@
 	return a
 }
 
-// Mix gives of a hash and a number another hash (the finalizer of SplitMix64, G. Steele, D. Lea and C.
-// Flood, 2014).
+// Mix makes another hash of a hash and a number (the finalizer of SplitMix64, G. Steele, D. Lea and C. Flood,
+// 2014).
 func Mix(hash, number uint64) uint64 {
 	hash += (number + 1) * 0x9e3779b97f4a7c15
 	hash = (hash ^ hash>>30) * 0xbf58476d1ce4e5b9
