--- a/internal/policy/overload_test.go
+++ b/internal/policy/overload_test.go
@@ -1,6 +1,7 @@
 package policy
 
 import (
+	"math"
 	"math/rand/v2"
 	"testing"
 	"time"
@@ -79,3 +80,54 @@
 		t.Errorf("of 2000 requests, %d rejected, and %d since 12 of 60 backends reject all", none, some)
 	}
 }
+
+// Under overload requests are rejected by chance: the more of the deadline budget the latency takes beyond
+// that of an idle fleet, the more of them; at lower levels sooner; at gateways that know their backends well,
+// fewer or none.
+func TestShedByLatency(t *testing.T) {
+	const (
+		draws = 4000
+		idle  = 0.05 // seconds; 0.4 s of the budget's 0.45 s are left beside it
+	)
+	for _, c := range []struct {
+		name    string
+		latency float64 // seconds
+		level   int
+		answers int // of the backend, a third of one a second each
+		want    float64
+	}{
+		{name: "an idle fleet", latency: idle, want: 0},
+		{name: "an eighth of what is left", latency: idle + 0.4*0.125, want: 0},
+		{name: "halfway between the bounds", latency: idle + 0.4*0.425, want: 0.5},
+		{name: "over the upper bound, some go on", latency: idle + 0.4*0.7, want: 0.97},
+		{name: "an eighth, at the lowest level", latency: idle + 0.4*0.125, level: lowestLevel, want: 0.0625 / 0.35},
+		{name: "halfway, at the lowest level", latency: idle + 0.4*0.425, level: lowestLevel, want: 0.97},
+		{name: "over the upper bound, two thirds of an answer a second", latency: idle + 0.4*0.7, answers: 2,
+			want: 0.97 * 2 / 3},
+		{name: "over the upper bound, more than an answer a second", latency: idle + 0.4*0.7, answers: 4, want: 0},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			engine, drawer := newTestEngine(t, testSettings(), testBackends(1)...), newTestEngine(t, testSettings())
+			engine.latencies.RecordAnswer(idempotentClass, idle)
+			engine.latencies.RecordIdle(idempotentClass, false)
+			engine.latencies.RecordAnswer(idempotentClass, 2*c.latency-idle) // the second has half the weight
+			for range c.answers {
+				engine.throughput.RecordAnswer(engine.now)
+			}
+			r := &request{class: idempotentClass, level: c.level, deadlineBudget: 500 * ms}
+			shed := 0
+			for range draws {
+				if engine.shedByLatency(r) {
+					shed++
+				}
+				drawer.rng.Float64()
+			}
+			if got := float64(shed) / draws; math.Abs(got-c.want) > 0.03 || c.want == 0 && got > 0 || got == 1 {
+				t.Errorf("a share of %v is rejected, want %v", got, c.want)
+			}
+			if engine.rng.Uint64() != drawer.rng.Uint64() {
+				t.Error("not one random number was drawn for each request")
+			}
+		})
+	}
+}
--- a/internal/policy/queue_test.go
+++ b/internal/policy/queue_test.go
@@ -1,6 +1,9 @@
 package policy
 
-import "testing"
+import (
+	"testing"
+	"time"
+)
 
 func TestStaleRequestsAreRejected(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), testBackends(1)...)
@@ -89,3 +92,64 @@
 		t.Errorf("%d sends for one slot, %d left in the queue: %v", len(sends), b.queue.length, actions)
 	}
 }
+
+// The wait at the back of a queue is estimated by what is ahead at the same level and above. The lower the
+// level, the less of the deadline budget it may take; at the lowest level any wait is too long.
+func TestWaitsTooLong(t *testing.T) {
+	// An answer takes 50 ms, and the backend has 2 slots: each request ahead costs 25 ms of the 500 ms.
+	for _, c := range []struct {
+		name    string
+		level   int
+		ahead   int // requests in the queue
+		aheadAt int // their level
+		waited  time.Duration
+		ratio   float64 // of a time-out that the backend's latency factor has learned; 0: none
+		want    bool
+	}{
+		{name: "nothing ahead", want: false},
+		{name: "5 ahead", ahead: 5, want: false},
+		{name: "7 ahead", ahead: 7, want: true},
+		{name: "7 below", ahead: 7, aheadAt: 1, want: false},
+		{name: "3 ahead, at level 3", level: 3, ahead: 3, want: false},
+		{name: "5 ahead, at level 3", level: 3, ahead: 5, want: true},
+		{name: "it has waited for 100 ms", waited: 100 * ms, want: false},
+		{name: "it has waited for 200 ms", waited: 200 * ms, want: true},
+		{name: "a backend that takes 3.5 times as long", ratio: 1 + 2.5/0.15, want: true},
+		{name: "nothing ahead, at the level above the lowest", level: lowestLevel - 1, want: true},
+		{name: "nothing ahead, at the lowest level", level: lowestLevel, want: true},
+	} {
+		t.Run(c.name, func(t *testing.T) {
+			engine := newTestEngine(t, testSettings(), testBackends(1)...)
+			engine.Step(time.Second, nil)
+			b := engine.endpoints.byName["b0"]
+			if c.ratio > 0 {
+				b.latencyFactor.RecordTimeout(c.ratio)
+			}
+			for range c.ahead {
+				engine.queues.push(&request{level: c.aheadAt}, b)
+			}
+			r := &request{level: c.level, arrivedAt: engine.now - c.waited, deadlineBudget: 500 * ms}
+			if got := engine.waitsTooLong(r, b); got != c.want {
+				t.Errorf("too long: %v, want %v", got, c.want)
+			}
+		})
+	}
+}
+
+// What is over its quota goes only where a slot is free. A retry is queued however long the wait is.
+func TestOverloadRejectsFirstAttemptsWithoutAFreeSlot(t *testing.T) {
+	engine := newTestEngine(t, testSettings(), testBackends(1)...)
+	b := engine.endpoints.byName["b0"]
+	overQuota := &request{level: lowestLevel, deadlineBudget: 500 * ms}
+	if reason, overloaded := engine.overload(overQuota, b); overloaded {
+		t.Errorf("rejected as %q where a slot is free", reason)
+	}
+	requestsInFlight(b, 2)
+	if reason, overloaded := engine.overload(overQuota, b); !overloaded || reason != QueueTooLong {
+		t.Errorf("without a free slot: rejected %v, as %q", overloaded, reason)
+	}
+	overQuota.attempts = []*attempt{{}}
+	if reason, overloaded := engine.overload(overQuota, b); overloaded {
+		t.Errorf("a retry is rejected as %q", reason)
+	}
+}
