--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -14,7 +14,8 @@
 	"time"
 )
 
-// admit takes a request in.
+// admit handles a request's arrival: it is rejected at once, or waits behind its tenant's other requests,
+// which are then served in order. A second event with the ID of a request that is still known is ignored.
 func (e *Engine) admit(ev Request) {
 	if e.requests[ev.ID] != nil {
 		return
@@ -46,7 +47,7 @@
 	e.serve(r.tenant)
 }
 
-// have says whether the settings have a class and a plan of these numbers.
+// have says whether the settings have a class and a plan with these numbers.
 func (s *Settings) have(class, plan int) bool {
 	return 0 <= class && class < len(s.Classes) && 0 <= plan && plan < len(s.Plans)
 }
@@ -99,8 +100,8 @@
 	}
 }
 
-// serveWaitingTenants serves again those tenants whose first request had to wait: no event tells that a share
-// has filled or that a request has become late.
+// serveWaitingTenants serves again those tenants whose first request had to wait: no event tells that a hard
+// limit's share has filled or that a request has become late.
 func (e *Engine) serveWaitingTenants() {
 	for _, t := range e.tenants.takeWaiting() {
 		t.noLongerNoted()
--- a/internal/policy/countercalls.go
+++ b/internal/policy/countercalls.go
@@ -138,7 +138,7 @@
 	e.emit(AddToCounter{number, amount, ttl})
 }
 
-// counterAnswered takes the end of a call and serves the tenant that waited for it.
+// counterAnswered handles the end of a call, then serves the tenant that may wait for it.
 func (e *Engine) counterAnswered(ev CounterResult) {
 	call := e.counter.take(ev.Name)
 	if call == nil {
--- a/internal/policy/engine.go
+++ b/internal/policy/engine.go
@@ -48,7 +48,7 @@
 // The cookies of the engine's timers. A request's is odd.
 const (
 	checkCookie = 0 // the periodic check
-	pollCookie  = 2 // the endpoint list is asked for again
+	pollCookie  = 2 // the pause after a failed call for the endpoint list is over
 )
 
 // deadlineCookie is the cookie of the timer for a request's deadline.
@@ -105,7 +105,7 @@
 	}
 }
 
-// take hands an event to the rule for it.
+// take calls the rule for an event.
 func (e *Engine) take(ev Event) {
 	switch ev := ev.(type) {
 	case Request:
@@ -126,11 +126,11 @@
 		e.healthChecked(ev)
 	case Suspend:
 		e.suspend(ev.On)
-	case PeerMessage: // for another kind of engine
+	case PeerMessage: // this engine sends none and needs none
 	}
 }
 
-// timerDue takes the engine's own timers and those of the requests' deadlines.
+// timerDue handles the engine's own timers and those of the requests' deadlines.
 func (e *Engine) timerDue(ev Timer) {
 	switch ev.Cookie {
 	case checkCookie:
--- a/internal/policy/event.go
+++ b/internal/policy/event.go
@@ -47,7 +47,7 @@
 // mayHaveRun says whether a backend may have acted on an attempt that ended so.
 func (s Status) mayHaveRun() bool { return s != Rejected && s != ConnectFailed && s != NotSent }
 
-// FirstByte says that a streamed answer has begun; its deadline no longer runs.
+// FirstByte tells that a streamed answer has begun; its deadline no longer runs.
 type FirstByte struct {
 	ID      uint64
 	Attempt int
@@ -110,7 +110,7 @@
 	Status  Status
 }
 
-// Suspend says that nothing more may be forwarded, or that it may again. Requests that come meanwhile, and
+// Suspend tells that nothing more may be forwarded, or that it may again. Requests that come meanwhile, and
 // those with no attempt in flight, are rejected at once; attempts in flight go on.
 type Suspend struct{ On bool }
 
--- a/internal/policy/latency/latency.go
+++ b/internal/policy/latency/latency.go
@@ -48,7 +48,7 @@
 }
 
 // NewEstimator makes an estimator for the classes with these latency objectives. It knows no answers yet,
-// and takes the fleet for idle.
+// and assumes that the fleet is idle.
 func NewEstimator(objectives []time.Duration) *Estimator {
 	e := &Estimator{classes: make([]classLatency, len(objectives)), pressure: 1}
 	for class, objective := range objectives {
--- a/internal/policy/maxconcurrent.go
+++ b/internal/policy/maxconcurrent.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// stopCountingAdmitted lets the tenant's next request have the place of one that has ended.
+// stopCountingAdmitted stops counting a request that has ended, and serves its tenant's next ones.
 func (e *Engine) stopCountingAdmitted(r *request) {
 	if r.quota.admitted {
 		r.quota.admitted = false
--- a/internal/policy/outlier.go
+++ b/internal/policy/outlier.go
@@ -21,7 +21,7 @@
 // that are ejected, and some others until prune drops them.
 type checkList []*backend
 
-// add has the periodic check look at a backend.
+// add makes the periodic check look at a backend.
 func (w *checkList) add(b *backend) {
 	if !b.inCheckList {
 		b.inCheckList = true
@@ -107,7 +107,7 @@
 	}
 }
 
-// healthChecked takes the result of a health check. A backend that comes back from a long silence may have
+// healthChecked handles the result of a health check. A backend that comes back from a long silence may have
 // started anew: it starts slowly.
 func (e *Engine) healthChecked(ev HealthCheckResult) {
 	b := e.endpoints.find(ev.Backend)
--- a/internal/policy/module_test.go
+++ b/internal/policy/purity_test.go
@@ -15,7 +15,7 @@
 	"testing"
 )
 
-// The decision module is internal/policy with all below it, and internal/subset. The tests of this file hold
+// The engine is internal/policy with all below it, and internal/subset. The tests of this file hold
 // it to what the deploy file promises: the same files decide in the simulator and in the gateway, and they
 // decide from events alone.
 
@@ -24,12 +24,12 @@
 	maxLineLength = 110
 )
 
-var moduleFolders = []string{"internal/policy", "internal/subset"}
+var engineFolders = []string{"internal/policy", "internal/subset"}
 
-// moduleFiles returns the module's files that are not tests, by their paths from the project's root.
-func moduleFiles(t *testing.T) (files []string) {
+// engineFiles returns the engine's files that are not tests, by their paths from the project's root.
+func engineFiles(t *testing.T) (files []string) {
 	t.Helper()
-	for _, folder := range moduleFolders {
+	for _, folder := range engineFolders {
 		err := filepath.WalkDir(filepath.Join(projectRoot, folder), func(file string, _ fs.DirEntry, err error) error {
 			if err != nil {
 				return err
@@ -48,7 +48,7 @@
 		}
 	}
 	if len(files) == 0 {
-		t.Fatal("the module has no files")
+		t.Fatal("the engine has no files")
 	}
 	return files
 }
@@ -70,9 +70,9 @@
 	return files
 }
 
-// TestDeployFileListsTheModule: every file of the module is listed as one that decides, and nothing else is.
-func TestDeployFileListsTheModule(t *testing.T) {
-	files, listed := moduleFiles(t), listedFiles(t)
+// TestDeployFileListsTheEngine: every file of the engine is listed as one that decides, and nothing else is.
+func TestDeployFileListsTheEngine(t *testing.T) {
+	files, listed := engineFiles(t), listedFiles(t)
 	for _, file := range files {
 		if !slices.Contains(listed, file) {
 			t.Errorf("%s is not listed as policy", file)
@@ -80,7 +80,7 @@
 	}
 	for i, file := range listed {
 		if !slices.Contains(files, file) {
-			t.Errorf("%s is listed as policy and is no file of the module", file)
+			t.Errorf("%s is listed as policy and is no file of the engine", file)
 		}
 		if slices.Contains(listed[:i], file) {
 			t.Errorf("%s is listed twice", file)
@@ -88,8 +88,8 @@
 	}
 }
 
-func TestModuleLinesAreShort(t *testing.T) {
-	for _, file := range moduleFiles(t) {
+func TestEngineLinesAreShort(t *testing.T) {
+	for _, file := range engineFiles(t) {
 		text, err := os.ReadFile(filepath.Join(projectRoot, file))
 		if err != nil {
 			t.Fatal(err)
@@ -119,18 +119,18 @@
 	"math/rand/v2": {"New", "NewPCG", "Rand", "Source"},
 }
 
-// TestModuleDecidesFromEventsAlone: the module does no input or output, starts no goroutine, reads no clock
+// TestEngineDecidesFromEventsAlone: the engine does no input or output, starts no goroutine, reads no clock
 // and draws random numbers from seeded sources only.
-func TestModuleDecidesFromEventsAlone(t *testing.T) {
-	for _, file := range moduleFiles(t) {
+func TestEngineDecidesFromEventsAlone(t *testing.T) {
+	for _, file := range engineFiles(t) {
 		for _, fault := range purityFaults(t, file, nil) {
 			t.Error(fault)
 		}
 	}
 }
 
-// TestModuleChecksFindFaults holds the check itself to what it must find.
-func TestModuleChecksFindFaults(t *testing.T) {
+// TestEngineChecksFindFaults holds the check itself to what it must find.
+func TestEngineChecksFindFaults(t *testing.T) {
 	for name, source := range map[string]string{
 		"import of os":          `import "os"; var x = os.Args`,
 		"import of net/http":    `import "net/http"; var x http.Header`,
@@ -154,7 +154,7 @@
 	}
 }
 
-// purityFaults lists what a file has that the module must not have. With no source, it reads the file.
+// purityFaults lists what a file has that the engine must not have. With no source, it reads the file.
 func purityFaults(t *testing.T, file string, source []byte) (faults []string) {
 	t.Helper()
 	if source == nil {
--- a/internal/policy/rejection.go
+++ b/internal/policy/rejection.go
@@ -48,7 +48,7 @@
 	// OverQuota: neither leased nor fallback tokens pay for the request, it may not go on credit, and its plan
 	// earns nothing beyond the quota (payCost, placeOverQuota).
 	OverQuota
-	// BackendsOverloaded: latency says that the backends hold queues of their own; a part of the requests is
+	// BackendsOverloaded: by their latency the backends hold queues of their own; a part of the requests is
 	// rejected by chance, more at lower levels (overload, shedByLatency).
 	BackendsOverloaded
 	// QueueTooLong: by what waits before the request at the chosen backend, its answer would come after 45% of
--- a/internal/policy/stall_test.go
+++ b/internal/policy/stall_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A gateway that stood still finds time-outs of its own making when it goes on; it ejects no backend for
+// A gateway that stalled finds time-outs of its own making when it goes on; it ejects no backend for
 // them.
 func TestOwnStallIsNoSilenceOfBackends(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), testBackends(4)...)
@@ -31,7 +31,7 @@
 	}
 }
 
-// What came while the gateway stood still and is past use is rejected, not sent.
+// What came while the gateway was stalled and is past use is rejected, not sent.
 func TestRequestThatWaitedOutAStallIsRejected(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), testBackends(4)...)
 	engine.Step(ms, []Event{testRequest(1, idempotentClass, noQuotaPlan)})
--- a/internal/policy/tenants.go
+++ b/internal/policy/tenants.go
@@ -66,7 +66,7 @@
 
 func (t *tenant) removeFirstWaiting() { t.waiting = t.waiting[1:] }
 
-// noLongerNoted lets noteWaiting note a tenant again.
+// noLongerNoted allows noteWaiting to note the tenant again.
 func (t *tenant) noLongerNoted() { t.inWaiting = false }
 
 // isIdle says whether the tenant may be forgotten: no request came for tenantIdleTime, no answer is awaited
@@ -90,7 +90,7 @@
 	t.order = append(t.order, added)
 }
 
-// noteWaiting has the next periodic check serve a tenant.
+// noteWaiting makes the next periodic check serve a tenant.
 func (t *tenantRegistry) noteWaiting(waiting *tenant) {
 	if !waiting.inWaiting {
 		waiting.inWaiting = true
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -179,7 +179,7 @@
 	}
 }
 
-// without takes a member out of places, whose order is of no meaning.
+// without takes a member out of places. It does not keep their order, which has no meaning.
 func without[T any](places []place[T], m *Member[T]) []place[T] {
 	for i := range places {
 		if places[i].member == m {
