--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -201,8 +201,8 @@
 // earns something for it there and its hard limit holds it. Else it is rejected: for what it is over, or for
 // the hard limit. At the lowest level a first attempt goes only to a backend with a free slot; it never joins
 // a queue behind others (waitsTooLong). The advice when to come back is always the quota's, also where it was
-// another limit: until the bucket should hold the cost (lease.TimeUntil), for a plan without a rate as if it
-// filled by 0.1 a second.
+// another limit: the time until the quota's bucket should hold the cost (lease.TimeUntil), which for a plan
+// without a rate counts as filling by 0.1 units a second.
 func (e *Engine) placeOverQuota(r *request, decision quotaDecision) {
 	if !e.earnsOverQuota(r) {
 		e.reject(r, rejection{decision.rejectReason(), r.tenant.lease.TimeUntil(e.now, r.cost)})
@@ -217,7 +217,8 @@
 	e.dispatch(r)
 }
 
-// suspend begins or ends a time in which nothing is sent. What waits is rejected at once, in its order.
+// suspend begins or ends a time in which nothing is sent. Requests with no attempt in flight are rejected at
+// once, in the order of their IDs.
 func (e *Engine) suspend(on bool) {
 	e.suspended = on
 	for _, id := range slices.Sorted(maps.Keys(e.requests)) {
--- a/internal/policy/backend.go
+++ b/internal/policy/backend.go
@@ -11,8 +11,8 @@
 )
 
 // backend is what the engine knows of one backend. Each part belongs to the type that it names. What
-// choose looks at stands first and together: in a large fleet, looking at each backend costs more than
-// reckoning with what is found.
+// choose looks at stands first and together: in a large fleet, fetching this from memory costs more than the
+// arithmetic on it.
 type backend struct {
 	membership    // of the endpointRegistry
 	detector      outlier.Detector
@@ -30,7 +30,7 @@
 	started       time.Duration // by the endpoint list; neverStarted before its first entry
 }
 
-// neverStarted is no start of a backend.
+// neverStarted is a start time that no entry of the endpoint list has.
 const neverStarted = -1
 
 func newBackend(name string) *backend {
--- a/internal/policy/concurrency/concurrency.go
+++ b/internal/policy/concurrency/concurrency.go
@@ -1,6 +1,6 @@
 // Package concurrency limits how many attempts one gateway has in flight at one backend, by what the
 // backend's answers tell: additive increase while latency is well under what a request can wait,
-// multiplicative decrease when it is not, or when the backend rejects or breaks off.
+// multiplicative decrease when it is not, or when the backend rejects or a connection breaks.
 //
 // A [Limiter] belongs to one backend of one engine and is not safe for concurrent use. Latencies are in
 // seconds, times are on the engine's clock.
--- a/internal/policy/dispatch.go
+++ b/internal/policy/dispatch.go
@@ -1,8 +1,8 @@
 package policy
 
 // Dispatch: from a request that may go on to the attempt that is sent. A request joins the queue of the
-// backend that choose names, and leaves it when that backend, or one that has nothing else to do, has a
-// free slot (stage 4 of the paper).
+// backend that choose picks, and leaves it when that backend, or another whose own queue is empty, has a free
+// slot (stage 4 of the paper).
 
 import "cmp"
 
@@ -24,7 +24,8 @@
 	shedLevelSlope = 1.5
 )
 
-// dispatch queues a request at a backend, and releases what may go.
+// dispatch queues a request at a backend, and sends what this one has room for. A request may also be sent at
+// once as a probe, kept until there is a backend for it, or rejected.
 func (e *Engine) dispatch(r *request) {
 	if b := e.backendToProbe(r); b != nil {
 		e.send(r, b, probeRequest)
@@ -96,7 +97,7 @@
 		if r == nil {
 			return
 		}
-		if r.queuedOn != from || !e.hasRoom(b) { // what pick rejected has let others come here meanwhile
+		if r.queuedOn != from || !e.hasRoom(b) { // a rejection by pick can have let other requests in meanwhile
 			continue
 		}
 		e.queues.remove(r)
--- a/internal/policy/endpoints.go
+++ b/internal/policy/endpoints.go
@@ -64,7 +64,7 @@
 	e.endpoints.addLeaving(b)
 }
 
-// retireMissing retires the backends that a whole list leaves out.
+// retireMissing retires the backends that a snapshot leaves out.
 func (e *Engine) retireMissing() {
 	for _, b := range e.endpoints.all {
 		if e.endpoints.isMissing(b) {
--- a/internal/policy/lease/lease.go
+++ b/internal/policy/lease/lease.go
@@ -281,8 +281,8 @@
 	l.othersRate += demand.Weight(span) * (max(0, expected-held)/span.Seconds() - l.othersRate)
 }
 
-// leaveAlone keeps this gateway from calling until the bucket has filled by what is missing, taken together
-// with the other gateways of the tenant.
+// leaveAlone keeps this gateway from calling until the bucket should have filled by what is missing, or for
+// longer if many gateways wait for the same tokens (see gatewaysPerToken).
 func (l *Lease) leaveAlone(now time.Duration, missing float64) {
 	pause := max(missing, l.gateways/gatewaysPerToken) / l.bucket.Rate
 	l.emptyUntil = now + min(maxEmptyPause, time.Duration(pause*float64(time.Second)))
--- a/internal/policy/overload_test.go
+++ b/internal/policy/overload_test.go
@@ -81,6 +81,20 @@
 	}
 }
 
+// engineOfLatency has learned of a fleet that answered in idle seconds and now answers in latency seconds,
+// and has had so many answers of its backend lately.
+func engineOfLatency(t *testing.T, idle, latency float64, answers int) *Engine {
+	t.Helper()
+	engine := newTestEngine(t, testSettings(), testBackends(1)...)
+	engine.latencies.RecordAnswer(idempotentClass, idle)
+	engine.latencies.RecordIdle(idempotentClass, false)
+	engine.latencies.RecordAnswer(idempotentClass, 2*latency-idle) // the second has half the weight
+	for range answers {
+		engine.throughput.RecordAnswer(engine.now)
+	}
+	return engine
+}
+
 // Under overload requests are rejected by chance: the more of the deadline budget the latency takes beyond
 // that of an idle fleet, the more of them; at lower levels sooner; at gateways that know their backends well,
 // fewer or none.
@@ -107,13 +121,7 @@
 		{name: "over the upper bound, more than an answer a second", latency: idle + 0.4*0.7, answers: 4, want: 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			engine, drawer := newTestEngine(t, testSettings(), testBackends(1)...), newTestEngine(t, testSettings())
-			engine.latencies.RecordAnswer(idempotentClass, idle)
-			engine.latencies.RecordIdle(idempotentClass, false)
-			engine.latencies.RecordAnswer(idempotentClass, 2*c.latency-idle) // the second has half the weight
-			for range c.answers {
-				engine.throughput.RecordAnswer(engine.now)
-			}
+			engine, drawer := engineOfLatency(t, idle, c.latency, c.answers), newTestEngine(t, testSettings())
 			r := &request{class: idempotentClass, level: c.level, deadlineBudget: 500 * ms}
 			shed := 0
 			for range draws {
--- a/internal/policy/priorityqueue.go
+++ b/internal/policy/priorityqueue.go
@@ -43,8 +43,7 @@
 	return longest
 }
 
-// push queues a request at a backend: at its level's end, or, if it has waited for an attempt already, in
-// front.
+// push queues a request at a backend: at the end of its level, or in front if it has had an attempt already.
 func (q *priorityQueues) push(r *request, b *backend) {
 	r.queueEntry, r.queuedOn = &queueEntry{r}, b
 	if b.queue.levels == nil {
--- a/internal/policy/rejection.go
+++ b/internal/policy/rejection.go
@@ -34,7 +34,7 @@
 	UnknownClassOrPlan RejectReason = iota
 	// OutOfService: the gateway is suspended; no request is forwarded (admit, suspend, attemptForbidden).
 	OutOfService
-	// DeadlineCannotBeMet: on arrival less than half of a usual answer's time is left (admit).
+	// DeadlineCannotBeMet: on arrival half of a usual answer's time or less is left (admit).
 	DeadlineCannotBeMet
 	// HardLimitQueueTooLong: the tenant's requests that wait for its hard limit would let this one wait for more
 	// than its part of the deadline budget (admit, hardLimitQueueWait).
--- a/internal/policy/selection.go
+++ b/internal/policy/selection.go
@@ -5,8 +5,8 @@
 import "math"
 
 const (
-	// maxCompared is how many backends of the subset are compared for a request: as good as all. A small
-	// fleet is seen whole.
+	// maxCompared is how many backends of the subset are compared for a request: more would hardly find a better
+	// one. A smaller subset is compared whole.
 	maxCompared = 32
 	// maxSeenOutside is how many backends are looked at if none of the subset can serve.
 	maxSeenOutside = 256
@@ -20,7 +20,8 @@
 	costOtherZone = 1.05
 	// costBusyFactor is a factor for one without a free slot.
 	costBusyFactor = 10
-	// costTie is the difference from which one cost is less than another: rounding decides nothing.
+	// costTie is by how much a cost must be less than another to count as less, so that rounding decides
+	// nothing.
 	costTie = 1e-9
 )
 
--- a/internal/policy/selection_test.go
+++ b/internal/policy/selection_test.go
@@ -12,32 +12,35 @@
 	}
 }
 
+// loadCostCases are one backend each, with two slots at first, that a prepare changes.
+var loadCostCases = []struct {
+	name          string
+	entry         Backend
+	capacityShare float64
+	prepare       func(*Engine, *backend)
+	want          float64
+}{
+	{name: "idle", want: 1},
+	{name: "twice the weight", entry: Backend{Weight: 2}, want: 0.5},
+	{name: "a quarter of its capacity", capacityShare: 0.25, want: 4},
+	{name: "twice as slow", want: 2, prepare: func(_ *Engine, b *backend) {
+		b.latencyFactor.RecordTimeout(1 + 1/0.15) // its weight in the factor is 0.15
+	}},
+	{name: "another zone", entry: Backend{Zone: 1}, want: 1.05},
+	{name: "one attempt in flight", want: 2, prepare: func(_ *Engine, b *backend) { requestsInFlight(b, 1) }},
+	{name: "one request in its queue", want: 2, prepare: func(e *Engine, b *backend) {
+		e.queues.push(&request{}, b)
+	}},
+	{name: "no free slot", want: 3*10 + 1000, prepare: func(_ *Engine, b *backend) { requestsInFlight(b, 2) }},
+	{name: "no free slot as it pauses", want: 10/0.7 + 1000, prepare: func(e *Engine, b *backend) {
+		b.limiter.RecordRejection()
+		b.limiter.Pause(e.now, 0.05)
+	}},
+}
+
 // A backend's load cost: what it has to do over its weight, its speed and its share of its capacity.
 func TestLoadCost(t *testing.T) {
-	for _, c := range []struct {
-		name          string
-		entry         Backend
-		capacityShare float64
-		prepare       func(*Engine, *backend)
-		want          float64
-	}{
-		{name: "idle", want: 1},
-		{name: "twice the weight", entry: Backend{Weight: 2}, want: 0.5},
-		{name: "a quarter of its capacity", capacityShare: 0.25, want: 4},
-		{name: "twice as slow", want: 2, prepare: func(_ *Engine, b *backend) {
-			b.latencyFactor.RecordTimeout(1 + 1/0.15) // its weight in the factor is 0.15
-		}},
-		{name: "another zone", entry: Backend{Zone: 1}, want: 1.05},
-		{name: "one attempt in flight", want: 2, prepare: func(_ *Engine, b *backend) { requestsInFlight(b, 1) }},
-		{name: "one request in its queue", want: 2, prepare: func(e *Engine, b *backend) {
-			e.queues.push(&request{}, b)
-		}},
-		{name: "no free slot", want: 3*10 + 1000, prepare: func(_ *Engine, b *backend) { requestsInFlight(b, 2) }},
-		{name: "no free slot as it pauses", want: 10/0.7 + 1000, prepare: func(e *Engine, b *backend) {
-			b.limiter.RecordRejection()
-			b.limiter.Pause(e.now, 0.05)
-		}},
-	} {
+	for _, c := range loadCostCases {
 		t.Run(c.name, func(t *testing.T) {
 			c.entry.Name = "b0"
 			engine := newTestEngine(t, testSettings(), c.entry)
--- a/internal/policy/slowstart/slowstart.go
+++ b/internal/policy/slowstart/slowstart.go
@@ -78,10 +78,11 @@
 //
 // Share x PerBackend is this gateway's part of the backend's present capacity, taken for no more than a warm
 // backend of its weight is seen to carry. The budget is used in whole attempts: floor(budget), in a window as
-// much shorter. Under one attempt a window, as with many gateways, it is one attempt in a longer time, and
-// the first comes at a random moment of that time, as all gateways learn of a start together; this can leave
-// a backend that only this gateway knows idle for a while. One random number is drawn for each start, if the
-// budget is ever under one attempt.
+// much shorter. Under one attempt a window, as with many gateways, it is one attempt in a time that is longer
+// by 1/budget, but at most Duration or, if that is longer, OverloadWindow x Gateways / minWindowAttempts. The
+// first then comes at a random moment of that time, as all gateways learn of a start together; this can leave
+// a backend that only this gateway knows idle for a while. One random number is drawn in each slow start in
+// which the budget is ever under one attempt.
 func (b *Budget) Spent(now time.Duration, set *Settings, load Load, rng *rand.Rand) bool {
 	span := set.OverloadWindow.Seconds()
 	budget := usedShare * set.OverloadMultiple * load.Share * load.PerBackend * span *
--- a/internal/policy/subset.go
+++ b/internal/policy/subset.go
@@ -15,9 +15,9 @@
 	// maxGatewaysPerBackend is how many gateways have one backend in their subsets on average: so many that
 	// their traffic to it is even in sum.
 	maxGatewaysPerBackend = 16.0
-	// minSubset is the least size of a subset, so that one backend lost is no great part.
+	// minSubset is the least size of a subset, so that the loss of one backend is no great part of it.
 	minSubset = 8
-	// mixedSubset is the size from which a subset has backends of all zones by chance alone.
+	// mixedSubset is the size from which a subset, dealt at random, has enough backends outside any zone.
 	mixedSubset = 4 * minSubset
 	// subsetSlack is what a gateway may be dealt over the mean, as a share of it, so that few subsets change
 	// when a backend goes.
@@ -29,9 +29,9 @@
 
 // backendSubset is the subset of one gateway (the paper knows one balancer: were each of many gateways to
 // use all backends, a backend's connections and handshakes would grow with the gateways, and each gateway
-// would meet it too seldom to know it). The gateways of one round share out the whole list, so every
-// backend is in as many subsets. They do so by consistent hashing with bounded loads: a change of the list
-// moves few.
+// would send to it too seldom to know it). The gateways of one round divide the whole list among them, so
+// every backend is in the same number of subsets. They do so by consistent hashing with bounded loads: a
+// change of the list moves few.
 type backendSubset struct {
 	gateways           int
 	gatewayIndex       int
