--- a/internal/policy/dispatch.go
+++ b/internal/policy/dispatch.go
@@ -67,10 +67,10 @@
 func (e *Engine) shedByLatency(r *request) bool {
 	latency := e.expectedLatency(r) * max(1, e.latencies.FleetPressure())
 	idle := cmp.Or(e.latencies.Idle(r.class), latency)
-	share := (latency - idle) / max(1e-3, r.deadlineBudget.Seconds()*deadlineMargin-idle) *
+	queueShare := (latency - idle) / max(1e-3, r.deadlineBudget.Seconds()*deadlineMargin-idle) *
 		(1 + shedLevelSlope*float64(r.level)/lowestLevel)
 	drawn := e.rng.Float64()
-	chance := min(maxShedChance, (share-minShedShare)/(fullShedShare-minShedShare))
+	chance := min(maxShedChance, (queueShare-minShedShare)/(fullShedShare-minShedShare))
 	return drawn < min(1, 2*e.sparseness())*chance
 }
 
--- a/internal/policy/lease/lease_test.go
+++ b/internal/policy/lease/lease_test.go
@@ -122,11 +122,11 @@
 
 func TestTheAnswerGivesTokensWhileTheBucketHolds(t *testing.T) {
 	for _, c := range []struct {
-		name     string
-		total    float64 // with the one unit requested
-		found    bool
-		excess   float64
-		overflow float64
+		name       string
+		total      float64 // with the one unit requested
+		found      bool
+		correction float64
+		overflow   float64
 	}{
 		{"full", 1, true, 0, 0},
 		{"nearly empty", 8, true, 0, 0},
@@ -137,7 +137,7 @@
 		l := fresh(100)
 		call := l.BeginCall(0, 1, 1)
 		s := l.Settle(ms, call, c.total, 0, 1)
-		if s.Found != c.found || s.Short != !c.found || s.Correction != c.excess || s.Overflow != c.overflow {
+		if s.Found != c.found || s.Short != !c.found || s.Correction != c.correction || s.Overflow != c.overflow {
 			t.Errorf("%s: %+v", c.name, s)
 		}
 		if paid := l.TakeTokens(1); paid != c.found || l.AwaitsAnswer() {
--- a/internal/policy/queue_test.go
+++ b/internal/policy/queue_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// A rejection frees a place among its tenant's requests in flight, so another request may come to the same
+// A rejection frees a place among its tenant's admitted requests, so another request may come to the same
 // slot while the one that is to have it is still being picked: the slot goes to one of them.
 func TestOneSlotIsGivenOnce(t *testing.T) {
 	settings := withoutCounter()
--- a/internal/policy/rejection_test.go
+++ b/internal/policy/rejection_test.go
@@ -42,7 +42,7 @@
 			engine := newTestEngine(t, withoutCounter(), testBackends(8)...)
 			return engine, engine.Step(ms, testRequests(1, 20, idempotentClass, softPlan))
 		}},
-	{name: "late while as many as may be are in flight", reason: OverConcurrencyLimit,
+	{name: "late while as many as may be are admitted", reason: OverConcurrencyLimit,
 		play: func(t *testing.T) (*Engine, []Action) {
 			engine := newTestEngine(t, testSettings(), testBackends(8)...)
 			engine.Step(ms, testRequests(1, 3, idempotentClass, concurrentPlan))
