--- a/internal/policy/attempt_test.go
+++ b/internal/policy/attempt_test.go
@@ -4,8 +4,8 @@
 	"testing"
 )
 
-// A request that may have run: one that must not run twice fails, one with an idempotency key goes only to
-// backends that drop repeats together.
+// A request that may have run: one that must not run twice fails, one with an idempotency key goes only to backends
+// that drop repeats together.
 func TestNoEffectHappensTwice(t *testing.T) {
 	cellOfBackend := map[string]int{"b0": 0, "b1": 0, "b2": 1, "b3": 1}
 	inDoubt := func(t *testing.T, class int, status Status) (first SendAttempt, actions []Action) {
@@ -30,8 +30,8 @@
 	})
 }
 
-// A repeat of a request with an idempotency key must go out while repeats are dropped, however late its
-// connection comes up.
+// A repeat of a request with an idempotency key must go out while repeats are dropped, however late its connection
+// comes up.
 func TestRepeatsEndWithTheDedupWindow(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), testBackends(4)...)
 	first := sendsOf(engine.Step(ms, []Event{testRequest(1, withKeyClass, noQuotaPlan)}))[0]
--- a/internal/policy/countercalls_test.go
+++ b/internal/policy/countercalls_test.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// Many gateways whose counter can't bear a call for each request: they call it as much as it bears, and
-// tenants that keep to their quota are served all the same.
+// Many gateways whose counter can't bear a call for each request: they call it as much as it bears, and tenants that
+// keep to their quota are served all the same.
 func TestManyGatewaysShareASlowCounter(t *testing.T) {
 	const gateways, tenants, step = 60, 240, 5 * ms
 	g := newCountingGateways(t, manyGateways(gateways), 10*ms, step)
@@ -154,8 +154,8 @@
 	return n
 }
 
-// What goes on unasked follows what the calls of its plan find: none where they find the buckets empty and
-// what is beyond costs, all where it costs nothing or where the counter is silent.
+// What goes on unasked follows what the calls of its plan find: none where they find the buckets empty and what is
+// beyond costs, all where it costs nothing or where the counter is silent.
 func TestCreditFollowsTheCalls(t *testing.T) {
 	const soft = 2
 	set := testSettings()
@@ -192,8 +192,8 @@
 	}
 }
 
-// A request in a tenant's name that names another plan has a bucket of its own: the tenant's call that is in
-// flight is settled by the tenant's plan.
+// A request in a tenant's name that names another plan has a bucket of its own: the tenant's call that is in flight
+// is settled by the tenant's plan.
 func TestPlansOfOneTenantAreApart(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), testBackends(8)...)
 	call := spendFallback(t, engine, ms)
--- a/internal/policy/engine_test.go
+++ b/internal/policy/engine_test.go
@@ -49,8 +49,7 @@
 	}
 }
 
-// While it is suspended a gateway rejects at once what waits and what comes, and lets what is in flight go
-// on.
+// While it is suspended a gateway rejects at once what waits and what comes, and lets what is in flight go on.
 func TestSuspend(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), testBackends(1)...)
 	inFlight := sendsOf(engine.Step(ms, []Event{testRequest(1, idempotentClass, concurrentPlan)}))
--- a/internal/policy/example_test.go
+++ b/internal/policy/example_test.go
@@ -7,8 +7,7 @@
 	"bellwood/internal/policy"
 )
 
-// An engine is told what happens and answers what to do: here the list of backends and a request for one of
-// them.
+// An engine is told what happens and answers what to do: here the list of backends and a request for one of them.
 func Example() {
 	engine, err := policy.New(policy.Settings{
 		Gateways: 1, MaxAttempts: 2,
--- a/internal/policy/hardlimit_test.go
+++ b/internal/policy/hardlimit_test.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// A tenant far over its hard limit has no queue in which all that goes out is nearly late: what would wait
-// long is rejected at once, with advice when to come back; and the less it is worth, the sooner.
+// A tenant far over its hard limit has no queue in which all that goes out is nearly late: what would wait long is
+// rejected at once, with advice when to come back; and the less it is worth, the sooner.
 func TestQueueForTheHardLimitStaysShort(t *testing.T) {
 	engine := newTestEngine(t, withoutCounter(), testBackends(2)...)
 	waiting := map[int]int{} // by class
--- a/internal/policy/hardlimitshare_test.go
+++ b/internal/policy/hardlimitshare_test.go
@@ -6,15 +6,15 @@
 	"time"
 )
 
-// hardLimitDay is what became of a tenant's requests: how many were sent, and how far the bucket of the hard
-// limit fell at least.
+// hardLimitDay is what became of a tenant's requests: how many were sent, and how far the bucket of the hard limit
+// fell at least.
 type hardLimitDay struct {
 	sent     int
 	minLevel float64
 }
 
-// playHardLimitDay plays 20 s of a tenant's requests, one each gap, through 13 gateways, a third of them
-// through the first.
+// playHardLimitDay plays 20 s of a tenant's requests, one each gap, through 13 gateways, a third of them through the
+// first.
 func playHardLimitDay(t *testing.T, set Settings, gap time.Duration) hardLimitDay {
 	t.Helper()
 	const gateways, step = 13, ms
@@ -50,8 +50,8 @@
 	return day
 }
 
-// A hard limit of which an even share is thin is shared in part: it is never passed, whatever comes, and a
-// tenant that stays under it is served though one gateway has a third of the traffic.
+// A hard limit of which an even share is thin is shared in part: it is never passed, whatever comes, and a tenant
+// that stays under it is served though one gateway has a third of the traffic.
 func TestThinHardLimitIsSharedInPart(t *testing.T) {
 	set := manyGateways(13)
 	set.MaxRequestCost = 1
@@ -65,8 +65,8 @@
 	}
 }
 
-// A hard limit so low that three quarters of an even share hold no request is divided as a whole: nothing of
-// it is borrowed by way of the counter.
+// A hard limit so low that three quarters of an even share hold no request is divided as a whole: nothing of it is
+// borrowed by way of the counter.
 func TestLowHardLimitIsDivided(t *testing.T) {
 	set := manyGateways(13)
 	set.MaxRequestCost = 1
--- a/internal/policy/helpers_test.go
+++ b/internal/policy/helpers_test.go
@@ -127,8 +127,8 @@
 	return AttemptResult{ID: s.ID, Attempt: attempt, Backend: s.Backend, Status: status, Latency: ms}
 }
 
-// spendFallback spends a tenant's fallback tokens on the hard plan and returns the counter call that the next
-// request waits for.
+// spendFallback spends a tenant's fallback tokens on the hard plan and returns the counter call that the next request
+// waits for.
 func spendFallback(t *testing.T, engine *Engine, now time.Duration) AddToCounter {
 	t.Helper()
 	for i := range 20 {
--- a/internal/policy/maxconcurrent_test.go
+++ b/internal/policy/maxconcurrent_test.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// learnOthersRate has a lease learn, by two answers of the counter, at which rate the other gateways take
-// tokens, and gives it 20 tokens to spend.
+// learnOthersRate has a lease learn, by two answers of the counter, at which rate the other gateways take tokens, and
+// gives it 20 tokens to spend.
 func learnOthersRate(t *testing.T, l *lease.Lease, plan Plan, rate float64, now time.Duration) {
 	t.Helper()
 	const span = ms
--- a/internal/policy/outlier_test.go
+++ b/internal/policy/outlier_test.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// silentFleet plays requests over four backends of which b0 answers nothing and the others answer within 40
-// ms.
+// silentFleet plays requests over four backends of which b0 answers nothing and the others answer within 40 ms.
 type silentFleet struct {
 	engine       *Engine
 	now          time.Duration
@@ -67,8 +66,8 @@
 	}
 }
 
-// A broken connection now and then, at any backend alike, must not eject backends: each time their queues and
-// attempts would be moved. Several in a row must, and an answer between them counts.
+// A broken connection now and then, at any backend alike, must not eject backends: each time their queues and attempts
+// would be moved. Several in a row must, and an answer between them counts.
 func TestBrokenConnectionsInARowEject(t *testing.T) {
 	settings := withoutCounter()
 	settings.MaxAttempts = 1
--- a/internal/policy/quota_test.go
+++ b/internal/policy/quota_test.go
@@ -67,8 +67,8 @@
 	}
 }
 
-// The counter loses its numbers, and the other gateways add some units before this one calls again: only what
-// they added counts.
+// The counter loses its numbers, and the other gateways add some units before this one calls again: only what they
+// added counts.
 func TestCounterThatLostItsNumbersGrantsWhatOthersLeave(t *testing.T) {
 	for _, c := range []struct {
 		others  float64 // units added by the other gateways since
--- a/internal/policy/randomevents_test.go
+++ b/internal/policy/randomevents_test.go
@@ -8,9 +8,8 @@
 	"time"
 )
 
-// randomRun plays a random but legal order of events and checks what must hold after any of them. It stands
-// for the caller: it ends the attempts that the engine sends, answers its counter calls and lets its timers
-// fall due.
+// randomRun plays a random but legal order of events and checks what must hold after any of them. It stands for the
+// caller: it ends the attempts that the engine sends, answers its counter calls and lets its timers fall due.
 type randomRun struct {
 	t         testing.TB
 	seed      uint64
@@ -227,8 +226,8 @@
 	}
 }
 
-// mayRunTwice says whether an attempt could repeat an effect: the request may have run and must not run
-// twice, or goes to a backend that does not drop repeats together with the one where it may have run.
+// mayRunTwice says whether an attempt could repeat an effect: the request may have run and must not run twice, or
+// goes to a backend that does not drop repeats together with the one where it may have run.
 func (r *randomRun) mayRunTwice(s SendAttempt) bool {
 	ranOn, mayHaveRun := r.mayHaveRunOn[s.ID]
 	if !mayHaveRun {
--- a/internal/policy/sharedcounter_test.go
+++ b/internal/policy/sharedcounter_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// slowCounter is a counter that all gateways of a test share. It serves calls one by one, and works on those
-// that nobody waits for any more.
+// slowCounter is a counter that all gateways of a test share. It serves calls one by one, and works on those that
+// nobody waits for any more.
 type slowCounter struct {
 	serviceTime   time.Duration // of a call
 	freeAt        time.Duration
@@ -26,8 +26,8 @@
 	return c.freeAt, CounterResult{call.Name, OK, c.totals[call.Name]}
 }
 
-// countingGateways plays gateways that share a slow counter, over backends that serve each attempt in 50 ms.
-// Time goes on in steps.
+// countingGateways plays gateways that share a slow counter, over backends that serve each attempt in 50 ms. Time
+// goes on in steps.
 type countingGateways struct {
 	engines  []*Engine
 	settings Settings
--- a/internal/policy/simulatedfleet_test.go
+++ b/internal/policy/simulatedfleet_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// simulatedFleet plays many gateways over backends that work requests off, and notes what reaches the warming
-// ones. Time goes on in steps.
+// simulatedFleet plays many gateways over backends that work requests off, and notes what reaches the warming ones.
+// Time goes on in steps.
 type simulatedFleet struct {
 	settings        Settings
 	rng             *rand.Rand
@@ -164,8 +164,8 @@
 	f.due[slot] = nil
 }
 
-// shiftTraffic gives some gateways several times the mean, where traffic is uneven, and a tenth of the
-// gateways other traffic each second.
+// shiftTraffic gives some gateways several times the mean, where traffic is uneven, and a tenth of the gateways other
+// traffic each second.
 func (f *simulatedFleet) shiftTraffic() {
 	for i := range f.trafficShares {
 		if f.uneven && (f.step == 1 || f.rng.IntN(500) == 0) {
@@ -189,8 +189,7 @@
 	}
 }
 
-// checkPeriodically has gateways check where something waits, and else now and then. Very many are slow to
-// play.
+// checkPeriodically has gateways check where something waits, and else now and then. Very many are slow to play.
 func (f *simulatedFleet) checkPeriodically() {
 	for i, engine := range f.gateways {
 		if engine.queues.length > 0 || len(engine.queues.unplaced) > 0 || f.step%4 == 0 && len(f.gateways) < 100 {
--- a/internal/policy/slowstart_test.go
+++ b/internal/policy/slowstart_test.go
@@ -55,8 +55,7 @@
 	}},
 }
 
-// play runs the day and returns the fleet after it. Use is the part of the backends' capacity that is asked
-// for.
+// play runs the day and returns the fleet after it. Use is the part of the backends' capacity that is asked for.
 func (day *warmUpDay) play(gateways, backends int, use float64, uneven bool) *simulatedFleet {
 	span := 4 * time.Second
 	if gateways > 100 { // they are slow to play
@@ -80,8 +79,8 @@
 	return f
 }
 
-// When all backends start anew at once, the gateways still know what a warm one carries, and use what the
-// budgets allow.
+// When all backends start anew at once, the gateways still know what a warm one carries, and use what the budgets
+// allow.
 func TestBackendsAreUsedWhenAllWarmUpAtOnce(t *testing.T) {
 	i := slices.IndexFunc(warmUpDays, func(day warmUpDay) bool { return day.name == "all" })
 	for _, gateways := range []int{3, 30} {
@@ -97,9 +96,9 @@
 	}
 }
 
-// A warming backend stands under the sum of all gateways, with few and many of them, under even and uneven
-// traffic, also when as much is asked for as the backends can carry, so that what the gateways see is all
-// that a warm one can do.
+// A warming backend stands under the sum of all gateways, with few and many of them, under even and uneven traffic,
+// also when as much is asked for as the backends can carry, so that what the gateways see is all that a warm one can
+// do.
 func TestSlowStartBudgetHoldsForAllGateways(t *testing.T) {
 	for _, size := range []struct{ gateways, backends int }{{3, 14}, {30, 14}, {810, 24}} {
 		for _, day := range warmUpDays {
@@ -173,8 +172,8 @@
 	}
 }
 
-// Many gateways hear at once of a started backend: together they stay within its budget in every window, also
-// when it is all that is left.
+// Many gateways hear at once of a started backend: together they stay within its budget in every window, also when
+// it is all that is left.
 func TestManyGatewaysKeepAWarmingBackendWithinItsBudget(t *testing.T) {
 	const gateways, warm, start = 100, 9, 60 * time.Second
 	g := newGatewaysOfOneStart(gateways, warm, start)
