--- a/internal/policy/countercalls.go
+++ b/internal/policy/countercalls.go
@@ -11,8 +11,7 @@
 //     calls fail. Each call that fails multiplies that share by 0.8, down to 0.02; at 0.05 or less the
 //     counter counts as one that does not respond.
 //   - From then on a gateway calls for tokens at most once in 100 ms or in 5 ms for each gateway, whichever
-//   is
-//     longer: for a request that neither leased nor fallback tokens pay, with the chance share^rank
+//     is longer: for a request that neither leased nor fallback tokens pay, with the chance share^rank
 //     (callChance), or to renew leased tokens, if it has any left. So tests of the counter are rare, and a
 //     gateway whose fallback tokens suffice soon makes none. A request that calls waits for the answer; of
 //     the others, one that finds too few fallback tokens goes on credit, and one that finds none is over its
@@ -21,8 +20,7 @@
 //     time lifts it above. What was spent meanwhile, the unreported usage, is added to the counter by the
 //     next call for tokens, in the number of the window of 30 s that is then the present one.
 //   - As each window has a number of its own that starts at 0, a new one makes each bucket look fuller than
-//   it
-//     is. The first answer of a window shows this, and lease.Lease finds the difference, which is added to
+//     it is. The first answer of a window shows this, and lease.Lease finds the difference, which is added to
 //     the number if it is worth a call (Settlement.Overflow).
 
 import (
