--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -1,7 +1,7 @@
 package policy
 
-// Admission: the way of a request from its arrival until it is queued for a backend, rejected, or kept
-// waiting for its tenant's quota.
+// Admission: the way of a request from its arrival until it is dispatched, rejected, or kept waiting for its
+// tenant's quota or limits.
 //
 // In the paper's terms a token bucket promotes what the contract guarantees (stage 2); what follows is in
 // dispatch.go (stages 3 and 4). See doc.go for the whole way.
@@ -14,7 +14,8 @@
 	"time"
 )
 
-// admit takes a request in.
+// admit handles a request's arrival: it is rejected at once, or waits behind its tenant's other requests,
+// which are then served in order. A second event with the ID of a request that is still known is ignored.
 func (e *Engine) admit(ev Request) {
 	if e.requests[ev.ID] != nil {
 		return
@@ -46,18 +47,20 @@
 	e.serve(r.tenant)
 }
 
-// have says whether the settings have a class and a plan of these numbers.
+// have says whether the settings have a class and a plan with these numbers.
 func (s *Settings) have(class, plan int) bool {
 	return 0 <= class && class < len(s.Classes) && 0 <= plan && plan < len(s.Plans)
 }
 
 // deadlineBudget is the time in which an answer to a request is of use: the time that its client has left,
-// and where a late answer earns nothing, the latency objective (a departure: the paper knows one limit; here
-// the client waits for longer than the answer has worth).
+// but where a late answer earns nothing at most the latency objective (a departure: the paper knows one
+// limit; here the client waits for longer than the answer has worth).
 //
-// What is found after the gateway stood still has waited unseen. How long shows in the time that the client
-// has left, against the most that clients of its class give; a client's retry has less from the start and
-// tells nothing.
+// After a stall of over 100 ms a request has waited unseen. The time waited is estimated as the most that a
+// client of the class ever had left, less what this one has left, and no more than the stall. The budget is
+// then at most the latency objective less that time: what a late answer earns counts for nothing, and where
+// the class has no latency objective the budget is 0 or less. A client's retry has less time left from the
+// start, so its budget stays as it is.
 func (e *Engine) deadlineBudget(ev Request) time.Duration {
 	class := &e.settings.Classes[ev.Class]
 	budget := ev.TimeLeft
@@ -65,15 +68,15 @@
 		budget = min(budget, class.LatencyObjective)
 	}
 	e.maxTimeLeft[ev.Class] = max(e.maxTimeLeft[ev.Class], ev.TimeLeft)
-	if stoodStill := e.now - e.previousStep; stoodStill > stalledAfter && !ev.ClientRetry {
-		waited := min(stoodStill, e.maxTimeLeft[ev.Class]-ev.TimeLeft)
+	if stalled := e.now - e.previousStep; stalled > stalledAfter && !ev.ClientRetry {
+		waited := min(stalled, e.maxTimeLeft[ev.Class]-ev.TimeLeft)
 		budget = min(budget, class.LatencyObjective-waited)
 	}
 	return budget
 }
 
-// deadlineCannotBeMet says whether less than half of a usual answer's time is left. Half, as some answers are
-// faster.
+// deadlineCannotBeMet says whether half of a usual answer's time or less is left. Half, as some answers are
+// faster than usual. A request that has to wait is held to tooLateToWait instead.
 func (e *Engine) deadlineCannotBeMet(r *request) bool {
 	return r.deadlineBudget.Seconds() <= e.expectedLatency(r)/2
 }
@@ -97,8 +100,8 @@
 	}
 }
 
-// serveWaitingTenants serves again those tenants whose first request had to wait: no event tells that a share
-// has filled or that a request has become late.
+// serveWaitingTenants serves again those tenants whose first request had to wait: no event tells that a hard
+// limit's share has filled or that a request has become late.
 func (e *Engine) serveWaitingTenants() {
 	for _, t := range e.tenants.takeWaiting() {
 		t.noLongerNoted()
@@ -170,9 +173,10 @@
 	return mustWait
 }
 
-// tooLateToWait says whether a usual answer's time no longer fits into the deadline budget.
+// tooLateToWait says whether a usual answer's time no longer fits into the deadline budget, less the margin
+// for the error of the estimate. rejectStale asks the same for the backend in question.
 func (e *Engine) tooLateToWait(r *request) bool {
-	return (e.now-r.arrivedAt).Seconds()+e.expectedLatency(r) >= r.deadlineBudget.Seconds()*deadlineMargin
+	return e.answeredAfter(r, e.expectedLatency(r)) >= r.deadlineBudget.Seconds()*deadlineMargin
 }
 
 // payOrDemote pays for a request of a plan that has a rate (stage 2 of the paper). It demotes a request that
@@ -197,8 +201,8 @@
 // earns something for it there and its hard limit holds it. Else it is rejected: for what it is over, or for
 // the hard limit. At the lowest level a first attempt goes only to a backend with a free slot; it never joins
 // a queue behind others (waitsTooLong). The advice when to come back is always the quota's, also where it was
-// another limit: until the bucket should hold the cost (lease.TimeUntil), for a plan without a rate as if it
-// filled by 0.1 a second.
+// another limit: the time until the quota's bucket should hold the cost (lease.TimeUntil), which for a plan
+// without a rate counts as filling by 0.1 units a second.
 func (e *Engine) placeOverQuota(r *request, decision quotaDecision) {
 	if !e.earnsOverQuota(r) {
 		e.reject(r, rejection{decision.rejectReason(), r.tenant.lease.TimeUntil(e.now, r.cost)})
@@ -213,7 +217,8 @@
 	e.dispatch(r)
 }
 
-// suspend begins or ends a time in which nothing is sent. What waits is rejected at once, in its order.
+// suspend begins or ends a time in which nothing is sent. Requests with no attempt in flight are rejected at
+// once, in the order of their IDs.
 func (e *Engine) suspend(on bool) {
 	e.suspended = on
 	for _, id := range slices.Sorted(maps.Keys(e.requests)) {
--- a/internal/policy/backend.go
+++ b/internal/policy/backend.go
@@ -11,8 +11,8 @@
 )
 
 // backend is what the engine knows of one backend. Each part belongs to the type that it names. What
-// choose looks at stands first and together: in a large fleet, looking at each backend costs more than
-// reckoning with what is found.
+// choose looks at stands first and together: in a large fleet, fetching this from memory costs more than the
+// arithmetic on it.
 type backend struct {
 	membership    // of the endpointRegistry
 	detector      outlier.Detector
@@ -25,12 +25,12 @@
 	slowStart     slowstart.Budget
 	subsetPlace   // of the backendSubset
 	warmMark      throughput.Mark
-	watched       bool // in Engine.watched
+	inCheckList   bool // in Engine.toCheck
 	name          string
 	started       time.Duration // by the endpoint list; neverStarted before its first entry
 }
 
-// neverStarted is no start of a backend.
+// neverStarted is a start time that no entry of the endpoint list has.
 const neverStarted = -1
 
 func newBackend(name string) *backend {
@@ -39,13 +39,19 @@
 	return b
 }
 
-// usable says whether new work may go to a backend, probes aside. One new in the list has no concurrency
-// limit yet.
-func (b *backend) usable() bool { return b.listed && !b.detector.Ejected() && b.limiter.Ready() }
+// usable says whether work other than probes may go to a backend. One that is new in the list has no
+// concurrency limit yet.
+func (b *backend) usable() bool { return b.inService && !b.detector.Ejected() && b.limiter.Ready() }
 
 // hasFreeSlot says whether a backend's concurrency limit allows one more attempt.
 func (b *backend) hasFreeSlot(now time.Duration) bool { return b.limiter.HasFree(now, len(b.inFlight)) }
 
+// answeredAfter is how many seconds after its arrival a request would be answered if it were sent now and the
+// answer took so many seconds.
+func (e *Engine) answeredAfter(r *request, latency float64) float64 {
+	return (e.now - r.arrivedAt).Seconds() + latency
+}
+
 // expectedLatency is how many seconds an answer to a request takes.
 func (e *Engine) expectedLatency(r *request) float64 { return e.latencies.Mean(r.class) }
 
--- a/internal/policy/engine.go
+++ b/internal/policy/engine.go
@@ -9,7 +9,8 @@
 	"bellwood/internal/policy/throughput"
 )
 
-// Engine decides for one gateway. It is the order in which its parts act; the state is theirs.
+// Engine decides for one gateway. It calls its parts in the order of the events. The requests, the clock and
+// whether it is suspended are its own; all other state belongs to the parts.
 type Engine struct {
 	settings Settings
 	rng      *rand.Rand // all random numbers come from here, in the order of the events
@@ -36,7 +37,7 @@
 	latencies  *latency.Estimator
 	throughput throughput.Meter
 	slowStarts slowStarts
-	watched    watchList
+	toCheck    checkList
 
 	queues     priorityQueues
 	roundRobin int // the turn of choose
@@ -47,7 +48,7 @@
 // The cookies of the engine's timers. A request's is odd.
 const (
 	checkCookie = 0 // the periodic check
-	pollCookie  = 2 // the endpoint list is asked for again
+	pollCookie  = 2 // the pause after a failed call for the endpoint list is over
 )
 
 // deadlineCookie is the cookie of the timer for a request's deadline.
@@ -104,7 +105,7 @@
 	}
 }
 
-// take hands an event to the rule for it.
+// take calls the rule for an event.
 func (e *Engine) take(ev Event) {
 	switch ev := ev.(type) {
 	case Request:
@@ -125,11 +126,11 @@
 		e.healthChecked(ev)
 	case Suspend:
 		e.suspend(ev.On)
-	case PeerMessage: // for another kind of engine
+	case PeerMessage: // this engine sends none and needs none
 	}
 }
 
-// timerDue takes the engine's own timers and those of the requests' deadlines.
+// timerDue handles the engine's own timers and those of the requests' deadlines.
 func (e *Engine) timerDue(ev Timer) {
 	switch ev.Cookie {
 	case checkCookie:
--- a/internal/policy/lease/lease.go
+++ b/internal/policy/lease/lease.go
@@ -223,9 +223,10 @@
 	// Overflow is to be added to the counter at once if it is above 0: what the bucket held beyond its burst has
 	// overflowed, and what it seems to have gained beyond its rate the counter has lost.
 	Overflow float64
-	// Short says that the bucket did not hold the block. What was added too much is in Excess.
+	// Short says that the bucket did not hold the block.
 	Short bool
-	// Excess is to be added to the counter, at once or by AddWithNextCall. It is negative.
+	// Correction takes back what the call added too much, if Short. It is negative, and is to be added to the
+	// counter at once or by AddWithNextCall.
 	Correction float64
 }
 
@@ -280,8 +281,8 @@
 	l.othersRate += demand.Weight(span) * (max(0, expected-held)/span.Seconds() - l.othersRate)
 }
 
-// leaveAlone keeps this gateway from calling until the bucket has filled by what is missing, taken together
-// with the other gateways of the tenant.
+// leaveAlone keeps this gateway from calling until the bucket should have filled by what is missing, or for
+// longer if many gateways wait for the same tokens (see gatewaysPerToken).
 func (l *Lease) leaveAlone(now time.Duration, missing float64) {
 	pause := max(missing, l.gateways/gatewaysPerToken) / l.bucket.Rate
 	l.emptyUntil = now + min(maxEmptyPause, time.Duration(pause*float64(time.Second)))
