--- a/internal/audit/slotlease.go
+++ b/internal/audit/slotlease.go
@@ -40,7 +40,10 @@
 // are out of service at once. A slot is leased for one epoch and claimed in the one before: a gateway that finds the
 // slot's number empty and adds its mark has claimed it, and gets it if just that mark is still there when no claim counts
 // any more. So a counter that comes back empty in between makes gateways lose their claims, and never gives a slot to
-// two.
+// two for one epoch.
+//
+// No guard time lies between two leases, and each gateway goes over to a new epoch at a Step of its own. So the holder of
+// one epoch and that of the next may both be out of service until the former has had its first Step in the new epoch.
 type slotLease struct {
 	out          *output
 	schedule     schedule
