--- a/internal/gateway/protocol/parser.go
+++ b/internal/gateway/protocol/parser.go
@@ -21,21 +21,21 @@
 	fieldKey          = "k" // the idempotency key
 	fieldRetry        = "r" // 1: the client sends the request again
 	fieldCost         = "units"
-	fieldGateways     = "spread" // over how many gateways the tenant's requests are spread ...
-	fieldFirstGateway = "first"  // ... from which one on
+	fieldGateways     = "spread" // over how many gateways the tenant's requests are spread
+	fieldFirstGateway = "first"  // the index of the first of these
 )
 
 const (
 	timeLeftTolerance     = time.Second // by which a client may say it waits longer than its class's time
 	defaultMaxRequestCost = 1e9         // units of a request, where the settings do not say
-	usualFields           = 16          // of a request: for these no memory is taken
+	usualFields           = 16          // names of so many fields are kept without an allocation
 	tenantDigits          = 16          // hex digits of a tenant's name
 	maxTenant             = 1 << 33     // names of tenants, as numbers, are below this
 )
 
 // What is wrong with a request; clients get these texts behind -ERR.
 var (
-	errTenant       = errors.New("the customer is not 16 hex digits") // or not below maxTenant; the text stays
+	errTenant       = errors.New("the customer is not 16 hex digits") // or they are not below maxTenant
 	errEmptyID      = errors.New("the id is empty")
 	errFieldMissing = errors.New("one of c, t, d, units, spread and first is missing")
 	errKeyMissing   = errors.New("k is missing")
@@ -80,7 +80,7 @@
 }
 
 // Parse reads a request that came by a command, whose name is given in upper case, with its arguments, the name among
-// them. The request keeps the arguments. The error's text is fit for the client; what can't be read goes nowhere.
+// them. The request keeps the arguments. The error's text is fit for the client. A request that can't be read is not forwarded.
 func (parser *Parser) Parse(command string, args [][]byte) (*Request, error) {
 	if len(args) != 4 && len(args) != 5 {
 		return nil, argumentCountError{command}
