--- a/internal/policy/helpers_test.go
+++ b/internal/policy/helpers_test.go
@@ -19,7 +19,7 @@
 	hardPlan       = iota // earns nothing over its quota of 2 a second and 8 at once
 	softPlan              // earns something over its quota of 10 a second, up to a hard limit of 20 a second
 	noQuotaPlan           // guarantees nothing
-	concurrentPlan        // has a wide quota, and 4 requests in flight at most
+	concurrentPlan        // has a wide quota, and 4 requests admitted at once at most
 )
 
 // testSettings is a deployment of two gateways.
@@ -122,7 +122,7 @@
 	return AttemptResult{ID: s.ID, Attempt: attempt, Backend: s.Backend, Status: OK, Latency: took, RequestClosed: true}
 }
 
-// unservedResult ends an attempt without a response, after a millisecond.
+// unservedResult ends an attempt that has not served its request, after a millisecond. The request stays open.
 func unservedResult(s SendAttempt, attempt int, status Status) AttemptResult {
 	return AttemptResult{ID: s.ID, Attempt: attempt, Backend: s.Backend, Status: status, Latency: ms}
 }
--- a/internal/policy/randomevents_test.go
+++ b/internal/policy/randomevents_test.go
@@ -9,7 +9,8 @@
 )
 
 // randomRun plays a random but legal order of events and checks what must hold after any of them. It stands for the
-// caller: it ends the attempts that the engine sends, answers its counter calls and lets its timers fall due.
+// caller: it ends the attempts that the engine sends, answers its counter calls and lets its timers fall due. ClientGone
+// never comes.
 type randomRun struct {
 	t         testing.TB
 	seed      uint64
@@ -25,7 +26,7 @@
 	calls    []AddToCounter
 	timers   []SetTimer
 	totals   map[uint64]float64 // of the counter, by name
-	draining map[string]bool    // backends that are not in service
+	outOfUse map[string]bool    // backends that are draining or have terminated
 
 	deadlines        map[uint64]time.Duration // of requests without a final answer
 	classes          map[uint64]int
@@ -43,8 +44,8 @@
 }
 
 const (
-	randomSteps    = 600
-	lastRandomStep = 400 // in which requests still arrive
+	randomSteps     = 600
+	lastArrivalStep = 400 // in which requests still arrive
 )
 
 // playRandomEvents plays the events of a seed to their end and returns all actions.
@@ -52,7 +53,7 @@
 	t.Helper()
 	settings, list := testSettings(), testBackends(5)
 	run := &randomRun{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 2)), settings: settings, list: list,
-		engine: newTestEngine(t, settings, list...), totals: map[uint64]float64{}, draining: map[string]bool{},
+		engine: newTestEngine(t, settings, list...), totals: map[uint64]float64{}, outOfUse: map[string]bool{},
 		deadlines: map[uint64]time.Duration{}, classes: map[uint64]int{}, attempts: map[uint64]int{},
 		attemptsInFlight: map[uint64]int{}, mayHaveRunOn: map[uint64]string{}}
 	for step := range randomSteps {
@@ -85,7 +86,7 @@
 
 func (r *randomRun) arrivals(step int) (events []Event) {
 	for range r.rng.IntN(4) {
-		if step > lastRandomStep {
+		if step > lastArrivalStep {
 			break
 		}
 		r.lastID++
@@ -146,7 +147,7 @@
 	b := r.list[r.rng.IntN(len(r.list))]
 	b.State = BackendState(r.rng.IntN(3))
 	b.Started = r.now * time.Duration(r.rng.IntN(2))
-	r.draining[b.Name] = b.State != InService
+	r.outOfUse[b.Name] = b.State != InService
 	return []Event{EndpointUpdate{Kind: Delta, Backends: []Backend{b}}}
 }
 
@@ -215,8 +216,8 @@
 	if r.suspended {
 		r.t.Fatalf("seed %d: sent while suspended: %v", r.seed, s)
 	}
-	if r.draining[s.Backend] {
-		r.t.Fatalf("seed %d: sent to a backend that is draining: %v", r.seed, s)
+	if r.outOfUse[s.Backend] {
+		r.t.Fatalf("seed %d: sent to a backend that is not in service: %v", r.seed, s)
 	}
 	if r.mayRunTwice(s) {
 		r.t.Fatalf("seed %d: an effect twice: %v", r.seed, s)
@@ -227,7 +228,7 @@
 }
 
 // mayRunTwice says whether an attempt could repeat an effect: the request may have run and must not run twice, or
-// goes to a backend that does not drop repeats together with the one where it may have run.
+// goes to a backend that does not drop repeats together with the one where it may have run. It leaves out DedupWindow.
 func (r *randomRun) mayRunTwice(s SendAttempt) bool {
 	ranOn, mayHaveRun := r.mayHaveRunOn[s.ID]
 	if !mayHaveRun {
--- a/internal/policy/rejection_test.go
+++ b/internal/policy/rejection_test.go
@@ -69,7 +69,7 @@
 			engine := newTestEngine(t, withoutCounter(), testBackends(8)...)
 			return engine, engine.Step(ms, testRequests(1, 8, idempotentClass, hardPlan))
 		}},
-	{name: "backends answer far slower than when idle", reason: BackendsOverloaded,
+	{name: "backends have rejected attempts for seconds", reason: BackendsOverloaded,
 		play: func(t *testing.T) (*Engine, []Action) {
 			engine := newTestEngine(t, manyGateways(80), testBackends(60)...)
 			first := sendsOf(engine.Step(ms, []Event{testRequest(1, idempotentClass, noQuotaPlan)}))[0]
--- a/internal/policy/simulatedfleet_test.go
+++ b/internal/policy/simulatedfleet_test.go
@@ -201,8 +201,8 @@
 // windowLoad is what a warming backend got within a window.
 type windowLoad struct {
 	attempts int
-	allowed  float64 // N: the budget of all gateways together
-	bound    float64 // what chance may add to it
+	budget   float64 // N: of all gateways together
+	bound    float64 // the budget and what chance may add to it
 }
 
 // worstWindow finds the window in which a warming backend got the most for what it may get.
@@ -216,11 +216,11 @@
 			if k := slices.IndexFunc(m.attempts[j:], isAfter); k > 0 {
 				n = k
 			}
-			allowed := f.settings.OverloadMultiple * m.capacity * f.capacityShare(m, from) *
+			budget := f.settings.OverloadMultiple * m.capacity * f.capacityShare(m, from) *
 				f.settings.OverloadWindow.Seconds()
-			bound := allowed + 2*math.Sqrt(allowed) + 2
+			bound := budget + 2*math.Sqrt(budget) + 2
 			if float64(n)/bound > float64(worst.attempts)/worst.bound {
-				worst = windowLoad{n, allowed, bound}
+				worst = windowLoad{n, budget, bound}
 			}
 		}
 	}
--- a/internal/policy/slowstart_test.go
+++ b/internal/policy/slowstart_test.go
@@ -89,16 +89,16 @@
 		worst := f.worstWindow()
 		share := float64(f.served) / float64(f.offered)
 		what := fmt.Sprintf("%d gateways: %.2f served in 8 s; %d sent to one within a window, N is %.0f",
-			gateways, share, worst.attempts, worst.allowed)
+			gateways, share, worst.attempts, worst.budget)
 		if t.Log(what); share < 0.2 || float64(worst.attempts) > worst.bound {
 			t.Error(what)
 		}
 	}
 }
 
-// A warming backend stands under the sum of all gateways, with few and many of them, under even and uneven traffic,
-// also when as much is asked for as the backends can carry, so that what the gateways see is all that a warm one can
-// do.
+// A warming backend stays within its bound under the sum of all gateways, with few and many of them, under even and
+// uneven traffic, also when as much is asked for as the backends can carry, so that what the gateways see is all that a
+// warm one can do.
 func TestSlowStartBudgetHoldsForAllGateways(t *testing.T) {
 	for _, size := range []struct{ gateways, backends int }{{3, 14}, {30, 14}, {810, 24}} {
 		for _, day := range warmUpDays {
@@ -109,7 +109,7 @@
 				f := day.play(size.gateways, size.backends, 1, uneven)
 				worst := f.worstWindow()
 				what := fmt.Sprintf("%d gateways, %s, uneven %v: %d sent to a warming backend within a window, "+
-					"N is %.0f, the bound %.0f", size.gateways, day.name, uneven, worst.attempts, worst.allowed, worst.bound)
+					"N is %.0f, the bound %.0f", size.gateways, day.name, uneven, worst.attempts, worst.budget, worst.bound)
 				if t.Log(what); float64(worst.attempts) > worst.bound || worst.attempts == 0 && day.name != "silence" {
 					t.Error(what)
 				}
@@ -118,7 +118,7 @@
 	}
 }
 
-// gatewaysOfOneStart are gateways of which one backend starts at a time, and then is all that is left.
+// gatewaysOfOneStart are gateways that see one backend start at start; two seconds later it alone is left in service.
 type gatewaysOfOneStart struct {
 	engines       []*Engine
 	settings      Settings
--- a/internal/policy/subset_test.go
+++ b/internal/policy/subset_test.go
@@ -6,21 +6,31 @@
 	"time"
 )
 
-// sharesOfTraffic gives by backend the part of a gateway's traffic that it gets from all gateways, were each
-// to share its traffic out evenly, and the size of the smallest subset when a zone is lost.
-func sharesOfTraffic(gateways []*Engine, lostZone int) (load map[string]float64, smallest int) {
-	load, smallest = map[string]float64{}, 1<<30
+// loadOfBackends gives by backend the traffic that it gets from all gateways, in units of one gateway's, were each
+// to share its traffic out evenly.
+func loadOfBackends(gateways []*Engine) map[string]float64 {
+	load := map[string]float64{}
 	for _, engine := range gateways {
-		left := 0
 		for _, b := range engine.subset.backends {
 			load[b.name] += 1 / float64(len(engine.subset.backends))
+		}
+	}
+	return load
+}
+
+// smallestWithout is the size of the smallest subset when a zone is lost.
+func smallestWithout(lostZone int, gateways []*Engine) int {
+	smallest := 1 << 30
+	for _, engine := range gateways {
+		left := 0
+		for _, b := range engine.subset.backends {
 			if b.zone != lostZone {
 				left++
 			}
 		}
 		smallest = min(smallest, left)
 	}
-	return load, smallest
+	return smallest
 }
 
 // busiest is the load of the busiest backend over the mean, for largeGateways.
@@ -57,14 +67,14 @@
 		t.Run(fmt.Sprint(backends, " backends"), func(t *testing.T) {
 			list := largeEndpointList(backends)
 			gateways := largeFleet(t, list)
-			load, smallest := sharesOfTraffic(gateways, 3)
+			load, smallest := loadOfBackends(gateways), smallestWithout(3, gateways)
 			checkShares(t, "at first", load, backends)
 			if smallest < minSubset/2 {
 				t.Errorf("a gateway has %d backends left when a zone is lost", smallest)
 			}
 			changed := 0
 			for step := range 10 {
-				changed += replaceOne(gateways, list[step], step)
+				changed += removeOrAdd(gateways, list[step], step)
 			}
 			if mean := float64(changed) / 10; mean > 0.12*largeGateways {
 				t.Errorf("%.0f of %d gateways change their subset when one backend comes or goes", mean, largeGateways)
@@ -72,15 +82,15 @@
 				t.Logf("%.0f gateways change, busiest %.2f, smallest without a zone %d", mean, busiest(load, backends),
 					smallest)
 			}
-			load, _ = sharesOfTraffic(gateways, 3)
+			load = loadOfBackends(gateways)
 			checkShares(t, "after changes", load, backends)
 		})
 	}
 }
 
-// replaceOne tells all gateways that a backend has terminated or, in odd steps, that a new one has come, and
+// removeOrAdd tells all gateways that a backend has terminated or, in odd steps, that a new one has come, and
 // returns how many change their subsets.
-func replaceOne(gateways []*Engine, b Backend, step int) (changed int) {
+func removeOrAdd(gateways []*Engine, b Backend, step int) (changed int) {
 	if step%2 == 0 {
 		b.State = Terminated
 	} else {
@@ -163,8 +173,8 @@
 		settings := manyGateways(largeGateways)
 		settings.GatewayIndex = i
 		engine := newTestEngine(b, settings, list...)
-		own, left := sharesOfTraffic([]*Engine{engine}, 3)
-		smallest = min(smallest, left)
+		own := loadOfBackends([]*Engine{engine})
+		smallest = min(smallest, smallestWithout(3, []*Engine{engine}))
 		for name, share := range own {
 			load[name] += share
 			users[name]++
