--- a/internal/audit/faults_test.go
+++ b/internal/audit/faults_test.go
@@ -133,7 +133,7 @@
 	}
 }
 
-// checkAllServe checks that all gateways are in service, and behind at most for now.
+// checkAllServe checks that all gateways are in service, and at most in the stage behind.
 func (f *simFleet) checkAllServe(seed uint64) {
 	f.t.Helper()
 	for index, g := range f.gateways {
--- a/internal/audit/machine_test.go
+++ b/internal/audit/machine_test.go
@@ -11,7 +11,7 @@
 func BenchmarkStep(b *testing.B) {
 	for _, gateways := range []int{30, 810} {
 		b.Run(fmt.Sprint(gateways), func(b *testing.B) {
-			machine, err := New(Settings{Gateways: gateways, CallsPerSecond: 4150, Share: 0.05, CounterTimeout: callTime}, 1)
+			machine, err := New(Settings{Gateways: gateways, CallsPerSecond: 4150, Share: 0.05, CounterTimeout: callTimeout}, 1)
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/audit/settings_test.go
+++ b/internal/audit/settings_test.go
@@ -8,7 +8,7 @@
 
 // A setting that can't be used is named by the word that the operator wrote.
 func TestUnusableSettingsAreNamed(t *testing.T) {
-	usable := Settings{Gateways: 300, GatewayIndex: 1, CallsPerSecond: 830, Share: 0.05, CounterTimeout: callTime}
+	usable := Settings{Gateways: 300, GatewayIndex: 1, CallsPerSecond: 830, Share: 0.05, CounterTimeout: callTimeout}
 	if err := usable.Check(); err != nil {
 		t.Error(err)
 	}
--- a/internal/audit/simfleet_test.go
+++ b/internal/audit/simfleet_test.go
@@ -8,10 +8,10 @@
 )
 
 const (
-	tick     = TickInterval
-	callTime = 50 * time.Millisecond       // time-out of a counter call
-	simStart = 1_800_000_000 * time.Second // all machines read one clock
-	maxDelay = 15                          // ticks that an agent's updates may take
+	tick        = TickInterval
+	callTimeout = 50 * time.Millisecond       // of a counter call
+	simStart    = 1_800_000_000 * time.Second // all machines read one clock
+	maxDelay    = 15                          // ticks that an agent's updates may take
 )
 
 // simFleet plays the machines of a fleet over a simulated discovery and a simulated counter, in virtual time. Each tick
@@ -25,7 +25,7 @@
 	schedule schedule
 	gateways []*simGateway
 	counter  simCounter
-	history  []int64 // discovery's index at each tick
+	history  []int64 // discovery's index, see pastIndex
 	highest  []int64 // by gateway, the newest version that it ever acted on
 	late     []lateEvent
 
@@ -74,7 +74,7 @@
 
 func newSimFleet(t testing.TB, seed uint64, gateways int) *simFleet {
 	t.Helper()
-	settings := Settings{Gateways: gateways, CallsPerSecond: 830, Share: 0.05, CounterTimeout: callTime}
+	settings := Settings{Gateways: gateways, CallsPerSecond: 830, Share: 0.05, CounterTimeout: callTimeout}
 	f := &simFleet{t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: simStart, settings: settings,
 		schedule: newSchedule(settings), history: []int64{1000}, highest: make([]int64, gateways)}
 	f.counter.empty()
@@ -152,13 +152,19 @@
 
 // deliverVersion brings what the gateway's agent knows, if that is another version.
 func (f *simFleet) deliverVersion(g *simGateway) {
-	known := f.history[max(0, len(f.history)-1-int(g.agentDelay/tick))]
+	known := f.pastIndex(g.agentDelay)
 	if !g.agentCut && known != g.latestVersion {
 		g.latestVersion = known
 		g.events = append(g.events, VersionAdopted{Index: known, Source: FromDelta, ReadAt: f.now, Changes: 1})
 	}
 }
 
+// pastIndex is discovery's index as it was so long ago. The history has an entry a tick, and one more where discovery
+// has started anew (makeFault): for as long as that one lies within the delay, the index is from a tick later.
+func (f *simFleet) pastIndex(delay time.Duration) int64 {
+	return f.history[max(0, len(f.history)-1-int(delay/tick))]
+}
+
 func (f *simFleet) stepGateway(index int, g *simGateway) {
 	events := g.events
 	g.events = nil
