--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -36,7 +36,7 @@
 	size      int          // members
 	capacity  int          // members that a seat may hold
 	occupants [][]place[T] // by seat
-	displaced [][]place[T] // by seat: who has it earlier in its order than the seat that it has
+	displaced [][]place[T] // by seat: the members that prefer it to the seat that they have
 }
 
 // place keeps the priority beside the member: looking for the lowest is most of the work.
@@ -87,7 +87,7 @@
 	r.resize(r.size - 1)
 }
 
-// resize keeps the number of members, and makes what each seat may hold follow it.
+// resize sets the number of members, and makes what each seat may hold follow it.
 func (r *Round[T]) resize(size int) {
 	r.size = size
 	capacity := int(math.Ceil(float64(size) * (1 + r.slack) / float64(len(r.occupants))))
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -96,7 +96,7 @@
 	}
 }
 
-// One that comes or goes moves few others.
+// One that goes moves few others.
 func TestFewMove(t *testing.T) {
 	const members, seats = 1100, 51
 	tr := newTestRound(t, members, seats, 0, 0.125)
--- a/internal/timerqueue/timerqueue.go
+++ b/internal/timerqueue/timerqueue.go
@@ -52,8 +52,8 @@
 	return now - queue.timers[0].at
 }
 
-// Run runs what is due, in the order of the times. What is added meanwhile, and due already, may be left for the next
-// Run, so that tasks which add others always come to an end.
+// Run runs what is due, in the order of the times, until it comes to a task that was added meanwhile. That one, and all
+// that is due behind it, is left for the next Run, so that tasks which add others always come to an end.
 func (queue *Queue) Run(now time.Duration) {
 	for last := queue.last; len(queue.timers) > 0; {
 		first := queue.timers[0]
--- a/internal/timerqueue/timerqueue_test.go
+++ b/internal/timerqueue/timerqueue_test.go
@@ -31,8 +31,9 @@
 	}
 }
 
-// A task may stop another one that is due, and one that adds itself again at once does not hold up the caller.
-func TestTasksThatChangeTheQueue(t *testing.T) {
+// A task that adds itself again at once does not hold up the caller: it runs once in each Run. What it adds is due before
+// the others, so these are left for a next Run each time, and neither of them comes to run.
+func TestTaskThatAddsItselfRunsOnceInEachRun(t *testing.T) {
 	var queue Queue
 	runs := 0
 	var again func()
@@ -51,3 +52,40 @@
 		t.Errorf("%d runs in three", runs)
 	}
 }
+
+// A task may stop another one that is due in the same Run.
+func TestTaskStopsAnotherThatIsDue(t *testing.T) {
+	var queue Queue
+	stops := 0
+	var stopped *Timer
+	queue.Add(2, func() {
+		stops++
+		queue.Stop(stopped)
+	})
+	stopped = queue.Add(3, func() { t.Error("a stopped timer ran") })
+	queue.Run(4)
+	if stops != 1 || queue.Wait(4) != time.Hour {
+		t.Errorf("%d stops, the next is due in %v", stops, queue.Wait(4))
+	}
+}
+
+// What is due behind a task that was added in a Run is left for the next one.
+func TestTaskAddedMeanwhileEndsTheRun(t *testing.T) {
+	var queue Queue
+	var got []int
+	add := func(at int, task func()) {
+		queue.Add(time.Duration(at), func() {
+			got = append(got, at)
+			task()
+		})
+	}
+	none := func() {}
+	add(1, func() { add(2, none) })
+	add(3, none)
+	if queue.Run(4); !slices.Equal(got, []int{1}) {
+		t.Errorf("the first Run ran %v", got)
+	}
+	if queue.Run(4); !slices.Equal(got, []int{1, 2, 3}) {
+		t.Errorf("both Runs ran %v", got)
+	}
+}
