--- a/cmd/bellwood/main.go
+++ b/cmd/bellwood/main.go
@@ -1,8 +1,8 @@
 // Command bellwood is one gateway: it meters tenants' quotas and forwards their requests to a shared fleet of backends.
 //
-// It is configured by the JSON file that NODE_CONFIG names; NODE_NAME, NODE_LISTEN and NODE_DISCOVERY go before what
-// the file says. SIGTERM or an interrupt begins a graceful shutdown, SIGHUP makes it read the file again. It logs to
-// standard error. See README.
+// It is configured by the JSON file that NODE_CONFIG names; NODE_NAME, NODE_LISTEN and NODE_DISCOVERY override it at the
+// start. SIGTERM or an interrupt begins a graceful shutdown, SIGHUP makes it read the file again. It logs to standard
+// error. See README.
 package main
 
 import (
@@ -25,8 +25,9 @@
 	// gcPercent is how much garbage may gather for each live byte, in percent. The heap has few MB, so collections would
 	// else come often; the memory limit makes them come sooner where that is needed.
 	gcPercent = 400
-	// heapShare of the memory limit is for the heap; the rest is for stacks, sockets and the kernel.
-	heapShareNum, heapShareDen = 3, 4
+	// goMemoryNum/goMemoryDen is the part of the memory limit that Go's runtime may use, its stacks and its own data
+	// included. The rest is for what it does not count: the program's code, a C library and the kernel's socket buffers.
+	goMemoryNum, goMemoryDen = 3, 4
 	// logFlushTimeout is how long the end waits for whoever reads the log.
 	logFlushTimeout = 100 * time.Millisecond
 )
@@ -50,7 +51,7 @@
 	}
 	runtime.GOMAXPROCS(1) // a gateway has one core: more threads would only take turns on it
 	if cfg.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(cfg.MemoryMB) << 20 * heapShareNum / heapShareDen)
+		debug.SetMemoryLimit(int64(cfg.MemoryMB) << 20 * goMemoryNum / goMemoryDen)
 		debug.SetGCPercent(gcPercent)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
@@ -73,9 +74,10 @@
 	return nil
 }
 
-// reload reads the file again at each signal, until ended is closed. The file now goes before the environment, which
-// tells what held at the start; only the addresses of discovery and the counter change. An unusable file changes
-// nothing.
+// reload reads the file again at each signal, until ended is closed. It takes from it the addresses of discovery and the
+// counter and the audit's revision, and nothing else. The environment counts only at the start: from the first reload on
+// the file's discovery holds, also where NODE_DISCOVERY is set, and a file that lacks what the environment gave at the
+// start does not pass the check. An unusable file changes nothing.
 func reload(hup <-chan os.Signal, ended <-chan struct{}, server *gateway.Server, log *slog.Logger) {
 	for {
 		select {
--- a/cmd/bellwood/main_test.go
+++ b/cmd/bellwood/main_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// The environment goes before the file.
+// The environment overrides the file.
 func TestEnvironment(t *testing.T) {
 	t.Setenv("NODE_CONFIG", newConfigFile(t, configJSON("127.0.0.1:1", "127.0.0.1:2")))
 	t.Setenv("NODE_NAME", "n2")
@@ -40,7 +40,7 @@
 }
 
 // By default SIGHUP ends a program. It must not end this one, also while it starts or ends: an unusable file changes
-// nothing, and a usable one goes before the environment.
+// nothing, and a usable one overrides the environment.
 func TestReload(t *testing.T) {
 	watched := make(chan string, 64) // names of the agents that are asked
 	file := newConfigFile(t, configJSON("127.0.0.1:0", "127.0.0.1:1"))
@@ -74,9 +74,13 @@
 	return strings.TrimPrefix(agent.URL, "http://")
 }
 
-// waitForWatch waits until an agent is asked from now on.
+// waitForWatch waits until an agent is asked from now on: it passes over what has been noted before. Agents are asked
+// again and again, as they answer nothing of use.
 func waitForWatch(t *testing.T, watched <-chan string, name string) {
 	t.Helper()
+	for len(watched) > 0 {
+		<-watched
+	}
 	for limit := time.After(testTimeout); ; {
 		select {
 		case got := <-watched:
