--- a/internal/policy/clientgone_test.go
+++ b/internal/policy/clientgone_test.go
@@ -40,7 +40,7 @@
 		engine.Step(2*ms, []Event{testRequest(99, withKeyClass, softPlan)}) // a fresh gateway's share is empty
 		return engine, nil
 	}},
-	{"for another request in flight to end", func(t *testing.T) (*Engine, []Event) {
+	{"for another admitted request to end", func(t *testing.T) (*Engine, []Event) {
 		engine := newTestEngine(t, testSettings(), testBackends(8)...)
 		first := sendsOf(engine.Step(ms, testRequests(1, 2, idempotentClass, concurrentPlan)))
 		engine.Step(2*ms, []Event{testRequest(99, idempotentClass, concurrentPlan)})
@@ -91,7 +91,7 @@
 func isSent(engine *Engine, release []Event) bool {
 	sent := false
 	for now := 4 * ms; now < 400*ms; now += checkInterval {
-		for _, s := range sendsOf(engine.Step(now, append(release, Timer{0}))) {
+		for _, s := range sendsOf(engine.Step(now, append(release, Timer{checkCookie}))) {
 			sent = sent || s.ID == 99
 		}
 		release = nil
--- a/internal/policy/countercalls_test.go
+++ b/internal/policy/countercalls_test.go
@@ -46,7 +46,7 @@
 	late := 0
 	for i := range 2000 {
 		now := time.Duration(i+1) * 10 * ms
-		acts := engine.Step(now, []Event{requestOf(fmt.Sprint("c", i), uint64(i)), Timer{0}})
+		acts := engine.Step(now, []Event{requestOf(fmt.Sprint("c", i), uint64(i)), Timer{checkCookie}})
 		for _, call := range callsOf(acts) {
 			if i > 1000 {
 				late++
@@ -104,7 +104,7 @@
 		for i := range g.engines {
 			events := append(arrivals[i], g.takeDue(i, now)...)
 			if len(events) > 0 || now%(4*step) == 0 {
-				g.take(i, now, append(events, Timer{0}))
+				g.take(i, now, append(events, Timer{checkCookie}))
 			}
 		}
 	}
@@ -120,7 +120,8 @@
 	}
 }
 
-// Where nothing is lost beyond a quota, no call saves more than another: each has the same chance.
+// Where nothing is lost beyond a quota, no call saves more than another: each has the same chance, so
+// that some of the requests call and some do not.
 func TestCallsThatSaveNothingHaveTheSameChance(t *testing.T) {
 	set := manyGateways(80)
 	for plan := range set.Plans {
@@ -157,9 +158,9 @@
 // What goes on unasked follows what the calls of its plan find: none where they find the buckets empty and what is
 // beyond costs, all where it costs nothing or where the counter is silent.
 func TestCreditFollowsTheCalls(t *testing.T) {
-	const soft = 2
+	const freePlan = noQuotaPlan // here with a quota beyond which requests lose nothing
 	set := testSettings()
-	set.Plans[soft] = Plan{Rate: 2, Burst: 8, WeightFactor: 1, OverQuotaValue: 0.1}
+	set.Plans[freePlan] = Plan{Rate: 2, Burst: 8, WeightFactor: 1, OverQuotaValue: 0.1}
 	for _, c := range []struct {
 		name      string
 		plan      int
@@ -167,10 +168,10 @@
 		callShare float64
 		want      int
 	}{
-		{"the buckets are empty", 0, 0, 0.5, 0},
-		{"the buckets are full", 0, 5, 0.5, 1000},
-		{"it costs nothing", soft, 0, 0.5, 1000},
-		{"nobody can be asked", 0, 0, callshare.MinShare, 1000},
+		{"the buckets are empty", hardPlan, 0, 0.5, 0},
+		{"the buckets are full", hardPlan, 5, 0.5, 1000},
+		{"it costs nothing", freePlan, 0, 0.5, 1000},
+		{"nobody can be asked", hardPlan, 0, callshare.MinShare, 1000},
 	} {
 		engine := newTestEngine(t, set, testBackends(8)...)
 		for i := range 60 {
@@ -186,8 +187,8 @@
 	}
 
 	engine := newTestEngine(t, set, testBackends(8)...)
-	engine.callEstimates.emptyShare[0] = 0.15
-	if n := creditsOf1000(engine, 0); n < 500 || n > 800 { // 1 - 0.15 x 0.5 / (0.85 x 0.25) = 0.65
+	engine.callEstimates.emptyShare[hardPlan] = 0.15
+	if n := creditsOf1000(engine, hardPlan); n < 500 || n > 800 { // 1 - 0.15 x 0.5 / (0.85 x 0.25) = 0.65
 		t.Errorf("%d of 1000 went on, of which 150 may be beyond", n)
 	}
 }
@@ -198,8 +199,8 @@
 	engine := newTestEngine(t, testSettings(), testBackends(8)...)
 	call := spendFallback(t, engine, ms)
 	engine.Step(2*ms, []Event{testRequest(50, idempotentClass, softPlan)})
-	first, other := engine.tenants.byKey[tenantKey{"c", 0}], engine.tenants.byKey[tenantKey{"c", 1}]
-	if first == nil || other == nil || first.key.plan != 0 || other.key.plan != 1 {
+	first, other := engine.tenants.byKey[tenantKey{"c", hardPlan}], engine.tenants.byKey[tenantKey{"c", softPlan}]
+	if first == nil || other == nil || first.key.plan != hardPlan || other.key.plan != softPlan {
 		t.Fatalf("%+v, %+v", first, other)
 	}
 	engine.Step(3*ms, []Event{CounterResult{call.Name, OK, call.Amount}})
--- a/internal/policy/endpoints_test.go
+++ b/internal/policy/endpoints_test.go
@@ -52,7 +52,7 @@
 		t.Fatalf("%d in the subset, %d known, %d in service, %d warm", subset, known, inService, warm)
 	}
 	engine.Step(2*time.Second, []Event{EndpointUpdate{Backends: list[20:]}})
-	actions := engine.Step(3*time.Second, []Event{testRequest(1, idempotentClass, noQuotaPlan), Timer{0}})
+	actions := engine.Step(3*time.Second, []Event{testRequest(1, idempotentClass, noQuotaPlan), Timer{checkCookie}})
 	if sends := sendsOf(actions); len(sends) != 1 {
 		t.Errorf("%d sends", len(sends))
 	}
@@ -70,7 +70,7 @@
 	for i := range 20 {
 		at := time.Duration(0)
 		for _, s := range actionsOf[SetTimer](engine.Step(now, []Event{EndpointUpdate{Kind: UpdateFailed}})) {
-			if s.Cookie == 2 {
+			if s.Cookie == pollCookie {
 				at = s.At
 			}
 		}
@@ -78,7 +78,7 @@
 			t.Fatalf("after failure %d it is polled again after %v", i+1, at-now)
 		}
 		now = at + 2*time.Second
-		if actions := engine.Step(at, []Event{Timer{2}}); len(actionsOf[WatchEndpoints](actions)) != 1 {
+		if actions := engine.Step(at, []Event{Timer{pollCookie}}); len(actionsOf[WatchEndpoints](actions)) != 1 {
 			t.Fatalf("after failure %d it is not polled: %v", i+1, actions)
 		}
 	}
@@ -103,7 +103,7 @@
 		case 3:
 			engine.eject(engine.subset.backends[step%len(engine.subset.backends)])
 		}
-		events := []Event{testRequest(uint64(step), idempotentClass, noQuotaPlan), Timer{0}}
+		events := []Event{testRequest(uint64(step), idempotentClass, noQuotaPlan), Timer{checkCookie}}
 		if step%5 < 3 || step%3 == 0 {
 			events = append(events, EndpointUpdate{Backends: []Backend{b}})
 		}
--- a/internal/policy/engine_test.go
+++ b/internal/policy/engine_test.go
@@ -11,16 +11,16 @@
 	engine := newTestEngine(t, testSettings())
 	unexpected := []Event{
 		testRequest(1, idempotentClass, noQuotaPlan), AttemptResult{ID: 9}, AttemptResult{ID: 1, Attempt: 3},
-		ClientGone{77}, Timer{55}, Timer{2}, CounterResult{Name: 5}, FirstByte{ID: 4}, HealthCheckResult{Backend: "x"},
+		ClientGone{77}, Timer{55}, Timer{pollCookie}, CounterResult{Name: 5}, FirstByte{ID: 4}, HealthCheckResult{Backend: "x"},
 		PeerMessage{}, EndpointUpdate{Kind: UpdateFailed},
 	}
 	if actions := engine.Step(ms, unexpected); len(sendsOf(actions)) != 0 {
 		t.Errorf("sent without a backend: %v", actions)
 	}
-	if actions := engine.Step(500*ms, []Event{Timer{1<<1 | 1}}); len(rejectsOf(actions)) != 1 {
+	if actions := engine.Step(500*ms, []Event{Timer{deadlineCookie(1)}}); len(rejectsOf(actions)) != 1 {
 		t.Errorf("no final answer without a backend: %v", actions)
 	}
-	if actions := engine.Step(501*ms, []Event{Timer{1<<1 | 1}, ClientGone{1}}); len(actions) != 0 {
+	if actions := engine.Step(501*ms, []Event{Timer{deadlineCookie(1)}, ClientGone{1}}); len(actions) != 0 {
 		t.Errorf("a second answer: %v", actions)
 	}
 	short := testRequest(2, idempotentClass, noQuotaPlan)
@@ -42,7 +42,7 @@
 		engine.Step(ms, []Event{ClientGone{r.ID}})
 	}
 	for i := range 200 {
-		engine.Step(70*time.Second+time.Duration(i)*ms, []Event{Timer{0}})
+		engine.Step(70*time.Second+time.Duration(i)*ms, []Event{Timer{checkCookie}})
 	}
 	if len(engine.requests) != 0 || len(engine.tenants.byKey) != 0 || len(engine.tenants.order) != 0 {
 		t.Errorf("left: %d requests, %d tenants", len(engine.requests), len(engine.tenants.byKey))
--- a/internal/policy/enginebench_test.go
+++ b/internal/policy/enginebench_test.go
@@ -47,7 +47,7 @@
 	engine, now := benchmarkEngine(list), time.Duration(0)
 	for b.Loop() {
 		now += 20 * ms
-		engine.Step(now, []Event{Timer{0}})
+		engine.Step(now, []Event{Timer{checkCookie}})
 	}
 }
 
--- a/internal/policy/hardlimit_test.go
+++ b/internal/policy/hardlimit_test.go
@@ -26,7 +26,7 @@
 	engine := newTestEngine(t, withoutCounter(), testBackends(2)...)
 	waiting := map[int]int{} // by class
 	id, advised := uint64(1), 0
-	for class := range 2 {
+	for _, class := range []int{idempotentClass, withKeyClass} {
 		for range 60 {
 			actions := engine.Step(time.Second, []Event{testRequest(id, class, softPlan)})
 			rejects := rejectsOf(actions)
@@ -41,7 +41,7 @@
 	if advised == 0 {
 		t.Error("nobody was told when to come back")
 	}
-	if waiting[0] > 1 || waiting[1] < 1 || waiting[1] > 2 {
+	if waiting[idempotentClass] > 1 || waiting[withKeyClass] < 1 || waiting[withKeyClass] > 2 {
 		t.Errorf("by class, %v wait", waiting)
 	}
 }
--- a/internal/policy/hardlimitshare_test.go
+++ b/internal/policy/hardlimitshare_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// hardLimitDay is what became of a tenant's requests: how many were sent, and how far the bucket of the hard limit
-// fell at least.
+// hardLimitDay is what became of a tenant's requests: how many were sent, and the lowest level that the bucket of the
+// hard limit came to; below 0 the limit was passed.
 type hardLimitDay struct {
 	sent     int
 	minLevel float64
 }
 
-// playHardLimitDay plays 20 s of a tenant's requests, one each gap, through 13 gateways, a third of them through the
+// playHardLimitDay plays 20 s of a tenant's requests, one each gap, through 13 gateways, 7 of 19 through the
 // first.
 func playHardLimitDay(t *testing.T, set Settings, gap time.Duration) hardLimitDay {
 	t.Helper()
@@ -40,7 +40,7 @@
 				events = append(events, testRequest(uint64(now), idempotentClass, softPlan))
 			}
 			if now%(20*ms) == 0 {
-				events = append(events, Timer{0})
+				events = append(events, Timer{checkCookie})
 			}
 			if len(events) > 0 {
 				g.take(i, now, events)
@@ -51,7 +51,7 @@
 }
 
 // A hard limit of which an even share is thin is shared in part: it is never passed, whatever comes, and a tenant
-// that stays under it is served though one gateway has a third of the traffic.
+// that stays under it is served though one gateway has over a third of the traffic.
 func TestThinHardLimitIsSharedInPart(t *testing.T) {
 	set := manyGateways(13)
 	set.MaxRequestCost = 1
--- a/internal/policy/outlier_test.go
+++ b/internal/policy/outlier_test.go
@@ -25,7 +25,7 @@
 func (f *silentFleet) step() {
 	f.now += 5 * ms
 	f.lastID++
-	events := []Event{testRequest(f.lastID, idempotentClass, noQuotaPlan), Timer{0}}
+	events := []Event{testRequest(f.lastID, idempotentClass, noQuotaPlan), Timer{checkCookie}}
 	for len(f.answering) > 0 && f.now >= f.answering[0].sentAt+40*ms {
 		events = append(events, servedResult(f.answering[0].SendAttempt, 0, 40*ms))
 		f.answering = f.answering[1:]
--- a/internal/policy/overload_test.go
+++ b/internal/policy/overload_test.go
@@ -14,7 +14,7 @@
 	sentCount, attempts := 0, map[uint64]int{}
 	for i := range requests {
 		now := time.Duration(i+1) * 200 * ms
-		todo := sendsOf(engine.Step(now, []Event{testRequest(uint64(i), idempotentClass, noQuotaPlan), Timer{0}}))
+		todo := sendsOf(engine.Step(now, []Event{testRequest(uint64(i), idempotentClass, noQuotaPlan), Timer{checkCookie}}))
 		for len(todo) > 0 { // ends: a request has three attempts at most
 			sent := todo[0]
 			result := AttemptResult{ID: sent.ID, Attempt: attempts[sent.ID], Backend: sent.Backend,
@@ -47,7 +47,7 @@
 			events = append(events, testRequest(uint64(now), idempotentClass, noQuotaPlan))
 		}
 		if now%(20*ms) == 0 {
-			events = append(events, Timer{0})
+			events = append(events, Timer{checkCookie})
 		}
 		if len(events) == 0 {
 			continue
--- a/internal/policy/queue_test.go
+++ b/internal/policy/queue_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// A backend that leaves with requests in its queue: they move on, and none is sent to it.
+// A backend leaves with requests in its queue, and then the others leave: none of the requests is sent to it.
 func TestQueueMovesOnFromARemovedBackend(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), testBackends(3)...)
 	var arrivals []Event
--- a/internal/policy/rejection_test.go
+++ b/internal/policy/rejection_test.go
@@ -46,7 +46,7 @@
 		play: func(t *testing.T) (*Engine, []Action) {
 			engine := newTestEngine(t, testSettings(), testBackends(8)...)
 			engine.Step(ms, testRequests(1, 3, idempotentClass, concurrentPlan))
-			return engine, engine.Step(480*ms, []Event{Timer{0}})
+			return engine, engine.Step(480*ms, []Event{Timer{checkCookie}})
 		}},
 	{name: "late for a hard limit whose share holds no request", reason: OverHardLimit,
 		play: func(t *testing.T) (*Engine, []Action) {
@@ -54,7 +54,7 @@
 			settings.Plans[softPlan].HardLimitBurst, settings.Plans[softPlan].OverQuotaPenalty = 1, 0.5
 			engine := newTestEngine(t, settings, testBackends(8)...)
 			engine.Step(ms, []Event{testRequest(1, withKeyClass, softPlan)})
-			return engine, engine.Step(540*ms, []Event{Timer{0}})
+			return engine, engine.Step(540*ms, []Event{Timer{checkCookie}})
 		}},
 	{name: "a hard limit that does not fill in time", reason: OverHardLimit,
 		play: func(t *testing.T) (*Engine, []Action) {
@@ -62,7 +62,7 @@
 			settings.Plans[softPlan].HardLimitBurst = 1
 			engine := newTestEngine(t, settings, testBackends(8)...)
 			engine.Step(ms, []Event{testRequest(1, withKeyClass, softPlan)})
-			return engine, engine.Step(540*ms, []Event{Timer{0}})
+			return engine, engine.Step(540*ms, []Event{Timer{checkCookie}})
 		}},
 	{name: "a new tenant beyond its burst", reason: OverQuota,
 		play: func(t *testing.T) (*Engine, []Action) {
--- a/internal/policy/simulatedfleet_test.go
+++ b/internal/policy/simulatedfleet_test.go
@@ -40,16 +40,16 @@
 }
 
 const (
-	simulationStep    = 20 * ms
-	workersOfMachine  = 4
-	resultsAhead      = 400 // steps that a result may lie ahead
-	longestMachineLag = 400 * ms
+	simulationStep   = 20 * ms
+	workersOfMachine = 4
+	resultsAhead     = 400      // steps that a result may lie ahead
+	maxMachineWait   = 400 * ms // for a worker; a machine rejects what would wait longer
 )
 
 func newSimulatedFleet(gateways, backends int, seed uint64) *simulatedFleet {
 	set := testSettings()
 	set.Gateways, set.SharedCounter = gateways, false
-	set.Classes[0].LatencyObjective, set.Classes[0].ClientTimeout = 1200*ms, 5*time.Second
+	set.Classes[idempotentClass].LatencyObjective, set.Classes[idempotentClass].ClientTimeout = 1200*ms, 5*time.Second
 	set.OverloadMultiple, set.OverloadWindow = 3, 3*time.Second
 	set.SlowStartMinShare, set.SlowStartDuration = 0.18, 18*time.Second
 	f := &simulatedFleet{settings: set, rng: rand.New(rand.NewPCG(seed, 9)), backends: testBackends(backends),
@@ -82,7 +82,7 @@
 	return 1
 }
 
-// restart lets backends start now, and tells all gateways at once.
+// restart lets the backends from one number up to another start now, and tells all gateways at once.
 func (f *simulatedFleet) restart(from, to int) {
 	for i := from; i < to; i++ {
 		f.backends[i].Started = f.now()
@@ -131,7 +131,7 @@
 	result := AttemptResult{ID: sent.ID, Backend: sent.Backend, Status: TimedOut, Latency: sent.Timeout}
 	switch {
 	case m.silent:
-	case wait > longestMachineLag:
+	case wait > maxMachineWait:
 		result.Status, result.Latency = Rejected, 2*ms
 	default:
 		seconds := (0.5 + 0.5*f.rng.ExpFloat64()) * workersOfMachine / (m.capacity * share)
@@ -178,7 +178,7 @@
 func (f *simulatedFleet) sendRequests() {
 	for left := f.rate*simulationStep.Seconds() - f.rng.ExpFloat64(); left > 0; left -= f.rng.ExpFloat64() {
 		gateway := f.rng.IntN(len(f.gateways))
-		for f.rng.Float64()*8 > f.trafficShares[gateway] { // under the eightfold share, chosen in its proportion
+		for f.rng.Float64()*8 > f.trafficShares[gateway] { // in proportion to the shares, of which 8 is the most that counts
 			gateway = f.rng.IntN(len(f.gateways))
 		}
 		f.lastID++
@@ -189,11 +189,12 @@
 	}
 }
 
-// checkPeriodically has gateways check where something waits, and else now and then. Very many are slow to play.
+// checkPeriodically has gateways check where something waits, and else now and then; where there are 100 or more, not
+// else, as that would take too long to play.
 func (f *simulatedFleet) checkPeriodically() {
 	for i, engine := range f.gateways {
 		if engine.queues.length > 0 || len(engine.queues.unplaced) > 0 || f.step%4 == 0 && len(f.gateways) < 100 {
-			f.take(i, Timer{0})
+			f.take(i, Timer{checkCookie})
 		}
 	}
 }
--- a/internal/policy/slowstart_test.go
+++ b/internal/policy/slowstart_test.go
@@ -160,7 +160,7 @@
 // request has a request come to a gateway, and notes where it is sent.
 func (g *gatewaysOfOneStart) request(gateway int, id uint64, now time.Duration) {
 	engine := g.engines[gateway]
-	events := append(g.updates(now), testRequest(id, idempotentClass, noQuotaPlan), Timer{0})
+	events := append(g.updates(now), testRequest(id, idempotentClass, noQuotaPlan), Timer{checkCookie})
 	for _, sent := range sendsOf(engine.Step(now, events)) {
 		isStarted := sent.Backend == g.list[len(g.list)-1].Name
 		if isStarted && now < g.start+g.settings.SlowStartDuration {
--- a/internal/policy/stall_test.go
+++ b/internal/policy/stall_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// A gateway that stalled finds time-outs of its own making when it goes on; it ejects no backend for
-// them.
+// A gateway that stalled finds attempts long past their time-outs when it goes on, whose responses have come meanwhile;
+// it ejects no backend for them.
 func TestOwnStallIsNoSilenceOfBackends(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), testBackends(4)...)
 	var inFlight []SendAttempt
 	now := ms
 	for i := range 40 {
 		now += 20 * ms
-		acts := engine.Step(now, []Event{testRequest(uint64(i), idempotentClass, noQuotaPlan), Timer{0}})
+		acts := engine.Step(now, []Event{testRequest(uint64(i), idempotentClass, noQuotaPlan), Timer{checkCookie}})
 		inFlight = append(inFlight, sendsOf(acts)...)
 		if len(inFlight) > 14 {
 			engine.Step(now, []Event{servedResult(inFlight[0], 0, 40*ms)})
@@ -22,7 +22,7 @@
 	}
 
 	now += 2 * time.Second
-	events := []Event{servedResult(inFlight[0], 0, 40*ms), Timer{0}}
+	events := []Event{servedResult(inFlight[0], 0, 40*ms), Timer{checkCookie}}
 	for _, sent := range inFlight[1:] {
 		events = append(events, servedResult(sent, 0, 40*ms))
 	}
--- a/internal/policy/subset_test.go
+++ b/internal/policy/subset_test.go
@@ -19,12 +19,12 @@
 }
 
 // smallestWithout is the size of the smallest subset when a zone is lost.
-func smallestWithout(lostZone int, gateways []*Engine) int {
+func smallestWithout(zone int, gateways []*Engine) int {
 	smallest := 1 << 30
 	for _, engine := range gateways {
 		left := 0
 		for _, b := range engine.subset.backends {
-			if b.zone != lostZone {
+			if b.zone != zone {
 				left++
 			}
 		}
@@ -42,6 +42,9 @@
 	return highest * float64(backends) / largeGateways
 }
 
+// lostZone is one of the zones of largeEndpointList.
+const lostZone = 3
+
 // largeFleet has largeGateways engines with their subsets of a list.
 func largeFleet(t *testing.T, list []Backend) []*Engine {
 	t.Helper()
@@ -62,12 +65,14 @@
 	}
 }
 
+// All gateways together use every backend, none far more than the mean, also when some have gone and some have come;
+// each has some left when a zone is lost, and a change of one backend changes the subsets of few.
 func TestSubsetsOfManyGateways(t *testing.T) {
 	for _, backends := range []int{200, 600} {
 		t.Run(fmt.Sprint(backends, " backends"), func(t *testing.T) {
 			list := largeEndpointList(backends)
 			gateways := largeFleet(t, list)
-			load, smallest := loadOfBackends(gateways), smallestWithout(3, gateways)
+			load, smallest := loadOfBackends(gateways), smallestWithout(lostZone, gateways)
 			checkShares(t, "at first", load, backends)
 			if smallest < minSubset/2 {
 				t.Errorf("a gateway has %d backends left when a zone is lost", smallest)
@@ -174,7 +179,7 @@
 		settings.GatewayIndex = i
 		engine := newTestEngine(b, settings, list...)
 		own := loadOfBackends([]*Engine{engine})
-		smallest = min(smallest, smallestWithout(3, []*Engine{engine}))
+		smallest = min(smallest, smallestWithout(lostZone, []*Engine{engine}))
 		for name, share := range own {
 			load[name] += share
 			users[name]++
@@ -208,7 +213,7 @@
 		names := map[string]bool{}
 		for n := range 200 {
 			now := from + time.Duration(n)*200*ms
-			events := []Event{testRequest(uint64(from)+uint64(n), idempotentClass, noQuotaPlan), Timer{0}}
+			events := []Event{testRequest(uint64(from)+uint64(n), idempotentClass, noQuotaPlan), Timer{checkCookie}}
 			for _, sent := range sendsOf(engine.Step(now, events)) {
 				names[sent.Backend] = true
 				engine.Step(now+50*ms, []Event{servedResult(sent, 0, 50*ms)})
--- a/internal/policy/tenants_test.go
+++ b/internal/policy/tenants_test.go
@@ -28,7 +28,7 @@
 	}
 	registry.evictIdle(tenantIdleTime + 1)
 	if len(registry.byKey) != 3 || len(registry.order) != 3 || registry.byKey[added[0].key] != nil {
-		t.Errorf("left: %v; want all but the first, as one was seen of late, one has a request in flight and one "+
+		t.Errorf("left: %v; want all but the first, as one was seen of late, one has a request admitted and one "+
 			"awaits the counter", registry.byKey)
 	}
 }
