--- a/internal/gateway/clientclose.go
+++ b/internal/gateway/clientclose.go
@@ -21,7 +21,7 @@
 		return
 	}
 	conn.socket.SetReadDeadline(time.Now().Add(lingerTimeout))
-	conn.roomOrClosed.Broadcast()
+	conn.replyCapacityOrClosed.Broadcast()
 }
 
 // closeIfClientLeft says whether the connection has ended. The client may have ended it without the reader knowing yet,
@@ -93,14 +93,14 @@
 	if !conn.closed {
 		conn.closed = true
 		conn.socket.Close()
-		conn.roomOrClosed.Broadcast()
+		conn.replyCapacityOrClosed.Broadcast()
 	}
 }
 
 // evictionRank orders the connections that may be closed to make room, the lowest first: those that have been idle for
 // long, then those on which nothing was ever asked, and last, where no room is left at all, those that may be asked
 // again soon. It says whether the connection may be closed.
-func (conn *clientConn) evictionRank(now time.Duration, left room) (rank time.Duration, ok bool) {
+func (conn *clientConn) evictionRank(now time.Duration, left capacity) (rank time.Duration, ok bool) {
 	since := time.Duration(conn.idleSince.Load())
 	if since == notEvictable {
 		return 0, false
@@ -110,7 +110,7 @@
 		return since, true
 	case idle >= minIdleWithoutCommand && !conn.commandSeen.Load():
 		return since + minIdle, true
-	case left == noRoom && idle >= minIdleWhenFull:
+	case left == noCapacity && idle >= minIdleWhenFull:
 		return since + 2*minIdle, true
 	}
 	return 0, false
--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -52,15 +52,15 @@
 
 	// mu guards the fields below, and the closing of the socket. Whoever closes holds it; see receive for what that
 	// means to the reader.
-	mu           sync.Mutex
-	roomOrClosed *sync.Cond // there is room for a further reply, or the connection has ended
-	replies      replyQueue
-	commandBegun bool // bytes were read that are not yet a command
-	readerParked bool // the reader reads ahead until there is room
-	finishing    bool // to be closed once all is answered: nothing more is forwarded
-	discarding   bool // what still comes is thrown away
-	lingering    bool // all is answered, and the rest of what is thrown away is awaited
-	closed       bool
+	mu                    sync.Mutex
+	replyCapacityOrClosed *sync.Cond // the queue has capacity for a further reply, or the connection has ended
+	replies               replyQueue
+	commandBegun          bool // bytes were read that are not yet a command
+	readerParked          bool // the reader reads ahead until the queue has capacity
+	finishing             bool // to be closed once all is answered: nothing more is forwarded
+	discarding            bool // what still comes is thrown away
+	lingering             bool // all is answered, and the rest of what is thrown away is awaited
+	closed                bool
 }
 
 func newClientConn(clients *downstream, socket net.Conn) *clientConn {
@@ -71,7 +71,7 @@
 		}
 	}
 	conn.replies.memory = clients.memory
-	conn.roomOrClosed = sync.NewCond(&conn.mu)
+	conn.replyCapacityOrClosed = sync.NewCond(&conn.mu)
 	conn.commands = resp.NewReader(conn, clients.memory)
 	conn.idleSince.Store(int64(clients.loop.now()))
 	return conn
--- a/internal/gateway/clientreader.go
+++ b/internal/gateway/clientreader.go
@@ -101,18 +101,19 @@
 	return true
 }
 
-// waitForRoom waits until there is room for a further reply. The caller holds mu; it is given up meanwhile.
+// waitForReplyCapacity waits until the queue has capacity for a further reply. The caller holds mu, which is released
+// meanwhile.
 //
 // Failure: the client leaves while its reader waits. How it shows: all that it has asked is forwarded though nobody
 // waits for it. Why this holds: as far as the buffer may grow it reads on, and so sees the end; what a client sends
 // beyond that hides its end from the reader, and upstream asks the socket (endIfClientLeft). TestLeavingClientIsSeen,
 // TestReadAheadIsTaken.
-func (conn *clientConn) waitForRoom() {
+func (conn *clientConn) waitForReplyCapacity() {
 	if conn.commands.ReadAheadLeft() <= 0 {
-		conn.roomOrClosed.Wait()
+		conn.replyCapacityOrClosed.Wait()
 		return
 	}
-	conn.socket.SetReadDeadline(time.Time{}) // under mu: signalRoom sets another
+	conn.socket.SetReadDeadline(time.Time{}) // under mu: signalReplyCapacity sets another
 	conn.readerParked, conn.readingAhead, conn.deadlineSet = true, true, true
 	conn.mu.Unlock()
 	err := conn.commands.Fill()
@@ -120,15 +121,15 @@
 	conn.readerParked, conn.readingAhead = false, false
 	switch {
 	case errors.Is(err, resp.ErrNoMemory):
-		conn.roomOrClosed.Wait()
+		conn.replyCapacityOrClosed.Wait()
 	case err != nil && !errors.Is(err, os.ErrDeadlineExceeded):
 		conn.closeLocked()
 	}
 }
 
-// signalRoom wakes the reader if it waits for room. The caller holds mu.
-func (conn *clientConn) signalRoom() {
-	conn.roomOrClosed.Broadcast()
+// signalReplyCapacity wakes the reader if it waits for capacity in the queue. The caller holds mu.
+func (conn *clientConn) signalReplyCapacity() {
+	conn.replyCapacityOrClosed.Broadcast()
 	if conn.readerParked {
 		conn.socket.SetReadDeadline(time.Unix(1, 0)) // in the past: its read ends at once
 	}
@@ -160,6 +161,6 @@
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	for !conn.lingering && !conn.closed {
-		conn.roomOrClosed.Wait()
+		conn.replyCapacityOrClosed.Wait()
 	}
 }
--- a/internal/gateway/clientreply.go
+++ b/internal/gateway/clientreply.go
@@ -110,7 +110,7 @@
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	for conn.replies.full() && !conn.closed {
-		conn.waitForRoom()
+		conn.waitForReplyCapacity()
 	}
 	if conn.closed {
 		conn.downstream.memory.Release(memory)
@@ -139,7 +139,7 @@
 	}
 	reply.text, reply.ready, reply.request = text, true, nil
 	if conn.replies.moveReady() {
-		conn.signalRoom()
+		conn.signalReplyCapacity()
 	}
 	if len(conn.replies.pending) == 0 {
 		conn.idleSince.Store(int64(conn.downstream.loop.now()))
@@ -172,7 +172,7 @@
 	defer conn.mu.Unlock()
 	for len(conn.replies.unwritten) > 0 && !conn.closed {
 		replies := conn.replies.takeUnwritten()
-		conn.signalRoom()
+		conn.signalReplyCapacity()
 		conn.mu.Unlock()
 		conn.socket.SetWriteDeadline(time.Now().Add(writeTimeout))
 		_, err := conn.socket.Write(replies)
--- a/internal/gateway/descriptorlimit_test.go
+++ b/internal/gateway/descriptorlimit_test.go
@@ -109,11 +109,11 @@
 	server := newIdleServer(t, freeAddr(t))
 	conn, p := newClientPair(t, server) // nobody reads
 	conn.idleSince.Store(int64(server.now() - time.Hour))
-	if !server.downstream.closeLongestIdle(noRoom) {
+	if !server.downstream.closeLongestIdle(noCapacity) {
 		t.Fatal("it does not give way")
 	}
 	p.wantsEnd()
-	if server.downstream.closeLongestIdle(noRoom) {
+	if server.downstream.closeLongestIdle(noCapacity) {
 		t.Error("it makes room twice")
 	}
 }
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -63,7 +63,7 @@
 			time.Sleep(acceptRetryPause)
 			continue
 		}
-		if !clients.makeRoom() {
+		if !clients.ensureCapacity() {
 			clients.rejectConn(socket)
 			continue
 		}
@@ -102,33 +102,33 @@
 	return false
 }
 
-// room says how many connections of clients may still be opened.
-type room int
+// capacity says how many connections of clients may still be opened.
+type capacity int
 
 const (
-	roomForMany room = iota
-	roomForFew       // idle connections are closed
-	noRoom           // so are those that were used a moment ago
+	capacityForMany capacity = iota
+	capacityForFew           // idle connections are closed
+	noCapacity               // so are those that were used a moment ago
 )
 
-// room says how many more connections of clients may be opened now.
-func (clients *downstream) room() room {
+// capacity says how many more connections of clients may be opened now.
+func (clients *downstream) capacity() capacity {
 	switch open := clients.connCount.Load(); {
 	case open >= clients.maxConns:
-		return noRoom
+		return noCapacity
 	case float64(open) >= nearlyFull*float64(clients.maxConns):
-		return roomForFew
+		return capacityForFew
 	}
-	return roomForMany
+	return capacityForMany
 }
 
-// makeRoom says whether one more connection may be opened, and closes an idle one where little room is left.
-func (clients *downstream) makeRoom() bool {
-	left := clients.room()
-	if left == roomForMany {
+// ensureCapacity says whether one more connection may be opened, and closes an idle one where little room is left.
+func (clients *downstream) ensureCapacity() bool {
+	left := clients.capacity()
+	if left == capacityForMany {
 		return true
 	}
-	return clients.closeLongestIdle(left) || left != noRoom
+	return clients.closeLongestIdle(left) || left != noCapacity
 }
 
 // closeLongestIdle closes the connection that has been idle longest, if one may be closed, and says whether it did.
@@ -139,7 +139,7 @@
 // request that it sent in time. Why this holds: a connection is closed only where neither its buffer nor its socket
 // holds a part of a command, and reading and that test exclude each other; else another one is chosen.
 // TestUnreadRequestKeepsTheConnection.
-func (clients *downstream) closeLongestIdle(left room) bool {
+func (clients *downstream) closeLongestIdle(left capacity) bool {
 	longest := clients.longestIdle(left)
 	if longest == nil {
 		return false
@@ -154,7 +154,7 @@
 }
 
 // longestIdle returns the connection that is closed first; nil: none may be.
-func (clients *downstream) longestIdle(left room) *clientConn {
+func (clients *downstream) longestIdle(left capacity) *clientConn {
 	now := clients.loop.now()
 	var first *clientConn
 	var firstRank time.Duration
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -23,7 +23,7 @@
 			t.Fatalf("closed with %d bytes unread", cut)
 		}
 		conn.idleSince.Store(int64(server.now() - time.Hour))
-		if server.downstream.closeLongestIdle(noRoom) {
+		if server.downstream.closeLongestIdle(noCapacity) {
 			t.Fatalf("evicted with %d bytes unread", cut)
 		}
 		conn.finish()
