--- a/internal/gateway/auditconfig.go
+++ b/internal/gateway/auditconfig.go
@@ -55,7 +55,7 @@
 	return a, nil
 }
 
-// fleetDigest is a digest of the settings that all gateways have alike, the same at all of them.
+// fleetDigest is a digest of all settings but ownSettings, so it is the same at all gateways.
 func fleetDigest(settings map[string]string) uint64 {
 	digest := xxhash.New()
 	for _, path := range slices.Sorted(maps.Keys(settings)) {
--- a/internal/gateway/backendpool.go
+++ b/internal/gateway/backendpool.go
@@ -20,8 +20,8 @@
 	return &backendPool{name: name, conns: map[*backendConn]bool{}}
 }
 
-// move takes the address and the start that discovery gives, and says whether they are those of another process. No old
-// connection leads to that one: what is idle or being dialed has to be closed by the caller, what is busy is closed at
+// move takes the address and the start that discovery gives, and says whether the process changed. The connections that
+// are there lead to the old one: what is idle or being dialed has to be closed by the caller, what is busy is closed at
 // its reply, as its generation is not the pool's (TestBusyConnectionOfAnOldAddressIsNotKept).
 func (pool *backendPool) move(addr string, startedAt time.Duration) bool {
 	if pool.addr == addr && pool.startedAt == startedAt {
--- a/internal/gateway/clientclose.go
+++ b/internal/gateway/clientclose.go
@@ -49,7 +49,7 @@
 	conn.mu.Unlock()
 }
 
-// finish makes what comes from now on be rejected, and the connection end once no reply is owed on it.
+// finish does what markFinishing does, and makes the connection end once no reply is owed on it.
 func (conn *clientConn) finish() {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
--- a/internal/gateway/clientgone_test.go
+++ b/internal/gateway/clientgone_test.go
@@ -277,9 +277,9 @@
 	}
 }
 
-// A client leaves while its reader does not wait for its next command: more commands are open than may be, or one could
-// not be read. The end was not seen there, and all that it had asked was forwarded. Now it is seen wherever the reader
-// stands.
+// A client leaves while its request is open. Its end is seen wherever the reader stands: where it waits for the next
+// command or is within it, where more commands are open than may be, and behind one that could not be read. Where the end
+// is not seen, all that the client has asked is forwarded.
 func TestLeavingClientIsSeen(t *testing.T) {
 	request := func(i int) string { return requestCommand(fmt.Sprint("r", i)) }
 	many := ""
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -62,7 +62,7 @@
 
 func (e *SettingError) Unwrap() error { return e.Err }
 
-// Reasons of a SettingError.
+// Reasons of a SettingError; ErrNoSharedCounter is a further one.
 var (
 	ErrNegative    = errors.New("below 0")
 	ErrNotPositive = errors.New("not above 0")
@@ -106,7 +106,8 @@
 	return c, nil
 }
 
-// inFile names the setting of the simulator's protocol that can't be used by its path in the configuration file.
+// inFile turns an error of the simulator's protocol into a *SettingError, which has the setting's path in the
+// configuration file.
 func inFile(err error) error {
 	var setting *simprotocol.SettingError
 	if errors.As(err, &setting) {
--- a/internal/gateway/downstream.go
+++ b/internal/gateway/downstream.go
@@ -25,7 +25,8 @@
 // serviceState is what downstream needs to answer a PING, from any goroutine.
 type serviceState interface{ pingReply() string }
 
-// downstreamConfig is what the connections of clients share. All of it is safe for concurrent use.
+// downstreamConfig is what the connections of clients share. All but requests is safe for concurrent use; the methods of
+// requests are called on the loop.
 type downstreamConfig struct {
 	parser   *protocol.Parser
 	requests requestHandler
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -38,8 +38,9 @@
 // halfCloser is a connection whose sending side can be closed, as that of TCP.
 type halfCloser interface{ CloseWrite() error }
 
-// accept takes connections until the listener is closed, or has a deadline and its backlog is empty. It is the
-// listener's own goroutine, which Server.Run starts; each connection gets one of its own.
+// accept takes connections until the listener is closed or, behind stopAccepting, until its backlog is empty, for
+// maxBacklogTime at most. It is the listener's own goroutine, which Server.Run starts; each connection gets one of its
+// own.
 func (clients *downstream) accept(ln net.Listener) {
 	defer close(clients.acceptEnded)
 	defer ln.Close()
@@ -82,8 +83,8 @@
 
 // backlog follows whether connections are left in the backlog of a listener that is to end.
 //
-// Failure: closing a listener resets the connections in its backlog. How it shows: their clients hold them for open,
-// have sent their requests, and get a reset during a shutdown. Why this holds: they are accepted until none came for
+// Failure: closing a listener resets the connections in its backlog. How it shows: their clients take them for
+// open, have sent their requests, and get a reset during a shutdown. Why this holds: they are accepted until none came for
 // backlogPollTime; and under a load that never ends, for maxBacklogTime. TestShutdownAcceptsTheBacklog,
 // TestAcceptEndsUnderLoad.
 type backlog struct {
--- a/internal/gateway/rawsocket/rawsocket.go
+++ b/internal/gateway/rawsocket/rawsocket.go
@@ -1,6 +1,6 @@
 // Package rawsocket asks and writes a TCP socket directly, without waiting and beside a goroutine that reads from the
 // same connection. Connections that have no socket of the operating system (those of tests) are taken as open and
-// quiet, and nothing is written to them.
+// quiet, and WriteAvailable writes nothing to them.
 package rawsocket
 
 import (
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -4,8 +4,8 @@
 
 const (
 	acceptAfterSignal   = 500 * time.Millisecond // new connections are still taken this long after SIGTERM
-	maxShutdownDeadline = 3 * time.Second        // a longer deadline counts as this: SIGKILL does not wait for it
-	lastReplyMargin     = 100 * time.Millisecond // beyond the longest deadline, for the last replies on their way
+	maxShutdownDeadline = 3 * time.Second        // a longer client timeout counts as this: SIGKILL does not wait for it
+	lastReplyMargin     = 100 * time.Millisecond // beyond the longest client timeout, for the last replies on their way
 	lastFlush           = 50 * time.Millisecond  // behind abandonAt, to write the replies given then
 	shutdownPollTime    = 10 * time.Millisecond  // the longest time between two passes of the loop during a shutdown
 )
@@ -14,11 +14,11 @@
 //
 // Failure: a request that a client has sent is lost, as its connection or the process ends before the reply. How it
 // shows: clients see resets during a rolling restart. Why this holds: connections are taken until drainFrom, by which
-// time clients have heard of the shutdown; each then ends between two requests or with its last reply; and what is
+// time clients have heard of the shutdown, and then those in the listener's backlog; each ends between two requests or with its last reply; and what is
 // open at abandonAt is answered with an error, before the operators' SIGKILL. TestShutdownAnswersWhatWasTaken,
 // TestShutdownAnswersOpenRequests.
 type shutdown struct {
-	drainFrom time.Duration // no connection is accepted any more, and those at hand are drained
+	drainFrom time.Duration // the listener ends behind its backlog (accept), and the connections are drained
 	abandonAt time.Duration // what is open is answered with an error
 	endAt     time.Duration // the loop ends, whatever is open
 }
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -117,8 +117,8 @@
 	}
 }
 
-// A second signal changes nothing, nor does a new configuration meanwhile; a backend that hangs is waited for no
-// longer than its request.
+// A backend hangs during a shutdown, and discovery moves meanwhile. The shutdown ends all the same: the backend is waited
+// for no longer than its request.
 func TestHungBackendAtShutdown(t *testing.T) {
 	gateway, ln := startWithBackend(t)
 	client := gateway.dial()
--- a/internal/gateway/watchdog/watchdog.go
+++ b/internal/gateway/watchdog/watchdog.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// stuckChecks is at how many checks in a row a loop has to be in the same pass to count as stuck. Checks are counted,
-	// not time: a process that was paused as a whole makes none meanwhile.
+	// stuckChecks is how many checks in a row have to find a loop in the pass in which the check before them found it,
+	// until it counts as stuck. Checks are counted, not time: a process that was paused as a whole makes none meanwhile.
 	stuckChecks = 4
-	// Interval is the time between two checks, so that a stuck loop is reported after 5 s.
+	// Interval is the time between two checks, so that a stuck loop is reported after 5 to 6.25 s.
 	Interval      = 1250 * time.Millisecond
 	maxStackBytes = 256 << 10 // of all goroutines
 )
@@ -25,7 +25,7 @@
 //
 // The zero value is ready.
 type Watchdog struct {
-	passes atomic.Uint64 // odd while the loop is at work, even while it waits for something to do
+	passes atomic.Uint64 // odd: the loop is at work; even: it waits for something to do
 }
 
 // Begin notes that the loop has something to do. The loop calls it.
