--- a/internal/gateway/clientclose.go
+++ b/internal/gateway/clientclose.go
@@ -7,13 +7,13 @@
 )
 
 const (
-	lingerTimeout  = 1500 * time.Millisecond // for the rest of what a client sends behind a protocol error
-	maxLingerBytes = 64 << 20                // that are read of it on one connection
-	maxLingering   = 16                      // connections that linger at once
+	lingerTimeout     = 1500 * time.Millisecond // for the rest of what a client sends behind input that can't be read
+	maxDiscardedBytes = 64 << 20                // that are read and thrown away on one connection, lingering or rejected
+	maxLingering      = 16                      // connections that linger at once
 )
 
-// startLinger closes the sending side once all is answered, and lets what still comes be read for lingerTimeout: see
-// rejectAndDiscard. The caller holds mu.
+// startLinger closes the sending side, as all is answered, and lets what still comes be read for lingerTimeout: see
+// failAndDiscard. Where maxLingering connections do so already, it closes the connection. The caller holds mu.
 func (conn *clientConn) startLinger() {
 	half, ok := conn.socket.(halfCloser)
 	if conn.lingering = true; !conn.downstream.tryLinger() || !ok || half.CloseWrite() != nil {
--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -101,11 +101,11 @@
 func (conn *clientConn) handleReadError(err error) bool {
 	switch {
 	case errors.Is(err, resp.ErrMalformed):
-		conn.rejectAndDiscard(protocol.ProtocolError)
+		conn.failAndDiscard(protocol.ProtocolError)
 	case errors.Is(err, resp.ErrNoMemory):
-		conn.rejectAndDiscard(protocol.NoMemory)
+		conn.failAndDiscard(protocol.NoMemory)
 	case errors.Is(err, os.ErrDeadlineExceeded) && conn.commands.Partial():
-		conn.rejectAndDiscard(protocol.CommandIncomplete)
+		conn.failAndDiscard(protocol.CommandIncomplete)
 	case errors.Is(err, os.ErrDeadlineExceeded) && !conn.closeIfBetweenRequests(): // its first command has come just now
 		conn.commandDeadline = time.Now().Add(commandTimeout)
 		return true
@@ -117,7 +117,7 @@
 func (conn *clientConn) handleCommand(message redcon.RESP) bool {
 	args, ok := protocol.Arguments(message)
 	if !ok {
-		conn.rejectAndDiscard(protocol.NotBulkStrings)
+		conn.failAndDiscard(protocol.NotBulkStrings)
 		return false
 	}
 	conn.commandSeen.Store(true)
@@ -128,7 +128,7 @@
 	case protocol.CommandAsk, protocol.CommandDo:
 		return conn.takeRequest(name, args, len(message.Raw))
 	}
-	return conn.rejectUnusable(protocol.UnknownCommand(args[0]))
+	return conn.answerUnusable(protocol.UnknownCommand(args[0]))
 }
 
 // takeRequest hands a request to the loop, or answers it if it can't be read, the connection is finishing, or there is no
@@ -138,7 +138,7 @@
 	arrivedAt := clients.loop.now()
 	parsed, err := clients.parser.Parse(command, args)
 	if err != nil {
-		return conn.rejectUnusable(protocol.Error(err))
+		return conn.answerUnusable(protocol.Error(err))
 	}
 	conn.unusableInRow = 0
 	if conn.isFinishing() { // the client can turn to another gateway
@@ -146,7 +146,7 @@
 	}
 	memory := int64(size) + requestOverheadBytes
 	if !clients.memory.Reserve(memory) {
-		return conn.replyNow(string(protocol.Busy(fullRetryAfter)))
+		return conn.replyNow(string(protocol.Busy(busyRetryAfter)))
 	}
 	request := &clientRequest{Request: parsed, conn: conn, arrivedAt: arrivedAt}
 	if request.reply = conn.reserveReply(request, memory); request.reply == nil {
@@ -156,11 +156,11 @@
 	return true
 }
 
-// rejectUnusable answers a command that can't be used with an error, and says whether to go on. From the second in a row
+// answerUnusable answers a command that can't be used with an error, and says whether to go on. From the second in a row
 // on the next command is read after a pause: a client that sends the same again and again must not take up the core.
-func (conn *clientConn) rejectUnusable(line string) bool {
+func (conn *clientConn) answerUnusable(line string) bool {
 	if conn.unusableInRow++; conn.unusableInRow >= maxUnusableInRow {
-		conn.rejectAndDiscard(line)
+		conn.failAndDiscard(line)
 		return false
 	}
 	ok := conn.replyNow(line)
--- a/internal/gateway/clientreader.go
+++ b/internal/gateway/clientreader.go
@@ -135,14 +135,14 @@
 	}
 }
 
-// rejectAndDiscard answers input that can't be read with an error line, and throws the rest away until the connection
+// failAndDiscard answers input that can't be read with an error line, and throws the rest away until the connection
 // ends.
 //
 // Failure: the connection is closed while the client still sends, so the kernel resets it. How it shows: the client
 // loses the error line, and replies before it. Why this holds: what comes is read for a while behind the line; and from
 // the start, so that a client that leaves is seen even while replies before this one are still owed.
 // TestErrorLineOutlivesTheRest, TestLeavingClientIsSeen.
-func (conn *clientConn) rejectAndDiscard(line string) {
+func (conn *clientConn) failAndDiscard(line string) {
 	conn.socket.SetReadDeadline(time.Time{})
 	conn.mu.Lock()
 	conn.discarding = true
@@ -151,7 +151,7 @@
 	conn.commands.Release()
 	conn.answer(reply, []byte(line))
 	buffer := make([]byte, discardBufferBytes)
-	for left := maxLingerBytes; left > 0; {
+	for left := maxDiscardedBytes; left > 0; {
 		n, err := conn.socket.Read(buffer)
 		if err != nil {
 			return
--- a/internal/gateway/downstream.go
+++ b/internal/gateway/downstream.go
@@ -42,8 +42,8 @@
 	downstreamConfig
 	loop        loop
 	connCount   atomic.Int64
-	lingering   atomic.Int64  // connections whose last reply was an error line, on which the rest of what comes is read
-	rejected    atomic.Int64  // connections for which there was no room, on which the rest of what comes is read
+	lingering   atomic.Int64  // connections that linger behind input that could not be read (startLinger)
+	rejected    atomic.Int64  // connections for which there was no capacity and that are not closed yet (rejectConn)
 	acceptEnded chan struct{} // closed once no more connections are taken
 
 	mu    sync.Mutex // guards conns; never taken under a connection's lock
--- a/internal/gateway/downstream_test.go
+++ b/internal/gateway/downstream_test.go
@@ -281,7 +281,7 @@
 		client.command("PING") // it is read meanwhile
 		client.wantsPrefix("-LOADING")
 	}
-	busy := strings.TrimSpace(string(protocol.Busy(fullRetryAfter)))
+	busy := strings.TrimSpace(string(protocol.Busy(busyRetryAfter)))
 	if m := last.message(); m[0] != busy && !strings.HasPrefix(m[0], "-ERR no memory") {
 		t.Errorf("got %q", m)
 	}
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -25,8 +25,8 @@
 	minIdleWithoutCommand = 500 * time.Millisecond
 	minIdleWhenFull       = 250 * time.Millisecond
 
-	fullRetryAfter = 100 * time.Millisecond // Retry-After of a rejection for want of room or memory
-	rejectedLinger = 250 * time.Millisecond // how long the rest is read of what came on a rejected connection
+	busyRetryAfter   = 100 * time.Millisecond // Retry-After of a rejection for want of capacity or memory
+	rejectedReadTime = 250 * time.Millisecond // how long is read what comes on a rejected connection
 
 	backlogPollTime = 5 * time.Millisecond   // when no connection came for this long, the backlog is empty
 	maxBacklogTime  = 100 * time.Millisecond // connections are accepted from the backlog for this long at most
@@ -170,7 +170,7 @@
 	return first
 }
 
-// rejectConn rejects a connection for which there is no room.
+// rejectConn rejects a connection for which there is no capacity.
 //
 // Failures: closing a connection whose request lies unread resets it, and the client loses the rejection; and a crowd
 // in the listener's backlog, each of it held until its request was read, takes the descriptors that backends, discovery
@@ -178,20 +178,20 @@
 // held for that; the others are closed before the next one is accepted. TestRejectedConnectionIsTold,
 // TestCrowdInTheBacklogTakesNoDescriptors.
 func (clients *downstream) rejectConn(socket net.Conn) {
-	rawsocket.WriteAvailable(socket, protocol.Busy(fullRetryAfter)) // nothing is taken, so nothing has run
+	rawsocket.WriteAvailable(socket, protocol.Busy(busyRetryAfter)) // nothing is taken, so nothing has run
 	half, ok := socket.(halfCloser)
 	if clients.rejected.Add(1) > budget.RejectedConns(clients.maxConns) || !ok || half.CloseWrite() != nil {
 		socket.Close()
 		clients.rejected.Add(-1)
 		return
 	}
-	go clients.discardRejected(socket)
+	go clients.readRejected(socket)
 }
 
-// discardRejected reads what comes on a rejected connection for a moment, and closes it.
-func (clients *downstream) discardRejected(socket net.Conn) {
+// readRejected reads what comes on a rejected connection for a moment, and closes it.
+func (clients *downstream) readRejected(socket net.Conn) {
 	defer clients.rejected.Add(-1)
 	defer socket.Close()
-	socket.SetReadDeadline(time.Now().Add(rejectedLinger))
-	io.Copy(io.Discard, io.LimitReader(socket, maxLingerBytes))
+	socket.SetReadDeadline(time.Now().Add(rejectedReadTime))
+	io.Copy(io.Discard, io.LimitReader(socket, maxDiscardedBytes))
 }
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	acceptAfterSignal   = 500 * time.Millisecond // new connections are still taken this long after SIGTERM
-	maxShutdownDeadline = 3 * time.Second        // a longer client timeout counts as this: SIGKILL does not wait for it
-	lastReplyMargin     = 100 * time.Millisecond // beyond the longest client timeout, for the last replies on their way
-	lastFlush           = 50 * time.Millisecond  // behind abandonAt, to write the replies given then
-	shutdownPollTime    = 10 * time.Millisecond  // the longest time between two passes of the loop during a shutdown
+	acceptAfterSignal = 500 * time.Millisecond // new connections are still taken this long after SIGTERM
+	maxAwaitedTimeout = 3 * time.Second        // a longer client timeout counts as this: SIGKILL does not wait for it
+	lastReplyMargin   = 100 * time.Millisecond // beyond the longest client timeout, for the last replies on their way
+	flushTime         = 50 * time.Millisecond  // behind abandonAt, to write the replies given then
+	shutdownPollTime  = 10 * time.Millisecond  // the longest time between two passes of the loop during a shutdown
 )
 
 // shutdown is the schedule of a graceful shutdown, on the loop's clock. The zero value: none has begun.
@@ -26,8 +26,8 @@
 // newShutdown returns the schedule of a shutdown that begins now. No client waits for longer than maxClientTimeout.
 func newShutdown(now, maxClientTimeout time.Duration) shutdown {
 	drainFrom := now + acceptAfterSignal
-	abandonAt := drainFrom + min(maxClientTimeout, maxShutdownDeadline) + lastReplyMargin
-	return shutdown{drainFrom: drainFrom, abandonAt: abandonAt, endAt: abandonAt + lastFlush}
+	abandonAt := drainFrom + min(maxClientTimeout, maxAwaitedTimeout) + lastReplyMargin
+	return shutdown{drainFrom: drainFrom, abandonAt: abandonAt, endAt: abandonAt + flushTime}
 }
 
 func (schedule shutdown) begun() bool { return schedule.drainFrom > 0 }
