--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -14,9 +14,9 @@
 //
 // Failure: a request that a client has sent is lost, as its connection or the process ends before the reply. How it
 // shows: clients see resets during a rolling restart. Why this holds: connections are taken until drainFrom, by which
-// time clients have heard of the shutdown, and then those in the listener's backlog; each ends between two requests or with its last reply; and what is
-// open at abandonAt is answered with an error, before the operators' SIGKILL. TestShutdownAnswersWhatWasTaken,
-// TestShutdownAnswersOpenRequests.
+// time clients have heard of the shutdown, and then those in the listener's backlog; each then ends between two requests
+// or with its last reply; and what is open at abandonAt is answered with an error, before the operators' SIGKILL.
+// TestShutdownAnswersWhatWasTaken, TestShutdownAnswersOpenRequests.
 type shutdown struct {
 	drainFrom time.Duration // the listener ends behind its backlog (accept), and the connections are drained
 	abandonAt time.Duration // what is open is answered with an error
