--- a/internal/gateway/discovery/client.go
+++ b/internal/gateway/discovery/client.go
@@ -61,7 +61,7 @@
 	Address string   // of the agent: IP address and port
 	Index   int64    // of the list that the gateway knows; 0: none
 	Zones   []string // names, in the order of policy.Backend.Zone
-	Types   []string // names, in the order of policy.Backend.Kind
+	Kinds   []string // names, in the order of policy.Backend.Kind
 	Log     *slog.Logger
 
 	Silence time.Duration // after which a call is dead, a fetch after 2 s at the latest; 0: 2.5 s
@@ -94,7 +94,7 @@
 	c := &Client{loop: loop, log: options.Log,
 		http:    &http.Client{Transport: &http.Transport{DialContext: dial, MaxConnsPerHost: MaxConns}},
 		silence: cmp.Or(options.Silence, watchSilence), address: options.Address, index: options.Index,
-		table: newTable(endpoint.Names{Zones: options.Zones, Types: options.Types}, options.Log, loop.EndpointChanged)}
+		table: newTable(endpoint.Names{Zones: options.Zones, Kinds: options.Kinds}, options.Log, loop.EndpointChanged)}
 	c.following, c.unfollow = context.WithCancel(context.Background())
 	return c
 }
--- a/internal/gateway/discovery/client_test.go
+++ b/internal/gateway/discovery/client_test.go
@@ -11,7 +11,7 @@
 )
 
 // serving is one backend in service.
-var serving = endpoint.Entry{Name: "s-0", Address: "127.0.0.1:1", Zone: "dc1", Type: "std", Status: "SERVING", Weight: 1}
+var serving = endpoint.Entry{Name: "s-0", Address: "127.0.0.1:1", Zone: "dc1", Kind: "std", Status: "SERVING", Weight: 1}
 
 // The whole list of the largest fleet is taken from a watch, on one line or indented.
 func TestSnapshotOfTheLargestFleetIsTaken(t *testing.T) {
--- a/internal/gateway/discovery/discoverytest/discoverytest.go
+++ b/internal/gateway/discovery/discoverytest/discoverytest.go
@@ -31,7 +31,7 @@
 func Fleet(index int64, n int) endpoint.List {
 	list := endpoint.List{Index: index, Snapshot: true, Endpoints: make([]endpoint.Entry, n)}
 	for i := range list.Endpoints {
-		list.Endpoints[i] = endpoint.Entry{Name: fmt.Sprintf("s-%08x", uint32(i)*2654435761), Zone: "dc1", Type: "std",
+		list.Endpoints[i] = endpoint.Entry{Name: fmt.Sprintf("s-%08x", uint32(i)*2654435761), Zone: "dc1", Kind: "std",
 			Group: i % 40, Address: fmt.Sprintf("127.1.%d.%d:1", i>>8, i&255), Status: "SERVING", Weight: 1,
 			SinceMS: 1_790_000_000_000}
 	}
@@ -42,7 +42,7 @@
 func WireForm(list endpoint.List) map[string]any {
 	endpoints := []map[string]any{}
 	for _, e := range list.Endpoints {
-		endpoints = append(endpoints, map[string]any{"name": e.Name, "address": e.Address, "zone": e.Zone, "type": e.Type,
+		endpoints = append(endpoints, map[string]any{"name": e.Name, "address": e.Address, "zone": e.Zone, "type": e.Kind,
 			"group": e.Group, "status": e.Status, "weight": e.Weight, "since_ms": e.SinceMS})
 	}
 	return map[string]any{"index": list.Index, "snapshot": list.Snapshot, "endpoints": endpoints}
--- a/internal/gateway/discovery/helpers_test.go
+++ b/internal/gateway/discovery/helpers_test.go
@@ -73,7 +73,7 @@
 func newTestClient(t testing.TB, known ...endpoint.Entry) (*Client, *testLoop) {
 	t.Helper()
 	loop := &testLoop{t: t, tasks: make(chan func(), 1024), done: make(chan struct{}), pools: map[string]string{}}
-	client := New(loop, Options{Address: "127.0.0.1:1", Zones: []string{"dc1"}, Types: []string{"std"},
+	client := New(loop, Options{Address: "127.0.0.1:1", Zones: []string{"dc1"}, Kinds: []string{"std"},
 		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Silence: discoverytest.Patient})
 	client.Apply(known, policy.CachedSnapshot)
 	loop.updates = nil
--- a/internal/gateway/endpoint/endpoint.go
+++ b/internal/gateway/endpoint/endpoint.go
@@ -23,7 +23,7 @@
 	Name    string
 	Address string // IP address and port
 	Zone    string
-	Type    string
+	Kind    string  `json:"type"`
 	Group   int     // policy.Backend.Cell
 	Status  string  // SERVING, DRAINING or DELETED
 	Weight  float64 // relative to the other backends
@@ -40,10 +40,10 @@
 	return fmt.Sprintf("endpoint %.40q has the status %.40q", e.Name, e.Status)
 }
 
-// Names are the zones and types of backends, in the order of the numbers that the engine has for them.
-type Names struct{ Zones, Types []string }
+// Names are the zones and kinds of backends, in the order of the numbers that the engine has for them.
+type Names struct{ Zones, Kinds []string }
 
-// Backend is an entry in the engine's form. An unknown zone or type counts as the first one. The error is an
+// Backend is an entry in the engine's form. An unknown zone or kind counts as the first one. The error is an
 // *InvalidError.
 func (n *Names) Backend(e *Entry) (policy.Backend, error) {
 	state, known := states[e.Status]
@@ -51,6 +51,6 @@
 		return policy.Backend{}, &InvalidError{Name: e.Name, Status: e.Status}
 	}
 	return policy.Backend{Name: e.Name, Zone: max(0, slices.Index(n.Zones, e.Zone)),
-		Kind: max(0, slices.Index(n.Types, e.Type)), Cell: e.Group, State: state, Weight: e.Weight,
+		Kind: max(0, slices.Index(n.Kinds, e.Kind)), Cell: e.Group, State: state, Weight: e.Weight,
 		Started: time.Duration(e.SinceMS) * time.Millisecond}, nil
 }
--- a/internal/gateway/endpoint/endpoint_test.go
+++ b/internal/gateway/endpoint/endpoint_test.go
@@ -22,7 +22,7 @@
 	if list.Index != 41 || !list.Snapshot || list.Endpoints[0].Address != "10.1.0.18:6379" {
 		t.Errorf("%+v", list)
 	}
-	names := Names{Zones: []string{"a", "b"}, Types: []string{"m2", "m3"}}
+	names := Names{Zones: []string{"a", "b"}, Kinds: []string{"m2", "m3"}}
 	for i, want := range []policy.Backend{
 		{Name: "s-1", Zone: 1, Kind: 1, Cell: 3, State: policy.InService, Weight: 0.5, Started: 1500 * time.Millisecond},
 		{Name: "s-2", State: policy.Draining},
--- a/internal/gateway/testgateway_test.go
+++ b/internal/gateway/testgateway_test.go
@@ -116,7 +116,7 @@
 func endpointList(index int64, addrs ...string) endpoint.List {
 	m := endpoint.List{Index: index, Snapshot: true}
 	for i, a := range addrs {
-		m.Endpoints = append(m.Endpoints, endpoint.Entry{Name: fmt.Sprint("s-", i), Address: a, Zone: "dc1", Type: "std",
+		m.Endpoints = append(m.Endpoints, endpoint.Entry{Name: fmt.Sprint("s-", i), Address: a, Zone: "dc1", Kind: "std",
 			Status: "SERVING", Weight: 1})
 	}
 	return m
