--- a/internal/gateway/endpoint/endpoint.go
+++ b/internal/gateway/endpoint/endpoint.go
@@ -37,7 +37,10 @@
 type InvalidError struct{ Name, Status string }
 
 func (e *InvalidError) Error() string {
-	return fmt.Sprintf("endpoint %.40q has the status %.40q", e.Name, e.Status)
+	if e.Name == "" {
+		return fmt.Sprintf("an endpoint with the status %.40q has no name", e.Status)
+	}
+	return fmt.Sprintf("endpoint %.40q has the unknown status %.40q", e.Name, e.Status)
 }
 
 // Names are the zones and kinds of backends, in the order of the numbers that the engine has for them.
