--- a/internal/gateway/audit.go
+++ b/internal/gateway/audit.go
@@ -83,7 +83,7 @@
 	if a == nil {
 		return
 	}
-	fleetWide := fmt.Sprintf("%x %s", a.config.Audit.fleetSettings, revision)
+	fleetWide := fmt.Sprintf("%x %s", a.config.Audit.settingsDigest, revision)
 	own := fmt.Sprintf("%s %s %s", fleetWide, discovery, counter)
 	a.tell(audit.Configured{Revision: xxhash.Sum64String(fleetWide), Digest: xxhash.Sum64String(own)})
 }
--- a/internal/gateway/auditconfig.go
+++ b/internal/gateway/auditconfig.go
@@ -30,8 +30,8 @@
 	// replaces it.
 	Revision string `json:"revision"`
 
-	// fleetSettings is a digest of the settings that all gateways have alike.
-	fleetSettings uint64
+	// settingsDigest is a digest of the settings that all gateways have alike.
+	settingsDigest uint64
 }
 
 // ownSettings are the paths of settings that differ from gateway to gateway.
@@ -46,7 +46,7 @@
 	if len(section) == 0 || bytes.Equal(section, []byte("null")) {
 		return nil, nil
 	}
-	a := &Audit{CallsPerSecond: defaultCallsPerSecond, Share: defaultAuditShare, fleetSettings: fleetDigest(settings)}
+	a := &Audit{CallsPerSecond: defaultCallsPerSecond, Share: defaultAuditShare, settingsDigest: fleetDigest(settings)}
 	decoder := json.NewDecoder(bytes.NewReader(section))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(a); err != nil {
--- a/internal/gateway/auditconfig_test.go
+++ b/internal/gateway/auditconfig_test.go
@@ -62,7 +62,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return config.Audit.fleetSettings
+		return config.Audit.settingsDigest
 	}
 	if digest(5, 0) != digest(5, 3) {
 		t.Error("the digest depends on the gateway's index")
--- a/internal/gateway/clientclose.go
+++ b/internal/gateway/clientclose.go
@@ -100,7 +100,7 @@
 // evictionRank orders the connections that may be closed to make room, the lowest first: those that have been idle for
 // long, then those on which nothing was ever asked, and last, where no room is left at all, those that may be asked
 // again soon. It says whether the connection may be closed.
-func (conn *clientConn) evictionRank(now time.Duration, left capacity) (rank time.Duration, ok bool) {
+func (conn *clientConn) evictionRank(now time.Duration, left connCapacity) (rank time.Duration, ok bool) {
 	since := time.Duration(conn.idleSince.Load())
 	if since == notEvictable {
 		return 0, false
--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -63,17 +63,17 @@
 	closed                bool
 }
 
-func newClientConn(clients *downstream, socket net.Conn) *clientConn {
-	conn := &clientConn{downstream: clients, socket: socket, commandDeadline: time.Now().Add(firstCommandTimeout)}
+func newClientConn(down *downstream, socket net.Conn) *clientConn {
+	conn := &clientConn{downstream: down, socket: socket, commandDeadline: time.Now().Add(firstCommandTimeout)}
 	if sysConn, ok := socket.(syscall.Conn); ok {
 		if raw, err := sysConn.SyscallConn(); err == nil {
 			conn.rawSocket = raw
 		}
 	}
-	conn.replies.memory = clients.memory
+	conn.replies.memory = down.memory
 	conn.replyCapacityOrClosed = sync.NewCond(&conn.mu)
-	conn.commands = resp.NewReader(conn, clients.memory)
-	conn.idleSince.Store(int64(clients.loop.now()))
+	conn.commands = resp.NewReader(conn, down.memory)
+	conn.idleSince.Store(int64(down.loop.now()))
 	return conn
 }
 
@@ -134,9 +134,9 @@
 // takeRequest hands a request to the loop, or answers it if it can't be read, the connection is finishing, or there is no
 // memory for it. size is that of the command in bytes. It says whether to go on.
 func (conn *clientConn) takeRequest(command string, args [][]byte, size int) bool {
-	clients := conn.downstream
-	arrivedAt := clients.loop.now()
-	parsed, err := clients.parser.Parse(command, args)
+	down := conn.downstream
+	arrivedAt := down.loop.now()
+	parsed, err := down.parser.Parse(command, args)
 	if err != nil {
 		return conn.answerUnusable(protocol.Error(err))
 	}
@@ -145,14 +145,14 @@
 		return conn.replyNow(string(protocol.Busy(0)))
 	}
 	memory := int64(size) + requestOverheadBytes
-	if !clients.memory.Reserve(memory) {
+	if !down.memory.Reserve(memory) {
 		return conn.replyNow(string(protocol.Busy(busyRetryAfter)))
 	}
 	request := &clientRequest{Request: parsed, conn: conn, arrivedAt: arrivedAt}
 	if request.reply = conn.reserveReply(request, memory); request.reply == nil {
 		return false
 	}
-	clients.loop.post(func() { clients.requests.requestArrived(request) })
+	down.loop.post(func() { down.requests.requestArrived(request) })
 	return true
 }
 
@@ -172,17 +172,17 @@
 
 // cleanUp closes the connection, gives back what it holds, and tells the loop of the requests whose client has left.
 func (conn *clientConn) cleanUp() {
-	clients := conn.downstream
+	down := conn.downstream
 	conn.mu.Lock()
 	conn.closeLocked()
 	left := conn.replies.drop() // under the lock, as the loop may be answering
 	if conn.lingering {
-		clients.lingerEnded()
+		down.lingerEnded()
 	}
 	conn.mu.Unlock()
 	conn.commands.Release()
-	clients.remove(conn)
+	down.remove(conn)
 	for _, request := range left {
-		clients.loop.post(func() { clients.requests.clientGone(request) })
+		down.loop.post(func() { down.requests.clientGone(request) })
 	}
 }
--- a/internal/gateway/downstream.go
+++ b/internal/gateway/downstream.go
@@ -40,7 +40,7 @@
 // runs on the listener's own (listener.go).
 type downstream struct {
 	downstreamConfig
-	loop        loop
+	loop        taskLoop
 	connCount   atomic.Int64
 	lingering   atomic.Int64  // connections that linger behind input that could not be read (startLinger)
 	rejected    atomic.Int64  // connections for which there was no capacity and that are not closed yet (rejectConn)
@@ -50,37 +50,37 @@
 	conns map[*clientConn]bool
 }
 
-func newDownstream(loop loop, config downstreamConfig) *downstream {
+func newDownstream(loop taskLoop, config downstreamConfig) *downstream {
 	return &downstream{downstreamConfig: config, loop: loop, conns: map[*clientConn]bool{},
 		acceptEnded: make(chan struct{})}
 }
 
 // add keeps a connection.
-func (clients *downstream) add(conn *clientConn) {
-	clients.connCount.Add(1)
-	clients.mu.Lock()
-	clients.conns[conn] = true
-	clients.mu.Unlock()
+func (down *downstream) add(conn *clientConn) {
+	down.connCount.Add(1)
+	down.mu.Lock()
+	down.conns[conn] = true
+	down.mu.Unlock()
 }
 
 // remove forgets a connection that has ended.
-func (clients *downstream) remove(conn *clientConn) {
-	clients.mu.Lock()
-	delete(clients.conns, conn)
-	clients.mu.Unlock()
-	clients.connCount.Add(-1)
+func (down *downstream) remove(conn *clientConn) {
+	down.mu.Lock()
+	delete(down.conns, conn)
+	down.mu.Unlock()
+	down.connCount.Add(-1)
 }
 
 // tryLinger says whether one more connection may linger (startLinger). It counts as lingering in either case, until
 // lingerEnded.
-func (clients *downstream) tryLinger() bool { return clients.lingering.Add(1) <= maxLingering }
+func (down *downstream) tryLinger() bool { return down.lingering.Add(1) <= maxLingering }
 
-func (clients *downstream) lingerEnded() { clients.lingering.Add(-1) }
+func (down *downstream) lingerEnded() { down.lingering.Add(-1) }
 
 // drain closes the connections that stand between two requests, and makes the others end with their last reply. It says
 // whether none is left. The loop calls it again and again during a shutdown.
-func (clients *downstream) drain() bool {
-	conns, open := clients.drainable()
+func (down *downstream) drain() bool {
+	conns, open := down.drainable()
 	for _, conn := range conns { // all first, so that no client finds one closed and turns to another
 		conn.markFinishing()
 	}
@@ -88,7 +88,7 @@
 		conn.finish()
 	}
 	select {
-	case <-clients.acceptEnded:
+	case <-down.acceptEnded:
 		return open == 0
 	default:
 		return false
@@ -97,14 +97,14 @@
 
 // drainable returns the connections that may be closed, which is all but those that are new and have asked nothing yet,
 // and how many are open.
-func (clients *downstream) drainable() (conns []*clientConn, open int) {
-	now := clients.loop.now()
-	clients.mu.Lock()
-	defer clients.mu.Unlock()
-	for conn := range clients.conns {
+func (down *downstream) drainable() (conns []*clientConn, open int) {
+	now := down.loop.now()
+	down.mu.Lock()
+	defer down.mu.Unlock()
+	for conn := range down.conns {
 		if conn.commandSeen.Load() || now-time.Duration(conn.idleSince.Load()) >= firstRequestGrace {
 			conns = append(conns, conn)
 		}
 	}
-	return conns, len(clients.conns)
+	return conns, len(down.conns)
 }
--- a/internal/gateway/eventloop.go
+++ b/internal/gateway/eventloop.go
@@ -10,9 +10,9 @@
 // maxWaitingTasks is how many tasks may wait for the loop before post blocks.
 const maxWaitingTasks = 1024
 
-// loop is what the parts of a gateway need of its event loop. post and now may be called from any goroutine, the others
-// on the loop only.
-type loop interface {
+// taskLoop is what the parts of a gateway need of its event loop. post and now may be called from any goroutine, the
+// others on the loop only.
+type taskLoop interface {
 	// now is the loop's clock: Unix time that never goes back.
 	now() time.Duration
 	// post hands the loop a task. It waits while too many are there, and drops the task once the loop has ended.
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -41,10 +41,10 @@
 // accept takes connections until the listener is closed or, behind stopAccepting, until its backlog is empty, for
 // maxBacklogTime at most. It is the listener's own goroutine, which Server.Run starts; each connection gets one of its
 // own.
-func (clients *downstream) accept(ln net.Listener) {
-	defer close(clients.acceptEnded)
+func (down *downstream) accept(ln net.Listener) {
+	defer close(down.acceptEnded)
 	defer ln.Close()
-	var backlog backlog
+	var backlog backlogState
 	for {
 		socket, err := ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -60,16 +60,16 @@
 		}
 		backlog.emptied = false
 		if err != nil { // as for want of descriptors: the open connections go on meanwhile
-			clients.log.Warn("accepting a client connection failed", slog.Any("error", err))
+			down.log.Warn("accepting a client connection failed", slog.Any("error", err))
 			time.Sleep(acceptRetryPause)
 			continue
 		}
-		if !clients.ensureCapacity() {
-			clients.rejectConn(socket)
+		if !down.ensureCapacity() {
+			down.rejectConn(socket)
 			continue
 		}
-		conn := newClientConn(clients, socket)
-		clients.add(conn)
+		conn := newClientConn(down, socket)
+		down.add(conn)
 		go conn.serve() // until the connection ends
 	}
 }
@@ -81,19 +81,19 @@
 	}
 }
 
-// backlog follows whether connections are left in the backlog of a listener that is to end.
+// backlogState follows whether connections are left in the backlog of a listener that is to end.
 //
 // Failure: closing a listener resets the connections in its backlog. How it shows: their clients take them for
 // open, have sent their requests, and get a reset during a shutdown. Why this holds: they are accepted until none came for
 // backlogPollTime; and under a load that never ends, for maxBacklogTime. TestShutdownAcceptsTheBacklog,
 // TestAcceptEndsUnderLoad.
-type backlog struct {
+type backlogState struct {
 	until   time.Time // connections are accepted until then; zero: the listener has not been told to end
 	emptied bool      // none has come since the last poll
 }
 
 // ended notes that Accept has come to its deadline, and says whether no more connections are accepted.
-func (backlog *backlog) ended(now time.Time) bool {
+func (backlog *backlogState) ended(now time.Time) bool {
 	if backlog.until.IsZero() {
 		backlog.until = now.Add(maxBacklogTime)
 	} else if backlog.emptied || now.After(backlog.until) {
@@ -103,33 +103,33 @@
 	return false
 }
 
-// capacity says how many connections of clients may still be opened.
-type capacity int
+// connCapacity says how many connections of clients may still be opened.
+type connCapacity int
 
 const (
-	capacityForMany capacity = iota
-	capacityForFew           // idle connections are closed
-	noCapacity               // so are those that were used a moment ago
+	capacityForMany connCapacity = iota
+	capacityForFew               // idle connections are closed
+	noCapacity                   // so are those that were used a moment ago
 )
 
 // capacity says how many more connections of clients may be opened now.
-func (clients *downstream) capacity() capacity {
-	switch open := clients.connCount.Load(); {
-	case open >= clients.maxConns:
+func (down *downstream) capacity() connCapacity {
+	switch open := down.connCount.Load(); {
+	case open >= down.maxConns:
 		return noCapacity
-	case float64(open) >= nearlyFull*float64(clients.maxConns):
+	case float64(open) >= nearlyFull*float64(down.maxConns):
 		return capacityForFew
 	}
 	return capacityForMany
 }
 
 // ensureCapacity says whether one more connection may be opened, and closes an idle one where little room is left.
-func (clients *downstream) ensureCapacity() bool {
-	left := clients.capacity()
+func (down *downstream) ensureCapacity() bool {
+	left := down.capacity()
 	if left == capacityForMany {
 		return true
 	}
-	return clients.closeLongestIdle(left) || left != noCapacity
+	return down.closeLongestIdle(left) || left != noCapacity
 }
 
 // closeLongestIdle closes the connection that has been idle longest, if one may be closed, and says whether it did.
@@ -140,28 +140,28 @@
 // request that it sent in time. Why this holds: a connection is closed only where neither its buffer nor its socket
 // holds a part of a command, and reading and that test exclude each other; else another one is chosen.
 // TestUnreadRequestKeepsTheConnection.
-func (clients *downstream) closeLongestIdle(left capacity) bool {
-	longest := clients.longestIdle(left)
+func (down *downstream) closeLongestIdle(left connCapacity) bool {
+	longest := down.longestIdle(left)
 	if longest == nil {
 		return false
 	}
 	ended := longest.closeIfBetweenRequests()
 	longest.idleSince.Store(notEvictable)
 	if !ended { // a request has come on it just now
-		return clients.closeLongestIdle(left)
+		return down.closeLongestIdle(left)
 	}
 	runtime.Gosched() // its reader gives the descriptor back
 	return true
 }
 
 // longestIdle returns the connection that is closed first; nil: none may be.
-func (clients *downstream) longestIdle(left capacity) *clientConn {
-	now := clients.loop.now()
+func (down *downstream) longestIdle(left connCapacity) *clientConn {
+	now := down.loop.now()
 	var first *clientConn
 	var firstRank time.Duration
-	clients.mu.Lock()
-	defer clients.mu.Unlock()
-	for conn := range clients.conns {
+	down.mu.Lock()
+	defer down.mu.Unlock()
+	for conn := range down.conns {
 		rank, ok := conn.evictionRank(now, left)
 		if ok && (first == nil || rank < firstRank) {
 			first, firstRank = conn, rank
@@ -177,20 +177,20 @@
 // and the counter need. Why this holds: what the client has sent is read for a moment, but only few connections are
 // held for that; the others are closed before the next one is accepted. TestRejectedConnectionIsTold,
 // TestCrowdInTheBacklogTakesNoDescriptors.
-func (clients *downstream) rejectConn(socket net.Conn) {
+func (down *downstream) rejectConn(socket net.Conn) {
 	rawsocket.WriteAvailable(socket, protocol.Busy(busyRetryAfter)) // nothing is taken, so nothing has run
 	half, ok := socket.(halfCloser)
-	if clients.rejected.Add(1) > budget.RejectedConns(clients.maxConns) || !ok || half.CloseWrite() != nil {
+	if down.rejected.Add(1) > budget.RejectedConns(down.maxConns) || !ok || half.CloseWrite() != nil {
 		socket.Close()
-		clients.rejected.Add(-1)
+		down.rejected.Add(-1)
 		return
 	}
-	go clients.readRejected(socket)
+	go down.readRejected(socket)
 }
 
 // readRejected reads what comes on a rejected connection for a moment, and closes it.
-func (clients *downstream) readRejected(socket net.Conn) {
-	defer clients.rejected.Add(-1)
+func (down *downstream) readRejected(socket net.Conn) {
+	defer down.rejected.Add(-1)
 	defer socket.Close()
 	socket.SetReadDeadline(time.Now().Add(rejectedReadTime))
 	io.Copy(io.Discard, io.LimitReader(socket, maxDiscardedBytes))
--- a/internal/gateway/requesttable.go
+++ b/internal/gateway/requesttable.go
@@ -44,7 +44,7 @@
 // requestTable keeps the open requests and their attempts. The loop owns it. A request has two ids: id is the table's own
 // number, by which the engine knows it; the client's id (clientID) stands in its command and in the log.
 type requestTable struct {
-	loop         loop
+	loop         taskLoop
 	log          *slog.Logger
 	sender       attemptSender
 	audit        attemptAudit
@@ -57,7 +57,7 @@
 	overdue       []*openRequest // their deadlines have passed: answered after the step if the engine has not
 }
 
-func newRequestTable(loop loop, cfg *Config, log *slog.Logger) *requestTable {
+func newRequestTable(loop taskLoop, cfg *Config, log *slog.Logger) *requestTable {
 	return &requestTable{loop: loop, log: log, maxOpen: cfg.Transport.MaxOpenRequests,
 		allowHedging: cfg.Settings.AllowHedging, byID: map[uint64]*openRequest{}, clientIDInUse: map[string]bool{}}
 }
--- a/internal/gateway/upstream_test.go
+++ b/internal/gateway/upstream_test.go
@@ -303,8 +303,8 @@
 }
 
 // dialed says whether no connection to a backend is being dialed.
-func (backends *upstream) dialed(name string) bool {
-	for conn := range backends.pools[name].conns {
+func (up *upstream) dialed(name string) bool {
+	for conn := range up.pools[name].conns {
 		if conn.socket == nil {
 			return false
 		}
--- a/internal/gateway/upstreamconns.go
+++ b/internal/gateway/upstreamconns.go
@@ -21,16 +21,16 @@
 )
 
 // acquire returns an idle connection or starts to dial one; nil where no descriptor is left.
-func (backends *upstream) acquire(pool *backendPool) *backendConn {
-	if conn := backends.acquireIdle(pool); conn != nil {
+func (up *upstream) acquire(pool *backendPool) *backendConn {
+	if conn := up.acquireIdle(pool); conn != nil {
 		return conn
 	}
-	if backends.connCount >= backends.maxConns && !backends.closeOldestIdle() {
+	if up.connCount >= up.maxConns && !up.closeOldestIdle() {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), backends.dialTimeout)
-	conn := &backendConn{upstream: backends, pool: pool, generation: pool.generation, cancelDial: cancel}
-	backends.connCount++
+	ctx, cancel := context.WithTimeout(context.Background(), up.dialTimeout)
+	conn := &backendConn{upstream: up, pool: pool, generation: pool.generation, cancelDial: cancel}
+	up.connCount++
 	pool.conns[conn] = true
 	go conn.dialAndRead(ctx, pool.addr) // closeConn ends it
 	return conn
@@ -39,8 +39,8 @@
 // acquireIdle returns the idle connection used last that has settled and is quiet; nil: there is none. Those that are not
 // quiet are closed: what came since the last reply would be taken for the next one, and on a connection that has ended
 // nobody would know whether the command has run.
-func (backends *upstream) acquireIdle(pool *backendPool) *backendConn {
-	settledBy := backends.loop.now() - backends.settleTime
+func (up *upstream) acquireIdle(pool *backendPool) *backendConn {
+	settledBy := up.loop.now() - up.settleTime
 	for i := len(pool.idle) - 1; i >= 0; i-- {
 		conn := pool.idle[i]
 		if conn.idleSince > settledBy {
@@ -48,7 +48,7 @@
 		}
 		pool.removeIdleAt(i)
 		if !conn.quiet() {
-			backends.closeConn(conn)
+			up.closeConn(conn)
 			continue
 		}
 		conn.writeState.Store(commandUnsent)
@@ -58,52 +58,52 @@
 }
 
 // closeOldestIdle makes room for a new connection, and says whether it did.
-func (backends *upstream) closeOldestIdle() bool {
+func (up *upstream) closeOldestIdle() bool {
 	var oldest *backendConn
-	for _, pool := range backends.pools {
+	for _, pool := range up.pools {
 		if len(pool.idle) > 0 && (oldest == nil || pool.idle[0].idleSince < oldest.idleSince) {
 			oldest = pool.idle[0]
 		}
 	}
 	if oldest != nil {
 		oldest.pool.idle = oldest.pool.idle[1:]
-		backends.closeConn(oldest)
+		up.closeConn(oldest)
 	}
 	return oldest != nil
 }
 
 // closeIdleSince closes the idle connections of a backend that have not been used since a time.
-func (backends *upstream) closeIdleSince(pool *backendPool, since time.Duration) {
+func (up *upstream) closeIdleSince(pool *backendPool, since time.Duration) {
 	kept := pool.idle[:0]
 	for _, conn := range pool.idle {
 		if conn.idleSince > since {
 			kept = append(kept, conn)
 			continue
 		}
-		backends.closeConn(conn)
+		up.closeConn(conn)
 	}
 	clear(pool.idle[len(kept):])
 	pool.idle = kept
 }
 
 // closeExpiredIdle closes the connections that have been idle for so long that the backend would close them soon.
-func (backends *upstream) closeExpiredIdle() {
-	if backends.backendIdle > 0 {
-		since := backends.loop.now() - time.Duration(float64(backends.backendIdle)*idleTimeoutShare)
-		for _, pool := range backends.pools {
-			backends.closeIdleSince(pool, since)
+func (up *upstream) closeExpiredIdle() {
+	if up.backendIdle > 0 {
+		since := up.loop.now() - time.Duration(float64(up.backendIdle)*idleTimeoutShare)
+		for _, pool := range up.pools {
+			up.closeIdleSince(pool, since)
 		}
 	}
 }
 
 // closeConn closes a connection that carries nothing, or whose load has been taken off. Its goroutines end with the
 // socket or with the dial's context.
-func (backends *upstream) closeConn(conn *backendConn) {
+func (up *upstream) closeConn(conn *backendConn) {
 	if conn.closed {
 		return
 	}
 	conn.closed = true
-	backends.connCount--
+	up.connCount--
 	delete(conn.pool.conns, conn)
 	if !conn.dialing() {
 		conn.socket.Close()
@@ -113,36 +113,36 @@
 
 // dropConn closes a connection and ends what it carried. It closes first: the next attempt must not be sent while this
 // one may still get a reply.
-func (backends *upstream) dropConn(conn *backendConn, status policy.Status) {
+func (up *upstream) dropConn(conn *backendConn, status policy.Status) {
 	attempt, check := conn.takeLoad()
-	backends.closeConn(conn)
+	up.closeConn(conn)
 	if attempt != nil {
-		backends.owner.attemptEnded(attempt, attemptResult{status: status})
+		up.owner.attemptEnded(attempt, attemptResult{status: status})
 	}
 	if check != nil {
-		backends.healthCheckEnded(check, status)
+		up.healthCheckEnded(check, status)
 	}
-	backends.forgetIfUnused(conn.pool)
+	up.forgetIfUnused(conn.pool)
 }
 
 // takeBackDialing ends the attempts and health checks that wait for a connection to a backend, as not sent.
-func (backends *upstream) takeBackDialing(pool *backendPool) {
+func (up *upstream) takeBackDialing(pool *backendPool) {
 	for conn := range pool.conns {
 		if conn.dialing() {
-			backends.dropConn(conn, policy.NotSent)
+			up.dropConn(conn, policy.NotSent)
 		}
 	}
 }
 
 // takeBackAllDialing ends all attempts and health checks that wait for a connection, as the gateway goes out of service.
-func (backends *upstream) takeBackAllDialing() {
-	for _, pool := range backends.pools {
-		backends.takeBackDialing(pool)
+func (up *upstream) takeBackAllDialing() {
+	for _, pool := range up.pools {
+		up.takeBackDialing(pool)
 	}
 }
 
-func (backends *upstream) forgetIfUnused(pool *backendPool) {
+func (up *upstream) forgetIfUnused(pool *backendPool) {
 	if !pool.inService && len(pool.conns) == 0 {
-		delete(backends.pools, pool.name)
+		delete(up.pools, pool.name)
 	}
 }
