--- a/internal/gateway/clientgone_test.go
+++ b/internal/gateway/clientgone_test.go
@@ -204,10 +204,10 @@
 	}
 	socket.(*net.TCPConn).SetWriteBuffer(4096)
 	pool := server.upstream.pools["s-0"]
-	backendSide := &backendConn{upstream: server.upstream, pool: pool, generation: pool.generation, socket: socket,
+	pooledConn := &backendConn{upstream: server.upstream, pool: pool, generation: pool.generation, socket: socket,
 		cancelDial: func() {}} // it has served before
 	server.upstream.connCount++
-	pool.conns[backendSide], pool.idle = true, append(pool.idle, backendSide)
+	pool.conns[pooledConn], pool.idle = true, append(pool.idle, pooledConn)
 	conn, client := newClientPair(t, server)
 	go conn.serve()
 	client.command("Q.DO", tenantID, "1", keyedFields, strings.Repeat("b", resp.MaxValueBytes))
@@ -216,13 +216,13 @@
 	for _, request := range server.requests.byID {
 		server.requests.addAttempt(request, policy.SendAttempt{ID: request.id, Backend: "s-0"})
 	}
-	if backendSide.attempt == nil || backendSide.writeState.Load() != commandBeingWritten {
+	if pooledConn.attempt == nil || pooledConn.writeState.Load() != commandBeingWritten {
 		t.Fatal("the command is not half written")
 	}
 	client.socket.Close()
 	runTasksUntil(t, server, func() bool { return len(server.requests.byID) == 0 })
 	wantResult(t, server, policy.Cancelled)
-	if !backendSide.closed || server.upstream.connCount != 0 {
+	if !pooledConn.closed || server.upstream.connCount != 0 {
 		t.Error("the connection stays open")
 	}
 	if m, err := accept(t, ln).tryMessage(); err == nil {
--- a/internal/gateway/closedeadlock_test.go
+++ b/internal/gateway/closedeadlock_test.go
@@ -27,8 +27,8 @@
 }
 
 // Closing a connection waits until nobody is within a read of its socket. Bytes, or a reset, may come in that very
-// moment, and the reader then wants the lock that the closing goroutine holds. Each once waited for the other, and the
-// loop, or the goroutine that accepts connections, was stuck for good.
+// moment, and the reader then wants the lock that the closing goroutine holds. If each waited for the other, the
+// loop, or the goroutine that accepts connections, would be stuck for good.
 func TestCloseCrossingServe(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
 	server.ready.Store(true)
--- a/internal/gateway/descriptorlimit_test.go
+++ b/internal/gateway/descriptorlimit_test.go
@@ -13,9 +13,9 @@
 )
 
 // While discovery is down, clients that idle fill a gateway's share of the descriptors, and hundreds more come again
-// and again. At the smallest limits the shares once added up to more than the limit, so when discovery and the counter
-// came back there was no descriptor for them. Now the watch is opened, the counter answers, and backends get as many
-// connections as their share holds, also when all is moved by a new configuration; and no call ever fails for want of a descriptor.
+// and again. If the shares added up to more than the limit, there would be no descriptor for discovery and the
+// counter when they come back. The watch is opened, the counter answers, and backends get as many connections as their
+// share holds, also when all is moved by a new configuration; and no call ever fails for want of a descriptor.
 func TestCrowdLeavesDescriptorsToTheOthers(t *testing.T) {
 	const descriptors = 256
 	const backends, backendShare = 24, 71 // 28%
@@ -78,9 +78,9 @@
 	return err
 }
 
-// A crowd stands in the listener's backlog while the clients' share is full. Each of it was once held until a goroutine
-// came to reject it, and the others had no descriptors. Now a connection for which there is no room is closed
-// before the next is accepted, but for the few whose request is read.
+// A crowd stands in the listener's backlog while the clients' share is full. If each of it were held until a
+// goroutine came to reject it, the others would have no descriptors. So a connection for which there is no capacity is
+// closed before the next is accepted, but for the few whose request is read.
 func TestCrowdInTheBacklogTakesNoDescriptors(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
 	server.downstream.maxConns = 2 * budget.ConnsPerRejected
--- a/internal/gateway/downstream_test.go
+++ b/internal/gateway/downstream_test.go
@@ -95,7 +95,7 @@
 	"*0\r\n", "*2\r\n$4\r\nPING\r\n*1\r\n$1\r\nx\r\n", "*1\r\n$4\r\nPINGxx"}
 
 // Malformed input is answered, and costs the connection only where it can't be framed.
-func TestMalformedInputIsRejected(t *testing.T) {
+func TestMalformedInputIsAnsweredWithAnError(t *testing.T) {
 	gateway, ln := startWithBackend(t)
 	for _, malformed := range malformedRequests {
 		client := gateway.dial()
@@ -290,8 +290,8 @@
 	}
 }
 
-// A client for which there is no room has already sent its request. Its rejection was lost to the reset of a connection
-// that is closed with bytes unread; now it hears of it.
+// A client for which there is no capacity has already sent its request. Closing its connection with bytes unread would
+// reset it, and the client would lose the rejection.
 func TestRejectedConnectionIsTold(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
 	server.downstream.maxConns = budget.ConnsPerRejected
--- a/internal/gateway/idleserver_test.go
+++ b/internal/gateway/idleserver_test.go
@@ -54,9 +54,9 @@
 
 // attemptResults returns the results of attempts that the engine is to be told, so far.
 func attemptResults(server *Server) (all []policy.AttemptResult) {
-	for _, ev := range server.events {
-		if o, ok := ev.(policy.AttemptResult); ok {
-			all = append(all, o)
+	for _, event := range server.events {
+		if result, ok := event.(policy.AttemptResult); ok {
+			all = append(all, result)
 		}
 	}
 	return all
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -10,8 +10,8 @@
 )
 
 // A client's next request lies unread in the socket, or was read in part, when its connection is to be closed: by an
-// eviction, the deadline of its first command or a shutdown. Closing it there once lost the request, and the reset took
-// the reply before it along. So the connection stays, and the request is answered.
+// eviction, the deadline of its first command or a shutdown. Closing it there would lose the request, and the reset could
+// take the reply before it along. So the connection stays, and the request is answered.
 func TestUnreadRequestKeepsTheConnection(t *testing.T) {
 	for _, cut := range []int{1, 5, len(respCommand("PING")) - 1, len(respCommand("PING"))} {
 		server := newIdleServer(t, freeAddr(t))
@@ -34,7 +34,7 @@
 	}
 }
 
-// During a shutdown a client pipelines further requests behind one that is open. They were once dropped. Now they are
+// During a shutdown a client pipelines further requests behind one that is open. None is dropped: they are
 // rejected in their order, and the connection ends with the last reply, that to a request which was read in part
 // included.
 func TestShutdownRejectsCrossingRequests(t *testing.T) {
--- a/internal/gateway/testgateway_test.go
+++ b/internal/gateway/testgateway_test.go
@@ -212,7 +212,7 @@
 			return
 		}
 		if time.Now().After(end) {
-			gateway.t.Fatalf("%d answers are owed, not %d", most, n)
+			gateway.t.Fatalf("%d replies are pending, not %d", most, n)
 		}
 	}
 }
--- a/internal/gateway/unreadend_test.go
+++ b/internal/gateway/unreadend_test.go
@@ -10,7 +10,7 @@
 )
 
 // A client has ended its connection, but its reader has not read so far: it is late, or more lies unread before the
-// end. The loop once forwarded what it had of that client, first attempts and retries, though nobody waited for it. So a
+// end. Nobody waits for what the loop has of that client, so it must forward none of it, first attempts or retries: a
 // client counts as one that has left when the end has come to the socket: no attempt begins for it, whatever its way to
 // a backend, and all its requests end.
 func TestUnreadEndStopsTheSend(t *testing.T) {
--- a/internal/gateway/upstream_test.go
+++ b/internal/gateway/upstream_test.go
@@ -312,8 +312,8 @@
 	return true
 }
 
-// A backend sends a second reply to one command some milliseconds late. Where the connection was used again at once,
-// the next request got it for its own. So a connection rests after a reply, however busy the backend is,
+// A backend sends a second reply to one command some milliseconds late. Were the connection used again at once,
+// the next request would get it for its own. So a connection rests after a reply, however busy the backend is,
 // and is used again when it has stayed quiet.
 func TestLateSecondReplyReachesNobody(t *testing.T) {
 	ln := listen(t)
