--- a/internal/gateway/closedeadlock_test.go
+++ b/internal/gateway/closedeadlock_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// readerWaits waits until the reader of a connection waits so, by the words of a stack: "IO wait" for bytes,
+// waitForReader waits until the reader of a connection waits so, by the words of a stack: "IO wait" for bytes,
 // "sync.Mutex.Lock" for the connection's lock.
-func readerWaits(t *testing.T, conn *clientConn, how string) {
+func waitForReader(t *testing.T, conn *clientConn, how string) {
 	t.Helper()
 	stacks := make([]byte, 1<<20)
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
@@ -40,10 +40,10 @@
 	}()
 	client.write(respCommand("PING"))
 	client.wants("+PONG")
-	readerWaits(t, conn, "IO wait") // for the next command
+	waitForReader(t, conn, "IO wait") // for the next command
 	conn.mu.Lock()
 	client.write(respCommand("PING")[:5])
-	readerWaits(t, conn, "sync.Mutex.Lock")
+	waitForReader(t, conn, "sync.Mutex.Lock")
 	closed := make(chan struct{})
 	go func() {
 		conn.closeLocked()
@@ -67,10 +67,10 @@
 	go conn.serve()
 	client.write(respCommand("PING"))
 	client.wants("+PONG")
-	readerWaits(t, conn, "IO wait")
+	waitForReader(t, conn, "IO wait")
 	conn.mu.Lock()
 	client.write(respCommand("PING"))
-	readerWaits(t, conn, "sync.Mutex.Lock")
+	waitForReader(t, conn, "sync.Mutex.Lock")
 	conn.mu.Unlock()
 	client.wants("+PONG")
 }
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -35,7 +35,7 @@
 	gateway.listUpdates <- change
 	gateway.listUpdates <- endWatch
 	gateway.wantsWatch("7")
-	gateway.served(second, "1")
+	gateway.wantsServed(second, "1")
 }
 
 // An entry that is not valid is passed over, and the others of its list hold. The gateway is ready with the first
@@ -56,7 +56,7 @@
 	<-gateway.watches
 	client.command("PING")
 	client.wants("+PONG")
-	gateway.served(backend, "1")
+	gateway.wantsServed(backend, "1")
 }
 
 // A new configuration moves the watch, from the index that was reached; what the old agent still says is no
@@ -75,11 +75,11 @@
 	gateway.server.Reload(strings.TrimPrefix(agent.URL, "http://"), gateway.server.cfg.Counter, "")
 	next.wantsWatch("5")
 	next.listUpdates <- endpointList(6, backend.Addr().String())
-	gateway.served(backend, "1")
+	gateway.wantsServed(backend, "1")
 }
 
-// watching runs a gateway that follows an agent and takes a watch for dead after so long a silence.
-func watching(t *testing.T, silence time.Duration) (*testGateway, *discoverytest.Agent) {
+// startWatching runs a gateway that follows an agent and takes a watch for dead after so long a silence.
+func startWatching(t *testing.T, silence time.Duration) (*testGateway, *discoverytest.Agent) {
 	t.Helper()
 	agent := discoverytest.NewAgent(t)
 	gateway := startGateway(t, nil, func(c *Config, t *testing.T) { c.Discovery = agent.Address() },
@@ -87,8 +87,8 @@
 	return gateway, agent
 }
 
-// served checks that a request reaches the backend and its value comes back.
-func (gateway *testGateway) served(backend net.Listener, id string) {
+// wantsServed checks that a request reaches the backend and its value comes back.
+func (gateway *testGateway) wantsServed(backend net.Listener, id string) {
 	gateway.t.Helper()
 	client := gateway.dial()
 	client.command("Q.ASK", tenantID, id, idempotentFields)
@@ -100,8 +100,8 @@
 	server.socket.Close()
 }
 
-// listed waits until the loop has taken a list or change whole: a request that crosses it may go by the one before.
-func (gateway *testGateway) listed(index int64) {
+// waitForList waits until the loop has taken a list or change whole: a request that crosses it may go by the one before.
+func (gateway *testGateway) waitForList(index int64) {
 	gateway.t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		now := make(chan int64, 1)
@@ -118,7 +118,7 @@
 // A list may come indented, on many lines and in any pieces, with the signs of life between two lists.
 func TestIndentedLists(t *testing.T) {
 	first, second := listen(t), listen(t)
-	gateway, agent := watching(t, testTimeout)
+	gateway, agent := startWatching(t, testTimeout)
 	watch, _ := agent.Watch()
 	text := discoverytest.Indented(t, endpointList(7, first.Addr().String()), "  ")
 	beginning, half := strings.IndexAny(text, "\n "), len(text)/2
@@ -126,20 +126,20 @@
 	watch.Chunk(text[:beginning])
 	watch.Chunk(text[beginning:half])
 	watch.Chunk(text[half:] + "\r\n\r\n")
-	gateway.listed(7)
-	gateway.served(first, "1")
+	gateway.waitForList(7)
+	gateway.wantsServed(first, "1")
 	change := endpointList(8, first.Addr().String(), second.Addr().String())
 	change.Snapshot, change.Endpoints[0].Status = false, "DRAINING"
 	watch.Chunk(discoverytest.Indented(t, change, "\t"))
-	gateway.listed(8)
-	gateway.served(second, "2") // no other watch was opened for it
+	gateway.waitForList(8)
+	gateway.wantsServed(second, "2") // no other watch was opened for it
 }
 
 // The machine of the agent, or the network to it, falls silent without a reset: at once, after a sign of life or within
 // a list. The gateway would go on with the list it has. The watch is opened anew from the last index.
 func TestSilentWatchIsOpenedAnew(t *testing.T) {
 	backend := listen(t)
-	gateway, agent := watching(t, 50*time.Millisecond)
+	gateway, agent := startWatching(t, 50*time.Millisecond)
 	text := discoverytest.Line(t, endpointList(7, backend.Addr().String()))
 	for _, said := range []string{"", "\r\n", text[:len(text)/2]} {
 		watch, from := agent.Watch()
@@ -153,7 +153,7 @@
 	}
 	watch, _ := agent.Watch()
 	watch.Chunk(text)
-	gateway.served(backend, "1")
+	gateway.wantsServed(backend, "1")
 	if _, from := agent.Watch(); from != "7" {
 		t.Errorf("the watch goes on at %s", from)
 	}
@@ -162,7 +162,7 @@
 // A watch that is reset, within a list too, is opened anew, and what it had begun to say is not kept.
 func TestResetWatchIsOpenedAnew(t *testing.T) {
 	backend := listen(t)
-	gateway, agent := watching(t, testTimeout)
+	gateway, agent := startWatching(t, testTimeout)
 	text := discoverytest.Line(t, endpointList(7, backend.Addr().String()))
 	for _, said := range []string{"\r\n", text[:len(text)-len("e}\n")]} {
 		watch, _ := agent.Watch()
@@ -174,12 +174,12 @@
 		t.Errorf("the watch begins at %s", from)
 	}
 	watch.Chunk(text)
-	gateway.served(backend, "1")
+	gateway.wantsServed(backend, "1")
 }
 
 // A list without end is not gathered: it would take all memory.
 func TestEndlessListEndsTheWatch(t *testing.T) {
-	_, agent := watching(t, testTimeout)
+	_, agent := startWatching(t, testTimeout)
 	watch, _ := agent.Watch()
 	watch.Chunk(`{"index":9,"snapshot":true,"endpoints":[`)
 	entries := strings.Repeat(`{"name":"s-0","status":"ASLEEP"},`, 1<<10)
--- a/internal/gateway/downstream_test.go
+++ b/internal/gateway/downstream_test.go
@@ -264,7 +264,7 @@
 	}
 	gateway.server.downstream.mu.Unlock()
 	for conn, age := range found {
-		readerWaits(gateway.t, conn, "IO wait")
+		waitForReader(gateway.t, conn, "IO wait")
 		conn.idleSince.Store(int64(gateway.server.now() - age))
 	}
 }
--- a/internal/gateway/peer_test.go
+++ b/internal/gateway/peer_test.go
@@ -23,7 +23,7 @@
 	return &peer{t, nc, bufio.NewReader(nc)}
 }
 
-// newPeerWithoutDeadline is for a connection that is no longer than its other end.
+// newPeerWithoutDeadline is for a connection that lasts no longer than its other end.
 func newPeerWithoutDeadline(t *testing.T, conn net.Conn) *peer {
 	return &peer{t, conn, bufio.NewReader(conn)}
 }
--- a/internal/gateway/reach_test.go
+++ b/internal/gateway/reach_test.go
@@ -139,9 +139,9 @@
 	return (&net.Dialer{}).DialContext(ctx, network, address)
 }
 
-// reaches checks that a list that names s-7 gets through to the gateway behind failed calls of each kind of failure, and
-// from which index the calls asked.
-func reaches(t *testing.T, kind callKind, list string, options ...option) {
+// checkListArrives checks that a list that names s-7 gets through to the gateway behind failed calls of each kind of
+// failure, and from which index the calls asked.
+func checkListArrives(t *testing.T, kind callKind, list string, options ...option) {
 	for name, fail := range failures {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -193,10 +193,10 @@
 
 // A change reaches the gateway by the watch though two calls in a row came to nothing.
 func TestChangeComesBehindFailedWatches(t *testing.T) {
-	reaches(t, watchCalls, listWithNews(t, false))
+	checkListArrives(t, watchCalls, listWithNews(t, false))
 }
 
 // A list that the engine polls for comes though two calls in a row came to nothing.
 func TestListComesBehindFailedCalls(t *testing.T) {
-	reaches(t, listCalls, listWithNews(t, true), func(c *Config, t *testing.T) { c.Settings.PollEndpoints = true })
+	checkListArrives(t, listCalls, listWithNews(t, true), func(c *Config, t *testing.T) { c.Settings.PollEndpoints = true })
 }
--- a/internal/gateway/ready_test.go
+++ b/internal/gateway/ready_test.go
@@ -17,8 +17,8 @@
 	"bellwood/internal/gateway/endpoint"
 )
 
-// configured is a configuration as it stands in a file, with a list as last known.
-func configured(t testing.TB, known endpoint.List) string {
+// configFile is a configuration as it stands in a file, with a list as last known.
+func configFile(t testing.TB, known endpoint.List) string {
 	return fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","counter":"127.0.0.1:1",
 "seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":32,"sockets":1024},"known":%s,
 "settings":`+settingsJSON+`}`, strings.TrimSuffix(discoverytest.Line(t, known), "\n"), 5_000_000, false)
@@ -34,8 +34,8 @@
 	return ln
 }
 
-// run runs a gateway with a configuration in JSON and an agent of its own until end is called.
-func run(t testing.TB, config, agent string) (server *Server, address string, end func()) {
+// runGateway runs a gateway with a configuration in JSON and an agent of its own until end is called.
+func runGateway(t testing.TB, config, agent string) (server *Server, address string, end func()) {
 	t.Helper()
 	cfg, err := ReadConfig(strings.NewReader(config))
 	if err != nil {
@@ -55,10 +55,10 @@
 	}
 }
 
-// ready runs a gateway until it has told a client that it is ready, and returns the answers to each PING.
-func ready(t testing.TB, config, agent string) (server *Server, answers []string, end func()) {
+// runUntilReady runs a gateway until it has told a client that it is ready, and returns the answers to each PING.
+func runUntilReady(t testing.TB, config, agent string) (server *Server, answers []string, end func()) {
 	t.Helper()
-	server, address, end := run(t, config, agent)
+	server, address, end := runGateway(t, config, agent)
 	nc, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -82,7 +82,7 @@
 // A gateway that starts with the list of the largest fleet, and discovery silent, is ready at the first question.
 func TestReadyWithKnownFleet(t *testing.T) {
 	known := discoverytest.Fleet(5, discoverytest.FleetSize)
-	server, answers, end := ready(t, configured(t, known), listen(t).Addr().String())
+	server, answers, end := runUntilReady(t, configFile(t, known), listen(t).Addr().String())
 	defer end()
 	(&testGateway{t: t, server: server}).until(func() bool {
 		return len(server.upstream.pools) == discoverytest.FleetSize && server.discovery.Index() == 5
@@ -96,7 +96,7 @@
 func TestReadyWithListFromTheAgent(t *testing.T) {
 	agent := discoverytest.NewAgent(t)
 	go agent.ServeEach(discoverytest.Line(t, discoverytest.Fleet(7, discoverytest.FleetSize)))
-	server, answers, end := ready(t, configured(t, endpoint.List{}), agent.Address())
+	server, answers, end := runUntilReady(t, configFile(t, endpoint.List{}), agent.Address())
 	defer end()
 	n := 0
 	(&testGateway{t: t, server: server}).until(func() bool { n = len(server.upstream.pools); return true })
@@ -122,14 +122,14 @@
 	agent := discoverytest.NewAgent(b)
 	go agent.ServeEach(discoverytest.Line(b, fleet))
 	for _, c := range []struct{ name, config, agent string }{
-		{"known", configured(b, fleet), "127.0.0.1:1"},
-		{"agent", configured(b, endpoint.List{}), agent.Address()},
+		{"known", configFile(b, fleet), "127.0.0.1:1"},
+		{"agent", configFile(b, endpoint.List{}), agent.Address()},
 	} {
 		b.Run(c.name, func(b *testing.B) {
 			var used time.Duration
 			for range b.N {
 				begin := processorTime()
-				_, _, end := ready(b, c.config, c.agent)
+				_, _, end := runUntilReady(b, c.config, c.agent)
 				used += processorTime() - begin
 				b.StopTimer()
 				end()
@@ -158,7 +158,7 @@
 	}
 	for range b.N {
 		ln := listenLocally(b)
-		server, _, end := run(b, configured(b, endpointList(1, "127.0.0.1:1")), ln.Addr().String())
+		server, _, end := runGateway(b, configFile(b, endpointList(1, "127.0.0.1:1")), ln.Addr().String())
 		watch, err := ln.Accept()
 		if err != nil {
 			b.Fatal(err)
--- a/internal/gateway/unreadend_test.go
+++ b/internal/gateway/unreadend_test.go
@@ -10,7 +10,7 @@
 )
 
 // A client has ended its connection, but its reader has not read so far: it is late, or more lies unread before the
-// end. Nobody waits for what the loop has of that client, so it must forward none of it, first attempts or retries: a
+// end. Nobody waits for what the loop has of that client, so none of it may be forwarded, first attempts or retries. A
 // client counts as one that has left when the end has come to the socket: no attempt begins for it, whatever its way to
 // a backend, and all its requests end.
 func TestUnreadEndStopsTheSend(t *testing.T) {
