--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command simadapter plays the decision module of simulated gateways: it reads the simulator's line protocol from
+// Command simadapter plays the engines of simulated gateways: it reads the simulator's line protocol from
 // standard input, steps one policy.Engine for each instance, and writes the engines' actions to standard output.
 package main
 
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -10,7 +10,7 @@
 func newDiscovery(server *Server) *discovery.Client {
 	cfg := server.cfg
 	return discovery.New(discoveryLoop{server}, discovery.Options{Address: cfg.Discovery, Index: cfg.Known.Index,
-		Zones: cfg.Transport.Zones, Types: cfg.Transport.Kinds, Log: server.log,
+		Zones: cfg.Transport.Zones, Types: cfg.Transport.BackendTypes, Log: server.log,
 		Silence: cfg.watchSilence, Dial: cfg.discoveryDial})
 }
 
--- a/internal/simprotocol/fields.go
+++ b/internal/simprotocol/fields.go
@@ -8,8 +8,9 @@
 	"bellwood/internal/policy"
 )
 
-// maxMicros bounds the times of a line, so that they fit into a time.Duration of nanoseconds by far.
-const maxMicros = 1 << 53
+// timeBits is the size of a line's times: signed, in microseconds. 54 bits are the most that fit into a time.Duration, which
+// counts nanoseconds in 64.
+const timeBits = 54
 
 // lineFields reads a line's fields in order, and keeps the first error as a *FieldError. After an error it goes on with
 // zero values.
@@ -29,18 +30,15 @@
 // isAbsent says whether the next field is not given.
 func (f *lineFields) isAbsent() bool { return f.next >= len(f.fields) || f.fields[f.next] == absent }
 
-// take returns the next field as it stands.
+// take returns the next field as it stands, and absent beyond the line's end.
 func (f *lineFields) take() string {
-	if f.next >= len(f.fields) {
+	f.next++
+	if f.next > len(f.fields) {
 		return absent
 	}
-	f.next++
 	return f.fields[f.next-1]
 }
 
-// skip passes over a field that the module has no use for, given or not.
-func (f *lineFields) skip() { f.take() }
-
 // rest returns all fields that are left.
 func (f *lineFields) rest() []string { return f.fields[min(f.next, len(f.fields)):] }
 
@@ -63,10 +61,10 @@
 	return id
 }
 
-// idOr reads a whole number of 64 bits that may be absent.
-func (f *lineFields) idOr(otherwise uint64) uint64 {
+// countOr reads a whole number of 64 bits, a count or a bitmap, that may be absent.
+func (f *lineFields) countOr(otherwise uint64) uint64 {
 	if f.isAbsent() {
-		f.skip()
+		f.take()
 		return otherwise
 	}
 	return f.id()
@@ -95,7 +93,7 @@
 // numberOr reads a number that may be absent.
 func (f *lineFields) numberOr(otherwise float64) float64 {
 	if f.isAbsent() {
-		f.skip()
+		f.take()
 		return otherwise
 	}
 	return f.number()
@@ -113,14 +111,14 @@
 // duration reads a time in microseconds.
 func (f *lineFields) duration() time.Duration {
 	field := f.text()
-	micros, err := strconv.ParseInt(field, 10, 54)
-	if err != nil || micros > maxMicros {
+	micros, err := strconv.ParseInt(field, 10, timeBits)
+	if err != nil {
 		f.fail("a time", field)
 	}
 	return time.Duration(micros) * time.Microsecond
 }
 
-// status reads how an attempt or call ended. The protocol numbers the endings as the module does.
+// status reads how an attempt or call ended. The protocol numbers the endings as package policy does.
 func (f *lineFields) status() policy.Status {
 	number := f.index()
 	if number < int(policy.Failed) || number > int(policy.NotSent) {
--- a/internal/simprotocol/parse.go
+++ b/internal/simprotocol/parse.go
@@ -251,9 +251,9 @@
 		TimeLeft: fields.duration(),
 	}
 	request.Cost = fields.numberOr(1)
-	request.Gateways = int(fields.idOr(0))
-	fields.idOr(0) // first-door: the module needs no more than the number of gateways
-	request.ClientRetry = fields.idOr(0)&clientRetryBit != 0
+	request.Gateways = int(fields.countOr(0))
+	fields.countOr(0) // first-door: the engine needs no more than the number of gateways
+	request.ClientRetry = fields.countOr(0)&clientRetryBit != 0
 	return request
 }
 
@@ -265,7 +265,7 @@
 		Status:  fields.status(),
 	}
 	result.Latency, result.RequestClosed = fields.duration(), fields.flag()
-	result.QuotaUsage, result.Cost = int(fields.idOr(0)), fields.numberOr(0)
+	result.QuotaUsage, result.Cost = int(fields.countOr(0)), fields.numberOr(0)
 	return result
 }
 
--- a/internal/simprotocol/parse_test.go
+++ b/internal/simprotocol/parse_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"errors"
+	"fmt"
 	"io"
 	"strings"
 	"testing"
@@ -31,7 +32,7 @@
 	}
 }
 
-// Each message becomes the module's event, with the protocol's words and defaults mapped.
+// Each message becomes the engine's event, with the protocol's words and defaults mapped.
 func TestMessagesBecomeEvents(t *testing.T) {
 	batches, err := readBatches("CLOCK 8412250 12\n" + provision + "CENSUS 0 2\nBACKEND 10.18.74.7:8003 0 0 0 in_service 1 -\n" +
 		"BACKEND 10.18.74.7:8044 0 0 1 terminating 1.5 6100000\nVIEW door/3 cached 41 0\n" +
@@ -78,11 +79,12 @@
 
 // What can't be read ends the reading with the number of its line.
 func TestBadLinesAreNamedByNumber(t *testing.T) {
-	for _, line := range badLines {
-		_, err := readBatches("CLOCK 1 1\n" + line + "\nEOF_BATCH\n")
+	for _, lines := range badLines {
+		_, err := readBatches("CLOCK 1 1\n" + lines + "\nEOF_BATCH\n")
+		last := 1 + strings.Count(lines, "\n") + 1 // CLOCK stands before; the last of the lines is the bad one
 		var bad *LineError
-		if !errors.As(err, &bad) || !strings.HasPrefix(err.Error(), "line ") {
-			t.Errorf("%q: error %v", line, err)
+		if !errors.As(err, &bad) || bad.Line != last || !strings.HasPrefix(err.Error(), fmt.Sprintf("line %d: ", last)) {
+			t.Errorf("%q: error %v, want line %d", lines, err, last)
 		}
 	}
 	for _, text := range []string{"EOF_BATCH\n", "CLOCK 1 1\n", "CLOCK x 1\nEOF_BATCH\n"} {
@@ -92,6 +94,18 @@
 	}
 }
 
+// A missing field is named by its own number, not by that of the last one given.
+func TestMissingFieldsAreNamedByNumber(t *testing.T) {
+	for line, want := range map[string]int{"ACCEPT door/3": 2, "ACCEPT door/3 7 0 0 u:a": 6, "ACCEPT door/3 7 0 0 - 5": 5,
+		"ACCEPT door/3 7 x 0 u:a 5": 3, "VERDICT door/3 7 0 b 1 1": 7, "REMINDER": 1} {
+		_, err := readBatches("CLOCK 1 1\n" + line + "\nEOF_BATCH\n")
+		var bad *FieldError
+		if !errors.As(err, &bad) || bad.Field != want {
+			t.Errorf("%q: error %v, want field %d", line, err, want)
+		}
+	}
+}
+
 func FuzzReader(f *testing.F) {
 	f.Add("CLOCK 1 1\n" + provision + "EOF_BATCH\n")
 	for _, line := range badLines {
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -20,7 +20,7 @@
 	return ParseSettings(settings)
 }
 
-// ParseSettings maps settings, by their paths, to those of the module. Unknown paths are passed over. The error is a
+// ParseSettings maps settings, by their paths, to those of the engine. Unknown paths are passed over. The error is a
 // *SettingError for the first setting that can't be used.
 func ParseSettings(settings map[string]string) (policy.Settings, error) {
 	v := &settingValues{values: settings}
@@ -79,7 +79,7 @@
 	if mapped.SlowStartMinShare > 1 {
 		v.fail("obligations.cold-from", "over 1")
 	}
-	v.requirePositive(!mapped.SharedCounter || mapped.CounterTimeout > 0, "specifics.counter-timeout-us",
+	v.failUnless(!mapped.SharedCounter || mapped.CounterTimeout > 0, "specifics.counter-timeout-us",
 		"specifics.shared-counter")
 }
 
@@ -113,7 +113,7 @@
 		HardLimitRate:    v.number(path + "never-over-rate"),
 		HardLimitBurst:   v.number(path + "cap-depth"),
 	}
-	v.requirePositive(plan.Rate == 0 || plan.Burst > 0, path+"most-at-once", "units-per-s")
-	v.requirePositive(plan.HardLimitRate == 0 || plan.HardLimitBurst > 0, path+"cap-depth", "never-over-rate")
+	v.failUnless(plan.Rate == 0 || plan.Burst > 0, path+"most-at-once", "units-per-s")
+	v.failUnless(plan.HardLimitRate == 0 || plan.HardLimitBurst > 0, path+"cap-depth", "never-over-rate")
 	return plan
 }
--- a/internal/simprotocol/settings_test.go
+++ b/internal/simprotocol/settings_test.go
@@ -16,7 +16,7 @@
 		"tiers-of-service.0.name": "only", "limits.dial-timeout-us": "1000"}
 }
 
-// What can't be used is named by its path, never guessed.
+// What can't be used is named by its path. A missing group of a keyed class is no error: it counts as all backends.
 func TestUnusableSettingsAreNamed(t *testing.T) {
 	for path, values := range map[string][]string{
 		"peers-total": {"0", "1.5", "many", "-1", "1e300", "-"}, "rank": {"3", "-1"}, "limits.max-attempts": {"0", "-"},
--- a/internal/simprotocol/transport.go
+++ b/internal/simprotocol/transport.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// Transport is the part of the settings that concerns sockets and names: the decision module has no use for it, a
-// gateway with sockets does.
+// Transport is the part of the settings that concerns sockets and names: the engine has no use for it, a gateway with
+// sockets does.
 type Transport struct {
-	Classes, Plans, Zones, Kinds []string      // names, in the order of the indices that the module uses
-	DialTimeout                  time.Duration // a connection that is not up by then has failed
-	ConnIdleTimeout              time.Duration // backends close a connection that has been idle for this long
-	MaxOpenRequests              int           // requests that may be open at once; 0: no limit is told
+	Classes, Plans, Zones, BackendTypes []string      // names, in the order of the indices that the engine uses
+	DialTimeout                         time.Duration // a connection that is not up by then has failed
+	ConnIdleTimeout                     time.Duration // backends close a connection that has been idle for this long
+	MaxOpenRequests                     int           // requests that may be open at once; 0: no limit is told
 }
 
 // ParseTransport maps settings, by their paths, to a Transport. The error is a *SettingError.
@@ -23,7 +23,7 @@
 		Classes:         v.names("classes"),
 		Plans:           v.names("tiers-of-service"),
 		Zones:           strings.Split(settings["areas"], ","),
-		Kinds:           strings.Split(settings["kinds"], ","),
+		BackendTypes:    strings.Split(settings["kinds"], ","),
 		DialTimeout:     v.duration("limits.dial-timeout-us"),
 		ConnIdleTimeout: v.duration("limits.conn-idle-us"),
 		MaxOpenRequests: v.wholeNumber("limits.open-cap"),
--- a/internal/simprotocol/values.go
+++ b/internal/simprotocol/values.go
@@ -87,9 +87,9 @@
 	return value
 }
 
-// requirePositive fails a setting that has to be above 0 because another one is set.
-func (v *settingValues) requirePositive(ok bool, path, because string) {
-	if !ok {
+// failUnless fails a setting that has to be above 0 because another one is set. The caller says whether it is, or needn't be.
+func (v *settingValues) failUnless(isPositiveOrUnused bool, path, because string) {
+	if !isPositiveOrUnused {
 		v.fail(path, "not above 0, with "+because)
 	}
 }
