--- a/internal/emulator/backends.go
+++ b/internal/emulator/backends.go
@@ -108,8 +108,9 @@
 // Malformed returns how many commands came that no gateway may send in that form.
 func (b *Backends) Malformed() int64 { return b.malformed.Load() }
 
-// backendAt is the backend that a command at a listener is for. Those of a shared one take turns.
-func (b *Backends) backendAt(listener int) int {
+// nextBackendAt is the backend that the next command at a listener is for. Those of a shared one take turns, and each call
+// ends a turn.
+func (b *Backends) nextBackendAt(listener int) int {
 	if listener < b.dedicated {
 		return listener
 	}
@@ -196,7 +197,7 @@
 		return b.rejectMalformed()
 	}
 	id := args[2]
-	backend := b.backendAt(listener)
+	backend := b.nextBackendAt(listener)
 	if b.config.OnCommand != nil && b.HasOwnListener(backend) {
 		b.config.OnCommand(backend, id, firstByte)
 	}
--- a/internal/emulator/backends_test.go
+++ b/internal/emulator/backends_test.go
@@ -67,7 +67,7 @@
 		t.Error("the listeners are not shared as they should be")
 	}
 	for range 6 {
-		if backend := b.backendAt(2); backend != 2 && backend != 4 {
+		if backend := b.nextBackendAt(2); backend != 2 && backend != 4 {
 			t.Errorf("backend %d at the address of 2 and 4", backend)
 		}
 	}
--- a/internal/emulator/catalog.go
+++ b/internal/emulator/catalog.go
@@ -123,8 +123,8 @@
 	return c.snapshotJSON
 }
 
-// ChangesSince returns what changed after an index, or the whole list where that is not known any more or was never had.
-// The channel is closed at the next change. Where nothing has changed the list has no entries.
+// ChangesSince returns what changed after an index, or the whole list where the changes since the index are no longer kept,
+// or the index was never reached. The channel is closed at the next change. Where nothing has changed the list has no entries.
 func (c *Catalog) ChangesSince(index int64) (Members, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -72,8 +72,9 @@
 	return answer.line, err
 }
 
-// Do sends a request and awaits its answer. took is the time from the writing of the last byte of the command to that
-// of the answer, 0 where no answer came.
+// Do sends a request and awaits its answer. took is the time from before the command is put together and written until its
+// whole answer is read, 0 where no answer came. It does not hold the wait for a connection, nor tries on connections that
+// the gateway had closed.
 func (c *Clients) Do(ctx context.Context, request *Request) (ending Ending, took time.Duration) {
 	select {
 	case c.slots <- struct{}{}:
@@ -94,7 +95,7 @@
 			return endingOf(request, answer), took
 		}
 		c.drop(conn)
-		// The gateway may close a connection between two requests: then once more on another one.
+		// The gateway may close connections between two requests: the next idle one is tried then, and at last a new one.
 		if conn.reused && errors.Is(err, errNoAnswerBegan) && ctx.Err() == nil {
 			continue
 		}
--- a/internal/emulator/counter_test.go
+++ b/internal/emulator/counter_test.go
@@ -42,8 +42,8 @@
 		t.Errorf("total %v, want 1", total)
 	}
 	numbers.Add(now.Add(2*maxTTL), "b", 1, time.Second)
-	if numbers.Names() != 1 {
-		t.Errorf("%d names, want 1", numbers.Names())
+	if numbers.Len() != 1 {
+		t.Errorf("%d numbers, want 1", numbers.Len())
 	}
 	numbers = NewNumbers(100)
 	for range 30 {
--- a/internal/emulator/ledger.go
+++ b/internal/emulator/ledger.go
@@ -86,8 +86,8 @@
 	entry.idempotency, entry.ended, entry.ending = request.Idempotency, true, ending
 }
 
-// Sums compares what the backends did with what the clients were told, by the requests' ids. They are part of
-// the JSON that a fleettest.Report writes.
+// Sums compares what the backends did with what the clients were told, by the requests' ids. They are part of the JSON
+// that a fleettest.Report writes.
 type Sums struct {
 	Requests   int `json:"requests"` // that ended at a client
 	Served     int `json:"served"`
@@ -98,7 +98,7 @@
 
 	Runs         int `json:"runs"`        // attempts that backends started
 	Ran          int `json:"ran"`         // requests of which they started one or more
-	RanNotServed int `json:"ran_unsaid"`  // ... that were not served, or whose client has no answer yet
+	RanNotServed int `json:"ran_unsaid"`  // run, but not served, or not ended
 	Phantom      int `json:"phantom"`     // served, but no backend ran them
 	Doubled      int `json:"doubled"`     // of a non-idempotent class, run more than once
 	RejectedRan  int `json:"refused_ran"` // of a non-idempotent class, run and yet rejected
--- a/internal/emulator/link.go
+++ b/internal/emulator/link.go
@@ -33,7 +33,6 @@
 // Link is a relay on loopback between any two parties. It can hold, drop or delay one direction, and reset connections.
 // Its goroutines end with Close.
 type Link struct {
-	Meter    Meter
 	listener *listener
 	target   string
 
@@ -57,7 +56,7 @@
 	l := &Link{target: target, relayed: map[*relayedConn]bool{}}
 	l.changed = sync.NewCond(&l.mu)
 	var err error
-	if l.listener, err = listen(addr, maxLinkConns, &l.Meter); err != nil {
+	if l.listener, err = listen(addr, maxLinkConns, &Meter{}); err != nil {
 		return nil, err
 	}
 	l.listener.serve(l.serveConn)
--- a/internal/emulator/model.go
+++ b/internal/emulator/model.go
@@ -68,7 +68,7 @@
 	return freeAt[first], true
 }
 
-// Attempts returns how many attempts each backend started, and how many were rejected by all.
+// Attempts returns how many attempts each backend started, and how many were rejected, by all backends together.
 func (m *Model) Attempts() (started []int, rejected int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/emulator/numbers.go
+++ b/internal/emulator/numbers.go
@@ -35,8 +35,8 @@
 	expiresAt time.Time
 }
 
-// NewNumbers returns no numbers yet. They take so many calls a second, a tenth of a second's at once; further ones are
-// rejected. 0: all calls are taken.
+// NewNumbers returns an empty set of numbers, which takes so many calls a second, a tenth of a second's at once, and rejects
+// further ones; 0: it takes all calls.
 func NewNumbers(callsPerSecond float64) *Numbers {
 	return &Numbers{numbers: map[string]number{}, callsPerSecond: callsPerSecond}
 }
@@ -48,8 +48,8 @@
 	n.rejectsAll = true
 }
 
-// Empty forgets all numbers, as a counter that was restarted.
-func (n *Numbers) Empty() {
+// Clear forgets all numbers, as a counter that was restarted.
+func (n *Numbers) Clear() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	clear(n.numbers)
@@ -62,8 +62,8 @@
 	return n.calls, n.rejected
 }
 
-// Names returns how many numbers are held.
-func (n *Numbers) Names() int {
+// Len returns how many numbers are held.
+func (n *Numbers) Len() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.numbers)
--- a/internal/emulator/resp.go
+++ b/internal/emulator/resp.go
@@ -11,11 +11,11 @@
 // The emulator parses RESP2 by itself, on purpose: a parser shared with the gateway (internal/resp) would make the same
 // mistake on both sides of a test, and the mistake would not show.
 
-// Limits of what is read, each far above what the protocol needs.
+// Limits of what is read: of a value the protocol's own, the others far above what the protocol needs.
 const (
-	maxValueBytes = 64 << 10 // of a bulk string
+	maxValueBytes = 64 << 10 // of a bulk string, by PROTOCOL-bellwood
 	maxItems      = 8        // of a command, or elements of an answer
-	maxLineBytes  = 512
+	maxLineBytes  = 512      // with its end
 )
 
 var errMalformed = errors.New("emulator: not RESP2 as the protocol has it")
--- a/internal/emulator/traffic.go
+++ b/internal/emulator/traffic.go
@@ -43,9 +43,9 @@
 	Plan          int
 	Idempotency   Idempotency
 	ClientTimeout time.Duration
-	Gateways      int // of the tenant's set ...
-	FirstGateway  int // ... from this one on, counted round
-	Key           string
+	Gateways      int    // of the tenant's set
+	FirstGateway  int    // of the tenant's set, which goes on with the next indices and, after the last, from 0 on
+	Key           string // of a request that is idempotent with a key; others don't send it
 	className     string
 	planName      string
 }
@@ -78,7 +78,7 @@
 	config       TrafficConfig
 	gatewayIndex int
 	rng          *rand.Rand
-	tenants      []int   // whose set holds this gateway
+	tenants      []int   // whose set holds this gateway, or any one where no set does
 	totalShare   float64 // of all classes
 	lastNumber   uint32  // of a request
 }
--- a/internal/fleettest/audit_test.go
+++ b/internal/fleettest/audit_test.go
@@ -100,7 +100,7 @@
 		case <-f.halt:
 			return
 		case <-time.After(50 * time.Millisecond):
-			f.numbers.Empty()
+			f.numbers.Clear()
 		}
 	}
 }
