--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -73,7 +73,7 @@
 }
 
 // Do sends a request and awaits its answer. took is the time from before the command is put together and written until its
-// whole answer is read, 0 where no answer came. It does not hold the wait for a connection, nor tries on connections that
+// whole answer is read, 0 where no answer came. It does not include the wait for a connection, nor tries on connections that
 // the gateway had closed.
 func (c *Clients) Do(ctx context.Context, request *Request) (ending Ending, took time.Duration) {
 	select {
--- a/internal/emulator/traffic.go
+++ b/internal/emulator/traffic.go
@@ -78,7 +78,7 @@
 	config       TrafficConfig
 	gatewayIndex int
 	rng          *rand.Rand
-	tenants      []int   // whose set holds this gateway, or any one where no set does
+	tenants      []int   // whose set holds this gateway; one tenant where no set does
 	totalShare   float64 // of all classes
 	lastNumber   uint32  // of a request
 }
--- a/internal/fleettest/drain.go
+++ b/internal/fleettest/drain.go
@@ -211,8 +211,8 @@
 	return pause(ctx, pauseBetweenDrains) // else the two changes could be told as one
 }
 
-// attemptRate measures how many attempts a second come to backends now. What takeBusiest ranks them by won't do: these
-// counts go back to the drain before, and may hold what came in quite another time.
+// attemptRate measures how many attempts a second come to backends now. The counts that takeBusiest ranks by are older, so
+// the rate is measured anew.
 func (r *fleetRun) attemptRate(ctx context.Context, backends []int) (float64, error) {
 	before, _ := r.emulated.model.Attempts()
 	start := time.Now()
--- a/internal/fleettest/load.go
+++ b/internal/fleettest/load.go
@@ -13,8 +13,8 @@
 const (
 	warmUp                   = time.Second            // from the load's begin to the first measuring
 	connectionSampleInterval = 100 * time.Millisecond // of the connections that backends hold
-	// requestsTimeoutFactor: a run of a number of requests fails once they have taken so many times as long as their rate
-	// asks for and the last of them may take.
+	// requestsTimeoutFactor: a run of a number of requests fails once they have taken so many times the sum of their time at
+	// the rate and the longest time of one request.
 	requestsTimeoutFactor = 3
 )
 
--- a/internal/simprotocol/doc.go
+++ b/internal/simprotocol/doc.go
@@ -2,8 +2,8 @@
 // of WIRE-bellwood into the events and settings of package policy, and prints policy's actions as lines. It decides nothing.
 //
 // The protocol and the settings have words of their own (worth, aim, effect, keyed, HAND_OFF, ...). They stand in this
-// package and nowhere else in the program; docs/GLOSSARY.md sets them beside the program's terms. The protocol's instance,
-// one gateway that the simulator plays, keeps its name here: what carries it is the engine's input and not yet a gateway.
+// package and nowhere else in the program; docs/GLOSSARY.md sets them beside the program's terms. An instance, the
+// protocol's word for a simulated gateway, keeps that name here.
 //
 //	parse.go      Reader: lines into batches of items; one parser for each message
 //	fields.go     the fields of a line, by position
--- a/internal/simprotocol/words.go
+++ b/internal/simprotocol/words.go
@@ -28,7 +28,7 @@
 }
 
 // Words of the setting classes[].group, which concerns keyed classes alone; the others may leave it out. WIRE-bellwood
-// doesn't say what a keyed class without a group means: here it counts as all, and is not refused as a missing effect is.
+// doesn't say what a keyed class without a group means: here it counts as all, and is no error as a missing effect is.
 // Where that is not so a retry may go to a backend that doesn't know the key, and the request may run twice; so a
 // deployment's settings must name the group of each keyed class.
 var dedupScopes = map[string]policy.DedupScope{
