--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -25,8 +25,8 @@
 	minIdleWithoutCommand = 500 * time.Millisecond
 	minIdleWhenFull       = 250 * time.Millisecond
 
-	fullRetryAfter = 100 * time.Millisecond // Retry-After of a rejection for want of room or memory
-	rejectedLinger = 250 * time.Millisecond // how long the rest is read of what came on a rejected connection
+	busyRetryAfter   = 100 * time.Millisecond // Retry-After of a rejection for want of capacity or memory
+	rejectedReadTime = 250 * time.Millisecond // how long is read what comes on a rejected connection
 
 	backlogPollTime = 5 * time.Millisecond   // when no connection came for this long, the backlog is empty
 	maxBacklogTime  = 100 * time.Millisecond // connections are accepted from the backlog for this long at most
@@ -38,8 +38,9 @@
 // halfCloser is a connection whose sending side can be closed, as that of TCP.
 type halfCloser interface{ CloseWrite() error }
 
-// accept takes connections until the listener is closed, or has a deadline and its backlog is empty. It is the
-// listener's own goroutine, which Server.Run starts; each connection gets one of its own.
+// accept takes connections until the listener is closed or, behind stopAccepting, until its backlog is empty, for
+// maxBacklogTime at most. It is the listener's own goroutine, which Server.Run starts; each connection gets one of its
+// own.
 func (clients *downstream) accept(ln net.Listener) {
 	defer close(clients.acceptEnded)
 	defer ln.Close()
@@ -82,8 +83,8 @@
 
 // backlog follows whether connections are left in the backlog of a listener that is to end.
 //
-// Failure: closing a listener resets the connections in its backlog. How it shows: their clients hold them for open,
-// have sent their requests, and get a reset during a shutdown. Why this holds: they are accepted until none came for
+// Failure: closing a listener resets the connections in its backlog. How it shows: their clients take them for
+// open, have sent their requests, and get a reset during a shutdown. Why this holds: they are accepted until none came for
 // backlogPollTime; and under a load that never ends, for maxBacklogTime. TestShutdownAcceptsTheBacklog,
 // TestAcceptEndsUnderLoad.
 type backlog struct {
@@ -169,7 +170,7 @@
 	return first
 }
 
-// rejectConn rejects a connection for which there is no room.
+// rejectConn rejects a connection for which there is no capacity.
 //
 // Failures: closing a connection whose request lies unread resets it, and the client loses the rejection; and a crowd
 // in the listener's backlog, each of it held until its request was read, takes the descriptors that backends, discovery
@@ -177,20 +178,20 @@
 // held for that; the others are closed before the next one is accepted. TestRejectedConnectionIsTold,
 // TestCrowdInTheBacklogTakesNoDescriptors.
 func (clients *downstream) rejectConn(socket net.Conn) {
-	rawsocket.WriteAvailable(socket, protocol.Busy(fullRetryAfter)) // nothing is taken, so nothing has run
+	rawsocket.WriteAvailable(socket, protocol.Busy(busyRetryAfter)) // nothing is taken, so nothing has run
 	half, ok := socket.(halfCloser)
 	if clients.rejected.Add(1) > budget.RejectedConns(clients.maxConns) || !ok || half.CloseWrite() != nil {
 		socket.Close()
 		clients.rejected.Add(-1)
 		return
 	}
-	go clients.discardRejected(socket)
+	go clients.readRejected(socket)
 }
 
-// discardRejected reads what comes on a rejected connection for a moment, and closes it.
-func (clients *downstream) discardRejected(socket net.Conn) {
+// readRejected reads what comes on a rejected connection for a moment, and closes it.
+func (clients *downstream) readRejected(socket net.Conn) {
 	defer clients.rejected.Add(-1)
 	defer socket.Close()
-	socket.SetReadDeadline(time.Now().Add(rejectedLinger))
-	io.Copy(io.Discard, io.LimitReader(socket, maxLingerBytes))
+	socket.SetReadDeadline(time.Now().Add(rejectedReadTime))
+	io.Copy(io.Discard, io.LimitReader(socket, maxDiscardedBytes))
 }
--- a/internal/policy/subset_test.go
+++ b/internal/policy/subset_test.go
@@ -6,21 +6,31 @@
 	"time"
 )
 
-// sharesOfTraffic gives by backend the part of a gateway's traffic that it gets from all gateways, were each
-// to share its traffic out evenly, and the size of the smallest subset when a zone is lost.
-func sharesOfTraffic(gateways []*Engine, lostZone int) (load map[string]float64, smallest int) {
-	load, smallest = map[string]float64{}, 1<<30
+// loadOfBackends gives by backend the traffic that it gets from all gateways, in units of one gateway's, were each
+// to share its traffic out evenly.
+func loadOfBackends(gateways []*Engine) map[string]float64 {
+	load := map[string]float64{}
 	for _, engine := range gateways {
-		left := 0
 		for _, b := range engine.subset.backends {
 			load[b.name] += 1 / float64(len(engine.subset.backends))
-			if b.zone != lostZone {
+		}
+	}
+	return load
+}
+
+// smallestWithout is the size of the smallest subset when a zone is lost.
+func smallestWithout(zone int, gateways []*Engine) int {
+	smallest := 1 << 30
+	for _, engine := range gateways {
+		left := 0
+		for _, b := range engine.subset.backends {
+			if b.zone != zone {
 				left++
 			}
 		}
 		smallest = min(smallest, left)
 	}
-	return load, smallest
+	return smallest
 }
 
 // busiest is the load of the busiest backend over the mean, for largeGateways.
@@ -32,6 +42,9 @@
 	return highest * float64(backends) / largeGateways
 }
 
+// lostZone is one of the zones of largeEndpointList.
+const lostZone = 3
+
 // largeFleet has largeGateways engines with their subsets of a list.
 func largeFleet(t *testing.T, list []Backend) []*Engine {
 	t.Helper()
@@ -52,19 +65,21 @@
 	}
 }
 
+// All gateways together use every backend, none far more than the mean, also when some have gone and some have come;
+// each has some left when a zone is lost, and a change of one backend changes the subsets of few.
 func TestSubsetsOfManyGateways(t *testing.T) {
 	for _, backends := range []int{200, 600} {
 		t.Run(fmt.Sprint(backends, " backends"), func(t *testing.T) {
 			list := largeEndpointList(backends)
 			gateways := largeFleet(t, list)
-			load, smallest := sharesOfTraffic(gateways, 3)
+			load, smallest := loadOfBackends(gateways), smallestWithout(lostZone, gateways)
 			checkShares(t, "at first", load, backends)
 			if smallest < minSubset/2 {
 				t.Errorf("a gateway has %d backends left when a zone is lost", smallest)
 			}
 			changed := 0
 			for step := range 10 {
-				changed += replaceOne(gateways, list[step], step)
+				changed += removeOrAdd(gateways, list[step], step)
 			}
 			if mean := float64(changed) / 10; mean > 0.12*largeGateways {
 				t.Errorf("%.0f of %d gateways change their subset when one backend comes or goes", mean, largeGateways)
@@ -72,15 +87,15 @@
 				t.Logf("%.0f gateways change, busiest %.2f, smallest without a zone %d", mean, busiest(load, backends),
 					smallest)
 			}
-			load, _ = sharesOfTraffic(gateways, 3)
+			load = loadOfBackends(gateways)
 			checkShares(t, "after changes", load, backends)
 		})
 	}
 }
 
-// replaceOne tells all gateways that a backend has terminated or, in odd steps, that a new one has come, and
+// removeOrAdd tells all gateways that a backend has terminated or, in odd steps, that a new one has come, and
 // returns how many change their subsets.
-func replaceOne(gateways []*Engine, b Backend, step int) (changed int) {
+func removeOrAdd(gateways []*Engine, b Backend, step int) (changed int) {
 	if step%2 == 0 {
 		b.State = Terminated
 	} else {
@@ -163,8 +178,8 @@
 		settings := manyGateways(largeGateways)
 		settings.GatewayIndex = i
 		engine := newTestEngine(b, settings, list...)
-		own, left := sharesOfTraffic([]*Engine{engine}, 3)
-		smallest = min(smallest, left)
+		own := loadOfBackends([]*Engine{engine})
+		smallest = min(smallest, smallestWithout(lostZone, []*Engine{engine}))
 		for name, share := range own {
 			load[name] += share
 			users[name]++
@@ -198,7 +213,7 @@
 		names := map[string]bool{}
 		for n := range 200 {
 			now := from + time.Duration(n)*200*ms
-			events := []Event{testRequest(uint64(from)+uint64(n), idempotentClass, noQuotaPlan), Timer{0}}
+			events := []Event{testRequest(uint64(from)+uint64(n), idempotentClass, noQuotaPlan), Timer{checkCookie}}
 			for _, sent := range sendsOf(engine.Step(now, events)) {
 				names[sent.Backend] = true
 				engine.Step(now+50*ms, []Event{servedResult(sent, 0, 50*ms)})
