--- a/internal/gateway/config_test.go
+++ b/internal/gateway/config_test.go
@@ -22,7 +22,7 @@
 		!settings.SharedCounter || settings.DrainGrace != 250*time.Millisecond {
 		t.Errorf("settings %+v", settings)
 	}
-	if fmt.Sprint(transport.Classes, transport.Plans, transport.Zones, transport.BackendTypes) !=
+	if fmt.Sprint(transport.Classes, transport.Plans, transport.Zones, transport.Kinds) !=
 		"[evaluate change once] [open starter] [dc1] [std]" ||
 		transport.DialTimeout != 250*time.Millisecond || transport.ConnIdleTimeout != 30*time.Second {
 		t.Errorf("transport %+v", transport)
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -10,11 +10,7 @@
 func newDiscovery(server *Server) *discovery.Client {
 	cfg := server.cfg
 	return discovery.New(discoveryLoop{server}, discovery.Options{Address: cfg.Discovery, Index: cfg.Known.Index,
-<<<<<<< HEAD
-		Zones: cfg.Transport.Zones, Types: cfg.Transport.BackendTypes, Log: server.log,
-=======
 		Zones: cfg.Transport.Zones, Kinds: cfg.Transport.Kinds, Log: server.log,
->>>>>>> tests-mend
 		Silence: cfg.watchSilence, Dial: cfg.discoveryDial})
 }
 
