--- a/internal/simprotocol/parse.go
+++ b/internal/simprotocol/parse.go
@@ -47,7 +47,8 @@
 	in   *bufio.Reader
 	line int // number of the last line
 
-	// Lists are told once, by CENSUS and its entries, and referred to by number.
+	// Lists are told once, by CENSUS and its entries, and referred to by number, by any number of instances. They are kept
+	// to the end; the events that refer to one share its entries, which nobody may change.
 	lists      map[int][]policy.Backend
 	listNumber int // of the list being told
 	list       []policy.Backend
@@ -251,9 +252,9 @@
 		TimeLeft: fields.duration(),
 	}
 	request.Cost = fields.numberOr(1)
-	request.Gateways = int(fields.idOr(0))
-	fields.idOr(0) // first-door: the module needs no more than the number of gateways
-	request.ClientRetry = fields.idOr(0)&clientRetryBit != 0
+	request.Gateways = int(fields.countOr(0))
+	fields.countOr(0) // first-door: the engine needs no more than the number of gateways
+	request.ClientRetry = fields.countOr(0)&clientRetryBit != 0
 	return request
 }
 
@@ -265,7 +266,7 @@
 		Status:  fields.status(),
 	}
 	result.Latency, result.RequestClosed = fields.duration(), fields.flag()
-	result.QuotaUsage, result.Cost = int(fields.idOr(0)), fields.numberOr(0)
+	result.QuotaUsage, result.Cost = int(fields.countOr(0)), fields.numberOr(0)
 	return result
 }
 
