--- a/internal/gateway/audit_test.go
+++ b/internal/gateway/audit_test.go
@@ -14,7 +14,7 @@
 // fakeAuditedGateway is a gateway whose clock stands until the test moves it, and that notes what the audit wants.
 type fakeAuditedGateway struct {
 	clock time.Duration
-	did   []string
+	did   []string // what it was to do, in order
 }
 
 func (g *fakeAuditedGateway) now() time.Duration          { return g.clock }
@@ -25,7 +25,11 @@
 func (g *fakeAuditedGateway) fetchSnapshot(func(bool))    { g.did = append(g.did, "fetch the list") }
 
 func (g *fakeAuditedGateway) setOutOfService(out bool) {
-	g.did = append(g.did, map[bool]string{true: "leave service", false: "return to service"}[out])
+	if out {
+		g.did = append(g.did, "leave service")
+	} else {
+		g.did = append(g.did, "return to service")
+	}
 }
 
 func (g *fakeAuditedGateway) addToCounter(uint64, float64, time.Duration, func(policy.Status, float64)) {
@@ -51,18 +55,18 @@
 // A version that the loop has taken counts as in force only once the engine has had its Step with it.
 func TestAuditHearsOfAVersionOnceTheEngineActsOnIt(t *testing.T) {
 	a, gateway := startAuditor(t)
-	passUntilLogged := func() {
+	endPassAndStep := func() { // steps the audit a second after the pass
 		a.endPass()
 		gateway.clock += time.Second
 		a.step()
 	}
 	a.adopted(2, audit.FromDelta)
-	passUntilLogged()
+	endPassAndStep()
 	if records := a.machine.Records(); len(records) != 0 {
 		t.Errorf("before the engine's Step: %+v", records)
 	}
 	a.inForce()
-	passUntilLogged()
+	endPassAndStep()
 	records := a.machine.Records()
 	if len(records) != 1 || records[0].(audit.VersionRecord).Version != 2 {
 		t.Errorf("after the engine's Step: %+v", records)
--- a/internal/gateway/config_test.go
+++ b/internal/gateway/config_test.go
@@ -11,6 +11,7 @@
 	"bellwood/internal/policy"
 )
 
+// The file's settings come where the engine, the transport and the process look for them.
 func TestReadConfig(t *testing.T) {
 	c := config(t, true, 250_000)
 	settings, transport := c.Settings, c.Transport
@@ -42,8 +43,8 @@
 		return func(err error) bool { return errors.Is(err, reason) }
 	}
 	for setting, c := range map[string]struct {
-		spoil     func(*Config)
-		hasReason func(error) bool
+		invalidate func(*Config)
+		hasReason  func(error) bool
 	}{
 		"listen":                          {func(c *Config) { c.Listen = "nowhere" }, isAddressError},
 		"discovery":                       {func(c *Config) { c.Discovery = "nowhere" }, isAddressError},
@@ -54,7 +55,7 @@
 	} {
 		t.Run(setting, func(t *testing.T) {
 			cfg := config(t, true, 250_000)
-			c.spoil(cfg)
+			c.invalidate(cfg)
 			err := cfg.Check()
 			var named *SettingError
 			if !errors.As(err, &named) || named.Setting != setting || !c.hasReason(err) {
--- a/internal/gateway/crowdedgateway_test.go
+++ b/internal/gateway/crowdedgateway_test.go
@@ -21,7 +21,7 @@
 )
 
 // asCrowdedGateway stands in the environment of a process that is to be a gateway and not the tests.
-const asCrowdedGateway = "FRONT_CROWDED"
+const asCrowdedGateway = "GATEWAY_CROWDED"
 
 func TestMain(m *testing.M) {
 	if os.Getenv(asCrowdedGateway) != "" {
