--- a/internal/simprotocol/transport.go
+++ b/internal/simprotocol/transport.go
@@ -11,9 +11,9 @@
 // sockets does.
 type Transport struct {
 	Classes, Plans, Zones, Kinds []string      // names, in the order of the indices that the engine uses
-	DialTimeout                         time.Duration // a connection that is not up by then has failed
-	ConnIdleTimeout                     time.Duration // backends close a connection that has been idle for this long
-	MaxOpenRequests                     int           // requests that may be open at once; 0: no limit is told
+	DialTimeout                  time.Duration // a connection that is not up by then has failed
+	ConnIdleTimeout              time.Duration // backends close a connection that has been idle for this long
+	MaxOpenRequests              int           // requests that may be open at once; 0: no limit is told
 }
 
 // ParseTransport maps settings, by their paths, to a Transport. Zones and backend types that are not given are one entry with
@@ -24,7 +24,7 @@
 		Classes:         v.names("classes"),
 		Plans:           v.names("tiers-of-service"),
 		Zones:           strings.Split(settings["areas"], ","),
-		Kinds:    strings.Split(settings["kinds"], ","),
+		Kinds:           strings.Split(settings["kinds"], ","),
 		DialTimeout:     v.duration("limits.dial-timeout-us"),
 		ConnIdleTimeout: v.duration("limits.conn-idle-us"),
 		MaxOpenRequests: v.wholeNumber("limits.open-cap"),
