--- a/internal/audit/doc.go
+++ b/internal/audit/doc.go
@@ -15,8 +15,8 @@
 //     count as behind, except its own check after its process was paused.
 //   - A gateway that a quorum is ahead of is behind. It goes through stages: it waits, reopens the watch, fetches the
 //     whole list, and is stale if all that has failed: it wants to be out of service until it has caught up.
-//   - Only the holder of a slot is out of service. Slots are leased for an epoch, so that a bounded part of the fleet is
-//     out at once.
+//   - For being stale only the holder of a slot is out of service. Slots are leased for an epoch, so that a bounded part
+//     of the fleet is out at once. The check after a pause of the process needs no slot.
 //
 // # Who owns what
 //
--- a/internal/audit/event.go
+++ b/internal/audit/event.go
@@ -97,7 +97,7 @@
 type FetchSnapshot struct{}
 
 // LeaveService takes the gateway out of service: it starts no attempt, rejects new requests at once and says that it is
-// not ready. Attempts in flight go on.
+// not ready. Attempts whose command is written go on.
 type LeaveService struct{}
 
 // ReturnToService puts the gateway back in service.
--- a/internal/gateway/audit.go
+++ b/internal/gateway/audit.go
@@ -26,8 +26,8 @@
 	setOutOfService(out bool)
 	// reopenWatch opens discovery's watch anew, from the version in force.
 	reopenWatch()
-	// fetchSnapshot gets the whole list and opens a watch from there. It calls ended once, at the end, with whether the
-	// list was applied.
+	// fetchSnapshot gets the whole list and, if it has another index than the one applied last, opens a watch from
+	// there. It calls ended once, at the end, with whether the list was applied.
 	fetchSnapshot(ended func(ok bool))
 	// addToCounter makes a counter call. It calls ended once, possibly before it returns.
 	addToCounter(name uint64, amount float64, ttl time.Duration, ended func(policy.Status, float64))
--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -199,10 +199,12 @@
 
 // placeOverQuota dispatches a request that is over a limit or its quota at the lowest level, if its plan
 // earns something for it there and its hard limit holds it. Else it is rejected: for what it is over, or for
-// the hard limit. At the lowest level a first attempt goes only to a backend with a free slot; it never joins
-// a queue behind others (waitsTooLong). The advice when to come back is always the quota's, also where it was
-// another limit: the time until the quota's bucket should hold the cost (lease.TimeUntil), which for a plan
-// without a rate counts as filling by 0.1 units a second.
+// the hard limit. At the lowest level a first attempt goes only to a backend with a free slot (waitsTooLong);
+// it waits in that backend's queue only where its slow-start budget is spent.
+//
+// The advice when to come back is always the quota's, also where it was another limit: the time until the
+// quota's bucket should hold the cost (lease.TimeUntil), which for a plan without a rate counts as filling by
+// 0.1 units a second.
 func (e *Engine) placeOverQuota(r *request, decision quotaDecision) {
 	if !e.earnsOverQuota(r) {
 		e.reject(r, rejection{decision.rejectReason(), r.tenant.lease.TimeUntil(e.now, r.cost)})
--- a/internal/policy/callshare/callshare.go
+++ b/internal/policy/callshare/callshare.go
@@ -15,7 +15,7 @@
 	// that does not respond is tested is the caller's to bound.
 	MinShare = 0.02
 	// SilentShare is the share at or below which the counter counts as silent or swamped. One answer lifts a
-	// smaller share to it, the next in good time above it.
+	// smaller share to it or just above, the next in good time above it in any case.
 	SilentShare = 0.05
 	// timelyPart is the part of its time-out that a call should take at most: later answers lower the share.
 	timelyPart = 0.5
--- a/internal/policy/countercalls.go
+++ b/internal/policy/countercalls.go
@@ -13,12 +13,14 @@
 //   - From then on a gateway calls for tokens at most once in 100 ms or in 5 ms for each gateway, whichever
 //     is longer: for a request that neither leased nor fallback tokens pay, with the chance share^rank
 //     (callChance), or to renew leased tokens, if it has any left. So tests of the counter are rare, and a
-//     gateway whose fallback tokens suffice soon makes none. A request that calls waits for the answer; of
-//     the others, one that finds too few fallback tokens goes on credit, and one that finds none is over its
-//     quota.
-//   - The first answer lifts the share to 0.05, which is still no counter that responds; the second in good
-//     time lifts it above. What was spent meanwhile, the unreported usage, is added to the counter by the
-//     next call for tokens, in the number of the window of 30 s that is then the present one.
+//     gateway whose fallback tokens suffice soon makes none. A request that calls waits for the answer or the
+//     time-out, and so do those of its tenant that come meanwhile and find too few tokens. Without a call,
+//     one that finds too few fallback tokens goes on credit, and one that finds none is over its quota; so
+//     is, in place of credit, a client's retry, and one of a tenant whose bucket was found empty.
+//   - The first answer lifts the share to 0.05 or, where it had not fallen far below, just above; a second in
+//     good time lifts it above in any case, and the counter responds again. What fallback tokens paid for
+//     meanwhile, the unreported usage, is added to the counter by the next call for tokens, in the number of
+//     the window of 30 s that is then the present one. What went on credit is not reported.
 //   - As each window has a number of its own that starts at 0, a new one makes each bucket look fuller than
 //     it is. The first answer of a window shows this, and lease.Lease finds the difference, which is added to
 //     the number if it is worth a call (Settlement.Overflow).
--- a/internal/policy/slowstart/slowstart.go
+++ b/internal/policy/slowstart/slowstart.go
@@ -81,8 +81,9 @@
 // much shorter. Under one attempt a window, as with many gateways, it is one attempt in a time that is longer
 // by 1/budget, but at most Duration or, if that is longer, OverloadWindow x Gateways / minWindowAttempts. The
 // first then comes at a random moment of that time, as all gateways learn of a start together; this can leave
-// a backend that only this gateway knows idle for a while. One random number is drawn in each slow start in
-// which the budget is ever under one attempt.
+// a backend that only this gateway knows idle for a while. One random number is drawn when the budget first
+// is under one attempt. A backend that starts again while it warms up keeps that moment and its recent
+// attempts.
 func (b *Budget) Spent(now time.Duration, set *Settings, load Load, rng *rand.Rand) bool {
 	span := set.OverloadWindow.Seconds()
 	budget := usedShare * set.OverloadMultiple * load.Share * load.PerBackend * span *
--- a/internal/policy/subset.go
+++ b/internal/policy/subset.go
@@ -30,8 +30,8 @@
 // backendSubset is the subset of one gateway (the paper knows one balancer: were each of many gateways to
 // use all backends, a backend's connections and handshakes would grow with the gateways, and each gateway
 // would send to it too seldom to know it). The gateways of one round divide the whole list among them, so
-// every backend is in the same number of subsets. They do so by consistent hashing with bounded loads: a
-// change of the list moves few.
+// every backend is in one subset of each round; the last round may have too few gateways to use all. They do
+// so by consistent hashing with bounded loads: a change of the list moves few.
 type backendSubset struct {
 	gateways           int
 	gatewayIndex       int
--- a/internal/policy/tenants.go
+++ b/internal/policy/tenants.go
@@ -10,7 +10,8 @@
 
 const (
 	// tenantIdleTime is how long a tenant is kept without a request. One that comes back later is as one that
-	// was never seen: what its lease held has expired by then. Its unreported usage is forgotten with it.
+	// was never seen: what its lease held has expired by then. Its unreported usage is forgotten with it, and
+	// its share of a hard limit counts as having filled since the engine's start.
 	tenantIdleTime = 60 * time.Second
 	// evictionsPerCheck is how many tenants one periodic check looks at, so that its cost does not grow with
 	// their number.
