--- a/cmd/bellwood/main.go
+++ b/cmd/bellwood/main.go
@@ -13,7 +13,7 @@
 	"syscall"
 	"time"
 
-	"bellwood/internal/front"
+	"bellwood/internal/gateway"
 	"bellwood/internal/logsink"
 )
 
@@ -51,7 +51,7 @@
 	sink := logsink.New(os.Stderr)
 	defer sink.Close(logWithin)
 	log := slog.New(slog.NewTextHandler(sink, nil)).With("name", cfg.Name)
-	f, err := front.New(cfg, log)
+	f, err := gateway.New(cfg, log)
 	if err != nil {
 		return err
 	}
@@ -68,7 +68,7 @@
 
 // reload reads the file again at each signal. The file now goes before the environment, which tells what held at
 // the start; only the addresses of discovery and the counter change.
-func reload(hup <-chan os.Signal, ended <-chan struct{}, f *front.Front, log *slog.Logger) {
+func reload(hup <-chan os.Signal, ended <-chan struct{}, f *gateway.Server, log *slog.Logger) {
 	for {
 		select {
 		case <-hup:
@@ -88,7 +88,7 @@
 }
 
 // readConfig reads the configuration; the other variables go before what the file says.
-func readConfig() (*front.Config, error) {
+func readConfig() (*gateway.Config, error) {
 	cfg, err := readFile()
 	if err != nil {
 		return nil, err
@@ -103,11 +103,11 @@
 }
 
 // readFile reads the file that NODE_CONFIG names.
-func readFile() (*front.Config, error) {
+func readFile() (*gateway.Config, error) {
 	file, err := os.Open(os.Getenv("NODE_CONFIG"))
 	if err != nil {
 		return nil, fmt.Errorf("NODE_CONFIG: %w", err)
 	}
 	defer file.Close()
-	return front.ReadConfig(file)
+	return gateway.ReadConfig(file)
 }
--- a/cmd/scalerun/mixed.go
+++ b/cmd/fleetbench/mixed.go
@@ -9,8 +9,8 @@
 
 	"github.com/spf13/cobra"
 
-	"bellwood/internal/mixed"
-	"bellwood/internal/scale"
+	"bellwood/internal/fleetsim"
+	"bellwood/internal/fleettest"
 )
 
 // mixedRun are the flags of runs with real doors.
@@ -27,9 +27,9 @@
 var mixedBackends = []int{14, 200, 11000}
 
 // mixedCommand builds the subcommand that starts real doors.
-func (s *settings) mixedCommand(run func(name, short string, m func(context.Context, *scale.Report) error) *cobra.Command) *cobra.Command {
+func (s *settings) mixedCommand(run func(name, short string, m func(context.Context, *fleetsim.Report) error) *cobra.Command) *cobra.Command {
 	var m mixedRun
-	c := run("mixed", "Start real doors beside hollow ones, in real time", func(ctx context.Context, rep *scale.Report) error {
+	c := run("mixed", "Start real doors beside hollow ones, in real time", func(ctx context.Context, rep *fleetsim.Report) error {
 		return m.measure(ctx, s, rep)
 	})
 	c.Long = "mixed starts a few real doors on loopback, as deploy/balancer.toml says, beside decision modules that share\n" +
@@ -49,7 +49,7 @@
 }
 
 // measure makes one run for each number of backends. A door's failure is told and is an error.
-func (m *mixedRun) measure(ctx context.Context, s *settings, rep *scale.Report) error {
+func (m *mixedRun) measure(ctx context.Context, s *settings, rep *fleetsim.Report) error {
 	none := func(n int) int { // 0 asks for the default there
 		if n == 0 {
 			return -1
@@ -58,12 +58,12 @@
 	}
 	var errs []error
 	for _, n := range m.backends {
-		r, err := mixed.Run(ctx, mixed.Options{Root: m.root, RealDoors: none(m.real), HollowDoors: none(m.hollow), Doors: m.told,
+		r, err := fleettest.Run(ctx, fleettest.Options{Root: m.root, RealDoors: none(m.real), HollowDoors: none(m.hollow), Doors: m.told,
 			Backends: n, Duration: m.duration, Requests: m.requests, Drains: none(m.drains), Restarts: none(m.restart),
 			Seed: s.Seed, Progress: s.Progress})
 		if r != nil {
 			for _, row := range r.Rows() {
-				rep.Add(scale.Row{Name: row.Name, Unit: row.Unit, Doors: row.Doors, Backends: row.Backends, Value: row.Value,
+				rep.Add(fleetsim.Row{Name: row.Name, Unit: row.Unit, Doors: row.Doors, Backends: row.Backends, Value: row.Value,
 					Noisy: strings.HasSuffix(row.How, "noisy"), How: row.How})
 			}
 			for _, row := range r.Failed() {
--- a/cmd/simhost/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command simhost hosts one bellwood.Door for each instance on the simulator's wire.
+// Command simadapter hosts one bellwood.Door for each instance on the simulator's wire.
 package main
 
 import (
@@ -8,21 +8,21 @@
 	"io"
 	"os"
 
-	"bellwood"
-	"bellwood/internal/wire"
+	"bellwood/internal/policy"
+	"bellwood/internal/simprotocol"
 )
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "simhost:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
 
 // run answers batches until the input ends.
 func run(in io.Reader, out io.Writer) error {
-	r, w := wire.NewReader(in), bufio.NewWriterSize(out, 1<<20)
-	doors := map[string]*bellwood.Door{}
+	r, w := simprotocol.NewReader(in), bufio.NewWriterSize(out, 1<<20)
+	doors := map[string]*policy.Engine{}
 	var line []byte
 	for {
 		b, err := r.Next()
@@ -36,7 +36,7 @@
 			it := b.Items[i]
 			switch {
 			case it.Start:
-				d, err := bellwood.New(it.Settings, it.Seed)
+				d, err := policy.New(it.Settings, it.Seed)
 				if err != nil {
 					return fmt.Errorf("settings of %s: %w", it.Door, err)
 				}
@@ -50,12 +50,12 @@
 				i++
 				continue
 			}
-			var events []bellwood.Event
+			var events []policy.Event
 			for ; i < len(b.Items) && b.Items[i].Door == it.Door && b.Items[i].Event != nil; i++ {
 				events = append(events, b.Items[i].Event)
 			}
 			for _, a := range doors[it.Door].Step(b.Now, events) {
-				line = wire.Append(line[:0], it.Door, a)
+				line = simprotocol.Append(line[:0], it.Door, a)
 				w.Write(line)
 			}
 		}
--- a/internal/standin/standin.go
+++ b/internal/emulator/standin.go
@@ -1,8 +1,8 @@
-// Package standin stands in for what surrounds a front door: discovery's agent, the counter, the backends and the
+// Package emulator stands in for what surrounds a front door: discovery's agent, the counter, the backends and the
 // clients. Everything listens on loopback alone, holds bounded buffers, and closes a connection on bad input. What the
 // stand-ins hold (the catalog, the counter's numbers, the model of the backends) can also be used without sockets, so
 // that doors within this process are told and counted by the same.
-package standin
+package emulator
 
 import (
 	"errors"
--- a/internal/scale/clock.go
+++ b/internal/fleetsim/clock.go
@@ -1,4 +1,4 @@
-package scale
+package fleetsim
 
 import (
 	"bufio"
--- a/internal/scale/scale.go
+++ b/internal/fleetsim/scale.go
@@ -1,9 +1,9 @@
-// Package scale measures how the work, the memory and the sums of many doors grow with the doors and the backends.
+// Package fleetsim measures how the work, the memory and the sums of many doors grow with the doors and the backends.
 // The doors are modules that share a process. They run in virtual time against backends and a counter of this
 // package's own: one door after another, or several side by side, never all at once, unless they share the counter.
 //
 // What a seed decides (requests, answers, what doors do) repeats with it. Times and bytes are the machine's.
-package scale
+package fleetsim
 
 import (
 	"context"
--- a/internal/mixed/hollow.go
+++ b/internal/fleettest/hollow.go
@@ -1,4 +1,4 @@
-package mixed
+package fleettest
 
 import (
 	"context"
@@ -8,8 +8,8 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"bellwood"
-	"bellwood/internal/standin"
+	"bellwood/internal/emulator"
+	"bellwood/internal/policy"
 	"bellwood/internal/timerqueue"
 )
 
@@ -24,12 +24,12 @@
 // the real doors. Its goroutine owns it, but for what is atomic.
 type hollow struct {
 	w        *world
-	door     *bellwood.Door
-	traffic  *standin.Traffic
+	door     *policy.Engine
+	traffic  *emulator.Traffic
 	rank     int
 	index    int64 // of the list as this door has it
 	listed   []bool
-	events   []bellwood.Event
+	events   []policy.Event
 	timers   timerqueue.Queue
 	requests map[uint64]*hollowRequest
 	lastID   uint64
@@ -45,7 +45,7 @@
 
 type hollowRequest struct {
 	id       uint64
-	q        *standin.Request
+	q        *emulator.Request
 	due      time.Duration
 	overdue  *timerqueue.Timer
 	attempts []*hollowAttempt
@@ -67,14 +67,14 @@
 	if err != nil {
 		return nil, err
 	}
-	door, err := bellwood.New(set, w.o.Seed+uint64(rank))
+	door, err := policy.New(set, w.o.Seed+uint64(rank))
 	if err != nil {
 		return nil, err
 	}
 	if requests == 0 {
 		requests = -1
 	}
-	return &hollow{w: w, door: door, rank: rank, traffic: standin.NewTraffic(w.traffic, rank), left: requests,
+	return &hollow{w: w, door: door, rank: rank, traffic: emulator.NewTraffic(w.traffic, rank), left: requests,
 		listed: make([]bool, w.o.Backends), requests: map[uint64]*hollowRequest{}}, nil
 }
 
@@ -82,7 +82,7 @@
 func (h *hollow) run(ctx context.Context, begin, halt <-chan struct{}) {
 	alarm := time.NewTimer(0)
 	defer alarm.Stop()
-	h.take(h.w.catalog.Whole(), bellwood.Cached)
+	h.take(h.w.catalog.Whole(), policy.CachedSnapshot)
 	_, wake := h.w.catalog.Since(h.index)
 	for {
 		if !h.step(ctx) {
@@ -102,11 +102,11 @@
 			halt = nil
 			h.left = 0
 		case <-wake:
-			var m standin.Members
+			var m emulator.Members
 			if m, wake = h.w.catalog.Since(h.index); m.Snapshot {
-				h.take(m, bellwood.Whole)
+				h.take(m, policy.Snapshot)
 			} else if len(m.Endpoints) > 0 {
-				h.take(m, bellwood.Delta)
+				h.take(m, policy.Delta)
 			}
 		case <-alarm.C:
 		}
@@ -144,59 +144,59 @@
 	return ctx.Err() == nil
 }
 
-func (h *hollow) tell(ev bellwood.Event) { h.events = append(h.events, ev) }
+func (h *hollow) tell(ev policy.Event) { h.events = append(h.events, ev) }
 
-func (h *hollow) act(a bellwood.Action) {
+func (h *hollow) act(a policy.Action) {
 	switch a := a.(type) {
-	case bellwood.Send:
+	case policy.SendAttempt:
 		if r := h.requests[a.ID]; r != nil {
 			h.send(r, a)
 		}
-	case bellwood.Cancel:
+	case policy.CancelAttempt:
 		if r := h.requests[a.ID]; r != nil && a.Attempt < len(r.attempts) {
-			h.end(r.attempts[a.Attempt], bellwood.Cancelled)
+			h.end(r.attempts[a.Attempt], policy.Cancelled)
 		}
-	case bellwood.Refuse:
-		h.answer(h.requests[a.ID], standin.Refused)
-	case bellwood.Fail:
-		h.answer(h.requests[a.ID], standin.Failed)
-	case bellwood.Probe:
-		h.after(refusedHop, func() { h.tell(bellwood.Probed{Backend: a.Backend, Status: bellwood.OK}) })
-	case bellwood.Count:
-		total, ok := h.w.numbers.Add(time.Now(), counterName(a.Name), a.Amount, a.Keep)
-		ev := bellwood.Counted{Name: a.Name, Status: bellwood.Full}
+	case policy.Reject:
+		h.answer(h.requests[a.ID], emulator.Refused)
+	case policy.Fail:
+		h.answer(h.requests[a.ID], emulator.Failed)
+	case policy.HealthCheck:
+		h.after(refusedHop, func() { h.tell(policy.HealthCheckResult{Backend: a.Backend, Status: policy.OK}) })
+	case policy.AddToCounter:
+		total, ok := h.w.numbers.Add(time.Now(), counterName(a.Name), a.Amount, a.TTL)
+		ev := policy.CounterResult{Name: a.Name, Status: policy.Rejected}
 		if ok {
-			ev = bellwood.Counted{Name: a.Name, Status: bellwood.OK, Total: total}
+			ev = policy.CounterResult{Name: a.Name, Status: policy.OK, Total: total}
 		}
 		h.after(counterHop, func() { h.tell(ev) })
-	case bellwood.SetTimer:
-		h.timers.Add(a.At, func() { h.tell(bellwood.Timer{Cookie: a.Cookie}) })
-	case bellwood.Fetch:
-		h.after(refusedHop, func() { h.take(h.w.catalog.Whole(), bellwood.Whole) })
+	case policy.SetTimer:
+		h.timers.Add(a.At, func() { h.tell(policy.Timer{Cookie: a.Cookie}) })
+	case policy.FetchEndpoints:
+		h.after(refusedHop, func() { h.take(h.w.catalog.Whole(), policy.Snapshot) })
 	}
 }
 
 func (h *hollow) after(pause time.Duration, do func()) { h.timers.Add(h.w.now()+pause, do) }
 
 // take hands a list or its changes on.
-func (h *hollow) take(m standin.Members, scope bellwood.Scope) {
+func (h *hollow) take(m emulator.Members, scope policy.UpdateKind) {
 	h.index = m.Index
-	if scope != bellwood.Delta {
+	if scope != policy.Delta {
 		clear(h.listed)
 	}
-	list := bellwood.List{Scope: scope, Entries: make([]bellwood.Backend, 0, len(m.Endpoints))}
+	list := policy.EndpointUpdate{Kind: scope, Backends: make([]policy.Backend, 0, len(m.Endpoints))}
 	for _, e := range m.Endpoints {
 		i := h.w.spot[e.Name]
 		state := states[e.Status]
-		h.listed[i] = state == bellwood.InService
-		list.Entries = append(list.Entries, bellwood.Backend{Name: e.Name, Zone: i % h.w.o.Zones, Cell: e.Group,
+		h.listed[i] = state == policy.InService
+		list.Backends = append(list.Backends, policy.Backend{Name: e.Name, Zone: i % h.w.o.Zones, Cell: e.Group,
 			State: state, Weight: e.Weight, Started: time.Duration(e.SinceMS) * time.Millisecond})
 	}
 	h.tell(list)
 }
 
-var states = map[string]bellwood.State{standin.Serving: bellwood.InService, standin.Draining: bellwood.Terminating,
-	standin.Deleted: bellwood.Terminated}
+var states = map[string]policy.BackendState{emulator.Serving: policy.InService, emulator.Draining: policy.Draining,
+	emulator.Deleted: policy.Terminated}
 
 // arrive takes the requests in that are due, and plans for the next.
 func (h *hollow) arrive() {
@@ -221,7 +221,7 @@
 	}
 }
 
-func (h *hollow) arrived(q *standin.Request) {
+func (h *hollow) arrived(q *emulator.Request) {
 	h.left--
 	now := h.w.now()
 	if now-h.nextAt > mostBehind {
@@ -235,15 +235,15 @@
 	h.requests[r.id] = r
 	r.overdue = h.timers.Add(r.due, func() {
 		h.abandoned.Add(1)
-		h.leave(r, standin.Failed)
-		h.tell(bellwood.Gone{ID: r.id})
+		h.leave(r, emulator.Failed)
+		h.tell(policy.ClientGone{ID: r.id})
 	})
-	h.tell(bellwood.Request{ID: r.id, Class: q.Class, Plan: q.Plan, Customer: q.Customer, Left: q.Wait, Units: 1,
-		Doors: q.Spread})
+	h.tell(policy.Request{ID: r.id, Class: q.Class, Plan: q.Plan, Tenant: q.Customer, TimeLeft: q.Wait, Cost: 1,
+		Gateways: q.Spread})
 }
 
 // send starts an attempt, with the same conditions as a real door's.
-func (h *hollow) send(r *hollowRequest, s bellwood.Send) {
+func (h *hollow) send(r *hollowRequest, s policy.SendAttempt) {
 	wall, now := time.Now(), h.w.now()
 	a := &hollowAttempt{r: r, no: len(r.attempts), backend: s.Backend, at: now}
 	until := r.due
@@ -253,43 +253,43 @@
 	r.attempts = append(r.attempts, a)
 	r.open++
 	i, known := h.w.spot[s.Backend]
-	if r.ended || until <= now || r.open > 1 || s.Before > 0 && now >= s.Before || !known || !h.listed[i] {
-		h.end(a, bellwood.Moot)
+	if r.ended || until <= now || r.open > 1 || s.SendBefore > 0 && now >= s.SendBefore || !known || !h.listed[i] {
+		h.end(a, policy.NotSent)
 		return
 	}
 	h.w.reached(i, h.rank, wall)
 	done, ok := h.w.model.Begin(i, wall)
 	if !ok {
-		a.result = h.timers.Add(now+refusedHop, func() { h.end(a, bellwood.Full) })
+		a.result = h.timers.Add(now+refusedHop, func() { h.end(a, policy.Rejected) })
 		return
 	}
 	h.w.ledger.Ran(r.q.ID)
 	if took := done.Sub(wall); now+took < until {
 		a.result = h.timers.Add(now+took, func() {
 			h.w.ledger.Took(r.q.ID, took)
-			h.answer(r, standin.Served)
-			h.end(a, bellwood.OK)
+			h.answer(r, emulator.Served)
+			h.end(a, policy.OK)
 		})
 		return
 	}
-	a.result = h.timers.Add(until, func() { h.end(a, bellwood.Timeout) })
+	a.result = h.timers.Add(until, func() { h.end(a, policy.TimedOut) })
 }
 
 // end gives the one outcome of an attempt.
-func (h *hollow) end(a *hollowAttempt, status bellwood.Status) {
+func (h *hollow) end(a *hollowAttempt, status policy.Status) {
 	if a.ended {
 		return
 	}
 	a.ended = true
 	h.timers.Stop(a.result)
 	a.r.open--
-	h.tell(bellwood.Outcome{ID: a.r.id, Attempt: a.no, Backend: a.backend, Status: status,
-		Latency: h.w.now() - a.at, Closed: a.r.ended})
+	h.tell(policy.AttemptResult{ID: a.r.id, Attempt: a.no, Backend: a.backend, Status: status,
+		Latency: h.w.now() - a.at, RequestClosed: a.r.ended})
 	h.forget(a.r)
 }
 
 // answer gives a request its final answer, once. The attempt that it comes from ends after it, by the caller.
-func (h *hollow) answer(r *hollowRequest, how standin.Ending) {
+func (h *hollow) answer(r *hollowRequest, how emulator.Ending) {
 	if r != nil && !r.ended {
 		h.leave(r, how)
 	}
@@ -297,13 +297,13 @@
 
 // leave ends a request and calls off what is still out. With second copies not allowed nothing but the attempt that
 // was served can be out at a Served.
-func (h *hollow) leave(r *hollowRequest, how standin.Ending) {
+func (h *hollow) leave(r *hollowRequest, how emulator.Ending) {
 	r.ended = true
 	h.timers.Stop(r.overdue)
 	h.w.ledger.Ended(r.q, how)
-	if how != standin.Served {
+	if how != emulator.Served {
 		for _, a := range r.attempts {
-			h.end(a, bellwood.Cancelled)
+			h.end(a, policy.Cancelled)
 		}
 	}
 	h.forget(r)
--- a/internal/mixed/mixed.go
+++ b/internal/fleettest/mixed.go
@@ -1,8 +1,8 @@
-// Package mixed runs a few real doors, as deploy/balancer.toml starts them, beside many hollow ones: decision modules
+// Package fleettest runs a few real doors, as deploy/balancer.toml starts them, beside many hollow ones: decision modules
 // in this process, in real time. All doors are told the same list, count by the same numbers and send to the same model
 // of the backends, so what many doors do in sum is met by the real ones too. What is measured at the real doors is
 // counted by the stand-ins round them and read from the kernel.
-package mixed
+package fleettest
 
 import (
 	"cmp"
@@ -15,7 +15,7 @@
 	"strings"
 	"time"
 
-	"bellwood/internal/standin"
+	"bellwood/internal/emulator"
 )
 
 // Options say what to run. Each figure that is 0 stands for its default.
@@ -96,22 +96,22 @@
 
 // Report is what a run measured.
 type Report struct {
-	RealDoors   int          `json:"real_doors"`
-	HollowDoors int          `json:"hollow_doors"`
-	Doors       int          `json:"doors"` // that all are told there are
-	Backends    int          `json:"backends"`
-	Customers   int          `json:"customers"`
-	Rate        float64      `json:"rate"` // requests a second at each door
-	Seed        uint64       `json:"seed"`
-	Seconds     float64      `json:"seconds"` // how long was measured
-	Noisy       bool         `json:"noisy"`   // the machine was too busy for some of the figures
-	Real        standin.Sums `json:"real"`    // over the whole run
-	Hollow      standin.Sums `json:"hollow"`
-	Direct      standin.Sums `json:"direct"`      // requests that went from clients to a backend with no door between
-	Begun       int          `json:"begun"`       // attempts that all backends began, by the backends themselves
-	TurnedAway  int          `json:"turned_away"` // ... and turned away
-	Skipped     int64        `json:"skipped"`     // requests that hollow doors were too late for
-	Table       []Row        `json:"rows"`
+	RealDoors   int           `json:"real_doors"`
+	HollowDoors int           `json:"hollow_doors"`
+	Doors       int           `json:"doors"` // that all are told there are
+	Backends    int           `json:"backends"`
+	Customers   int           `json:"customers"`
+	Rate        float64       `json:"rate"` // requests a second at each door
+	Seed        uint64        `json:"seed"`
+	Seconds     float64       `json:"seconds"` // how long was measured
+	Noisy       bool          `json:"noisy"`   // the machine was too busy for some of the figures
+	Real        emulator.Sums `json:"real"`    // over the whole run
+	Hollow      emulator.Sums `json:"hollow"`
+	Direct      emulator.Sums `json:"direct"`      // requests that went from clients to a backend with no door between
+	Begun       int           `json:"begun"`       // attempts that all backends began, by the backends themselves
+	TurnedAway  int           `json:"turned_away"` // ... and turned away
+	Skipped     int64         `json:"skipped"`     // requests that hollow doors were too late for
+	Table       []Row         `json:"rows"`
 
 	pids []int // of the processes started
 }
--- a/internal/mixed/run.go
+++ b/internal/fleettest/run.go
@@ -1,4 +1,4 @@
-package mixed
+package fleettest
 
 import (
 	"context"
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"bellwood/internal/standin"
+	"bellwood/internal/emulator"
 )
 
 // run goes through the phases: start, load, drains, end of the load, restarts, end. It returns an error only where the
@@ -354,7 +354,7 @@
 
 func newConnections() *connections { return &connections{} }
 
-func (c *connections) sample(b *standin.Backends) {
+func (c *connections) sample(b *emulator.Backends) {
 	alone, all := b.Open()
 	c.samples++
 	c.all += all
@@ -406,12 +406,12 @@
 	slices.SortStableFunc(busiest, func(a, b int) int { return w.seen[b] - w.seen[a] })
 	clear(w.seen)
 	w.mu.Unlock()
-	changes := make([]standin.Member, n)
-	back := make([]standin.Member, n)
+	changes := make([]emulator.Member, n)
+	back := make([]emulator.Member, n)
 	d := &drain{backends: make(map[int]bool, n), last: map[int]time.Time{}}
 	for k, i := range busiest[:n] {
 		back[k], changes[k] = w.members[i], w.members[i]
-		changes[k].Status = standin.Draining
+		changes[k].Status = emulator.Draining
 		d.backends[i] = true
 	}
 	// Which backends come first is told by what has come since the drain before, so their rate is known as well.
--- a/internal/mixed/settings.go
+++ b/internal/fleettest/settings.go
@@ -1,4 +1,4 @@
-package mixed
+package fleettest
 
 import (
 	"encoding/json"
@@ -9,9 +9,9 @@
 	"strings"
 	"time"
 
-	"bellwood"
-	"bellwood/internal/standin"
-	"bellwood/internal/wire"
+	"bellwood/internal/emulator"
+	"bellwood/internal/policy"
+	"bellwood/internal/simprotocol"
 )
 
 // pathSettings are settings by their paths on the simulator's wire. Real doors read them nested, as JSON, and hollow
@@ -23,10 +23,10 @@
 	connIdle = 30 * time.Second
 )
 
-var classes = []standin.Class{
-	{Name: "lookup", Effect: standin.Safe, Share: 0.6, Wait: deadline},
-	{Name: "order", Effect: standin.Keyed, Share: 0.25, Wait: deadline},
-	{Name: "settle", Effect: standin.Unsafe, Share: 0.15, Wait: deadline},
+var classes = []emulator.Class{
+	{Name: "lookup", Effect: emulator.Safe, Share: 0.6, Wait: deadline},
+	{Name: "order", Effect: emulator.Keyed, Share: 0.25, Wait: deadline},
+	{Name: "settle", Effect: emulator.Unsafe, Share: 0.15, Wait: deadline},
 }
 
 var plans = []string{"open", "starter", "team", "capped"}
@@ -89,12 +89,12 @@
 }
 
 // module returns the settings as hollow doors use them.
-func (p pathSettings) module() (bellwood.Settings, error) {
+func (p pathSettings) module() (policy.Settings, error) {
 	m := p.texts()
-	if _, err := wire.ReadTransport(m); err != nil {
-		return bellwood.Settings{}, err
+	if _, err := simprotocol.ReadTransport(m); err != nil {
+		return policy.Settings{}, err
 	}
-	return wire.Settings(m)
+	return simprotocol.Settings(m)
 }
 
 // nested returns the settings as a real door's configuration has them.
--- a/internal/mixed/sockets.go
+++ b/internal/fleettest/sockets.go
@@ -1,4 +1,4 @@
-package mixed
+package fleettest
 
 import (
 	"bufio"
--- a/internal/front/backends.go
+++ b/internal/gateway/backends.go
@@ -1,4 +1,4 @@
-package front
+package gateway
 
 import (
 	"bytes"
@@ -13,7 +13,7 @@
 
 	"github.com/tidwall/redcon"
 
-	"bellwood"
+	"bellwood/internal/policy"
 	"bellwood/internal/timerqueue"
 )
 
@@ -51,7 +51,7 @@
 // conn is a connection to a backend. It carries one thing at a time, an attempt or a probe, and is closed when
 // that is given up: so it never has an answer owed when it is used again. The loop owns it but for what is atomic.
 type conn struct {
-	f       *Front
+	f       *Server
 	b       *backend
 	nc      net.Conn // nil while it is being dialled
 	dial    context.CancelFunc
@@ -84,7 +84,7 @@
 
 // backends holds the pools of connections.
 type backends struct {
-	f     *Front
+	f     *Server
 	all   map[string]*backend
 	count int // connections, those being dialled too
 	most  int
@@ -92,7 +92,7 @@
 	settle time.Duration
 }
 
-func newBackends(f *Front) *backends {
+func newBackends(f *Server) *backends {
 	most := max(1, int(float64(f.cfg.Sockets)*backendShare))
 	if f.cfg.Sockets == 0 {
 		most = 400
@@ -102,7 +102,7 @@
 }
 
 // listed takes what discovery says of one backend.
-func (bs *backends) listed(e bellwood.Backend, addr string) {
+func (bs *backends) listed(e policy.Backend, addr string) {
 	b := bs.all[e.Name]
 	if b == nil {
 		b = &backend{name: e.Name, conns: map[*conn]bool{}}
@@ -114,7 +114,7 @@
 		bs.closeIdle(b, bs.f.now())
 		bs.dropDialled(b)
 	}
-	if b.listed = e.State == bellwood.InService; !b.listed {
+	if b.listed = e.State == policy.InService; !b.listed {
 		bs.retire(b)
 	}
 }
@@ -131,7 +131,7 @@
 func (bs *backends) dropDialled(b *backend) {
 	for c := range b.conns {
 		if c.nc == nil {
-			bs.drop(c, bellwood.Moot)
+			bs.drop(c, policy.NotSent)
 		}
 	}
 }
@@ -193,7 +193,7 @@
 }
 
 // drop closes a connection and ends what it carried.
-func (bs *backends) drop(c *conn, status bellwood.Status) {
+func (bs *backends) drop(c *conn, status policy.Status) {
 	a, p := c.attempt, c.probe
 	c.attempt, c.probe = nil, nil
 	bs.close(c) // first: the next attempt must not go out while this one still can be answered
@@ -210,19 +210,19 @@
 func (bs *backends) send(a *attempt) {
 	b := bs.all[a.backend]
 	if b == nil || !b.listed || bs.clientLeft(a) {
-		bs.f.ended(a, bellwood.Moot, 0, 0)
+		bs.f.ended(a, policy.NotSent, 0, 0)
 		return
 	}
 	c := bs.take(b)
 	if c == nil {
-		bs.f.ended(a, bellwood.Moot, 0, 0) // for want of sockets here, which is no fault of the backend
+		bs.f.ended(a, policy.NotSent, 0, 0) // for want of sockets here, which is no fault of the backend
 		return
 	}
 	c.attempt, a.conn = a, c
 	a.timeout = bs.f.timers.Add(a.until, func() {
-		status := bellwood.Timeout
+		status := policy.TimedOut
 		if c.sent.Load() == unsent { // still dialling: it never ran
-			status = bellwood.ConnectFailed
+			status = policy.ConnectFailed
 		}
 		bs.silent(b, a.at)
 		bs.drop(c, status)
@@ -300,9 +300,9 @@
 	if a.ended || a.conn == nil {
 		return
 	}
-	status := bellwood.Cancelled
+	status := policy.Cancelled
 	if a.conn.sent.Load() == unsent {
-		status = bellwood.Moot
+		status = policy.NotSent
 	}
 	bs.drop(a.conn, status)
 }
@@ -312,29 +312,29 @@
 	p := &probe{backend: name}
 	b := bs.all[name]
 	if b == nil || !b.listed {
-		bs.probed(p, bellwood.Moot)
+		bs.probed(p, policy.NotSent)
 		return
 	}
 	bs.closeIdle(b, bs.f.now()) // a probe is to tell whether the backend can be reached anew
 	c := bs.take(b)
 	if c == nil {
-		bs.probed(p, bellwood.Moot)
+		bs.probed(p, policy.NotSent)
 		return
 	}
 	c.probe = p
-	p.timeout = bs.f.timers.Add(bs.f.now()+2*bs.f.cfg.Transport.DialTimeout, func() { bs.drop(c, bellwood.Timeout) })
+	p.timeout = bs.f.timers.Add(bs.f.now()+2*bs.f.cfg.Transport.DialTimeout, func() { bs.drop(c, policy.TimedOut) })
 }
 
-func (bs *backends) probed(p *probe, status bellwood.Status) {
+func (bs *backends) probed(p *probe, status policy.Status) {
 	bs.f.timers.Stop(p.timeout)
-	bs.f.tell(bellwood.Probed{Backend: p.backend, Status: status})
+	bs.f.tell(policy.HealthCheckResult{Backend: p.backend, Status: status})
 }
 
 // run dials and then reads answers until the connection ends.
 func (c *conn) run(ctx context.Context, addr string) {
 	nc, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 	if err != nil {
-		c.f.post(func() { c.f.backends.drop(c, bellwood.ConnectFailed) })
+		c.f.post(func() { c.f.backends.drop(c, policy.ConnectFailed) })
 		return
 	}
 	c.f.post(func() {
@@ -397,7 +397,7 @@
 	var b []byte
 	switch {
 	case c.attempt != nil && c.attempt.begin > 0 && c.f.now() >= c.attempt.begin:
-		c.f.backends.drop(c, bellwood.Moot) // the connection came up too late
+		c.f.backends.drop(c, policy.NotSent) // the connection came up too late
 		return
 	case c.attempt != nil:
 		b = c.attempt.r.ask.forward(c.attempt.until - c.f.now())
@@ -441,11 +441,11 @@
 	if c.attempt != nil && c.asked.Load() > 1 {
 		bs.closeIdle(c.b, c.idleAt) // what has been idle for longer is no better
 	}
-	status := bellwood.Reset
+	status := policy.ConnectionReset
 	if c.spoilt.Load() {
-		status = bellwood.Failed
+		status = policy.Failed
 	} else if c.sent.Load() != whole {
-		status = bellwood.ConnectFailed
+		status = policy.ConnectFailed
 	}
 	bs.drop(c, status)
 }
@@ -460,7 +460,7 @@
 	if a != nil {
 		a.conn = nil
 		if r.odd { // what no backend made for a request is no value to serve
-			r.status = bellwood.Failed
+			r.status = policy.Failed
 		}
 	}
 	now := bs.f.now()
@@ -480,11 +480,11 @@
 	if a == nil {
 		return
 	}
-	if r.status == bellwood.OK {
+	if r.status == policy.OK {
 		bs.f.answer(a.r, r.value) // this ends the request, and the outcome says so
 	}
 	units := 0.0
-	if most := bs.f.cfg.Settings.MaxUnits; most == 0 || r.units <= most {
+	if most := bs.f.cfg.Settings.MaxRequestCost; most == 0 || r.units <= most {
 		units = r.units
 	}
 	bs.f.ended(a, r.status, r.used, units)
@@ -492,7 +492,7 @@
 
 // reply is an answer of a backend.
 type reply struct {
-	status  bellwood.Status
+	status  policy.Status
 	value   []byte  // the value as a bulk string, to be passed on
 	used    int     // 1 + percent of the quota used; 0: not told
 	units   float64 // true units; 0: not told
@@ -506,10 +506,10 @@
 func readReply(m redcon.RESP) reply {
 	switch m.Type {
 	case redcon.Error:
-		r := reply{status: bellwood.Failed}
+		r := reply{status: policy.Failed}
 		switch word, _, _ := bytes.Cut(m.Data, []byte{' '}); string(word) {
 		case "BUSY":
-			r.status = bellwood.Full
+			r.status = policy.Rejected
 		case "ERR":
 		default:
 			r.odd = true
@@ -521,13 +521,13 @@
 		}
 		return r
 	case redcon.String: // to a probe
-		return reply{status: bellwood.OK, odd: true, pong: true}
+		return reply{status: policy.OK, odd: true, pong: true}
 	case redcon.Array:
-		r := reply{status: bellwood.Failed, odd: true}
+		r := reply{status: policy.Failed, odd: true}
 		i := 0
 		m.ForEach(func(e redcon.RESP) bool {
 			if i == 0 && e.Type == redcon.Bulk && e.Data != nil {
-				r.status, r.odd, r.value = bellwood.OK, false, bytes.Clone(e.Raw)
+				r.status, r.odd, r.value = policy.OK, false, bytes.Clone(e.Raw)
 			} else if i == 1 && e.Type == redcon.Bulk {
 				r.used = used(e.Data)
 				r.units, _ = figure(e.Data, "cost=")
@@ -537,7 +537,7 @@
 		})
 		return r
 	}
-	return reply{status: bellwood.Failed, odd: true}
+	return reply{status: policy.Failed, odd: true}
 }
 
 // used finds the figure in a list such as used=37,cost=4, as the module wants it: 1 more; 0 if there is none.
--- a/internal/front/clients.go
+++ b/internal/gateway/clients.go
@@ -1,4 +1,4 @@
-package front
+package gateway
 
 import (
 	"errors"
@@ -30,7 +30,7 @@
 
 // clients takes connections and reads requests from them.
 type clients struct {
-	f         *Front
+	f         *Server
 	most      int64
 	count     atomic.Int64
 	memory    *budget
@@ -42,7 +42,7 @@
 	all map[*clientConn]bool
 }
 
-func newClients(f *Front) *clients {
+func newClients(f *Server) *clients {
 	most := int64(400)
 	if f.cfg.Sockets > 0 {
 		most = mostClients(f.cfg.Sockets, f.backends.most)
--- a/internal/front/config.go
+++ b/internal/gateway/config.go
@@ -1,4 +1,4 @@
-package front
+package gateway
 
 import (
 	"bytes"
@@ -11,8 +11,8 @@
 	"strings"
 	"time"
 
-	"bellwood"
-	"bellwood/internal/wire"
+	"bellwood/internal/policy"
+	"bellwood/internal/simprotocol"
 )
 
 // Config is what a front door is told at its start.
@@ -24,8 +24,8 @@
 	Seed      uint64
 	MemoryMB  int
 	Sockets   int
-	Settings  bellwood.Settings
-	Transport wire.Transport
+	Settings  policy.Settings
+	Transport simprotocol.Transport
 	Known     Members // the list of backends as last had, maybe old
 	Audit     *Audit  // nil: off
 
@@ -57,10 +57,10 @@
 	}
 	flat := map[string]string{}
 	flatten(flat, "", raw.Settings)
-	if c.Settings, err = wire.Settings(flat); err != nil {
+	if c.Settings, err = simprotocol.Settings(flat); err != nil {
 		return nil, err
 	}
-	if c.Transport, err = wire.ReadTransport(flat); err != nil {
+	if c.Transport, err = simprotocol.ReadTransport(flat); err != nil {
 		return nil, err
 	}
 	if c.Audit, err = readAudit(raw.Audit, flat); err != nil {
@@ -74,7 +74,7 @@
 func (c *Config) Check() error {
 	for _, a := range []struct{ what, addr string }{{"listen", c.Listen}, {"discovery", c.Discovery},
 		{"counter", c.Counter}} {
-		if a.addr == "" && a.what == "counter" && !c.Settings.Counter {
+		if a.addr == "" && a.what == "counter" && !c.Settings.SharedCounter {
 			continue
 		}
 		if _, _, err := net.SplitHostPort(a.addr); err != nil {
--- a/internal/front/counter.go
+++ b/internal/gateway/counter.go
@@ -1,4 +1,4 @@
-package front
+package gateway
 
 import (
 	"bufio"
@@ -10,7 +10,7 @@
 	"strconv"
 	"time"
 
-	"bellwood"
+	"bellwood/internal/policy"
 	"bellwood/internal/timerqueue"
 )
 
@@ -25,7 +25,7 @@
 
 // counter calls the quota counter. The calls of one name go by one connection, one behind another.
 type counter struct {
-	f     *Front
+	f     *Server
 	addr  string
 	lines [counterConns]*line
 	open  map[uint64][]*call // not yet told of, by name in the order of the calls
@@ -33,7 +33,7 @@
 
 // line is a place for a connection to the counter, and the calls that go by it. The loop owns it.
 type line struct {
-	f     *Front
+	f     *Server
 	addr  string
 	nc    net.Conn // nil: none yet
 	dials bool
@@ -48,17 +48,17 @@
 // call is one add whose answer is still to come.
 type call struct {
 	name    uint64
-	done    func(bellwood.Status, float64) // told by the loop, in the order of the calls of one name
+	done    func(policy.Status, float64) // told by the loop, in the order of the calls of one name
 	line    *line
 	text    []byte
 	written bool // it may have reached the counter
 	ended   bool
-	status  bellwood.Status // once it has ended ...
+	status  policy.Status // once it has ended ...
 	total   float64
 	timeout *timerqueue.Timer
 }
 
-func newCounter(f *Front) *counter {
+func newCounter(f *Server) *counter {
 	c := &counter{f: f, open: map[uint64][]*call{}}
 	c.move(f.cfg.Counter)
 	return c
@@ -96,20 +96,20 @@
 }
 
 // count makes a call for the Door.
-func (c *counter) count(a bellwood.Count) {
-	c.add(a.Name, a.Amount, a.Keep, func(status bellwood.Status, total float64) {
-		c.f.tell(bellwood.Counted{Name: a.Name, Status: status, Total: total})
+func (c *counter) count(a policy.AddToCounter) {
+	c.add(a.Name, a.Amount, a.TTL, func(status policy.Status, total float64) {
+		c.f.tell(policy.CounterResult{Name: a.Name, Status: status, Total: total})
 		c.f.audit.quotaCallEnded(status)
 	})
 }
 
 // add makes a call.
-func (c *counter) add(name uint64, amount float64, keep time.Duration, done func(bellwood.Status, float64)) {
+func (c *counter) add(name uint64, amount float64, keep time.Duration, done func(policy.Status, float64)) {
 	l := c.lines[name%counterConns]
 	k := &call{name: name, line: l, done: done}
 	c.open[k.name] = append(c.open[k.name], k)
-	if !c.f.cfg.Settings.Counter || len(l.calls) >= counterOwed {
-		l.end(k, bellwood.ConnectFailed, 0)
+	if !c.f.cfg.Settings.SharedCounter || len(l.calls) >= counterOwed {
+		l.end(k, policy.ConnectFailed, 0)
 		return
 	}
 	k.text = fmt.Appendf(nil, "add %d %s %d\r\n", name, strconv.FormatFloat(amount, 'f', -1, 64),
@@ -128,7 +128,7 @@
 // any more; for the others the place among the answers is kept.
 func (l *line) giveUp(k *call) {
 	if k.written {
-		l.end(k, bellwood.Timeout, 0)
+		l.end(k, policy.TimedOut, 0)
 		return
 	}
 	for i, o := range l.calls {
@@ -137,12 +137,12 @@
 			break
 		}
 	}
-	l.end(k, bellwood.ConnectFailed, 0)
+	l.end(k, policy.ConnectFailed, 0)
 }
 
 // end gives the one answer to a call, once those for the calls of its name before it are given: after a move
 // two connections may owe answers for one name.
-func (l *line) end(k *call, status bellwood.Status, total float64) {
+func (l *line) end(k *call, status policy.Status, total float64) {
 	if k.ended {
 		return
 	}
@@ -227,7 +227,7 @@
 	for {
 		text, err := in.ReadSlice('\n')
 		if err == nil {
-			var status bellwood.Status
+			var status policy.Status
 			var total float64
 			if status, total, err = readCount(text); err == nil {
 				l.f.post(func() { l.answered(epoch, status, total) })
@@ -241,24 +241,24 @@
 }
 
 // readCount reads one answer.
-func readCount(text []byte) (bellwood.Status, float64, error) {
+func readCount(text []byte) (policy.Status, float64, error) {
 	text = bytes.TrimRight(text, "\r\n")
 	if v, ok := bytes.CutPrefix(text, []byte("ok ")); ok {
 		total, err := strconv.ParseFloat(string(v), 64)
 		if err != nil || math.IsNaN(total) || math.IsInf(total, 0) {
 			return 0, 0, fmt.Errorf("counter: total %.40q", v)
 		}
-		return bellwood.OK, total, nil
+		return policy.OK, total, nil
 	}
 	switch string(text) {
 	case "busy", "error":
-		return bellwood.Full, 0, nil
+		return policy.Rejected, 0, nil
 	}
 	return 0, 0, fmt.Errorf("counter: answer %.40q", text)
 }
 
 // answered takes the answer to the call that is first in line.
-func (l *line) answered(epoch int, status bellwood.Status, total float64) {
+func (l *line) answered(epoch int, status policy.Status, total float64) {
 	if epoch != l.epoch || l.nc == nil {
 		return
 	}
@@ -287,9 +287,9 @@
 	l.calls = nil
 	for _, k := range calls {
 		if k.written {
-			l.end(k, bellwood.Timeout, 0)
+			l.end(k, policy.TimedOut, 0)
 		} else {
-			l.end(k, bellwood.ConnectFailed, 0)
+			l.end(k, policy.ConnectFailed, 0)
 		}
 	}
 }
--- a/internal/front/discovery.go
+++ b/internal/gateway/discovery.go
@@ -1,4 +1,4 @@
-package front
+package gateway
 
 import (
 	"cmp"
@@ -9,8 +9,8 @@
 	"net/http"
 	"time"
 
-	"bellwood"
 	"bellwood/internal/audit"
+	"bellwood/internal/policy"
 )
 
 const (
@@ -41,12 +41,12 @@
 	SinceMS int64 `json:"since_ms"`
 }
 
-var statuses = map[string]bellwood.State{"SERVING": bellwood.InService, "DRAINING": bellwood.Terminating,
-	"DELETED": bellwood.Terminated}
+var statuses = map[string]policy.BackendState{"SERVING": policy.InService, "DRAINING": policy.Draining,
+	"DELETED": policy.Terminated}
 
 // discovery follows the list of backends. The loop owns it; the goroutines that read are given an address.
 type discovery struct {
-	f     *Front
+	f     *Server
 	http  *http.Client
 	addr  string
 	index int64 // of the list as the loop has it
@@ -63,7 +63,7 @@
 	silence time.Duration
 }
 
-func newDiscovery(f *Front) *discovery {
+func newDiscovery(f *Server) *discovery {
 	t := &http.Transport{DialContext: (&net.Dialer{Timeout: time.Second}).DialContext, MaxConnsPerHost: 4}
 	return &discovery{f: f, http: &http.Client{Transport: t}, addr: f.cfg.Discovery, index: f.cfg.Known.Index,
 		known: map[string]*known{}, stop: func() {}, silence: cmp.Or(f.cfg.watchSilence, watchSilence)}
@@ -157,7 +157,7 @@
 func (d *discovery) askForDoor() {
 	d.ask(func(_ Members, err error) {
 		if err != nil {
-			d.f.tell(bellwood.List{Scope: bellwood.ListFailed})
+			d.f.tell(policy.EndpointUpdate{Kind: policy.UpdateFailed})
 		}
 	})
 }
--- a/internal/front/list.go
+++ b/internal/gateway/list.go
@@ -1,4 +1,4 @@
-package front
+package gateway
 
 import (
 	"bytes"
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"bellwood"
+	"bellwood/internal/policy"
 )
 
 const (
@@ -186,7 +186,7 @@
 			news := r.d.note(r.list, part)
 			part, over = nil, true
 			if m.Snapshot {
-				var left []bellwood.Backend
+				var left []policy.Backend
 				left, over = r.d.sweep(r.list)
 				news = append(news, left...)
 			}
@@ -194,7 +194,7 @@
 				r.d.tell(news)
 				return
 			}
-			r.d.f.tell(bellwood.List{Scope: bellwood.Delta, Entries: news}) // though it be empty: the list has come
+			r.d.f.tell(policy.EndpointUpdate{Kind: policy.Delta, Backends: news}) // though it be empty: the list has come
 			r.ended(m)
 			r.d.leave(r.list)
 			r.d.f.reachable()
@@ -232,7 +232,7 @@
 
 // known is what the Door has been told of one backend.
 type known struct {
-	b    bellwood.Backend
+	b    policy.Backend
 	addr string
 	by   uint64 // number of the list or change that named it last
 	spot int    // in discovery.all
@@ -268,7 +268,7 @@
 		return
 	}
 	for _, k := range d.gone[:min(len(d.gone), together)] {
-		if k.b.State == bellwood.Terminated && d.known[k.b.Name] == k {
+		if k.b.State == policy.Terminated && d.known[k.b.Name] == k {
 			last := d.all[len(d.all)-1]
 			d.all[k.spot], last.spot = last, k.spot
 			d.all[len(d.all)-1] = nil
@@ -282,7 +282,7 @@
 }
 
 // note takes entries of a list to the pools, and returns what the Door has to hear: changes.
-func (d *discovery) note(t *taking, entries []Endpoint) (news []bellwood.Backend) {
+func (d *discovery) note(t *taking, entries []Endpoint) (news []policy.Backend) {
 	f, odd := d.f, 0
 	for _, e := range entries {
 		state, ok := statuses[e.Status]
@@ -292,7 +292,7 @@
 			}
 			continue
 		}
-		b := bellwood.Backend{Name: e.Name, Zone: max(0, index(f.cfg.Transport.Zones, e.Zone)),
+		b := policy.Backend{Name: e.Name, Zone: max(0, index(f.cfg.Transport.Zones, e.Zone)),
 			Kind: max(0, index(f.cfg.Transport.Kinds, e.Type)), Cell: e.Group, State: state, Weight: e.Weight,
 			Started: time.Duration(e.SinceMS) * time.Millisecond}
 		if d.set(t, b, e.Address) {
@@ -306,7 +306,7 @@
 }
 
 // set keeps what a list says of one backend, if no later one has named it, and says whether that is new.
-func (d *discovery) set(t *taking, b bellwood.Backend, addr string) bool {
+func (d *discovery) set(t *taking, b policy.Backend, addr string) bool {
 	k := d.known[b.Name]
 	if k == nil {
 		k = &known{spot: len(d.all)}
@@ -321,9 +321,9 @@
 	}
 	k.b, k.addr = b, addr
 	switch b.State {
-	case bellwood.InService:
+	case policy.InService:
 		d.served = true
-	case bellwood.Terminated:
+	case policy.Terminated:
 		d.gone = append(d.gone, k)
 	}
 	d.f.backends.listed(b, addr)
@@ -332,18 +332,18 @@
 
 // sweep takes as gone what a whole list has left out, a part at a time, and returns what the Door has to hear and
 // whether that was the last. None is forgotten before the list is over, so all stay in their spots.
-func (d *discovery) sweep(t *taking) (news []bellwood.Backend, over bool) {
+func (d *discovery) sweep(t *taking) (news []policy.Backend, over bool) {
 	most := together
 	if len(d.all) > sweepSize {
 		most = partSize
 	}
 	for end := min(len(d.all), t.swept+sweepSize); t.swept < end && len(news) < most; t.swept++ {
 		k := d.all[t.swept]
-		if k.by >= t.number || k.b.State == bellwood.Terminated {
+		if k.by >= t.number || k.b.State == policy.Terminated {
 			continue
 		}
 		b := k.b
-		b.State = bellwood.Terminated
+		b.State = policy.Terminated
 		d.set(t, b, k.addr)
 		news = append(news, b)
 	}
@@ -351,32 +351,32 @@
 }
 
 // tell hands changes to the Door.
-func (d *discovery) tell(news []bellwood.Backend) {
+func (d *discovery) tell(news []policy.Backend) {
 	if len(news) > 0 {
-		d.f.tell(bellwood.List{Scope: bellwood.Delta, Entries: news})
+		d.f.tell(policy.EndpointUpdate{Kind: policy.Delta, Backends: news})
 	}
 }
 
 // take takes a list or its changes all at once.
-func (f *Front) take(m Members, scope bellwood.Scope) {
+func (f *Server) take(m Members, scope policy.UpdateKind) {
 	d := f.discovery
 	t := d.begin()
 	news := d.note(t, m.Endpoints)
-	for over := scope != bellwood.Whole; !over; {
-		var left []bellwood.Backend
+	for over := scope != policy.Snapshot; !over; {
+		var left []policy.Backend
 		left, over = d.sweep(t)
 		news = append(news, left...)
 	}
 	d.leave(t)
-	if scope == bellwood.Whole {
-		scope = bellwood.Delta // the Door keeps what it is not told of
+	if scope == policy.Snapshot {
+		scope = policy.Delta // the Door keeps what it is not told of
 	}
-	f.tell(bellwood.List{Scope: scope, Entries: news})
+	f.tell(policy.EndpointUpdate{Kind: scope, Backends: news})
 	f.reachable()
 }
 
 // reachable notes that requests can be served, once a list that says so has been taken whole.
-func (f *Front) reachable() {
+func (f *Server) reachable() {
 	if f.discovery.served {
 		f.ready.Store(true)
 	}
--- a/internal/front/loop.go
+++ b/internal/gateway/loop.go
@@ -1,6 +1,6 @@
-// Package front is the real front door round the decision module: it carries events from sockets to a
-// bellwood.Door and the Door's actions back to sockets. It decides nothing itself.
-package front
+// Package gateway is the real front door round the decision module: it carries events from sockets to a
+// policy.Engine and the Engine's actions back to sockets. It decides nothing itself.
+package gateway
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"bellwood"
+	"bellwood/internal/policy"
 	"bellwood/internal/timerqueue"
 )
 
@@ -23,17 +23,17 @@
 	sweepEvery      = time.Second
 )
 
-// Front is one front door. Its loop goroutine alone owns the Door, the requests, the attempts and the timers;
+// Server is one front door. Its loop goroutine alone owns the Engine, the requests, the attempts and the timers;
 // the goroutines that read and write sockets hand it tasks.
-type Front struct {
+type Server struct {
 	cfg    *Config
 	log    *slog.Logger
-	door   *bellwood.Door
+	door   *policy.Engine
 	begun  time.Time
 	tasks  chan func()
 	done   chan struct{}
-	events []bellwood.Event // for the next Step
-	ready  atomic.Bool      // a backend in service has been known, so requests can be served
+	events []policy.Event // for the next Step
+	ready  atomic.Bool    // a backend in service has been known, so requests can be served
 	timers timerqueue.Queue
 
 	watchdog watchdog
@@ -62,12 +62,12 @@
 }
 
 // New makes a front door. It takes no connection before Run.
-func New(cfg *Config, log *slog.Logger) (*Front, error) {
-	door, err := bellwood.New(cfg.Settings, cfg.Seed)
+func New(cfg *Config, log *slog.Logger) (*Server, error) {
+	door, err := policy.New(cfg.Settings, cfg.Seed)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	f := &Front{cfg: cfg, log: log, door: door, begun: time.Now(), tasks: make(chan func(), 1024),
+	f := &Server{cfg: cfg, log: log, door: door, begun: time.Now(), tasks: make(chan func(), 1024),
 		done: make(chan struct{}), requests: map[uint64]*request{}, open: map[string]bool{}}
 	f.backends = newBackends(f)
 	f.counter = newCounter(f)
@@ -81,12 +81,12 @@
 
 // now is the module's clock: the Unix time at the start and what has passed since. All front doors must read
 // about the same, as they name the counter's numbers by it; and it must not go back.
-func (f *Front) now() time.Duration {
+func (f *Server) now() time.Duration {
 	return time.Duration(f.begun.UnixNano()) + time.Since(f.begun)
 }
 
 // post hands the loop a task.
-func (f *Front) post(task func()) {
+func (f *Server) post(task func()) {
 	select {
 	case f.tasks <- task:
 	case <-f.done:
@@ -94,13 +94,13 @@
 }
 
 // tell keeps an event for the next Step.
-func (f *Front) tell(ev bellwood.Event) { f.events = append(f.events, ev) }
+func (f *Server) tell(ev policy.Event) { f.events = append(f.events, ev) }
 
 // Run serves what connects to the listener until the context ends, then answers what was taken and returns.
-func (f *Front) Run(ctx context.Context, ln net.Listener) {
+func (f *Server) Run(ctx context.Context, ln net.Listener) {
 	defer close(f.done)
 	defer ln.Close()
-	f.take(f.cfg.Known, bellwood.Cached)
+	f.take(f.cfg.Known, policy.CachedSnapshot)
 	f.audit.start()
 	f.step() // from here on it is able to serve
 	f.discovery.follow(f.discovery.addr)
@@ -118,7 +118,7 @@
 
 // Reload moves to other addresses of discovery and the counter, from any goroutine. The revision is that of the
 // configuration; see Audit.
-func (f *Front) Reload(discovery, counter, revision string) {
+func (f *Server) Reload(discovery, counter, revision string) {
 	f.post(func() {
 		if discovery != f.discovery.addr {
 			f.discovery.follow(discovery)
@@ -132,7 +132,7 @@
 }
 
 // loop runs tasks, due timers and Steps until a shutdown is complete.
-func (f *Front) loop(ctx context.Context, ln net.Listener) {
+func (f *Server) loop(ctx context.Context, ln net.Listener) {
 	alarm := time.NewTimer(0)
 	defer alarm.Stop()
 	term := ctx.Done()
@@ -179,16 +179,16 @@
 }
 
 // longest is the longest time that a client waits.
-func (f *Front) longest() time.Duration {
+func (f *Server) longest() time.Duration {
 	most := time.Duration(0)
 	for _, c := range f.cfg.Settings.Classes {
-		most = max(most, c.GiveUp)
+		most = max(most, c.ClientTimeout)
 	}
 	return most
 }
 
 // giveUp answers what is still open when the time for it is over.
-func (f *Front) giveUp() {
+func (f *Server) giveUp() {
 	for _, r := range f.requests {
 		if !r.ended {
 			f.abandon(r)
@@ -197,14 +197,14 @@
 }
 
 // abandon answers a request that the module has not answered.
-func (f *Front) abandon(r *request) {
+func (f *Server) abandon(r *request) {
 	f.leave(r)
-	f.tell(bellwood.Gone{ID: r.id})
+	f.tell(policy.ClientGone{ID: r.id})
 	r.ask.conn.answer(r.ask.slot, []byte("-ERR no answer in time\r\n"))
 }
 
 // answerOverdue answers the requests whose time is up and which the Step before has left without an answer.
-func (f *Front) answerOverdue() {
+func (f *Server) answerOverdue() {
 	if len(f.overdue) == 0 {
 		return
 	}
@@ -220,7 +220,7 @@
 
 // step gives the Door what has happened and carries out what it wants, in order. An action may end at once and
 // so bring the next event.
-func (f *Front) step() {
+func (f *Server) step() {
 	for len(f.events) > 0 {
 		events := f.events
 		f.events = nil
@@ -235,43 +235,43 @@
 
 // arrive tells new requests the time that is left by the clock of the Step that takes them: the loop may have
 // been busy since they arrived, and the Door's own deadline must not be later than the client's.
-func (f *Front) arrive(events []bellwood.Event, now time.Duration) {
+func (f *Server) arrive(events []policy.Event, now time.Duration) {
 	for i, event := range events {
-		arrival, ok := event.(bellwood.Request)
+		arrival, ok := event.(policy.Request)
 		if !ok {
 			continue
 		}
 		if r := f.requests[arrival.ID]; r != nil {
-			arrival.Left = max(0, r.due-now)
+			arrival.TimeLeft = max(0, r.due-now)
 			events[i] = arrival
 			f.audit.decided(r)
 		}
 	}
 }
 
-func (f *Front) act(a bellwood.Action) {
+func (f *Server) act(a policy.Action) {
 	switch a := a.(type) {
-	case bellwood.Send:
+	case policy.SendAttempt:
 		if r := f.requests[a.ID]; r != nil {
 			f.send(r, a)
 		}
-	case bellwood.Cancel:
+	case policy.CancelAttempt:
 		if r := f.requests[a.ID]; r != nil && a.Attempt < len(r.attempts) {
 			f.backends.cancel(r.attempts[a.Attempt])
 		}
-	case bellwood.Refuse:
-		f.answer(f.requests[a.ID], busyAnswer(a.Pause))
-	case bellwood.Fail:
+	case policy.Reject:
+		f.answer(f.requests[a.ID], busyAnswer(a.RetryAfter))
+	case policy.Fail:
 		f.answer(f.requests[a.ID], []byte("-ERR failed\r\n"))
-	case bellwood.Probe:
+	case policy.HealthCheck:
 		f.backends.probe(a.Backend)
-	case bellwood.Count:
+	case policy.AddToCounter:
 		f.counter.count(a)
-	case bellwood.SetTimer:
-		f.timers.Add(a.At, func() { f.tell(bellwood.Timer{Cookie: a.Cookie}) })
-	case bellwood.Watch, bellwood.Fetch:
+	case policy.SetTimer:
+		f.timers.Add(a.At, func() { f.tell(policy.Timer{Cookie: a.Cookie}) })
+	case policy.WatchEndpoints, policy.FetchEndpoints:
 		f.discovery.askForDoor()
-	case bellwood.Log:
+	case policy.Log:
 		f.log.Info(a.Text)
 	}
 }
@@ -286,7 +286,7 @@
 }
 
 // arrived takes a request in.
-func (f *Front) arrived(a *ask) {
+func (f *Server) arrived(a *ask) {
 	if most := f.cfg.Transport.MostOpen; most > 0 && len(f.requests) >= most {
 		a.conn.answer(a.slot, busyAnswer(0))
 		return
@@ -304,20 +304,20 @@
 	// The module answers in time by its own timers. Should it not, the client still hears back in time. Where the loop
 	// is late, both timers run at once: the module has its Step first.
 	r.overdue = f.timers.Add(r.due, func() { f.overdue = append(f.overdue, r) })
-	f.tell(bellwood.Request{ID: r.id, Class: a.class, Plan: a.plan, Customer: a.customer,
-		Units: a.units, Doors: a.spread, Retry: a.retry}) // Left: see arrive
+	f.tell(policy.Request{ID: r.id, Class: a.class, Plan: a.plan, Tenant: a.customer,
+		Cost: a.units, Gateways: a.spread, ClientRetry: a.retry}) // Left: see arrive
 }
 
 // gone ends the request of a client that has left.
-func (f *Front) gone(a *ask) {
+func (f *Server) gone(a *ask) {
 	if r := f.requests[a.id]; r != nil && !r.ended {
 		f.leave(r)
-		f.tell(bellwood.Gone{ID: r.id})
+		f.tell(policy.ClientGone{ID: r.id})
 	}
 }
 
 // answer gives a request its final answer, once.
-func (f *Front) answer(r *request, line []byte) {
+func (f *Server) answer(r *request, line []byte) {
 	if r == nil || r.ended {
 		return
 	}
@@ -326,7 +326,7 @@
 }
 
 // leave ends a request. Nothing may go out for it any more, so attempts still out are called off.
-func (f *Front) leave(r *request) {
+func (f *Server) leave(r *request) {
 	r.ended = true
 	delete(f.open, string(r.ask.args[2]))
 	f.timers.Stop(r.overdue)
@@ -336,23 +336,23 @@
 	f.forget(r)
 }
 
-func (f *Front) forget(r *request) {
+func (f *Server) forget(r *request) {
 	if r.ended && r.open == 0 {
 		delete(f.requests, r.id)
 	}
 }
 
 // send starts an attempt.
-func (f *Front) send(r *request, s bellwood.Send) {
+func (f *Server) send(r *request, s policy.SendAttempt) {
 	now := f.now()
-	a := &attempt{r: r, no: len(r.attempts), backend: s.Backend, at: now, until: r.due, begin: s.Before}
+	a := &attempt{r: r, no: len(r.attempts), backend: s.Backend, at: now, until: r.due, begin: s.SendBefore}
 	if s.Timeout > 0 {
 		a.until = min(a.until, now+s.Timeout)
 	}
 	r.attempts = append(r.attempts, a)
 	r.open++
-	if r.ended || a.until <= now || r.open > 1 && !f.cfg.Settings.SecondCopies || f.audit.stoodStill(now) {
-		f.ended(a, bellwood.Moot, 0, 0)
+	if r.ended || a.until <= now || r.open > 1 && !f.cfg.Settings.AllowHedging || f.audit.stoodStill(now) {
+		f.ended(a, policy.NotSent, 0, 0)
 		return
 	}
 	f.audit.attempted()
@@ -360,20 +360,20 @@
 }
 
 // ended gives the one outcome of an attempt.
-func (f *Front) ended(a *attempt, status bellwood.Status, used int, units float64) {
+func (f *Server) ended(a *attempt, status policy.Status, used int, units float64) {
 	if a.ended {
 		return
 	}
 	a.ended = true
 	f.timers.Stop(a.timeout)
 	a.r.open--
-	f.tell(bellwood.Outcome{ID: a.r.id, Attempt: a.no, Backend: a.backend, Status: status,
-		Latency: f.now() - a.at, Closed: a.r.ended, Used: used, Units: units})
+	f.tell(policy.AttemptResult{ID: a.r.id, Attempt: a.no, Backend: a.backend, Status: status,
+		Latency: f.now() - a.at, RequestClosed: a.r.ended, QuotaUsage: used, Cost: units})
 	f.forget(a.r)
 }
 
 // every runs a task again and again.
-func (f *Front) every(pause time.Duration, do func()) {
+func (f *Server) every(pause time.Duration, do func()) {
 	f.timers.Add(f.now()+pause, func() {
 		do()
 		f.every(pause, do)
--- a/internal/front/request.go
+++ b/internal/gateway/request.go
@@ -1,4 +1,4 @@
-package front
+package gateway
 
 import (
 	"bytes"
@@ -12,7 +12,7 @@
 
 	"github.com/tidwall/redcon"
 
-	"bellwood"
+	"bellwood/internal/policy"
 )
 
 const (
@@ -73,7 +73,7 @@
 }
 
 // parse reads a request. What it can't read goes nowhere.
-func (f *Front) parse(name string, args [][]byte) (*ask, error) {
+func (f *Server) parse(name string, args [][]byte) (*ask, error) {
 	if len(args) != 4 && len(args) != 5 {
 		return nil, fmt.Errorf("wrong number of arguments for '%s'", name)
 	}
@@ -109,7 +109,7 @@
 }
 
 // parseField reads one field of the list. Unknown ones are passed on.
-func (f *Front) parseField(a *ask, given *fields, key, value string) (ok bool) {
+func (f *Server) parseField(a *ask, given *fields, key, value string) (ok bool) {
 	switch key {
 	case "c":
 		a.class = index(f.cfg.Transport.Classes, value)
@@ -129,33 +129,33 @@
 		return value == "1" || value == "0"
 	case "units":
 		a.units, ok = decimal(value)
-		return ok && a.units > 0 && a.units <= cmp.Or(f.cfg.Settings.MaxUnits, mostUnits)
+		return ok && a.units > 0 && a.units <= cmp.Or(f.cfg.Settings.MaxRequestCost, mostUnits)
 	case "spread":
 		n, err := strconv.ParseUint(value, 10, 31)
 		a.spread = int(n)
-		return err == nil && n > 0 && int(n) <= f.cfg.Settings.Doors
+		return err == nil && n > 0 && int(n) <= f.cfg.Settings.Gateways
 	case "first":
 		given.first = true
 		n, err := strconv.ParseUint(value, 10, 31)
-		return err == nil && int(n) < f.cfg.Settings.Doors
+		return err == nil && int(n) < f.cfg.Settings.Gateways
 	}
 	return true
 }
 
 // check says what is wrong with a request whose fields can all be read.
-func (f *Front) check(a *ask, given fields, name string) error {
+func (f *Server) check(a *ask, given fields, name string) error {
 	if a.class < 0 || a.plan < 0 || a.wait == 0 || a.units == 0 || a.spread == 0 || !given.first {
 		return errors.New("one of c, t, d, units, spread and first is missing")
 	}
 	// A request and its timers are kept for as long as the client says that it waits.
 	class := &f.cfg.Settings.Classes[a.class]
-	if class.GiveUp > 0 && a.wait > class.GiveUp+lateAsk {
+	if class.ClientTimeout > 0 && a.wait > class.ClientTimeout+lateAsk {
 		return errors.New("ill-formed or unknown d")
 	}
-	switch effect := class.Effect; {
-	case (effect == bellwood.Safe) != (name == "Q.ASK"):
+	switch effect := class.Idempotency; {
+	case (effect == policy.Idempotent) != (name == "Q.ASK"):
 		return fmt.Errorf("class not served by %s", name)
-	case effect == bellwood.Keyed && !given.key:
+	case effect == policy.IdempotentWithKey && !given.key:
 		return errors.New("k is missing")
 	}
 	return nil
--- a/internal/front/resp_test.go
+++ b/internal/gateway/resp_test.go
@@ -1,4 +1,4 @@
-package front
+package gateway
 
 import (
 	"errors"
--- a/admission.go
+++ b/internal/policy/admission.go
@@ -1,4 +1,4 @@
-package bellwood
+package policy
 
 // Admission: from a request's arrival to its being queued, refused or kept waiting, and its final answer.
 //
@@ -19,24 +19,24 @@
 
 // admit takes a request in. Its tau is the time left, bounded by the aim where a late answer earns nothing
 // (a departure: the paper knows one limit; here the client waits longer than the answer has worth).
-func (d *Door) admit(ev Request) {
+func (d *Engine) admit(ev Request) {
 	if d.reqs[ev.ID] != nil {
 		return
 	}
 	if ev.Class < 0 || ev.Class >= len(d.set.Classes) || ev.Plan < 0 || ev.Plan >= len(d.set.Plans) {
-		d.act(Refuse{ID: ev.ID})
+		d.act(Reject{ID: ev.ID})
 		return
 	}
 	cl := &d.set.Classes[ev.Class]
-	r := &request{id: ev.ID, class: ev.Class, plan: ev.Plan, units: max(0, ev.Units), at: d.now, tau: ev.Left,
-		retry: ev.Retry}
-	if cl.LateWorth == 0 && cl.Aim > 0 {
-		r.tau = min(r.tau, cl.Aim)
+	r := &request{id: ev.ID, class: ev.Class, plan: ev.Plan, units: max(0, ev.Cost), at: d.now, tau: ev.TimeLeft,
+		retry: ev.ClientRetry}
+	if cl.LateWeightShare == 0 && cl.LatencyObjective > 0 {
+		r.tau = min(r.tau, cl.LatencyObjective)
 	}
 	// What a door finds after it stood still has waited: first tries of a class have the same time at first.
-	d.mostLeft[ev.Class] = max(d.mostLeft[ev.Class], ev.Left)
-	if d.now-d.lastAt > stalledAfter && !ev.Retry {
-		r.tau = min(r.tau, cl.Aim-min(d.now-d.lastAt, d.mostLeft[ev.Class]-ev.Left))
+	d.mostLeft[ev.Class] = max(d.mostLeft[ev.Class], ev.TimeLeft)
+	if d.now-d.lastAt > stalledAfter && !ev.ClientRetry {
+		r.tau = min(r.tau, cl.LatencyObjective-min(d.now-d.lastAt, d.mostLeft[ev.Class]-ev.TimeLeft))
 	}
 	r.c = d.customer(ev)
 	d.reqs[r.id] = r
@@ -44,7 +44,7 @@
 		d.refuse(r, 0)
 		return
 	}
-	d.act(SetTimer{d.now + r.tau - d.set.Resolution, r.id<<1 | 1})
+	d.act(SetTimer{d.now + r.tau - d.set.TimerResolution, r.id<<1 | 1})
 	r.c.usedAt = d.now
 	gap := (d.now - r.c.demandAt).Seconds() / demandOver.Seconds()
 	r.c.demand = r.c.demand*math.Exp(-gap) + r.units/demandOver.Seconds()
@@ -60,7 +60,7 @@
 }
 
 // suspend begins or ends a time in which nothing is sent on. What waits is refused at once, in its order.
-func (d *Door) suspend(on bool) {
+func (d *Engine) suspend(on bool) {
 	d.suspended = on
 	for _, id := range slices.Sorted(maps.Keys(d.reqs)) {
 		if r := d.reqs[id]; on && r != nil && r.out == 0 {
@@ -71,7 +71,7 @@
 
 // serve decides for a customer's requests in the order they came, until one has to wait: for the counter's
 // answer, for one of the customer's attempts to end, or for the ceiling's share to fill.
-func (d *Door) serve(c *customer) {
+func (d *Engine) serve(c *tenant) {
 	for len(c.waiting) > 0 {
 		r := c.waiting[0]
 		if r.ended {
@@ -97,10 +97,10 @@
 
 // pay promotes a request whose units are in the local tokens (stage 2 of the paper). A request without quota
 // keeps its level by worth.
-func (d *Door) pay(r *request) verdict {
+func (d *Engine) pay(r *request) verdict {
 	c, p := r.c, &d.set.Plans[r.plan]
 	late := (d.now-r.at).Seconds()+d.latency(r, nil) >= r.tau.Seconds()*margin
-	full := p.AtOnce > 0 && c.live >= d.atOnce(r, p)
+	full := p.MaxConcurrent > 0 && c.live >= d.atOnce(r, p)
 	if short := r.units + c.ceilingQueued - d.ceiling(c, p); full || short > 0 && d.now >= r.loanUntil {
 		if !late && !full && d.mayBorrow(r) {
 			d.borrow(r)
@@ -109,13 +109,13 @@
 			return wait
 		}
 		fills := short / d.ceilingRate(c, p) // seconds
-		if late || !full && (p.OverWorth > p.OverCost && fills > r.tau.Seconds()*ceilingWaitPart ||
+		if late || !full && (p.OverQuotaValue > p.OverQuotaPenalty && fills > r.tau.Seconds()*ceilingWaitPart ||
 			r.loanAsked && fills > d.ceilingWaitMost(r)) {
 			return beyond
 		}
 		return wait
 	}
-	worth := max(1e-9, d.set.Classes[r.class].Worth*p.Factor*r.units)
+	worth := max(1e-9, d.set.Classes[r.class].PriorityWeight*p.WeightFactor*r.units)
 	band := min(bands-1, max(0, int(math.Log2(d.topWorth/worth))))
 	r.level = band
 	if p.Rate > 0 {
@@ -124,11 +124,11 @@
 		} else if r.unsure {
 			r.level += bands
 		}
-	} else if p.AtOnce == 0 {
+	} else if p.MaxConcurrent == 0 {
 		r.level += bands
 	}
 	r.paid = r.level < bands
-	if p.AtOnce > 0 {
+	if p.MaxConcurrent > 0 {
 		r.live = true
 		c.live++
 	}
@@ -140,18 +140,19 @@
 
 // atOnce is how many of a customer's requests may be under way here: this door's share of the cap, or, where
 // the counter tells that the others have less, what their demand leaves (a departure: traffic is uneven).
-func (d *Door) atOnce(r *request, p *Plan) int {
-	share := float64(p.AtOnce) / r.c.doors
+func (d *Engine) atOnce(r *request, p *Plan) int {
+	share := float64(p.MaxConcurrent) / r.c.doors
 	if r.c.known && d.callShare > callsFew {
-		share = max(share, float64(p.AtOnce)-r.c.others/max(r.units, 1)*d.latency(r, nil)-atOnceRoom-p.OverCost)
+		elsewhere := r.c.others / max(r.units, 1) * d.latency(r, nil)
+		share = max(share, float64(p.MaxConcurrent)-elsewhere-atOnceRoom-p.OverQuotaPenalty)
 	}
 	return max(1, int(share))
 }
 
 // beyond decides for a request that no tokens pay.
-func (d *Door) beyond(r *request) {
+func (d *Engine) beyond(r *request) {
 	p := &d.set.Plans[r.plan]
-	if p.OverWorth <= p.OverCost || d.ceiling(r.c, p)-r.c.ceilingQueued < r.units {
+	if p.OverQuotaValue <= p.OverQuotaPenalty || d.ceiling(r.c, p)-r.c.ceilingQueued < r.units {
 		d.refuse(r, d.refill(r.c, p, r.units))
 		return
 	}
@@ -161,26 +162,27 @@
 }
 
 // refuse gives the final answer: a refusal where the rules let it be said, else a failure (rule 2).
-func (d *Door) refuse(r *request, pause time.Duration) {
+func (d *Engine) refuse(r *request, pause time.Duration) {
 	if r.ended {
 		return
 	}
 	cl := &d.set.Classes[r.class]
 	mayHaveRun := r.ran || r.out > 0
 	d.end(r)
-	if mayHaveRun && (cl.Effect == Unsafe || cl.Effect == Keyed && cl.Group != GroupAll) {
+	if mayHaveRun && (cl.Idempotency == NonIdempotent ||
+		cl.Idempotency == IdempotentWithKey && cl.DedupScope != DedupAllBackends) {
 		d.act(Fail{r.id})
 	} else {
-		if !d.set.RetryAfter {
+		if !d.set.SendRetryAfter {
 			pause = 0
 		}
-		d.act(Refuse{r.id, min(pause, d.set.MaxRetryAfter)})
+		d.act(Reject{r.id, min(pause, d.set.MaxRetryAfter)})
 	}
 	d.forget(r)
 }
 
 // end marks a request as over and calls off what is still out.
-func (d *Door) end(r *request) {
+func (d *Engine) end(r *request) {
 	if r.ended {
 		return
 	}
@@ -188,8 +190,8 @@
 	d.unqueue(r)
 	d.release(r)
 	for _, a := range r.attempts {
-		if a.open && d.set.MayCancel && !r.stream {
-			d.act(Cancel{r.id, a.no})
+		if a.open && d.set.AllowCancel && !r.stream {
+			d.act(CancelAttempt{r.id, a.no})
 		}
 	}
 	if len(r.attempts) == 0 && r.paid && d.set.Plans[r.plan].Rate > 0 {
--- a/attempt.go
+++ b/internal/policy/attempt.go
@@ -1,4 +1,4 @@
-package bellwood
+package policy
 
 // Attempts: the guards before each, their outcomes, and retries.
 
@@ -8,7 +8,7 @@
 )
 
 // send is the one place that sends. The guards come last here, whatever was decided before.
-func (d *Door) send(r *request, s *server, trial bool) {
+func (d *Engine) send(r *request, s *backend, trial bool) {
 	p := &d.set.Plans[r.plan]
 	switch {
 	case !s.listed: // drain: nothing new from the moment it is told
@@ -44,11 +44,11 @@
 	if s.cold {
 		s.recent = append(s.recent, d.now)
 	}
-	d.act(Send{ID: r.id, Backend: s.name, Timeout: limit, Before: d.repeatBefore(r)})
+	d.act(SendAttempt{ID: r.id, Backend: s.name, Timeout: limit, SendBefore: d.repeatBefore(r)})
 }
 
 // outcome takes the end of an attempt.
-func (d *Door) outcome(ev Outcome) {
+func (d *Engine) outcome(ev AttemptResult) {
 	r := d.reqs[ev.ID]
 	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) || !r.attempts[ev.Attempt].open {
 		return
@@ -58,14 +58,14 @@
 	r.out--
 	s := a.s
 	s.outs = slices.DeleteFunc(s.outs, func(o *attempt) bool { return o == a })
-	if !r.ran && ev.Status != Full && ev.Status != ConnectFailed && ev.Status != Moot {
+	if !r.ran && ev.Status != Rejected && ev.Status != ConnectFailed && ev.Status != NotSent {
 		r.ran, r.ranAt, r.ranOn = true, a.at, s
 	}
 	d.learn(s, a, ev)
-	if ev.Status == OK && d.set.TruedUp && ev.Units > 0 && r.paid {
-		r.c.tokens -= ev.Units - r.units
+	if ev.Status == OK && d.set.CostSettledOnResponse && ev.Cost > 0 && r.paid {
+		r.c.tokens -= ev.Cost - r.units
 	}
-	if ev.Closed || ev.Status == OK {
+	if ev.RequestClosed || ev.Status == OK {
 		d.end(r)
 	}
 	if r.ended {
@@ -77,7 +77,7 @@
 }
 
 // retry sends a request on again where its class allows it and an answer could still be in time.
-func (d *Door) retry(r *request) {
+func (d *Engine) retry(r *request) {
 	if len(r.attempts) >= d.set.MaxAttempts || (d.now-r.at).Seconds()+d.latency(r, nil) >= r.tau.Seconds() {
 		d.refuse(r, 0)
 		return
@@ -86,22 +86,22 @@
 }
 
 // mayRepeat says whether a request that may have run can go to a server (rule 2).
-func (d *Door) mayRepeat(r *request, s *server) bool {
+func (d *Engine) mayRepeat(r *request, s *backend) bool {
 	if !r.ran {
 		return true
 	}
 	cl := &d.set.Classes[r.class]
-	if cl.Effect != Keyed {
-		return cl.Effect == Safe
+	if cl.Idempotency != IdempotentWithKey {
+		return cl.Idempotency == Idempotent
 	}
-	return d.now < r.ranAt+cl.Window && (cl.Group == GroupAll ||
-		s.zone == r.ranOn.zone && (cl.Group == GroupZone || s.cell == r.ranOn.cell))
+	return d.now < r.ranAt+cl.DedupWindow && (cl.DedupScope == DedupAllBackends ||
+		s.zone == r.ranOn.zone && (cl.DedupScope == DedupZone || s.cell == r.ranOn.cell))
 }
 
 // repeatBefore is when a repeat must have gone out, where repeats are dropped for a while only.
-func (d *Door) repeatBefore(r *request) time.Duration {
-	if cl := &d.set.Classes[r.class]; r.ran && cl.Effect == Keyed {
-		return r.ranAt + cl.Window
+func (d *Engine) repeatBefore(r *request) time.Duration {
+	if cl := &d.set.Classes[r.class]; r.ran && cl.Idempotency == IdempotentWithKey {
+		return r.ranAt + cl.DedupWindow
 	}
 	return 0
 }
--- a/calls.go
+++ b/internal/policy/calls.go
@@ -1,4 +1,4 @@
-package bellwood
+package policy
 
 // Counter calls that are out, and the names of numbers. Nothing in this file decides.
 
@@ -10,7 +10,7 @@
 
 // call is a counter call that is out; with no block it only puts the number right.
 type call struct {
-	c                   *customer
+	c                   *tenant
 	units               float64 // of the request that asks
 	block, amount, owed float64 // units asked for; what is added in all; of it, owed from before
 	window              int64
@@ -19,21 +19,21 @@
 }
 
 // call adds an amount on the counter under the customer and the window.
-func (d *Door) call(c *customer, units, block, amount, owed float64) {
+func (d *Engine) call(c *tenant, units, block, amount, owed float64) {
 	window := int64(d.now / windowLen)
 	d.count(counterName(c.holder, window), amount, keepFor,
 		&call{c: c, units: units, block: block, amount: amount, owed: owed, window: window})
 }
 
 // count calls the counter and keeps the call until its answer.
-func (d *Door) count(name uint64, amount float64, keep time.Duration, k *call) {
+func (d *Engine) count(name uint64, amount float64, keep time.Duration, k *call) {
 	k.at = d.now
 	d.pendingCalls[name] = append(d.pendingCalls[name], k)
-	d.act(Count{name, amount, keep})
+	d.act(AddToCounter{name, amount, keep})
 }
 
 // takeCall finds the call that an answer belongs to: those for one name come in the order of the calls.
-func (d *Door) takeCall(name uint64) *call {
+func (d *Engine) takeCall(name uint64) *call {
 	all := d.pendingCalls[name]
 	if len(all) == 0 {
 		return nil
--- a/ceiling.go
+++ b/internal/policy/ceiling.go
@@ -1,4 +1,4 @@
-package bellwood
+package policy
 
 // Hard ceilings: this door's share, and loans from the part that all doors have in common.
 
@@ -13,19 +13,19 @@
 )
 
 // ceilingWaitMost is how long a request waits for the ceiling's share at most, in seconds.
-func (d *Door) ceilingWaitMost(r *request) float64 {
-	return r.tau.Seconds() * ceilingWaitPart * d.set.Classes[r.class].Worth / d.bestWorth
+func (d *Engine) ceilingWaitMost(r *request) float64 {
+	return r.tau.Seconds() * ceilingWaitPart * d.set.Classes[r.class].PriorityWeight / d.bestWorth
 }
 
 // mayBorrow says whether a request may ask for its units out of the common part of the ceiling.
-func (d *Door) mayBorrow(r *request) bool {
+func (d *Engine) mayBorrow(r *request) bool {
 	p := &d.set.Plans[r.plan]
 	return d.ceilingIsShared(r.c, p) && !r.loanAsked && d.callShare > callsFew && d.mayCall() &&
 		r.c.loansSpentIn != int64(d.now/loanWindow(p))+1 && (!r.retry || d.rng.Float64() < d.callShare)
 }
 
 // borrow asks for it.
-func (d *Door) borrow(r *request) {
+func (d *Engine) borrow(r *request) {
 	w := loanWindow(&d.set.Plans[r.plan])
 	window := int64(d.now / w)
 	r.loanAsked, r.loanPending = true, true
@@ -34,7 +34,7 @@
 }
 
 // loanAnswered takes the answer: while the window's total stays within its part, the units are the request's.
-func (d *Door) loanAnswered(k *call, ok bool, total float64) {
+func (d *Engine) loanAnswered(k *call, ok bool, total float64) {
 	p := &d.set.Plans[k.loan.plan]
 	k.loan.loanPending = false
 	if ok && total <= loanLimit(p) {
--- a/check.go
+++ b/internal/policy/check.go
@@ -1,4 +1,4 @@
-package bellwood
+package policy
 
 // The periodic check of what no event tells.
 
@@ -10,7 +10,7 @@
 )
 
 // periodicCheck looks for what no event tells: silence, waiting customers, free slots.
-func (d *Door) periodicCheck() {
+func (d *Engine) periodicCheck() {
 	d.act(SetTimer{d.now + checkInterval, 0})
 	for _, s := range d.watched {
 		if d.now-d.checkedAt < stalledAfter { // else this door stood still, and what came meanwhile is not yet read
@@ -35,8 +35,8 @@
 		d.serve(c)
 	}
 	d.forgetCustomers()
-	if d.set.OnRequest && d.set.AskEvery > 0 && d.now-d.listAt > d.set.AskEvery/2 {
+	if d.set.PollEndpoints && d.set.PollInterval > 0 && d.now-d.listAt > d.set.PollInterval/2 {
 		d.listAt = d.now
-		d.act(Fetch{})
+		d.act(FetchEndpoints{})
 	}
 }
--- a/coldstart.go
+++ b/internal/policy/coldstart.go
@@ -1,4 +1,4 @@
-package bellwood
+package policy
 
 // The budget of a server that was started lately.
 
@@ -17,17 +17,18 @@
 // capacity x window, the capacity taken for no more than what a warm server of its weight is seen to carry.
 // A share of under one send (a departure: many doors) is a rarer turn, the first at a time by chance, as all
 // doors learn of a start together. It can leave a server that only this door knows of idle for a while.
-func (d *Door) coldBudgetSpent(s *server) bool {
+func (d *Engine) coldBudgetSpent(s *backend) bool {
 	w := d.capacityShare(s)
 	if w >= 1 {
 		return false
 	}
-	span := d.set.FallWindow.Seconds()
-	budget := coldMargin * d.set.FallMultiple * w * d.observedRate() * span *
+	span := d.set.OverloadWindow.Seconds()
+	budget := coldMargin * d.set.OverloadMultiple * w * d.observedRate() * span *
 		s.weight / cmp.Or(d.weight, s.weight)
 	whole := max(1, math.Floor(budget)) // so many in a time as much longer or shorter: all doors round alike
 	if span *= whole / budget; budget < 1 {
-		span = min(span, max(d.set.WarmWithin.Seconds(), d.set.FallWindow.Seconds()*d.doorsPerServer/coldLeast))
+		span = min(span, max(d.set.SlowStartDuration.Seconds(),
+			d.set.OverloadWindow.Seconds()*d.doorsPerServer/coldLeast))
 		if s.coldSendAt == 0 {
 			s.coldSendAt = d.now + time.Duration(d.rng.Float64()*span*float64(time.Second))
 		}
--- a/concurrency.go
+++ b/internal/policy/concurrency.go
@@ -1,4 +1,4 @@
-package bellwood
+package policy
 
 // How many requests a server may have at once, from what its answers tell.
 
@@ -28,41 +28,41 @@
 )
 
 // learn takes what an outcome tells of a server: latency, slots, signs of life.
-func (d *Door) learn(s *server, a *attempt, ev Outcome) {
+func (d *Engine) learn(s *backend, a *attempt, ev AttemptResult) {
 	class, took := a.r.class, max(1e-3, ev.Latency.Seconds()) // within a tick counts as a millisecond
 	ratio := min(took/d.base[class], 8)                       // one costly request says little of its server
 	news := min(ratio, fleetWorst)
 	// One that turns away again and again drains, or has no connection left: its own state, unless most do so.
-	all := ev.Status == Full && (!s.refusedLast || d.mostRefuse())
-	if ev.Status == OK || all || ev.Status == Timeout && !s.ejected {
-		if ev.Status == Full {
+	all := ev.Status == Rejected && (!s.refusedLast || d.mostRefuse())
+	if ev.Status == OK || all || ev.Status == TimedOut && !s.ejected {
+		if ev.Status == Rejected {
 			news = fleetFull
 		}
 		d.fleet += min(fleetMost, (d.now-d.fleetAt).Seconds()/fleetOver) * (news - d.fleet)
 		d.fleetAt = d.now
 	}
 	switch ev.Status {
-	case Reset, ConnectFailed:
+	case ConnectionReset, ConnectFailed:
 		if s.fails++; s.fails > 1 { // one broken connection says nothing of its server
 			s.slots *= fullBy
 		}
 		if s.fails >= failsMost && !s.ejected {
 			d.eject(s)
 		}
-	case Timeout:
+	case TimedOut:
 		if !s.ejected {
 			s.lost++
 			s.slow += slowGain * (ratio - s.slow)
 			s.slots *= lateBy
 		}
-	case OK, Failed, Full:
-		s.heard, s.lost, s.fails, s.refusedLast = d.now, 0, 0, ev.Status == Full
+	case OK, Failed, Rejected:
+		s.heard, s.lost, s.fails, s.refusedLast = d.now, 0, 0, ev.Status == Rejected
 		if s.ejected {
 			d.restore(s, a.trial)
 		}
 	}
 	switch ev.Status {
-	case Full:
+	case Rejected:
 		s.slots = min(1, s.slots) * fullBy
 	case OK:
 		s.slow = max(0.2, s.slow+slowGain*(ratio-s.slow))
@@ -88,7 +88,7 @@
 // servers, where no level counts and where work that nobody waits for any more goes on). That floor follows
 // the class's mean down at once, and up only while so few slots are open that waiting can't be the cause: so
 // a slowness of everything is told from overload.
-func (d *Door) pace(s *server, r *request) {
+func (d *Engine) pace(s *backend, r *request) {
 	floor := &d.floor[r.class]
 	if d.base[r.class] < *floor || *floor == 0 {
 		*floor = d.base[r.class]
--- a/door.go
+++ b/internal/policy/door.go
@@ -1,4 +1,4 @@
-package bellwood
+package policy
 
 // What a door and a request are. Nothing in this file decides.
 
@@ -11,8 +11,8 @@
 	"bellwood/internal/subset"
 )
 
-// Door decides for one front door.
-type Door struct {
+// Engine decides for one front door.
+type Engine struct {
 	set             Settings
 	floor           []float64 // latency of each class on an idle fleet
 	rng             *rand.Rand
@@ -22,16 +22,16 @@
 	running         bool
 	suspended       bool
 	acts            []Action
-	servers         map[string]*server
-	ring            []*server
-	subset          []*server // those that this door uses while it can
-	watched         []*server // those with attempts out or ejected: the check looks at these
-	backlogged      []*server // those with something queued, and maybe others
-	leaving         []*server // no longer in service, still to be forgotten
-	relisted        []*server // come or gone since the subset was assigned last
-	coldServers     []*server // those that were cold, the oldest first
-	extra           []*server // in the subset by fillSubset
-	round           *subset.Round[*server]
+	backends        map[string]*backend
+	ring            []*backend
+	subset          []*backend // those that this door uses while it can
+	watched         []*backend // those with attempts out or ejected: the check looks at these
+	backlogged      []*backend // those with something queued, and maybe others
+	leaving         []*backend // no longer in service, still to be forgotten
+	relisted        []*backend // come or gone since the subset was assigned last
+	slowStarting    []*backend // those that were cold, the oldest first
+	extra           []*backend // in the subset by fillSubset
+	round           *subset.Round[*backend]
 	inService       int
 	warm            int     // usable and not cold ...
 	warmWeight      float64 // ... and their weights
@@ -40,10 +40,10 @@
 	doorsPerServer  float64 // doors that have one server in their subsets
 	queued          int     // requests in all queues
 	reqs            map[uint64]*request
-	customers       map[holder]*customer
-	order           []*customer
+	tenants         map[holder]*tenant
+	order           []*tenant
 	sweep           int
-	waiters         []*customer
+	waiters         []*tenant
 	unplaced        []*request
 	pendingCalls    map[uint64][]*call // counter calls out, by name in their order
 	callShare       float64            // part of the requests without tokens that call the counter
@@ -66,9 +66,9 @@
 }
 
 // New makes a door that knows nothing yet. The seed is for its random numbers.
-func New(set Settings, seed uint64) (*Door, error) {
+func New(set Settings, seed uint64) (*Engine, error) {
 	switch {
-	case set.Doors < 1:
+	case set.Gateways < 1:
 		return nil, errors.New("bellwood: Doors is under 1")
 	case len(set.Classes) == 0:
 		return nil, errors.New("bellwood: Classes is empty")
@@ -76,19 +76,19 @@
 		return nil, errors.New("bellwood: Plans is empty")
 	case set.MaxAttempts < 1:
 		return nil, errors.New("bellwood: MaxAttempts is under 1")
-	case set.Resolution < 0 || set.FallWindow < 0 || set.WarmWithin < 0 || set.AskEvery < 0:
+	case set.TimerResolution < 0 || set.OverloadWindow < 0 || set.SlowStartDuration < 0 || set.PollInterval < 0:
 		return nil, errors.New("bellwood: Resolution, FallWindow, WarmWithin or AskEvery is negative")
-	case set.FallMultiple < 0 || set.ColdFrom < 0:
+	case set.OverloadMultiple < 0 || set.SlowStartMinShare < 0:
 		return nil, errors.New("bellwood: FallMultiple or ColdFrom is negative")
 	}
-	d := &Door{set: set, rng: rand.New(rand.NewPCG(seed, 1)), servers: map[string]*server{},
-		reqs: map[uint64]*request{}, customers: map[holder]*customer{}, pendingCalls: map[uint64][]*call{}}
+	d := &Engine{set: set, rng: rand.New(rand.NewPCG(seed, 1)), backends: map[string]*backend{},
+		reqs: map[uint64]*request{}, tenants: map[holder]*tenant{}, pendingCalls: map[uint64][]*call{}}
 	for i, c := range set.Classes {
-		if c.Worth < 0 || c.Aim < 0 || c.GiveUp < 0 || c.Window < 0 {
+		if c.PriorityWeight < 0 || c.LatencyObjective < 0 || c.ClientTimeout < 0 || c.DedupWindow < 0 {
 			return nil, fmt.Errorf("bellwood: Classes[%d] has a negative value", i)
 		}
 		for j, p := range set.Plans {
-			if p.Rate < 0 || p.Burst < 0 || p.AtOnce < 0 || p.CeilingRate < 0 || p.CeilingDepth < 0 {
+			if p.Rate < 0 || p.Burst < 0 || p.MaxConcurrent < 0 || p.HardLimitRate < 0 || p.HardLimitBurst < 0 {
 				return nil, fmt.Errorf("bellwood: Plans[%d] has a negative value", j)
 			}
 		}
@@ -103,7 +103,7 @@
 type request struct {
 	id           uint64
 	class, plan  int
-	c            *customer
+	c            *tenant
 	units        float64
 	at, tau      time.Duration // arrival; useful time left then
 	level        int
@@ -113,21 +113,21 @@
 	loanUntil    time.Duration // ... and holds them until then
 	holdsCeiling bool          // holds units of the ceiling's share while queued
 	queueEntry   *entry        // place in a queue of on
-	queuedAt     *server
+	queuedAt     *backend
 	attempts     []*attempt
 	out          int
 	ran, ended   bool
 	ranAt        time.Duration
-	ranOn        *server
+	ranOn        *backend
 	stream       bool
 	retry        bool // the client's repeat
 	unsure       bool // on credit: neither paid by the lease nor looked up
 	asked        bool // has called the counter
 }
 
-func (d *Door) act(a Action) { d.acts = append(d.acts, a) }
+func (d *Engine) act(a Action) { d.acts = append(d.acts, a) }
 
-func (d *Door) forget(r *request) {
+func (d *Engine) forget(r *request) {
 	if r.ended && r.out == 0 {
 		delete(d.reqs, r.id)
 	}
