--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -24,6 +24,7 @@
 		return
 	}
 	if ev.Class < 0 || ev.Class >= len(d.set.Classes) || ev.Plan < 0 || ev.Plan >= len(d.set.Plans) {
+		d.rejections.add(UnknownClassOrPlan)
 		d.act(Reject{ID: ev.ID})
 		return
 	}
@@ -40,8 +41,12 @@
 	}
 	r.c = d.customer(ev)
 	d.reqs[r.id] = r
-	if d.suspended || r.tau.Seconds() <= d.latency(r, nil)/2 {
-		d.refuse(r, 0)
+	if d.suspended {
+		d.reject(r, rejection{reason: OutOfService})
+		return
+	}
+	if r.tau.Seconds() <= d.latency(r, nil)/2 {
+		d.reject(r, rejection{reason: DeadlineCannotBeMet})
 		return
 	}
 	d.act(SetTimer{d.now + r.tau - d.set.TimerResolution, r.id<<1 | 1})
@@ -52,7 +57,7 @@
 	// A line for the ceiling must stay short, or each that still goes out of it is nearly late; and what is
 	// worth less leaves the room to what is worth more.
 	if fills := d.ceilingFillTime(r); fills > d.ceilingWaitMost(r) && !d.mayBorrow(r) {
-		d.refuse(r, time.Duration(fills*float64(time.Second)))
+		d.reject(r, rejection{HardLimitQueueTooLong, time.Duration(fills * float64(time.Second))})
 		return
 	}
 	r.c.waiting = append(r.c.waiting, r)
@@ -64,7 +69,7 @@
 	d.suspended = on
 	for _, id := range slices.Sorted(maps.Keys(d.reqs)) {
 		if r := d.reqs[id]; on && r != nil && r.out == 0 {
-			d.refuse(r, 0)
+			d.reject(r, rejection{reason: OutOfService})
 		}
 	}
 }
@@ -78,13 +83,13 @@
 			c.waiting = c.waiting[1:]
 			continue
 		}
-		v := d.pay(r)
+		v, unpaid := d.pay(r)
 		if v == wait {
 			break
 		}
 		c.waiting = c.waiting[1:]
 		if v == beyond {
-			d.beyond(r)
+			d.placeOverQuota(r, unpaid)
 		} else {
 			d.place(r)
 		}
@@ -96,8 +101,8 @@
 }
 
 // pay promotes a request whose units are in the local tokens (stage 2 of the paper). A request without quota
-// keeps its level by worth.
-func (d *Engine) pay(r *request) verdict {
+// keeps its level by worth. Where it is beyond, the reason says beyond what.
+func (d *Engine) pay(r *request) (verdict, RejectReason) {
 	c, p := r.c, &d.set.Plans[r.plan]
 	late := (d.now-r.at).Seconds()+d.latency(r, nil) >= r.tau.Seconds()*margin
 	full := p.MaxConcurrent > 0 && c.live >= d.atOnce(r, p)
@@ -106,21 +111,24 @@
 			d.borrow(r)
 		}
 		if r.loanPending {
-			return wait
+			return wait, 0
 		}
 		fills := short / d.ceilingRate(c, p) // seconds
 		if late || !full && (p.OverQuotaValue > p.OverQuotaPenalty && fills > r.tau.Seconds()*ceilingWaitPart ||
 			r.loanAsked && fills > d.ceilingWaitMost(r)) {
-			return beyond
+			if full {
+				return beyond, OverConcurrencyLimit
+			}
+			return beyond, OverHardLimit
 		}
-		return wait
+		return wait, 0
 	}
 	worth := max(1e-9, d.set.Classes[r.class].PriorityWeight*p.WeightFactor*r.units)
 	band := min(bands-1, max(0, int(math.Log2(d.topWorth/worth))))
 	r.level = band
 	if p.Rate > 0 {
 		if v := d.spend(r, p); v != paid {
-			return v
+			return v, OverQuota
 		} else if r.unsure {
 			r.level += bands
 		}
@@ -135,7 +143,7 @@
 	if d.now >= r.loanUntil {
 		d.hold(r)
 	}
-	return paid
+	return paid, 0
 }
 
 // atOnce is how many of a customer's requests may be under way here: this door's share of the cap, or, where
@@ -149,11 +157,16 @@
 	return max(1, int(share))
 }
 
-// beyond decides for a request that no tokens pay.
-func (d *Engine) beyond(r *request) {
+// placeOverQuota queues a request that no tokens pay at the lowest level, if its plan earns something for it
+// there and its hard limit holds it. Else it is rejected: for what left it unpaid, or for the hard limit.
+func (d *Engine) placeOverQuota(r *request, unpaid RejectReason) {
 	p := &d.set.Plans[r.plan]
-	if p.OverQuotaValue <= p.OverQuotaPenalty || d.ceiling(r.c, p)-r.c.ceilingQueued < r.units {
-		d.refuse(r, d.refill(r.c, p, r.units))
+	if p.OverQuotaValue <= p.OverQuotaPenalty {
+		d.reject(r, rejection{unpaid, d.refill(r.c, p, r.units)})
+		return
+	}
+	if d.ceiling(r.c, p)-r.c.ceilingQueued < r.units {
+		d.reject(r, rejection{OverHardLimit, d.refill(r.c, p, r.units)})
 		return
 	}
 	r.level = lowest
@@ -161,26 +174,6 @@
 	d.place(r)
 }
 
-// refuse gives the final answer: a refusal where the rules let it be said, else a failure (rule 2).
-func (d *Engine) refuse(r *request, pause time.Duration) {
-	if r.ended {
-		return
-	}
-	cl := &d.set.Classes[r.class]
-	mayHaveRun := r.ran || r.out > 0
-	d.end(r)
-	if mayHaveRun && (cl.Idempotency == NonIdempotent ||
-		cl.Idempotency == IdempotentWithKey && cl.DedupScope != DedupAllBackends) {
-		d.act(Fail{r.id})
-	} else {
-		if !d.set.SendRetryAfter {
-			pause = 0
-		}
-		d.act(Reject{r.id, min(pause, d.set.MaxRetryAfter)})
-	}
-	d.forget(r)
-}
-
 // end marks a request as over and calls off what is still out.
 func (d *Engine) end(r *request) {
 	if r.ended {
--- a/internal/policy/attempt.go
+++ b/internal/policy/attempt.go
@@ -14,14 +14,25 @@
 	case !s.listed: // drain: nothing new from the moment it is told
 		d.place(r)
 		return
-	case d.suspended || r.out > 0 || len(r.attempts) >= d.set.MaxAttempts || !d.mayRepeat(r, s),
-		d.now >= r.at+r.tau:
-		d.refuse(r, 0)
+	case d.suspended:
+		d.reject(r, rejection{reason: OutOfService})
+		return
+	case r.out > 0:
+		d.reject(r, rejection{reason: AttemptInFlight})
+		return
+	case len(r.attempts) >= d.set.MaxAttempts:
+		d.reject(r, rejection{reason: AttemptsExhausted})
+		return
+	case !d.mayRepeat(r, s):
+		d.reject(r, rejection{reason: NoBackendForRetry})
+		return
+	case d.now >= r.at+r.tau:
+		d.reject(r, rejection{reason: DeadlinePassed})
 		return
 	}
 	if len(r.attempts) == 0 {
 		if onLoan := d.now < r.loanUntil; !onLoan && d.ceiling(r.c, p) < r.units {
-			d.refuse(r, d.refill(r.c, p, r.units))
+			d.reject(r, rejection{OverHardLimit, d.refill(r.c, p, r.units)})
 			return
 		} else if !onLoan {
 			r.c.ceilingUnits -= r.units
@@ -78,8 +89,12 @@
 
 // retry sends a request on again where its class allows it and an answer could still be in time.
 func (d *Engine) retry(r *request) {
-	if len(r.attempts) >= d.set.MaxAttempts || (d.now-r.at).Seconds()+d.latency(r, nil) >= r.tau.Seconds() {
-		d.refuse(r, 0)
+	if len(r.attempts) >= d.set.MaxAttempts {
+		d.reject(r, rejection{reason: AttemptsExhausted})
+		return
+	}
+	if (d.now-r.at).Seconds()+d.latency(r, nil) >= r.tau.Seconds() {
+		d.reject(r, rejection{reason: NoTimeForRetry})
 		return
 	}
 	d.place(r)
--- a/internal/policy/engine.go
+++ b/internal/policy/engine.go
@@ -19,6 +19,7 @@
 	running         bool
 	suspended       bool
 	acts            []Action
+	rejections      rejectionCounts
 	backends        map[string]*backend
 	ring            []*backend
 	subset          []*backend // those that this door uses while it can
@@ -123,7 +124,7 @@
 		d.listAsked = false
 		d.act(WatchEndpoints{})
 	} else if r := d.reqs[cookie>>1]; r != nil && !r.stream {
-		d.refuse(r, 0)
+		d.reject(r, rejection{reason: DeadlinePassed})
 	}
 }
 
--- a/internal/policy/queue.go
+++ b/internal/policy/queue.go
@@ -26,8 +26,12 @@
 		d.unplaced = append(d.unplaced, r)
 		return
 	}
-	if s == nil || d.rejectEarly(r, s) {
-		d.refuse(r, 0)
+	if s == nil {
+		d.reject(r, rejection{reason: NoBackendForRetry})
+		return
+	}
+	if d.rejectEarly(r, s) {
+		d.reject(r, rejection{reason: Overloaded})
 		return
 	}
 	d.push(r, s)
@@ -104,7 +108,7 @@
 			if (d.now-r.at).Seconds()+d.latency(r, to) < r.tau.Seconds()*margin {
 				break
 			}
-			d.refuse(r, 0)
+			d.reject(r, rejection{reason: StaleInQueue})
 		}
 		if from.count[l] == 0 {
 			continue
--- /dev/null
+++ b/internal/policy/rejection.go
@@ -0,0 +1,148 @@
+package policy
+
+// Rejections: why a request is given up, and its final answer.
+
+import (
+	"fmt"
+	"time"
+)
+
+// RejectReason says which rule gave a request up. It goes from that rule to the one place that answers,
+// reject.
+type RejectReason int
+
+// The reasons, in the order in which a request can meet them on its way.
+const (
+	// UnknownClassOrPlan: the request names a class or a plan that the settings do not have (admit).
+	UnknownClassOrPlan RejectReason = iota
+	// OutOfService: the gateway is suspended; nothing is sent on (admit, suspend, send).
+	OutOfService
+	// DeadlineCannotBeMet: on arrival less than half of a usual answer's time is left (admit).
+	DeadlineCannotBeMet
+	// HardLimitQueueTooLong: the tenant's requests that wait for its hard limit would let this one wait for more
+	// than its part of the deadline budget (admit).
+	HardLimitQueueTooLong
+	// OverConcurrencyLimit: the tenant's requests in flight kept this one waiting until it was too late, and its
+	// plan earns nothing beyond the quota (pay, placeOverQuota).
+	OverConcurrencyLimit
+	// OverHardLimit: this gateway's share of the tenant's hard limit does not hold the request's cost and does
+	// not fill in time (pay, placeOverQuota, send).
+	OverHardLimit
+	// OverQuota: neither the lease nor this gateway's own share pays for the request, and its plan earns nothing
+	// beyond the quota (spend, placeOverQuota).
+	OverQuota
+	// Overloaded: the backends' latency, or the queue of the chosen one, says that the answer would come too
+	// late (rejectEarly, EQ 4 of the paper seen from the back of the queue).
+	Overloaded
+	// StaleInQueue: the time in the queue and a usual answer's time together reach the deadline (pick, EQ 3 of
+	// the paper).
+	StaleInQueue
+	// NoBackendForRetry: the request may have run, and no backend is in use that may be sent it again (place,
+	// send).
+	NoBackendForRetry
+	// AttemptInFlight: an attempt is still in flight, so another may not start (send).
+	AttemptInFlight
+	// AttemptsExhausted: the request has had all its attempts (retry, send).
+	AttemptsExhausted
+	// NoTimeForRetry: an attempt failed, and a usual answer's time no longer fits before the deadline (retry).
+	NoTimeForRetry
+	// DeadlinePassed: the deadline came while the request waited, be it for an attempt in flight, for a quota or
+	// for a backend, of which there may be none at all (timer, send).
+	DeadlinePassed
+
+	rejectReasons // how many there are
+)
+
+// String gives the reason in words, for tests and logs.
+func (r RejectReason) String() string {
+	switch r {
+	case UnknownClassOrPlan:
+		return "unknown class or plan"
+	case OutOfService:
+		return "out of service"
+	case DeadlineCannotBeMet:
+		return "deadline cannot be met"
+	case HardLimitQueueTooLong:
+		return "queue for the hard limit too long"
+	case OverConcurrencyLimit:
+		return "over concurrency limit"
+	case OverHardLimit:
+		return "over hard limit"
+	case OverQuota:
+		return "over quota"
+	case Overloaded:
+		return "overloaded"
+	case StaleInQueue:
+		return "stale in queue"
+	case NoBackendForRetry:
+		return "no backend for a retry"
+	case AttemptInFlight:
+		return "attempt in flight"
+	case AttemptsExhausted:
+		return "attempts exhausted"
+	case NoTimeForRetry:
+		return "no time for a retry"
+	case DeadlinePassed:
+		return "deadline passed"
+	}
+	return fmt.Sprintf("RejectReason(%d)", int(r))
+}
+
+// rejection is what a rule says when it gives a request up.
+type rejection struct {
+	reason     RejectReason
+	retryAfter time.Duration // advice to the client when to come back; 0: none
+}
+
+// rejectionCounts counts the rejections by their reason.
+type rejectionCounts [rejectReasons]uint64
+
+func (c *rejectionCounts) add(reason RejectReason) { c[reason]++ }
+
+// reject ends a request for a reason and answers it. A request that has ended has its answer already.
+func (d *Engine) reject(r *request, why rejection) {
+	if r.ended {
+		return
+	}
+	mayRunTwice := d.clientRetryMayRunTwice(r)
+	d.end(r)
+	d.rejections.add(why.reason)
+	if mayRunTwice {
+		d.act(Fail{r.id})
+	} else {
+		d.act(Reject{r.id, d.adviceToClient(why)})
+	}
+	d.forget(r)
+}
+
+// clientRetryMayRunTwice says whether a client that tries again could have its request take effect twice. A
+// Reject promises that trying again is harmless, so such a request ends with Fail (WIRE-bellwood.md, The
+// contract, rule 2).
+func (d *Engine) clientRetryMayRunTwice(r *request) bool {
+	return r.mayHaveRun() && !repeatIsHarmless(&d.set.Classes[r.class])
+}
+
+// mayHaveRun says whether a backend may have acted on the request: an attempt ended in doubt or is in flight.
+func (r *request) mayHaveRun() bool { return r.ran || r.out > 0 }
+
+// repeatIsHarmless says whether a request of the class may be sent again to any backend, as a client that
+// tries again may reach any.
+func repeatIsHarmless(class *Class) bool {
+	switch class.Idempotency {
+	case NonIdempotent:
+		return false
+	case IdempotentWithKey:
+		return class.DedupScope == DedupAllBackends
+	}
+	return true
+}
+
+// adviceToClient bounds the advice by the longest that clients heed. Where the settings give them none it is
+// 0.
+func (d *Engine) adviceToClient(why rejection) time.Duration {
+	advice := why.retryAfter
+	if !d.set.SendRetryAfter {
+		advice = 0
+	}
+	return min(advice, d.set.MaxRetryAfter)
+}
