--- a/internal/policy/attempt.go
+++ b/internal/policy/attempt.go
@@ -8,115 +8,115 @@
 )
 
 // send is the one place that sends. The guards come last here, whatever was decided before.
-func (d *Engine) send(r *request, s *backend, trial bool) {
-	p := &d.set.Plans[r.plan]
+func (e *Engine) send(r *request, s *backend, trial bool) {
+	p := &e.settings.Plans[r.plan]
 	switch {
 	case !s.listed: // drain: nothing new from the moment it is told
-		d.place(r)
+		e.dispatch(r)
 		return
-	case d.suspended:
-		d.reject(r, rejection{reason: OutOfService})
+	case e.suspended:
+		e.reject(r, rejection{reason: OutOfService})
 		return
-	case r.out > 0:
-		d.reject(r, rejection{reason: AttemptInFlight})
+	case r.attemptsInFlight > 0:
+		e.reject(r, rejection{reason: AttemptInFlight})
 		return
-	case len(r.attempts) >= d.set.MaxAttempts:
-		d.reject(r, rejection{reason: AttemptsExhausted})
+	case len(r.attempts) >= e.settings.MaxAttempts:
+		e.reject(r, rejection{reason: AttemptsExhausted})
 		return
-	case !d.mayRepeat(r, s):
-		d.reject(r, rejection{reason: NoBackendForRetry})
+	case !e.mayRepeat(r, s):
+		e.reject(r, rejection{reason: NoBackendForRetry})
 		return
-	case d.now >= r.at+r.tau:
-		d.reject(r, rejection{reason: DeadlinePassed})
+	case e.now >= r.arrivedAt+r.deadlineBudget:
+		e.reject(r, rejection{reason: DeadlinePassed})
 		return
 	}
 	if len(r.attempts) == 0 {
-		if onLoan := d.now < r.loanUntil; !onLoan && d.ceiling(r.c, p) < r.units {
-			d.reject(r, rejection{OverHardLimit, d.refill(r.c, p, r.units)})
+		if onLoan := e.now < r.loanUntil; !onLoan && e.ceiling(r.tenant, p) < r.cost {
+			e.reject(r, rejection{OverHardLimit, e.refill(r.tenant, p, r.cost)})
 			return
 		} else if !onLoan {
-			r.c.ceilingUnits -= r.units
+			r.tenant.ceilingUnits -= r.cost
 		}
 	}
-	d.release(r)
-	a := &attempt{r: r, no: len(r.attempts), s: s, at: d.now, trial: trial, open: true}
-	limit := r.at + r.tau - d.now
+	e.release(r)
+	a := &attempt{request: r, number: len(r.attempts), backend: s, sentAt: e.now, trial: trial, inFlight: true}
+	limit := r.arrivedAt + r.deadlineBudget - e.now
 	if trial {
 		s.trying = true
-		limit = min(limit, time.Duration(trialWait*d.base[r.class]*float64(time.Second)))
+		limit = min(limit, time.Duration(trialWait*e.base[r.class]*float64(time.Second)))
 	}
-	if len(s.outs) == 0 {
-		s.heard = max(s.heard, d.now)
+	if len(s.inFlight) == 0 {
+		s.heard = max(s.heard, e.now)
 	}
 	r.attempts = append(r.attempts, a)
-	r.out++
-	s.outs = append(s.outs, a)
-	d.watch(s)
+	r.attemptsInFlight++
+	s.inFlight = append(s.inFlight, a)
+	e.watch(s)
 	if s.cold {
-		s.recent = append(s.recent, d.now)
+		s.recent = append(s.recent, e.now)
 	}
-	d.act(SendAttempt{ID: r.id, Backend: s.name, Timeout: limit, SendBefore: d.repeatBefore(r)})
+	e.emit(SendAttempt{ID: r.id, Backend: s.name, Timeout: limit, SendBefore: e.repeatBefore(r)})
 }
 
-// outcome takes the end of an attempt.
-func (d *Engine) outcome(ev AttemptResult) {
-	r := d.reqs[ev.ID]
-	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) || !r.attempts[ev.Attempt].open {
+// attemptEnded takes the end of an attempt.
+func (e *Engine) attemptEnded(ev AttemptResult) {
+	r := e.requests[ev.ID]
+	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) || !r.attempts[ev.Attempt].inFlight {
 		return
 	}
 	a := r.attempts[ev.Attempt]
-	a.open = false
-	r.out--
-	s := a.s
-	s.outs = slices.DeleteFunc(s.outs, func(o *attempt) bool { return o == a })
-	if !r.ran && ev.Status != Rejected && ev.Status != ConnectFailed && ev.Status != NotSent {
-		r.ran, r.ranAt, r.ranOn = true, a.at, s
+	a.inFlight = false
+	r.attemptsInFlight--
+	s := a.backend
+	s.inFlight = slices.DeleteFunc(s.inFlight, func(o *attempt) bool { return o == a })
+	if !r.endedInDoubt && ev.Status != Rejected && ev.Status != ConnectFailed && ev.Status != NotSent {
+		r.endedInDoubt, r.doubtSince, r.doubtOn = true, a.sentAt, s
 	}
-	d.learn(s, a, ev)
-	if ev.Status == OK && d.set.CostSettledOnResponse && ev.Cost > 0 && r.paid {
-		r.c.tokens -= ev.Cost - r.units
+	e.learn(s, a, ev)
+	if ev.Status == OK && e.settings.CostSettledOnResponse && ev.Cost > 0 && r.paid {
+		r.tenant.tokens -= ev.Cost - r.cost
 	}
 	if ev.RequestClosed || ev.Status == OK {
-		d.end(r)
+		e.end(r)
 	}
 	if r.ended {
-		d.forget(r)
-	} else if !r.stream && r.out == 0 {
-		d.retry(r)
+		e.forget(r)
+	} else if !r.streaming && r.attemptsInFlight == 0 {
+		e.retry(r)
 	}
-	d.fill(s)
+	e.fill(s)
 }
 
 // retry sends a request on again where its class allows it and an answer could still be in time.
-func (d *Engine) retry(r *request) {
-	if len(r.attempts) >= d.set.MaxAttempts {
-		d.reject(r, rejection{reason: AttemptsExhausted})
+func (e *Engine) retry(r *request) {
+	if len(r.attempts) >= e.settings.MaxAttempts {
+		e.reject(r, rejection{reason: AttemptsExhausted})
 		return
 	}
-	if (d.now-r.at).Seconds()+d.latency(r, nil) >= r.tau.Seconds() {
-		d.reject(r, rejection{reason: NoTimeForRetry})
+	if (e.now-r.arrivedAt).Seconds()+e.latency(r, nil) >= r.deadlineBudget.Seconds() {
+		e.reject(r, rejection{reason: NoTimeForRetry})
 		return
 	}
-	d.place(r)
+	e.dispatch(r)
 }
 
 // mayRepeat says whether a request that may have run can go to a server (rule 2).
-func (d *Engine) mayRepeat(r *request, s *backend) bool {
-	if !r.ran {
+func (e *Engine) mayRepeat(r *request, s *backend) bool {
+	if !r.endedInDoubt {
 		return true
 	}
-	cl := &d.set.Classes[r.class]
+	cl := &e.settings.Classes[r.class]
 	if cl.Idempotency != IdempotentWithKey {
 		return cl.Idempotency == Idempotent
 	}
-	return d.now < r.ranAt+cl.DedupWindow && (cl.DedupScope == DedupAllBackends ||
-		s.zone == r.ranOn.zone && (cl.DedupScope == DedupZone || s.cell == r.ranOn.cell))
+	return e.now < r.doubtSince+cl.DedupWindow && (cl.DedupScope == DedupAllBackends ||
+		s.zone == r.doubtOn.zone && (cl.DedupScope == DedupZone || s.cell == r.doubtOn.cell))
 }
 
 // repeatBefore is when a repeat must have gone out, where repeats are dropped for a while only.
-func (d *Engine) repeatBefore(r *request) time.Duration {
-	if cl := &d.set.Classes[r.class]; r.ran && cl.Idempotency == IdempotentWithKey {
-		return r.ranAt + cl.DedupWindow
+func (e *Engine) repeatBefore(r *request) time.Duration {
+	if cl := &e.settings.Classes[r.class]; r.endedInDoubt && cl.Idempotency == IdempotentWithKey {
+		return r.doubtSince + cl.DedupWindow
 	}
 	return 0
 }
--- a/internal/policy/calls.go
+++ b/internal/policy/calls.go
@@ -19,27 +19,27 @@
 }
 
 // call adds an amount on the counter under the customer and the window.
-func (d *Engine) call(c *tenant, units, block, amount, owed float64) {
-	window := int64(d.now / windowLen)
-	d.count(counterName(c.holder, window), amount, keepFor,
+func (e *Engine) call(c *tenant, units, block, amount, owed float64) {
+	window := int64(e.now / windowLen)
+	e.count(counterName(c.holder, window), amount, keepFor,
 		&call{c: c, units: units, block: block, amount: amount, owed: owed, window: window})
 }
 
 // count calls the counter and keeps the call until its answer.
-func (d *Engine) count(name uint64, amount float64, keep time.Duration, k *call) {
-	k.at = d.now
-	d.pendingCalls[name] = append(d.pendingCalls[name], k)
-	d.act(AddToCounter{name, amount, keep})
+func (e *Engine) count(name uint64, amount float64, keep time.Duration, k *call) {
+	k.at = e.now
+	e.pendingCalls[name] = append(e.pendingCalls[name], k)
+	e.emit(AddToCounter{name, amount, keep})
 }
 
 // takeCall finds the call that an answer belongs to: those for one name come in the order of the calls.
-func (d *Engine) takeCall(name uint64) *call {
-	all := d.pendingCalls[name]
+func (e *Engine) takeCall(name uint64) *call {
+	all := e.pendingCalls[name]
 	if len(all) == 0 {
 		return nil
 	}
-	if d.pendingCalls[name] = all[1:]; len(all) == 1 {
-		delete(d.pendingCalls, name)
+	if e.pendingCalls[name] = all[1:]; len(all) == 1 {
+		delete(e.pendingCalls, name)
 	}
 	return all[0]
 }
--- a/internal/policy/ceiling.go
+++ b/internal/policy/ceiling.go
@@ -13,29 +13,30 @@
 )
 
 // ceilingWaitMost is how long a request waits for the ceiling's share at most, in seconds.
-func (d *Engine) ceilingWaitMost(r *request) float64 {
-	return r.tau.Seconds() * ceilingWaitPart * d.set.Classes[r.class].PriorityWeight / d.bestWorth
+func (e *Engine) ceilingWaitMost(r *request) float64 {
+	weight := e.settings.Classes[r.class].PriorityWeight
+	return r.deadlineBudget.Seconds() * ceilingWaitPart * weight / e.maxClassWeight
 }
 
 // mayBorrow says whether a request may ask for its units out of the common part of the ceiling.
-func (d *Engine) mayBorrow(r *request) bool {
-	p := &d.set.Plans[r.plan]
-	return d.ceilingIsShared(r.c, p) && !r.loanAsked && d.callShare > callsFew && d.mayCall() &&
-		r.c.loansSpentIn != int64(d.now/loanWindow(p))+1 && (!r.retry || d.rng.Float64() < d.callShare)
+func (e *Engine) mayBorrow(r *request) bool {
+	p := &e.settings.Plans[r.plan]
+	return e.ceilingIsShared(r.tenant, p) && !r.loanAsked && e.callShare > callsFew && e.mayCall() &&
+		r.tenant.loansSpentIn != int64(e.now/loanWindow(p))+1 && (!r.clientRetry || e.rng.Float64() < e.callShare)
 }
 
 // borrow asks for it.
-func (d *Engine) borrow(r *request) {
-	w := loanWindow(&d.set.Plans[r.plan])
-	window := int64(d.now / w)
+func (e *Engine) borrow(r *request) {
+	w := loanWindow(&e.settings.Plans[r.plan])
+	window := int64(e.now / w)
 	r.loanAsked, r.loanPending = true, true
-	keep := 2*w + d.set.CounterTimeout
-	d.count(loanName(r.c.holder, window), r.units, keep, &call{c: r.c, loan: r, window: window})
+	keep := 2*w + e.settings.CounterTimeout
+	e.count(loanName(r.tenant.holder, window), r.cost, keep, &call{c: r.tenant, loan: r, window: window})
 }
 
 // loanAnswered takes the answer: while the window's total stays within its part, the units are the request's.
-func (d *Engine) loanAnswered(k *call, ok bool, total float64) {
-	p := &d.set.Plans[k.loan.plan]
+func (e *Engine) loanAnswered(k *call, ok bool, total float64) {
+	p := &e.settings.Plans[k.loan.plan]
 	k.loan.loanPending = false
 	if ok && total <= loanLimit(p) {
 		k.loan.loanUntil = time.Duration(k.window+1)*loanWindow(p) + loanLasts
--- a/internal/policy/check.go
+++ b/internal/policy/check.go
@@ -10,33 +10,33 @@
 )
 
 // periodicCheck looks for what no event tells: silence, waiting customers, free slots.
-func (d *Engine) periodicCheck() {
-	d.act(SetTimer{d.now + checkInterval, 0})
-	for _, s := range d.watched {
-		if d.now-d.checkedAt < stalledAfter { // else this door stood still, and what came meanwhile is not yet read
-			d.detectSilence(s)
+func (e *Engine) periodicCheck() {
+	e.emit(SetTimer{e.now + checkInterval, 0})
+	for _, s := range e.watched {
+		if e.now-e.checkedAt < stalledAfter { // else this door stood still, and what came meanwhile is not yet read
+			e.detectSilence(s)
 		}
 	}
-	d.checkedAt = d.now
-	d.pruneWatched()
-	d.endColdStarts()
-	stuck := d.unplaced
-	d.unplaced = nil
+	e.checkedAt = e.now
+	e.pruneWatched()
+	e.endColdStarts()
+	stuck := e.unplaced
+	e.unplaced = nil
 	for _, r := range stuck {
 		if !r.ended {
-			d.place(r)
+			e.dispatch(r)
 		}
 	}
-	d.fillAll()
-	list := d.waiters
-	d.waiters = nil
+	e.fillAll()
+	list := e.waiters
+	e.waiters = nil
 	for _, c := range list {
 		c.listed = false
-		d.serve(c)
+		e.serve(c)
 	}
-	d.forgetCustomers()
-	if d.set.PollEndpoints && d.set.PollInterval > 0 && d.now-d.listAt > d.set.PollInterval/2 {
-		d.listAt = d.now
-		d.act(FetchEndpoints{})
+	e.forgetCustomers()
+	if e.settings.PollEndpoints && e.settings.PollInterval > 0 && e.now-e.listAt > e.settings.PollInterval/2 {
+		e.listAt = e.now
+		e.emit(FetchEndpoints{})
 	}
 }
--- a/internal/policy/coldstart.go
+++ b/internal/policy/coldstart.go
@@ -17,24 +17,24 @@
 // capacity x window, the capacity taken for no more than what a warm server of its weight is seen to carry.
 // A share of under one send (a departure: many doors) is a rarer turn, the first at a time by chance, as all
 // doors learn of a start together. It can leave a server that only this door knows of idle for a while.
-func (d *Engine) coldBudgetSpent(s *backend) bool {
-	w := d.capacityShare(s)
+func (e *Engine) coldBudgetSpent(s *backend) bool {
+	w := e.capacityShare(s)
 	if w >= 1 {
 		return false
 	}
-	span := d.set.OverloadWindow.Seconds()
-	budget := coldMargin * d.set.OverloadMultiple * w * d.observedRate() * span *
-		s.weight / cmp.Or(d.weight, s.weight)
+	span := e.settings.OverloadWindow.Seconds()
+	budget := coldMargin * e.settings.OverloadMultiple * w * e.observedRate() * span *
+		s.weight / cmp.Or(e.weight, s.weight)
 	whole := max(1, math.Floor(budget)) // so many in a time as much longer or shorter: all doors round alike
 	if span *= whole / budget; budget < 1 {
-		span = min(span, max(d.set.SlowStartDuration.Seconds(),
-			d.set.OverloadWindow.Seconds()*d.doorsPerServer/coldLeast))
+		span = min(span, max(e.settings.SlowStartDuration.Seconds(),
+			e.settings.OverloadWindow.Seconds()*e.doorsPerServer/coldLeast))
 		if s.coldSendAt == 0 {
-			s.coldSendAt = d.now + time.Duration(d.rng.Float64()*span*float64(time.Second))
+			s.coldSendAt = e.now + time.Duration(e.rng.Float64()*span*float64(time.Second))
 		}
 	}
-	for len(s.recent) > 0 && (d.now-s.recent[0]).Seconds() >= span {
+	for len(s.recent) > 0 && (e.now-s.recent[0]).Seconds() >= span {
 		s.recent = s.recent[1:]
 	}
-	return float64(len(s.recent)) >= whole || d.now < s.coldSendAt
+	return float64(len(s.recent)) >= whole || e.now < s.coldSendAt
 }
--- a/internal/policy/concurrency.go
+++ b/internal/policy/concurrency.go
@@ -28,18 +28,19 @@
 )
 
 // learn takes what an outcome tells of a server: latency, slots, signs of life.
-func (d *Engine) learn(s *backend, a *attempt, ev AttemptResult) {
-	class, took := a.r.class, max(1e-3, ev.Latency.Seconds()) // within a tick counts as a millisecond
-	ratio := min(took/d.base[class], 8)                       // one costly request says little of its server
+func (e *Engine) learn(s *backend, a *attempt, ev AttemptResult) {
+	class, took := a.request.class, max(1e-3, ev.Latency.Seconds()) // within a tick counts as a millisecond
+	// One costly request says little of its server.
+	ratio := min(took/e.base[class], 8)
 	news := min(ratio, fleetWorst)
 	// One that turns away again and again drains, or has no connection left: its own state, unless most do so.
-	all := ev.Status == Rejected && (!s.refusedLast || d.mostRefuse())
+	all := ev.Status == Rejected && (!s.refusedLast || e.mostRefuse())
 	if ev.Status == OK || all || ev.Status == TimedOut && !s.ejected {
 		if ev.Status == Rejected {
 			news = fleetFull
 		}
-		d.fleet += min(fleetMost, (d.now-d.fleetAt).Seconds()/fleetOver) * (news - d.fleet)
-		d.fleetAt = d.now
+		e.fleet += min(fleetMost, (e.now-e.fleetAt).Seconds()/fleetOver) * (news - e.fleet)
+		e.fleetAt = e.now
 	}
 	switch ev.Status {
 	case ConnectionReset, ConnectFailed:
@@ -47,7 +48,7 @@
 			s.slots *= fullBy
 		}
 		if s.fails >= failsMost && !s.ejected {
-			d.eject(s)
+			e.eject(s)
 		}
 	case TimedOut:
 		if !s.ejected {
@@ -56,9 +57,9 @@
 			s.slots *= lateBy
 		}
 	case OK, Failed, Rejected:
-		s.heard, s.lost, s.fails, s.refusedLast = d.now, 0, 0, ev.Status == Rejected
+		s.heard, s.lost, s.fails, s.refusedLast = e.now, 0, 0, ev.Status == Rejected
 		if s.ejected {
-			d.restore(s, a.trial)
+			e.restore(s, a.trial)
 		}
 	}
 	switch ev.Status {
@@ -67,19 +68,19 @@
 	case OK:
 		s.slow = max(0.2, s.slow+slowGain*(ratio-s.slow))
 		if s.counted { // what still comes from those that have gone would count for few
-			d.recordAnswer()
+			e.recordAnswer()
 		}
-		d.answers[class]++
-		d.base[class] += max(baseGain, 1/float64(d.answers[class])) * (took - d.base[class])
-		d.pace(s, a.r)
+		e.answers[class]++
+		e.base[class] += max(baseGain, 1/float64(e.answers[class])) * (took - e.base[class])
+		e.pace(s, a.request)
 	}
 	if a.trial && s.ejected {
-		d.nextTrial(s)
+		e.nextTrial(s)
 	}
 	s.slots = max(slotsLeast, s.slots)
-	if s.slots < 1 && d.now >= s.restUntil {
-		rest := d.latency(a.r, s) * (1/s.slots - 1)
-		s.restUntil = d.now + time.Duration(rest*float64(time.Second))
+	if s.slots < 1 && e.now >= s.restUntil {
+		rest := e.latency(a.request, s) * (1/s.slots - 1)
+		s.restUntil = e.now + time.Duration(rest*float64(time.Second))
 	}
 }
 
@@ -88,18 +89,18 @@
 // servers, where no level counts and where work that nobody waits for any more goes on). That floor follows
 // the class's mean down at once, and up only while so few slots are open that waiting can't be the cause: so
 // a slowness of everything is told from overload.
-func (d *Engine) pace(s *backend, r *request) {
-	floor := &d.floor[r.class]
-	if d.base[r.class] < *floor || *floor == 0 {
-		*floor = d.base[r.class]
-	} else if s.slots*d.doorsPerServer <= squeezed {
-		*floor += floorGain * (d.base[r.class] - *floor)
+func (e *Engine) pace(s *backend, r *request) {
+	floor := &e.floor[r.class]
+	if e.base[r.class] < *floor || *floor == 0 {
+		*floor = e.base[r.class]
+	} else if s.slots*e.doorsPerServer <= squeezed {
+		*floor += floorGain * (e.base[r.class] - *floor)
 	}
-	high := min(r.tau.Seconds()*margin*shrinkAbove, shrinkRatio**floor)
-	switch lat := d.latency(r, s); {
-	case lat > high && s.slots*d.doorsPerServer > 0.7*squeezed:
+	high := min(r.deadlineBudget.Seconds()*deadlineMargin*shrinkAbove, shrinkRatio**floor)
+	switch lat := e.latency(r, s); {
+	case lat > high && s.slots*e.doorsPerServer > 0.7*squeezed:
 		s.slots *= shrinkBy
-	case lat < high*growShare && len(s.outs)+1 >= int(s.slots):
+	case lat < high*growShare && len(s.inFlight)+1 >= int(s.slots):
 		s.slots = min(slotsMost, s.slots+growBy/max(1, s.slots))
 	}
 }
--- a/internal/policy/customer.go
+++ b/internal/policy/customer.go
@@ -44,55 +44,55 @@
 	emptyUntil       time.Duration // the store was seen empty: not asked before then
 }
 
-func (d *Engine) customer(ev Request) *tenant {
+func (e *Engine) customer(ev Request) *tenant {
 	h := holder{ev.Tenant, ev.Plan}
-	c, p := d.tenants[h], &d.set.Plans[ev.Plan]
-	n := float64(cmp.Or(max(0, ev.Gateways), d.set.Gateways))
+	c, p := e.tenants[h], &e.settings.Plans[ev.Plan]
+	n := float64(cmp.Or(max(0, ev.Gateways), e.settings.Gateways))
 	if c == nil {
-		c = &tenant{holder: h, doors: n, spare: p.Burst / n, spareAt: d.now,
-			demandAt: d.now, ceilingAt: d.begun, store: p.Burst, storeAt: d.now}
-		d.tenants[h] = c
-		d.order = append(d.order, c)
+		c = &tenant{holder: h, doors: n, spare: p.Burst / n, spareAt: e.now,
+			demandAt: e.now, ceilingAt: e.startedAt, store: p.Burst, storeAt: e.now}
+		e.tenants[h] = c
+		e.order = append(e.order, c)
 	}
 	c.doors = n
 	return c
 }
 
 // level is what the customer's store should hold now.
-func (d *Engine) level(c *tenant, p *Plan) float64 {
-	return min(p.Burst, c.store+p.Rate*(d.now-c.storeAt).Seconds())
+func (e *Engine) level(c *tenant, p *Plan) float64 {
+	return min(p.Burst, c.store+p.Rate*(e.now-c.storeAt).Seconds())
 }
 
 // refill is the time until the customer's store should hold the units.
-func (d *Engine) refill(c *tenant, p *Plan, units float64) time.Duration {
-	return time.Duration(max(0.01, (units-d.level(c, p))/max(p.Rate, 0.1)) * float64(time.Second))
+func (e *Engine) refill(c *tenant, p *Plan, units float64) time.Duration {
+	return time.Duration(max(0.01, (units-e.level(c, p))/max(p.Rate, 0.1)) * float64(time.Second))
 }
 
 // ceiling fills and tells this door's share of the customer's ceiling: rate and depth divided by the doors. A
 // fresh door may have spent its share before it was restarted, so it starts empty.
-func (d *Engine) ceiling(c *tenant, p *Plan) float64 {
+func (e *Engine) ceiling(c *tenant, p *Plan) float64 {
 	if p.HardLimitRate == 0 {
 		return math.Inf(1)
 	}
-	rate := d.ceilingRate(c, p)
-	c.ceilingUnits += rate * (d.now - c.ceilingAt).Seconds()
-	c.ceilingUnits, c.ceilingAt = min(c.ceilingUnits, p.HardLimitBurst*rate/p.HardLimitRate), d.now
+	rate := e.ceilingRate(c, p)
+	c.ceilingUnits += rate * (e.now - c.ceilingAt).Seconds()
+	c.ceilingUnits, c.ceilingAt = min(c.ceilingUnits, p.HardLimitBurst*rate/p.HardLimitRate), e.now
 	return c.ceilingUnits
 }
 
 // ceilingRate is this door's own share of a ceiling's rate. Where an even share holds few requests, traffic
 // is never as even: then a part of the ceiling is kept in common (a departure: many doors).
-func (d *Engine) ceilingRate(c *tenant, p *Plan) float64 {
-	if d.ceilingIsShared(c, p) {
+func (e *Engine) ceilingRate(c *tenant, p *Plan) float64 {
+	if e.ceilingIsShared(c, p) {
 		return p.HardLimitRate / c.doors * ceilingOwnPart
 	}
 	return p.HardLimitRate / c.doors
 }
 
 // ceilingIsShared says whether a part of a ceiling is kept in common. Both parts must hold a request.
-func (d *Engine) ceilingIsShared(c *tenant, p *Plan) bool {
-	each, largest := p.HardLimitBurst/c.doors, max(1, d.set.MaxRequestCost)
-	return d.set.SharedCounter && p.HardLimitRate > 0 && each < ceilingFewRequests*largest &&
+func (e *Engine) ceilingIsShared(c *tenant, p *Plan) bool {
+	each, largest := p.HardLimitBurst/c.doors, max(1, e.settings.MaxRequestCost)
+	return e.settings.SharedCounter && p.HardLimitRate > 0 && each < ceilingFewRequests*largest &&
 		each*ceilingOwnPart >= largest && loanLimit(p) >= largest
 }
 
@@ -111,28 +111,28 @@
 
 // ceilingFillTime is the time in seconds until this door's share of the ceiling has room for a request that
 // would join its customer's line.
-func (d *Engine) ceilingFillTime(r *request) float64 {
-	p := &d.set.Plans[r.plan]
+func (e *Engine) ceilingFillTime(r *request) float64 {
+	p := &e.settings.Plans[r.plan]
 	if p.HardLimitRate == 0 {
 		return 0
 	}
-	short := r.units + r.c.ceilingQueued - d.ceiling(r.c, p)
-	for _, o := range r.c.waiting {
+	short := r.cost + r.tenant.ceilingQueued - e.ceiling(r.tenant, p)
+	for _, o := range r.tenant.waiting {
 		if !o.ended {
-			short += o.units
+			short += o.cost
 		}
 	}
-	return max(0, short) / d.ceilingRate(r.c, p)
+	return max(0, short) / e.ceilingRate(r.tenant, p)
 }
 
 // forgetCustomers looks at a few customers and forgets those that are idle.
-func (d *Engine) forgetCustomers() {
-	for i := 0; i < 8 && len(d.order) > 0; i++ {
-		d.sweep = (d.sweep + 1) % len(d.order)
-		if c := d.order[d.sweep]; d.now-c.usedAt > forgetAfter && !c.asking && c.live == 0 {
-			delete(d.tenants, c.holder)
-			d.order[d.sweep] = d.order[len(d.order)-1]
-			d.order = d.order[:len(d.order)-1]
+func (e *Engine) forgetCustomers() {
+	for i := 0; i < 8 && len(e.order) > 0; i++ {
+		e.sweep = (e.sweep + 1) % len(e.order)
+		if c := e.order[e.sweep]; e.now-c.usedAt > forgetAfter && !c.asking && c.live == 0 {
+			delete(e.tenants, c.holder)
+			e.order[e.sweep] = e.order[len(e.order)-1]
+			e.order = e.order[:len(e.order)-1]
 		}
 	}
 }
--- a/internal/policy/ejection.go
+++ b/internal/policy/ejection.go
@@ -21,93 +21,96 @@
 // answers take while nothing was heard. It covers hung, cut off and stopped machines. If fewer than a quarter
 // of the servers answer, it is not this server's fault. It could harm a server that got several costly
 // requests in a row; the first late answer brings such a one back.
-func (d *Engine) detectSilence(s *backend) {
+func (e *Engine) detectSilence(s *backend) {
 	if s.ejected {
-		if s.listed && d.set.AllowHealthChecks && d.now >= s.trialAt && !s.trying {
+		if s.listed && e.settings.AllowHealthChecks && e.now >= s.trialAt && !s.trying {
 			s.trying = true
-			d.act(HealthCheck{s.name})
+			e.emit(HealthCheck{s.name})
 		}
 		return
 	}
 	sum := quietEach * float64(s.lost)
-	for _, a := range s.outs {
-		quiet := (d.now - max(a.at, s.heard)).Seconds()
-		sum += min(quietEach, quiet/d.latency(a.r, s))
+	for _, a := range s.inFlight {
+		quiet := (e.now - max(a.sentAt, s.heard)).Seconds()
+		sum += min(quietEach, quiet/e.latency(a.request, s))
 	}
-	if sum < quietSum || d.now-s.heard < quietLeast {
+	if sum < quietSum || e.now-s.heard < quietLeast {
 		return
 	}
 	live := 0
-	for i, all := range [2][]*backend{d.subset, d.watched} {
+	for i, all := range [2][]*backend{e.subset, e.watched} {
 		for _, o := range all {
-			if (i == 0 || !o.inSubset) && o.usable() && o.heard > s.heard && d.now-o.heard < 500*time.Millisecond {
+			if (i == 0 || !o.inSubset) && o.usable() && o.heard > s.heard && e.now-o.heard < 500*time.Millisecond {
 				live++
 			}
 		}
 	}
-	if 4*live >= len(d.subset) && live > 0 {
-		d.eject(s)
+	if 4*live >= len(e.subset) && live > 0 {
+		e.eject(s)
 	}
 }
 
 // eject stops new work to a server, moves its queue on and calls back what could still be served elsewhere.
-func (d *Engine) eject(s *backend) {
+func (e *Engine) eject(s *backend) {
 	s.ejected, s.trying = true, false
-	s.trialPause = max(trialFirst, time.Duration(d.rng.Int64N(int64(d.doorsPerServer*float64(trialEach)))))
-	s.trialAt = d.now + s.trialPause
-	d.countWarm(s)
-	d.watch(s)
-	d.act(Log{"no longer used: " + s.name})
-	d.moveQueue(s)
-	if !d.set.AllowCancel {
+	s.trialPause = max(trialFirst, time.Duration(e.rng.Int64N(int64(e.doorsPerServer*float64(trialEach)))))
+	s.trialAt = e.now + s.trialPause
+	e.countWarm(s)
+	e.watch(s)
+	e.emit(Log{"no longer used: " + s.name})
+	e.moveQueue(s)
+	if !e.settings.AllowCancel {
 		return
 	}
-	for _, a := range s.outs {
-		if !a.r.ended && !a.r.stream && (d.now-a.r.at).Seconds()+d.latency(a.r, nil) < a.r.tau.Seconds() {
-			d.act(CancelAttempt{a.r.id, a.no})
+	for _, a := range s.inFlight {
+		r := a.request
+		inTime := (e.now-r.arrivedAt).Seconds()+e.latency(r, nil) < r.deadlineBudget.Seconds()
+		if !r.ended && !r.streaming && inTime {
+			e.emit(CancelAttempt{a.request.id, a.number})
 		}
 	}
 }
 
-func (d *Engine) nextTrial(s *backend) {
+func (e *Engine) nextTrial(s *backend) {
 	s.trying = false
-	s.trialPause = min(max(trialMost, time.Duration(d.doorsPerServer*float64(trialEach))), s.trialPause*3/2)
-	s.trialAt = d.now + s.trialPause
+	s.trialPause = min(max(trialMost, time.Duration(e.doorsPerServer*float64(trialEach))), s.trialPause*3/2)
+	s.trialAt = e.now + s.trialPause
 }
 
 // trialServer gives an ejected server one safe request with time for another attempt, without probes.
-func (d *Engine) trialServer(r *request) *backend {
-	if d.set.AllowHealthChecks || d.set.Classes[r.class].Idempotency != Idempotent ||
-		len(r.attempts) > 0 || d.set.MaxAttempts < 2 || r.tau.Seconds() < trialRoom*d.base[r.class] {
+func (e *Engine) trialServer(r *request) *backend {
+	if e.settings.AllowHealthChecks || e.settings.Classes[r.class].Idempotency != Idempotent ||
+		len(r.attempts) > 0 || e.settings.MaxAttempts < 2 ||
+		r.deadlineBudget.Seconds() < trialRoom*e.base[r.class] {
 		return nil
 	}
-	for _, s := range d.watched {
-		if s.listed && s.inSubset && s.ejected && !s.trying && d.now >= s.trialAt && !d.coldBudgetSpent(s) {
+	for _, s := range e.watched {
+		if s.listed && s.inSubset && s.ejected && !s.trying && e.now >= s.trialAt && !e.coldBudgetSpent(s) {
 			return s
 		}
 	}
 	return nil
 }
 
-func (d *Engine) probed(ev HealthCheckResult) {
-	s := d.backends[ev.Backend]
+func (e *Engine) healthChecked(ev HealthCheckResult) {
+	s := e.backends[ev.Backend]
 	if s == nil || !s.ejected {
 		return
 	}
-	d.nextTrial(s)
+	e.nextTrial(s)
 	if ev.Status == OK {
-		d.restore(s, true)
+		e.restore(s, true)
 	}
 }
 
 // restore takes a server back. One that comes back from silence may have started anew: it counts as cold.
-func (d *Engine) restore(s *backend, fresh bool) {
-	fresh = fresh && d.now-s.heard > restartTime
-	s.ejected, s.trying, s.fails, s.lost, s.heard = false, false, 0, 0, d.now
-	d.act(Log{"used again: " + s.name})
+func (e *Engine) restore(s *backend, fresh bool) {
+	fresh = fresh && e.now-s.heard > restartTime
+	s.ejected, s.trying, s.fails, s.lost, s.heard = false, false, 0, 0, e.now
+	e.emit(Log{"used again: " + s.name})
 	if fresh {
 		s.slow, s.slots = 1, 1
-		d.markCold(s, d.now)
+		e.markCold(s, e.now)
 	}
-	d.countWarm(s)
+	e.countWarm(s)
 }
--- a/internal/policy/queue.go
+++ b/internal/policy/queue.go
@@ -5,49 +5,49 @@
 import "cmp"
 
 const (
-	margin      = 0.9       // f of EQ 3 and EQ 4 (the design page)
-	patience    = 0.5       // share of tau*f that a request may be expected to take on joining
-	bands       = 6         // levels by worth, each half the worth of the one above
-	lowest      = 2 * bands // level of what is beyond a soft quota; promoted bands come first
-	rejectFrom  = 0.25      // part of tau*f that waiting in servers takes when some are refused
-	rejectAll   = 0.6       // ... and at which all are ...
-	rejectMost  = 0.97      // ... but for a few, whose answers tell when it is over
-	rejectSlope = 1.5       // what the lowest level adds to that part, as a multiple
+	deadlineMargin = 0.9               // f of EQ 3 and EQ 4 (the design page)
+	patience       = 0.5               // share of tau*f that a request may be expected to take on joining
+	priorityBands  = 6                 // levels by worth, each half the worth of the one above
+	lowestLevel    = 2 * priorityBands // level of what is beyond a soft quota; promoted bands come first
+	rejectFrom     = 0.25              // part of tau*f that waiting in servers takes when some are refused
+	rejectAll      = 0.6               // ... and at which all are ...
+	rejectMost     = 0.97              // ... but for a few, whose answers tell when it is over
+	rejectSlope    = 1.5               // what the lowest level adds to that part, as a multiple
 )
 
-// place queues a request at a server and releases what may go.
-func (d *Engine) place(r *request) {
-	if t := d.trialServer(r); t != nil {
-		d.send(r, t, true)
+// dispatch queues a request at a server and releases what may go.
+func (e *Engine) dispatch(r *request) {
+	if t := e.trialServer(r); t != nil {
+		e.send(r, t, true)
 		return
 	}
-	s := d.choose(r)
-	if s == nil && !r.ran {
-		d.unplaced = append(d.unplaced, r)
+	s := e.choose(r)
+	if s == nil && !r.endedInDoubt {
+		e.unplaced = append(e.unplaced, r)
 		return
 	}
 	if s == nil {
-		d.reject(r, rejection{reason: NoBackendForRetry})
+		e.reject(r, rejection{reason: NoBackendForRetry})
 		return
 	}
-	if d.rejectEarly(r, s) {
-		d.reject(r, rejection{reason: Overloaded})
+	if e.rejectEarly(r, s) {
+		e.reject(r, rejection{reason: Overloaded})
 		return
 	}
-	d.push(r, s)
-	d.fill(s)
+	e.push(r, s)
+	e.fill(s)
 }
 
 // rejectEarly is EQ 4 seen from the back of the queue: what would come to wait for most of its time is
 // refused while the client can still try again in time (a departure: the paper lets it wait until it is
 // stale; under overload every answer then comes at the last moment, and each client's next try too late).
-func (d *Engine) rejectEarly(r *request, s *backend) bool {
-	if d.free(s) { // with many doors the queue is inside the servers, and latency tells of it (a departure)
-		lat := d.base[r.class] * max(1, d.fleet)
-		idle := cmp.Or(d.floor[r.class], lat)
-		part := (lat - idle) / max(1e-3, r.tau.Seconds()*margin-idle) *
-			(1 + rejectSlope*float64(r.level)/lowest)
-		return d.rng.Float64() < min(1, 2*d.sparseness())*min(rejectMost, (part-rejectFrom)/(rejectAll-rejectFrom))
+func (e *Engine) rejectEarly(r *request, s *backend) bool {
+	if e.free(s) { // with many doors the queue is inside the servers, and latency tells of it (a departure)
+		lat := e.base[r.class] * max(1, e.fleet)
+		idle := cmp.Or(e.floor[r.class], lat)
+		part := (lat - idle) / max(1e-3, r.deadlineBudget.Seconds()*deadlineMargin-idle) *
+			(1 + rejectSlope*float64(r.level)/lowestLevel)
+		return e.rng.Float64() < min(1, 2*e.sparseness())*min(rejectMost, (part-rejectFrom)/(rejectAll-rejectFrom))
 	}
 	if len(r.attempts) > 0 {
 		return false
@@ -56,26 +56,27 @@
 	for l := 0; s.queued > 0 && l <= r.level; l++ {
 		ahead += s.count[l]
 	}
-	lat := d.latency(r, s)
-	share := patience * (1 - float64(r.level)/(2*bands)) // the lower the level, the sooner
-	return (d.now-r.at).Seconds()+float64(ahead)*lat/s.slots+lat >= r.tau.Seconds()*margin*share
+	lat := e.latency(r, s)
+	share := patience * (1 - float64(r.level)/(2*priorityBands)) // the lower the level, the sooner
+	return (e.now-r.arrivedAt).Seconds()+float64(ahead)*lat/s.slots+lat >=
+		r.deadlineBudget.Seconds()*deadlineMargin*share
 }
 
 // free says whether a server has a free slot. Less than one slot means a pause between sends: with many doors
 // even one request each can be too much, and what a server turns away costs it work as well.
-func (d *Engine) free(s *backend) bool {
-	return len(s.outs) < max(1, int(s.slots)) && d.now >= s.restUntil
+func (e *Engine) free(s *backend) bool {
+	return len(s.inFlight) < max(1, int(s.slots)) && e.now >= s.restUntil
 }
 
 // fill releases requests to a server while it has a slot. With nothing queued it helps the longest queue.
-func (d *Engine) fill(s *backend) {
-	for s.usable() && d.free(s) && !d.coldBudgetSpent(s) {
+func (e *Engine) fill(s *backend) {
+	for s.usable() && e.free(s) && !e.coldBudgetSpent(s) {
 		from := s
-		if s.queued == 0 && (d.queued == 0 || !s.inSubset) {
+		if s.queued == 0 && (e.queued == 0 || !s.inSubset) {
 			return
 		} else if s.queued == 0 {
-			for _, o := range d.backlogged {
-				if o.queued > from.queued && !d.free(o) {
+			for _, o := range e.backlogged {
+				if o.queued > from.queued && !e.free(o) {
 					from = o
 				}
 			}
@@ -83,15 +84,15 @@
 		if from.queued == 0 {
 			return
 		}
-		r := d.pick(from, s)
+		r := e.pick(from, s)
 		if r == nil {
 			return
 		}
-		if r.queuedAt != from || !d.free(s) || d.coldBudgetSpent(s) { // its refusals let others come here meanwhile
+		if r.queuedOn != from || !e.free(s) || e.coldBudgetSpent(s) { // its refusals let others come here meanwhile
 			continue
 		}
-		d.unqueue(r)
-		d.send(r, s, false)
+		e.unqueue(r)
+		e.send(r, s, false)
 	}
 }
 
@@ -99,27 +100,27 @@
 // stale, in the promoted levels too (a departure: what no longer can be in time only delays the rest). EQ 4
 // goes down the levels while their summed counts, times the latency and over the slots, stay under tau*f; the
 // first level with a request is always open. The oldest request of the open levels goes.
-func (d *Engine) pick(from, to *backend) *request {
+func (e *Engine) pick(from, to *backend) *request {
 	var best *request
 	sum := 0
 	for l := range from.queue {
 		for from.count[l] > 0 {
 			r := from.head(l)
-			if (d.now-r.at).Seconds()+d.latency(r, to) < r.tau.Seconds()*margin {
+			if (e.now-r.arrivedAt).Seconds()+e.latency(r, to) < r.deadlineBudget.Seconds()*deadlineMargin {
 				break
 			}
-			d.reject(r, rejection{reason: StaleInQueue})
+			e.reject(r, rejection{reason: StaleInQueue})
 		}
 		if from.count[l] == 0 {
 			continue
 		}
 		r := from.head(l)
 		sum += from.count[l]
-		ahead := float64(sum + len(to.outs))
-		if best != nil && ahead*d.latency(r, to)/to.slots >= r.tau.Seconds()*margin*patience {
+		ahead := float64(sum + len(to.inFlight))
+		if best != nil && ahead*e.latency(r, to)/to.slots >= r.deadlineBudget.Seconds()*deadlineMargin*patience {
 			break
 		}
-		if (best == nil || r.at < best.at) && d.mayRepeat(r, to) {
+		if (best == nil || r.arrivedAt < best.arrivedAt) && e.mayRepeat(r, to) {
 			best = r
 		}
 	}
@@ -127,21 +128,21 @@
 }
 
 // fillAll releases what is queued: first each server its own, then those with nothing queued help.
-func (d *Engine) fillAll() {
-	for _, all := range [2][]*backend{d.backlogged, d.subset} {
+func (e *Engine) fillAll() {
+	for _, all := range [2][]*backend{e.backlogged, e.subset} {
 		for _, s := range all {
-			if d.queued == 0 {
+			if e.queued == 0 {
 				break
 			}
-			d.fill(s)
+			e.fill(s)
 		}
 	}
-	d.pruneBacklogged()
+	e.pruneBacklogged()
 }
 
 // moveQueue places anew what is queued at a server that is no longer usable. All is taken out first: placing
 // one request may release others.
-func (d *Engine) moveQueue(s *backend) {
+func (e *Engine) moveQueue(s *backend) {
 	if s.queued == 0 {
 		return
 	}
@@ -154,11 +155,11 @@
 		}
 	}
 	for _, r := range all {
-		d.unqueue(r)
+		e.unqueue(r)
 	}
 	for _, r := range all {
 		if !r.ended {
-			d.place(r)
+			e.dispatch(r)
 		}
 	}
 }
--- a/internal/policy/queues.go
+++ b/internal/policy/queues.go
@@ -4,20 +4,20 @@
 
 // levels are the queues of one server.
 type levels struct {
-	queue [lowest + 1][]*entry
-	count [lowest + 1]int
+	queue [lowestLevel + 1][]*entry
+	count [lowestLevel + 1]int
 }
 
 type entry struct{ r *request }
 
-func (d *Engine) push(r *request, s *backend) {
-	r.queueEntry, r.queuedAt = &entry{r}, s
+func (e *Engine) push(r *request, s *backend) {
+	r.queueEntry, r.queuedOn = &entry{r}, s
 	if s.levels == nil {
 		s.levels = &levels{}
 	}
 	if !s.inBacklog {
 		s.inBacklog = true
-		d.backlogged = append(d.backlogged, s)
+		e.backlogged = append(e.backlogged, s)
 	}
 	q := s.queue[r.level]
 	if len(r.attempts) > 0 { // a further attempt has waited already
@@ -28,21 +28,21 @@
 	s.queue[r.level] = q
 	s.count[r.level]++
 	s.queued++
-	d.queued++
+	e.queued++
 }
 
 // unqueue takes a request out of its queue; the empty place is passed over later.
-func (d *Engine) unqueue(r *request) {
+func (e *Engine) unqueue(r *request) {
 	if r.queueEntry == nil {
 		return
 	}
 	r.queueEntry.r = nil
-	if r.queuedAt.count[r.level]--; r.queuedAt.count[r.level] == 0 {
-		r.queuedAt.queue[r.level] = nil // only empty places are left, and nobody may come to pick here
+	if r.queuedOn.count[r.level]--; r.queuedOn.count[r.level] == 0 {
+		r.queuedOn.queue[r.level] = nil // only empty places are left, and nobody may come to pick here
 	}
-	r.queuedAt.queued--
-	d.queued--
-	r.queueEntry, r.queuedAt = nil, nil
+	r.queuedOn.queued--
+	e.queued--
+	r.queueEntry, r.queuedOn = nil, nil
 }
 
 func (s *backend) head(l int) *request {
@@ -55,27 +55,27 @@
 }
 
 // pruneBacklogged drops servers with nothing queued.
-func (d *Engine) pruneBacklogged() {
-	kept := d.backlogged[:0]
-	for _, s := range d.backlogged {
+func (e *Engine) pruneBacklogged() {
+	kept := e.backlogged[:0]
+	for _, s := range e.backlogged {
 		if s.inBacklog = s.queued > 0; s.inBacklog {
 			kept = append(kept, s)
 		}
 	}
-	clear(d.backlogged[len(kept):])
-	d.backlogged = kept
+	clear(e.backlogged[len(kept):])
+	e.backlogged = kept
 }
 
 // release gives back what a request holds while it is queued.
-func (d *Engine) release(r *request) {
+func (e *Engine) release(r *request) {
 	if r.holdsCeiling {
 		r.holdsCeiling = false
-		r.c.ceilingQueued -= r.units
+		r.tenant.ceilingQueued -= r.cost
 	}
 }
 
 // hold keeps units of the ceiling's share for a queued request; release gives them back.
-func (d *Engine) hold(r *request) {
+func (e *Engine) hold(r *request) {
 	r.holdsCeiling = true
-	r.c.ceilingQueued += r.units
+	r.tenant.ceilingQueued += r.cost
 }
--- a/internal/policy/quota.go
+++ b/internal/policy/quota.go
@@ -43,43 +43,44 @@
 // counter can serve; each such call stands for the others too, and these go by the door's share, into debt by
 // one request (a departure: at many doors a share is less than one). What was just seen empty is not asked
 // again until the customer's doors, taken together, would find it filled.
-func (d *Engine) spend(r *request, p *Plan) verdict {
-	c := r.c
-	if c.tokens > 0 && d.now-c.grantAt > leaseLife && !c.asking {
+func (e *Engine) spend(r *request, p *Plan) verdict {
+	c := r.tenant
+	if c.tokens > 0 && e.now-c.grantAt > leaseLife && !c.asking {
 		c.owed -= c.tokens // what the store holds now may differ from what it held then
 		c.tokens = 0
 	}
-	fill := p.Rate / c.doors * (d.now - c.spareAt).Seconds()
+	fill := p.Rate / c.doors * (e.now - c.spareAt).Seconds()
 	if c.spare+fill > 0 { // a debt is paid off at the full rate
-		fill = max(-c.spare, fill*(1-d.callShare))
+		fill = max(-c.spare, fill*(1-e.callShare))
 	}
-	c.spare, c.spareAt = min(max(c.spare, p.Burst/c.doors), c.spare+fill), d.now
+	c.spare, c.spareAt = min(max(c.spare, p.Burst/c.doors), c.spare+fill), e.now
 	least := 0.0
-	if d.set.SharedCounter && d.callShare > callsFew {
-		least = min(0, r.units-p.Burst*min(creditPart, creditAll/c.doors))
+	if e.settings.SharedCounter && e.callShare > callsFew {
+		least = min(0, r.cost-p.Burst*min(creditPart, creditAll/c.doors))
 	}
-	calls := d.set.SharedCounter && !r.asked && d.now >= c.emptyUntil && d.mayCall()
+	calls := e.settings.SharedCounter && !r.asked && e.now >= c.emptyUntil && e.mayCall()
 	switch {
-	case c.tokens >= r.units:
-		c.tokens -= r.units
+	case c.tokens >= r.cost:
+		c.tokens -= r.cost
 		if use := c.demand * leaseLife.Seconds(); calls && !c.asking && c.tokens < c.demand*askAhead.Seconds() &&
-			use >= aheadLeast*r.units {
-			d.ask(c, p, r.units)
+			use >= aheadLeast*r.cost {
+			e.ask(c, p, r.cost)
 		}
 		return paid
-	case c.spare+max(0, c.tokens) >= r.units:
-		c.spare -= r.units - max(0, c.tokens)
-		c.owed += r.units - max(0, c.tokens)
+	case c.spare+max(0, c.tokens) >= r.cost:
+		c.spare -= r.cost - max(0, c.tokens)
+		c.owed += r.cost - max(0, c.tokens)
 		c.tokens = min(0, c.tokens)
 		return paid
 	case c.asking:
 		return wait
-	case calls && d.rng.Float64() < d.callProbability(r):
+	case calls && e.rng.Float64() < e.callProbability(r):
 		r.asked = true
-		d.ask(c, p, r.units)
+		e.ask(c, p, r.cost)
 		return wait
-	case d.now >= c.emptyUntil && c.spare > least && (!r.retry || !d.set.SharedCounter) && d.onCredit(r.plan):
-		c.spare -= r.units
+	case e.now >= c.emptyUntil && c.spare > least && (!r.clientRetry || !e.settings.SharedCounter) &&
+		e.onCredit(r.plan):
+		c.spare -= r.cost
 		r.unsure = true
 		return paid
 	}
@@ -89,93 +90,93 @@
 // onCredit decides whether a request may go on unasked. What the calls for its plan find tells how many of
 // those are beyond their quota: the more these cost for what the others earn, the fewer go on. A counter that
 // is silent tells nothing.
-func (d *Engine) onCredit(plan int) bool {
-	if !d.set.SharedCounter || d.callShare <= callsFew {
+func (e *Engine) onCredit(plan int) bool {
+	if !e.settings.SharedCounter || e.callShare <= callsFew {
 		return true
 	}
-	p, over := &d.set.Plans[plan], d.denied[plan]
+	p, over := &e.settings.Plans[plan], e.denied[plan]
 	cost, earned := over*p.OverQuotaPenalty, 1-over+over*p.OverQuotaValue
-	return cost <= 0 || d.rng.Float64()*earned*creditPrice >= cost
+	return cost <= 0 || e.rng.Float64()*earned*creditPrice >= cost
 }
 
 // callProbability is the chance that a request calls the counter. Where not all can, the calls go where they
 // save most: to requests that cost much beyond their quota, of customers whose store holds few and is thus
 // often empty.
-func (d *Engine) callProbability(r *request) float64 {
+func (e *Engine) callProbability(r *request) float64 {
 	rank := 1.0
-	if d.mostCallSavings > 0 {
-		rank += min(rankMost, math.Log2(d.mostCallSavings/d.callSavings(r.class, r.plan)))
+	if e.mostCallSavings > 0 {
+		rank += min(rankMost, math.Log2(e.mostCallSavings/e.callSavings(r.class, r.plan)))
 	}
-	if r.retry {
+	if r.clientRetry {
 		rank *= retryRank
-	} else if r.c.spare <= 0 {
+	} else if r.tenant.spare <= 0 {
 		rank *= debtRank
 	}
-	return math.Pow(d.callShare, rank)
+	return math.Pow(e.callShare, rank)
 }
 
 // callSavings is what a call saves, by the settings alone.
-func (d *Engine) callSavings(class, plan int) float64 {
-	p := &d.set.Plans[plan]
-	return d.set.Classes[class].PriorityWeight * p.WeightFactor * p.OverQuotaPenalty / max(1, p.Burst)
+func (e *Engine) callSavings(class, plan int) float64 {
+	p := &e.settings.Plans[plan]
+	return e.settings.Classes[class].PriorityWeight * p.WeightFactor * p.OverQuotaPenalty / max(1, p.Burst)
 }
 
 // mayCall says that the counter can be asked: it answers, or this door's turn to test it has come.
-func (d *Engine) mayCall() bool {
-	pause := max(counterTry, time.Duration(d.set.Gateways)*counterEach)
-	return len(d.pendingCalls) < mostAsks && (d.callShare > callsFew || d.now-d.counterAt >= pause)
+func (e *Engine) mayCall() bool {
+	pause := max(counterTry, time.Duration(e.settings.Gateways)*counterEach)
+	return len(e.pendingCalls) < mostAsks && (e.callShare > callsFew || e.now-e.counterAt >= pause)
 }
 
 // ask adds a block on the counter: the units, or what this door's demand will use.
-func (d *Engine) ask(c *tenant, p *Plan, units float64) {
-	block := max(units, math.Floor(min(c.demand*leaseAhead.Seconds(), d.level(c, p)/c.doors)))
-	c.asking, d.counterAt = true, d.now
-	d.call(c, units, block, block/max(d.callShare, 1/standsFor)+c.owed, c.owed)
+func (e *Engine) ask(c *tenant, p *Plan, units float64) {
+	block := max(units, math.Floor(min(c.demand*leaseAhead.Seconds(), e.level(c, p)/c.doors)))
+	c.asking, e.counterAt = true, e.now
+	e.call(c, units, block, block/max(e.callShare, 1/standsFor)+c.owed, c.owed)
 	c.owed = 0
 }
 
 // counted settles a call. The counter's state shows in its answers alone: each in time lets a larger part of
 // the requests call, each late or failed one a smaller.
-func (d *Engine) counted(ev CounterResult) {
-	k := d.takeCall(ev.Name)
+func (e *Engine) counted(ev CounterResult) {
+	k := e.takeCall(ev.Name)
 	if k == nil {
 		return
 	}
 	if ev.Status != OK {
-		d.callShare = max(callsLeast, d.callShare*callsCut)
+		e.callShare = max(callsLeast, e.callShare*callsCut)
 	} else {
-		took := (d.now - k.at).Seconds() / d.set.CounterTimeout.Seconds()
-		d.callShare = min(1, max(callsFew, d.callShare*(1+callsGrow*max(-1, 1-took/callTakes))))
+		took := (e.now - k.at).Seconds() / e.settings.CounterTimeout.Seconds()
+		e.callShare = min(1, max(callsFew, e.callShare*(1+callsGrow*max(-1, 1-took/callTakes))))
 	}
 	if k.loan != nil {
-		d.loanAnswered(k, ev.Status == OK, ev.Total)
+		e.loanAnswered(k, ev.Status == OK, ev.Total)
 	} else if k.block > 0 {
 		k.c.asking = false
 		if ev.Status == OK {
-			d.grant(k, ev.Total)
+			e.grant(k, ev.Total)
 		} else if ev.Status != TimedOut {
 			k.c.owed += k.owed
 		}
 	}
-	d.serve(k.c)
+	e.serve(k.c)
 }
 
 // grant turns a total into tokens. What the store held over its burst has overflowed, and what it seems to
 // have gained over its rate since the last look the counter has lost: both are added, if worth a call. What
 // the store did not hold is given back.
-func (d *Engine) grant(k *call, total float64) {
+func (e *Engine) grant(k *call, total float64) {
 	c := k.c
-	p := &d.set.Plans[c.plan]
-	held := p.Burst + p.Rate*(d.now-time.Duration(k.window)*windowLen).Seconds() - total + k.amount
+	p := &e.settings.Plans[c.plan]
+	held := p.Burst + p.Rate*(e.now-time.Duration(k.window)*windowLen).Seconds() - total + k.amount
 	most := p.Burst
 	if c.known {
-		most = d.level(c, p)
-		if gap := (d.now - c.storeAt).Seconds(); gap > 0 {
+		most = e.level(c, p)
+		if gap := (e.now - c.storeAt).Seconds(); gap > 0 {
 			c.others += (1 - math.Exp(-gap/demandOver.Seconds())) * (max(0, most-held)/gap - c.others)
 		}
 	}
-	if held > most+p.Burst*overfull/max(callsFew, d.callShare) { // a correction is a call too
-		d.call(c, 0, 0, held-most, 0)
+	if held > most+p.Burst*overfull/max(callsFew, e.callShare) { // a correction is a call too
+		e.call(c, 0, 0, held-most, 0)
 		held = most
 	}
 	got := min(k.block, held-k.owed)
@@ -183,20 +184,20 @@
 	if got < k.units { // a part that no request can be paid with is of use to other doors only
 		got, none = 0, 1
 	}
-	d.denied[c.plan] += deniedGain * (none - d.denied[c.plan])
+	e.denied[c.plan] += deniedGain * (none - e.denied[c.plan])
 	if got < k.block {
-		if d.sparseness() == 0 && c.demand*leaseLife.Seconds() >= aheadLeast*k.block { // another call comes soon
+		if e.sparseness() == 0 && c.demand*leaseLife.Seconds() >= aheadLeast*k.block { // another call comes soon
 			c.owed += got + k.owed - k.amount
 		} else {
-			d.call(c, 0, 0, got+k.owed-k.amount, 0)
+			e.call(c, 0, 0, got+k.owed-k.amount, 0)
 		}
 		k.amount = got + k.owed
 		pause := max(k.block-held, c.doors/emptyDoors) / p.Rate
-		c.emptyUntil = d.now + min(emptyMost, time.Duration(pause*float64(time.Second)))
+		c.emptyUntil = e.now + min(emptyMost, time.Duration(pause*float64(time.Second)))
 	}
 	if !c.known {
 		c.known, c.spare = true, min(c.spare, 0)
 	}
-	c.store, c.storeAt = max(held-k.amount, -p.Burst/2), d.now
-	c.tokens, c.grantAt = c.tokens+got, d.now
+	c.store, c.storeAt = max(held-k.amount, -p.Burst/2), e.now
+	c.tokens, c.grantAt = c.tokens+got, e.now
 }
--- a/internal/policy/rejection.go
+++ b/internal/policy/rejection.go
@@ -100,30 +100,30 @@
 func (c *rejectionCounts) add(reason RejectReason) { c[reason]++ }
 
 // reject ends a request for a reason and answers it. A request that has ended has its answer already.
-func (d *Engine) reject(r *request, why rejection) {
+func (e *Engine) reject(r *request, why rejection) {
 	if r.ended {
 		return
 	}
-	mayRunTwice := d.clientRetryMayRunTwice(r)
-	d.end(r)
-	d.rejections.add(why.reason)
+	mayRunTwice := e.clientRetryMayRunTwice(r)
+	e.end(r)
+	e.rejections.add(why.reason)
 	if mayRunTwice {
-		d.act(Fail{r.id})
+		e.emit(Fail{r.id})
 	} else {
-		d.act(Reject{r.id, d.adviceToClient(why)})
+		e.emit(Reject{r.id, e.adviceToClient(why)})
 	}
-	d.forget(r)
+	e.forget(r)
 }
 
 // clientRetryMayRunTwice says whether a client that tries again could have its request take effect twice. A
 // Reject promises that trying again is harmless, so such a request ends with Fail (WIRE-bellwood.md, The
 // contract, rule 2).
-func (d *Engine) clientRetryMayRunTwice(r *request) bool {
-	return r.mayHaveRun() && !repeatIsHarmless(&d.set.Classes[r.class])
+func (e *Engine) clientRetryMayRunTwice(r *request) bool {
+	return r.mayHaveRun() && !repeatIsHarmless(&e.settings.Classes[r.class])
 }
 
 // mayHaveRun says whether a backend may have acted on the request: an attempt ended in doubt or is in flight.
-func (r *request) mayHaveRun() bool { return r.ran || r.out > 0 }
+func (r *request) mayHaveRun() bool { return r.endedInDoubt || r.attemptsInFlight > 0 }
 
 // repeatIsHarmless says whether a request of the class may be sent again to any backend, as a client that
 // tries again may reach any.
@@ -139,10 +139,10 @@
 
 // adviceToClient bounds the advice by the longest that clients heed. Where the settings give them none it is
 // 0.
-func (d *Engine) adviceToClient(why rejection) time.Duration {
+func (e *Engine) adviceToClient(why rejection) time.Duration {
 	advice := why.retryAfter
-	if !d.set.SendRetryAfter {
+	if !e.settings.SendRetryAfter {
 		advice = 0
 	}
-	return min(advice, d.set.MaxRetryAfter)
+	return min(advice, e.settings.MaxRetryAfter)
 }
--- a/internal/policy/rounds.go
+++ b/internal/policy/rounds.go
@@ -11,49 +11,49 @@
 )
 
 // newRound deals all servers out anew over so many seats.
-func (d *Engine) newRound(seats int) {
-	for _, s := range d.ring {
+func (e *Engine) newRound(seats int) {
+	for _, s := range e.ring {
 		if s.member.Seated() {
 			s.member = subset.Member[*backend]{Value: s}
 			if s.inSubset && !s.extra {
-				d.setInSubset(s, false)
+				e.setInSubset(s, false)
 			}
 		}
 	}
 	moved := func(s *backend, in bool) {
 		if !s.extra {
-			d.setInSubset(s, in)
+			e.setInSubset(s, in)
 		}
 		s.extra = false
 	}
-	number, mine := uint64(d.set.GatewayIndex/seats), d.set.GatewayIndex%seats
-	d.round = subset.New(number, seats, mine, subsetSlack, moved)
-	for _, s := range d.ring {
+	number, mine := uint64(e.settings.GatewayIndex/seats), e.settings.GatewayIndex%seats
+	e.round = subset.New(number, seats, mine, subsetSlack, moved)
+	for _, s := range e.ring {
 		if s.listed {
-			d.round.Add(&s.member, s.name)
+			e.round.Add(&s.member, s.name)
 		}
 	}
 }
 
 // setInSubset puts a server into this door's subset or takes it out.
-func (d *Engine) setInSubset(s *backend, in bool) {
+func (e *Engine) setInSubset(s *backend, in bool) {
 	if s.inSubset == in {
 		return
 	}
 	if s.inSubset = in; in {
-		s.subsetAt = len(d.subset)
-		d.subset = append(d.subset, s)
+		s.subsetIndex = len(e.subset)
+		e.subset = append(e.subset, s)
 		return
 	}
-	last := len(d.subset) - 1
-	d.subset[s.subsetAt], d.subset[last].subsetAt = d.subset[last], s.subsetAt
-	d.subset[last] = nil
-	d.subset = d.subset[:last]
+	last := len(e.subset) - 1
+	e.subset[s.subsetIndex], e.subset[last].subsetIndex = e.subset[last], s.subsetIndex
+	e.subset[last] = nil
+	e.subset = e.subset[:last]
 }
 
 // ownOrder is a server's place in this door's own order.
-func (d *Engine) ownOrder(s *backend) uint64 {
-	return subset.Mix(xxhash.Sum64String(s.name), uint64(d.set.GatewayIndex)<<32)
+func (e *Engine) ownOrder(s *backend) uint64 {
+	return subset.Mix(xxhash.Sum64String(s.name), uint64(e.settings.GatewayIndex)<<32)
 }
 
 // coarseSeats rounds a number of seats down to three binary digits: a list that grows then changes it seldom,
--- a/internal/policy/selection.go
+++ b/internal/policy/selection.go
@@ -14,11 +14,11 @@
 
 // choose picks a server: round robin, passing over one on which more work waits for its weight and speed, and
 // one in its pause. It looks at a bounded part of the fleet, however large that is.
-func (d *Engine) choose(r *request) *backend {
-	d.turn++
-	best, low := d.cheapest(r, d.subset, lookInside, true)
+func (e *Engine) choose(r *request) *backend {
+	e.roundRobin++
+	best, low := e.cheapest(r, e.subset, lookInside, true)
 	if low >= costOutside {
-		if far, cost := d.cheapest(r, d.ring, lookOutside, false); cost < low {
+		if far, cost := e.cheapest(r, e.ring, lookOutside, false); cost < low {
 			best = far
 		}
 	}
@@ -29,37 +29,37 @@
 // and found one that is free, those outside until it has looked at so many. Where a door sends to each so
 // rarely that what it knows is old or luck, chance has a part (a departure: then all doors together give each
 // server by its weight and speed; none is found by all).
-func (d *Engine) cheapest(r *request, all []*backend, most int, inside bool) (best *backend, low float64) {
+func (e *Engine) cheapest(r *request, all []*backend, most int, inside bool) (best *backend, low float64) {
 	low = math.Inf(1)
-	chance := d.sparseness()
+	chance := e.sparseness()
 	for i := range all {
 		if most <= 0 && (!inside || low < costBusy) {
 			break
 		}
-		s := all[(d.turn+i)%len(all)]
+		s := all[(e.roundRobin+i)%len(all)]
 		if !inside {
 			most--
 		}
-		if s.inSubset != inside || !s.usable() || !d.mayRepeat(r, s) {
+		if s.inSubset != inside || !s.usable() || !e.mayRepeat(r, s) {
 			continue
 		}
-		warm := d.capacityShare(s)
+		warm := e.capacityShare(s)
 		if !inside && warm < 1 { // its cold budget is that of the doors that have it
 			continue
 		}
-		cost := (float64(len(s.outs)+s.queued) + 1) * s.slow / (s.weight * warm)
-		if s.zone != d.set.Zone {
+		cost := (float64(len(s.inFlight)+s.queued) + 1) * s.slow / (s.weight * warm)
+		if s.zone != e.settings.Zone {
 			cost *= 1.05
 		}
 		if chance > 0 {
-			cost *= 1 - chance + chance*d.rng.ExpFloat64()
+			cost *= 1 - chance + chance*e.rng.ExpFloat64()
 		}
-		if !d.free(s) {
+		if !e.free(s) {
 			cost = cost*10/min(1, s.slots) + costBusy
 		}
 		if inside {
 			most--
-			if d.coldBudgetSpent(s) {
+			if e.coldBudgetSpent(s) {
 				cost += costCold
 			}
 		} else {
--- a/internal/policy/subset.go
+++ b/internal/policy/subset.go
@@ -16,52 +16,52 @@
 // each to use all, a server's connections and handshakes would grow with the doors, and each door would meet
 // it too seldom to know it). The doors of one round share out the whole list, so every server is in as many
 // subsets. They do so by consistent hashing with bounded loads: a change of the list moves few.
-func (d *Engine) assignSubset() {
-	seats := max(1, int(math.Round(float64(d.set.Gateways)/doorsPerServerMost)))
-	fits := max(1, coarseSeats((d.inService+subsetLeast/2)/subsetLeast))
-	if d.round != nil && float64(d.inService) >= roundStays*subsetLeast*float64(d.round.Seats()) {
-		fits = max(fits, d.round.Seats())
+func (e *Engine) assignSubset() {
+	seats := max(1, int(math.Round(float64(e.settings.Gateways)/doorsPerServerMost)))
+	fits := max(1, coarseSeats((e.inService+subsetLeast/2)/subsetLeast))
+	if e.round != nil && float64(e.inService) >= roundStays*subsetLeast*float64(e.round.Seats()) {
+		fits = max(fits, e.round.Seats())
 	}
 	seats = min(seats, fits)
-	each := max(float64(d.inService)/float64(seats), float64(min(subsetLeast, d.inService)))
-	d.doorsPerServer = max(1, float64(d.set.Gateways)*each/float64(max(1, d.inService)))
-	for _, s := range d.relisted {
+	each := max(float64(e.inService)/float64(seats), float64(min(subsetLeast, e.inService)))
+	e.doorsPerServer = max(1, float64(e.settings.Gateways)*each/float64(max(1, e.inService)))
+	for _, s := range e.relisted {
 		if !s.listed && s.member.Seated() {
-			d.round.Remove(&s.member)
+			e.round.Remove(&s.member)
 		}
 	}
-	if d.round == nil || d.round.Seats() != seats {
-		d.newRound(seats)
+	if e.round == nil || e.round.Seats() != seats {
+		e.newRound(seats)
 	}
-	for _, s := range d.relisted {
+	for _, s := range e.relisted {
 		if s.listed && !s.member.Seated() {
-			d.round.Add(&s.member, s.name)
+			e.round.Add(&s.member, s.name)
 		}
 		if s.slots < 0 {
-			s.slots = max(slotsLeast, slotsStart/d.doorsPerServer)
-			d.countWarm(s)
+			s.slots = max(slotsLeast, slotsStart/e.doorsPerServer)
+			e.countWarm(s)
 		}
 	}
-	d.relisted = d.relisted[:0]
-	d.fillSubset()
+	e.relisted = e.relisted[:0]
+	e.fillSubset()
 }
 
 // fillSubset gives a door that was dealt too few servers some more, by an order of its own: too few in all,
 // or too few outside some zone, which may be lost.
-func (d *Engine) fillSubset() {
-	for _, s := range d.extra {
+func (e *Engine) fillSubset() {
+	for _, s := range e.extra {
 		if s.extra {
 			s.extra = false
-			d.setInSubset(s, false)
+			e.setInSubset(s, false)
 		}
 	}
-	d.extra = d.extra[:0]
-	for zone, short := d.subsetShortage(); short; zone, short = d.subsetShortage() {
+	e.extra = e.extra[:0]
+	for zone, short := e.subsetShortage(); short; zone, short = e.subsetShortage() {
 		var best *backend
 		first := uint64(math.MaxUint64)
-		for _, s := range d.ring {
+		for _, s := range e.ring {
 			if s.listed && !s.inSubset && s.zone != zone {
-				if at := d.ownOrder(s); best == nil || at < first {
+				if at := e.ownOrder(s); best == nil || at < first {
 					best, first = s, at
 				}
 			}
@@ -70,27 +70,27 @@
 			return
 		}
 		best.extra = true
-		d.extra = append(d.extra, best)
-		d.setInSubset(best, true)
+		e.extra = append(e.extra, best)
+		e.setInSubset(best, true)
 	}
 }
 
 // subsetShortage says whether a subset has too few servers: outside of a zone, or (-1) in all.
-func (d *Engine) subsetShortage() (zone int, short bool) {
-	if len(d.subset) < min(subsetLeast, d.inService) {
+func (e *Engine) subsetShortage() (zone int, short bool) {
+	if len(e.subset) < min(subsetLeast, e.inService) {
 		return -1, true
 	}
-	if len(d.subset) >= subsetMany {
+	if len(e.subset) >= subsetMany {
 		return 0, false
 	}
-	for _, s := range d.subset {
+	for _, s := range e.subset {
 		in := 0
-		for _, o := range d.subset {
+		for _, o := range e.subset {
 			if o.zone == s.zone {
 				in++
 			}
 		}
-		if len(d.subset)-in < subsetLeast/2 {
+		if len(e.subset)-in < subsetLeast/2 {
 			return s.zone, true
 		}
 	}
