--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -1,14 +1,16 @@
 package policy
 
-// Admission: from a request's arrival to its being queued, refused or kept waiting, and its final answer.
+// Admission: the way of a request from its arrival until it is queued for a backend, rejected, or kept
+// waiting for its tenant's quota.
 //
 // The mechanism is that of J. Andersson and M. Kihl, "Load Balancing and Admission Control of a Parlay X
-// Application Server", NTS 17, 2004, sections 3.1 and 4: a token bucket promotes what the contract
-// guarantees (stage 2), round robin picks a server (stage 3), and tests of measured latency against the time
-// limit decide what is released and what is refused (stage 4).
+// Application Server", NTS 17, 2004, sections 3.1 and 4: a token bucket promotes what the contract guarantees
+// (stage 2), round robin picks a backend (stage 3), and tests of measured latency against the time limit
+// decide what is released and what is rejected (stage 4).
 //
-// The path of a request: admit -> serve/pay (tokens of a lease promote it) -> place (a server's level queue)
-// -> fill/pick (a slot frees: stale test EQ 3, level sum EQ 4) -> send (guards) -> outcome -> retry or end.
+// The way: admit (is there time, is the service on, does the hard limit's queue end in time) -> serve (the
+// tenant's requests in their order) -> decideQuota (limits, priority, payment) -> dispatch, or
+// placeOverQuota, which queues at the lowest level or rejects.
 
 import (
 	"maps"
@@ -17,88 +19,103 @@
 	"time"
 )
 
-// admit takes a request in. Its tau is the time left, bounded by the aim where a late answer earns nothing
-// (a departure: the paper knows one limit; here the client waits longer than the answer has worth).
+// admit takes a request in.
 func (e *Engine) admit(ev Request) {
 	if e.requests[ev.ID] != nil {
 		return
 	}
-	if ev.Class < 0 || ev.Class >= len(e.settings.Classes) || ev.Plan < 0 || ev.Plan >= len(e.settings.Plans) {
+	if !e.settings.have(ev.Class, ev.Plan) {
 		e.rejections.add(UnknownClassOrPlan)
 		e.emit(Reject{ID: ev.ID})
 		return
 	}
-	cl := &e.settings.Classes[ev.Class]
-	r := &request{id: ev.ID, class: ev.Class, plan: ev.Plan, cost: max(0, ev.Cost),
-		arrivedAt: e.now, deadlineBudget: ev.TimeLeft,
-		clientRetry: ev.ClientRetry}
-	if cl.LateWeightShare == 0 && cl.LatencyObjective > 0 {
-		r.deadlineBudget = min(r.deadlineBudget, cl.LatencyObjective)
-	}
-	// What a door finds after it stood still has waited: first tries of a class have the same time at first.
-	e.maxTimeLeft[ev.Class] = max(e.maxTimeLeft[ev.Class], ev.TimeLeft)
-	if e.now-e.previousStep > stalledAfter && !ev.ClientRetry {
-		waited := min(e.now-e.previousStep, e.maxTimeLeft[ev.Class]-ev.TimeLeft)
-		r.deadlineBudget = min(r.deadlineBudget, cl.LatencyObjective-waited)
-	}
-	r.tenant = e.customer(ev)
+	r := &request{id: ev.ID, class: ev.Class, plan: ev.Plan, cost: max(0, ev.Cost), arrivedAt: e.now,
+		deadlineBudget: e.deadlineBudget(ev), clientRetry: ev.ClientRetry, tenant: e.tenantOf(ev)}
 	e.requests[r.id] = r
 	if e.suspended {
 		e.reject(r, rejection{reason: OutOfService})
 		return
 	}
-	if r.deadlineBudget.Seconds() <= e.latency(r, nil)/2 {
+	if e.deadlineCannotBeMet(r) {
 		e.reject(r, rejection{reason: DeadlineCannotBeMet})
 		return
 	}
 	e.emit(SetTimer{e.now + r.deadlineBudget - e.settings.TimerResolution, r.id<<1 | 1})
-	r.tenant.usedAt = e.now
-	gap := (e.now - r.tenant.demandAt).Seconds() / demandOver.Seconds()
-	r.tenant.demand = r.tenant.demand*math.Exp(-gap) + r.cost/demandOver.Seconds()
-	r.tenant.demandAt = e.now
-	// A line for the ceiling must stay short, or each that still goes out of it is nearly late; and what is
-	// worth less leaves the room to what is worth more.
-	if fills := e.ceilingFillTime(r); fills > e.ceilingWaitMost(r) && !e.mayBorrow(r) {
-		e.reject(r, rejection{HardLimitQueueTooLong, time.Duration(fills * float64(time.Second))})
+	t := r.tenant
+	t.lastSeen = e.now
+	t.lease.NoteDemand(e.now, r.cost)
+	// The queue for the hard limit must stay short, or each request that still leaves it is nearly late.
+	if wait := e.hardLimitQueueWait(r); wait > e.maxHardLimitWait(r) && !e.mayBorrow(r) {
+		e.reject(r, rejection{HardLimitQueueTooLong, time.Duration(wait * float64(time.Second))})
 		return
 	}
-	r.tenant.waiting = append(r.tenant.waiting, r)
-	e.serve(r.tenant)
+	t.waiting = append(t.waiting, r)
+	e.serve(t)
 }
 
-// suspend begins or ends a time in which nothing is sent on. What waits is refused at once, in its order.
-func (e *Engine) suspend(on bool) {
-	e.suspended = on
-	for _, id := range slices.Sorted(maps.Keys(e.requests)) {
-		if r := e.requests[id]; on && r != nil && r.attemptsInFlight == 0 {
-			e.reject(r, rejection{reason: OutOfService})
-		}
+// have says whether the settings have a class and a plan of these numbers.
+func (s *Settings) have(class, plan int) bool {
+	return 0 <= class && class < len(s.Classes) && 0 <= plan && plan < len(s.Plans)
+}
+
+// deadlineBudget is the time in which an answer to a request is of use: the time that its client has left,
+// and where a late answer earns nothing, the latency objective (a departure: the paper knows one limit; here
+// the client waits for longer than the answer has worth).
+//
+// What is found after the gateway stood still has waited unseen. How long shows in the time that the client
+// has left, against the most that clients of its class give; a client's retry has less from the start and
+// tells nothing.
+func (e *Engine) deadlineBudget(ev Request) time.Duration {
+	class := &e.settings.Classes[ev.Class]
+	budget := ev.TimeLeft
+	if class.LateWeightShare == 0 && class.LatencyObjective > 0 {
+		budget = min(budget, class.LatencyObjective)
+	}
+	e.maxTimeLeft[ev.Class] = max(e.maxTimeLeft[ev.Class], ev.TimeLeft)
+	if stoodStill := e.now - e.previousStep; stoodStill > stalledAfter && !ev.ClientRetry {
+		waited := min(stoodStill, e.maxTimeLeft[ev.Class]-ev.TimeLeft)
+		budget = min(budget, class.LatencyObjective-waited)
 	}
+	return budget
 }
 
-// serve decides for a customer's requests in the order they came, until one has to wait: for the counter's
-// answer, for one of the customer's attempts to end, or for the ceiling's share to fill.
-func (e *Engine) serve(c *tenant) {
-	for len(c.waiting) > 0 {
-		r := c.waiting[0]
+// deadlineCannotBeMet says whether less than half of a usual answer's time is left. Half, as some answers are
+// faster.
+func (e *Engine) deadlineCannotBeMet(r *request) bool {
+	return r.deadlineBudget.Seconds() <= e.latency(r, nil)/2
+}
+
+// serve decides for a tenant's requests in the order they came, until one has to wait: for the counter's
+// answer, for one of the tenant's requests in flight to end, or for the hard limit's share to fill.
+func (e *Engine) serve(t *tenant) {
+	for len(t.waiting) > 0 {
+		r := t.waiting[0]
 		if r.ended {
-			c.waiting = c.waiting[1:]
+			t.waiting = t.waiting[1:]
 			continue
 		}
 		decision := e.decideQuota(r)
 		if decision == mustWait {
 			break
 		}
-		c.waiting = c.waiting[1:]
+		t.waiting = t.waiting[1:]
 		if decision == withinQuota {
 			e.dispatch(r)
 		} else {
 			e.placeOverQuota(r, decision)
 		}
 	}
-	if len(c.waiting) > 0 && !c.listed {
-		c.listed = true
-		e.waiters = append(e.waiters, c)
+	if len(t.waiting) > 0 {
+		e.tenants.noteWaiting(t)
+	}
+}
+
+// serveWaitingTenants serves again those tenants whose first request had to wait: no event tells that a share
+// has filled or that a request has become late.
+func (e *Engine) serveWaitingTenants() {
+	for _, t := range e.tenants.takeWaiting() {
+		t.inWaiting = false
+		e.serve(t)
 	}
 }
 
@@ -107,10 +124,10 @@
 
 const (
 	withinQuota          quotaDecision = iota // it may be queued at its priority level
-	mustWait                                  // for the counter, an attempt's end or the hard limit's share
+	mustWait                                  // for the counter, for a request in flight, or for the hard limit
 	overConcurrencyLimit                      // others in flight kept it waiting until it was too late
 	overHardLimit                             // the hard limit's share does not fill in time
-	overQuota                                 // neither the lease nor this gateway's own share pays for it
+	overQuota                                 // neither the lease nor fallback tokens pay for it
 )
 
 // rejectReason is the reason for a rejection that follows from the decision.
@@ -134,23 +151,23 @@
 	if decision := e.payQuota(r); decision != withinQuota {
 		return decision
 	}
-	r.paid = r.level < priorityBands
+	r.quota.promoted = r.level < priorityBands
 	if e.settings.Plans[r.plan].MaxConcurrent > 0 {
-		r.live = true
-		r.tenant.live++
+		r.quota.inFlight = true
+		r.tenant.inFlight++
 	}
-	if e.now >= r.loanUntil {
-		e.hold(r)
+	if !r.hardLimit.hasBorrowed(e.now) {
+		e.reserveHardLimit(r)
 	}
 	return withinQuota
 }
 
-// checkLimits holds a request against the two limits of its plan that a queue can't bend: requests in flight
+// checkLimits holds a request against the two limits of its plan that no tokens replace: requests in flight
 // at once, and the hard limit's rate.
 func (e *Engine) checkLimits(r *request) quotaDecision {
 	full := e.concurrencyLimitReached(r)
-	short := r.cost + r.tenant.ceilingQueued - e.ceiling(r.tenant, &e.settings.Plans[r.plan])
-	if !full && (short <= 0 || e.now < r.loanUntil) {
+	short := r.tenant.hardLimit.Shortfall(e.now, r.cost)
+	if !full && (short <= 0 || r.hardLimit.hasBorrowed(e.now)) {
 		return withinQuota
 	}
 	late := e.tooLateToWait(r)
@@ -158,7 +175,7 @@
 		e.borrow(r)
 	}
 	switch {
-	case r.loanPending:
+	case r.hardLimit.borrowPending:
 		return mustWait
 	case full && late:
 		return overConcurrencyLimit
@@ -173,84 +190,104 @@
 	return (e.now-r.arrivedAt).Seconds()+e.latency(r, nil) >= r.deadlineBudget.Seconds()*deadlineMargin
 }
 
+// concurrencyLimitReached says whether a tenant has as many requests in flight here as it may.
+func (e *Engine) concurrencyLimitReached(r *request) bool {
+	return e.settings.Plans[r.plan].MaxConcurrent > 0 && r.tenant.inFlight >= e.maxInFlight(r)
+}
+
+// othersInFlightRoom is how many requests the other gateways may have in flight beyond what their mean demand
+// says.
+const othersInFlightRoom = 0.5
+
+// maxInFlight is how many of a tenant's requests may be in flight here: this gateway's even share of the
+// limit, or where the counter tells that the other gateways have less, what their demand leaves (a departure:
+// traffic is uneven). The more it costs to be over, the more room is left to them.
+func (e *Engine) maxInFlight(r *request) int {
+	plan := &e.settings.Plans[r.plan]
+	share := float64(plan.MaxConcurrent) / r.tenant.gateways
+	if _, known := r.tenant.lease.KnownLevel(); known && e.counter.share.Responds() {
+		elsewhere := r.tenant.lease.OthersRate() / max(r.cost, 1) * e.latency(r, nil)
+		share = max(share, float64(plan.MaxConcurrent)-elsewhere-othersInFlightRoom-plan.OverQuotaPenalty)
+	}
+	return max(1, int(share))
+}
+
 // priorityBand is the band of a request by its worth: each has half the worth of the one above it.
 func (e *Engine) priorityBand(r *request) int {
 	worth := max(1e-9, e.settings.Classes[r.class].PriorityWeight*e.settings.Plans[r.plan].WeightFactor*r.cost)
 	return min(priorityBands-1, max(0, int(math.Log2(e.maxRequestWeight/worth))))
 }
 
-// payQuota promotes a request whose cost is in the local tokens (stage 2 of the paper). A request that is not
+// payQuota promotes a request whose cost the lease pays (stage 2 of the paper). A request that is not
 // promoted, as its plan guarantees nothing or nobody has looked whether the bucket holds its cost, goes to
 // the band of the same worth among the lower levels.
 func (e *Engine) payQuota(r *request) quotaDecision {
-	p := &e.settings.Plans[r.plan]
-	if p.Rate > 0 {
-		if decision := e.spend(r, p); decision != withinQuota {
+	plan := &e.settings.Plans[r.plan]
+	if plan.Rate > 0 {
+		if decision := e.payCost(r); decision != withinQuota {
 			return decision
 		}
-		if r.unsure {
+		if r.quota.onCredit {
 			r.level += priorityBands
 		}
-	} else if p.MaxConcurrent == 0 {
+	} else if plan.MaxConcurrent == 0 {
 		r.level += priorityBands
 	}
 	return withinQuota
 }
 
-// concurrencyLimitReached says whether a tenant has as many requests in flight here as it may.
-func (e *Engine) concurrencyLimitReached(r *request) bool {
-	p := &e.settings.Plans[r.plan]
-	return p.MaxConcurrent > 0 && r.tenant.live >= e.atOnce(r, p)
-}
-
-// atOnce is how many of a customer's requests may be under way here: this door's share of the cap, or, where
-// the counter tells that the others have less, what their demand leaves (a departure: traffic is uneven).
-func (e *Engine) atOnce(r *request, p *Plan) int {
-	share := float64(p.MaxConcurrent) / r.tenant.doors
-	if r.tenant.known && e.callShare > callsFew {
-		elsewhere := r.tenant.others / max(r.cost, 1) * e.latency(r, nil)
-		share = max(share, float64(p.MaxConcurrent)-elsewhere-atOnceRoom-p.OverQuotaPenalty)
-	}
-	return max(1, int(share))
-}
-
 // placeOverQuota queues a request that no tokens pay at the lowest level, if its plan earns something for it
 // there and its hard limit holds it. Else it is rejected: for what left it unpaid, or for the hard limit.
 func (e *Engine) placeOverQuota(r *request, decision quotaDecision) {
-	p := &e.settings.Plans[r.plan]
-	if p.OverQuotaValue <= p.OverQuotaPenalty {
-		e.reject(r, rejection{decision.rejectReason(), e.refill(r.tenant, p, r.cost)})
+	if !e.earnsOverQuota(r) {
+		e.reject(r, rejection{decision.rejectReason(), r.tenant.lease.TimeUntil(e.now, r.cost)})
 		return
 	}
-	if e.ceiling(r.tenant, p)-r.tenant.ceilingQueued < r.cost {
-		e.reject(r, rejection{OverHardLimit, e.refill(r.tenant, p, r.cost)})
+	if !r.tenant.hardLimit.HoldsUnreserved(e.now, r.cost) {
+		e.reject(r, rejection{OverHardLimit, r.tenant.lease.TimeUntil(e.now, r.cost)})
 		return
 	}
 	r.level = lowestLevel
-	e.hold(r)
+	e.reserveHardLimit(r)
 	e.dispatch(r)
 }
 
-// end marks a request as over and calls off what is still out.
+// suspend begins or ends a time in which nothing is sent. What waits is rejected at once, in its order.
+func (e *Engine) suspend(on bool) {
+	e.suspended = on
+	for _, id := range slices.Sorted(maps.Keys(e.requests)) {
+		if r := e.requests[id]; on && r != nil && r.attemptsInFlight == 0 {
+			e.reject(r, rejection{reason: OutOfService})
+		}
+	}
+}
+
+// end ends a request, whatever its answer: it leaves its queue, what is in flight is called off, and what it
+// holds of its tenant's quota and limits goes back.
 func (e *Engine) end(r *request) {
 	if r.ended {
 		return
 	}
 	r.ended = true
 	e.unqueue(r)
-	e.release(r)
+	e.releaseHardLimit(r)
+	e.cancelAttempts(r)
+	if len(r.attempts) == 0 && r.quota.promoted && e.settings.Plans[r.plan].Rate > 0 {
+		r.tenant.lease.Refund(r.cost)
+	}
+	if r.quota.inFlight {
+		r.quota.inFlight = false
+		r.tenant.inFlight--
+		e.serve(r.tenant)
+	}
+	e.forget(r)
+}
+
+// cancelAttempts calls off what is in flight. A response that has begun to stream goes on.
+func (e *Engine) cancelAttempts(r *request) {
 	for _, a := range r.attempts {
 		if a.inFlight && e.settings.AllowCancel && !r.streaming {
 			e.emit(CancelAttempt{r.id, a.number})
 		}
 	}
-	if len(r.attempts) == 0 && r.paid && e.settings.Plans[r.plan].Rate > 0 {
-		r.tenant.tokens += r.cost
-	}
-	if r.live {
-		r.live = false
-		r.tenant.live--
-		e.serve(r.tenant)
-	}
-	e.forget(r)
 }
--- a/internal/policy/attempt.go
+++ b/internal/policy/attempt.go
@@ -9,7 +9,6 @@
 
 // send is the one place that sends. The guards come last here, whatever was decided before.
 func (e *Engine) send(r *request, s *backend, trial bool) {
-	p := &e.settings.Plans[r.plan]
 	switch {
 	case !s.listed: // drain: nothing new from the moment it is told
 		e.dispatch(r)
@@ -30,15 +29,11 @@
 		e.reject(r, rejection{reason: DeadlinePassed})
 		return
 	}
-	if len(r.attempts) == 0 {
-		if onLoan := e.now < r.loanUntil; !onLoan && e.ceiling(r.tenant, p) < r.cost {
-			e.reject(r, rejection{OverHardLimit, e.refill(r.tenant, p, r.cost)})
-			return
-		} else if !onLoan {
-			r.tenant.ceilingUnits -= r.cost
-		}
+	if len(r.attempts) == 0 && !e.spendHardLimit(r) {
+		e.reject(r, rejection{OverHardLimit, r.tenant.lease.TimeUntil(e.now, r.cost)})
+		return
 	}
-	e.release(r)
+	e.releaseHardLimit(r)
 	a := &attempt{request: r, number: len(r.attempts), backend: s, sentAt: e.now, trial: trial, inFlight: true}
 	limit := r.arrivedAt + r.deadlineBudget - e.now
 	if trial {
@@ -73,8 +68,8 @@
 		r.endedInDoubt, r.doubtSince, r.doubtOn = true, a.sentAt, s
 	}
 	e.learn(s, a, ev)
-	if ev.Status == OK && e.settings.CostSettledOnResponse && ev.Cost > 0 && r.paid {
-		r.tenant.tokens -= ev.Cost - r.cost
+	if ev.Status == OK && e.settings.CostSettledOnResponse && ev.Cost > 0 && r.quota.promoted {
+		r.tenant.lease.CorrectCost(r.cost, ev.Cost)
 	}
 	if ev.RequestClosed || ev.Status == OK {
 		e.end(r)
--- a/internal/policy/callshare/callshare.go
+++ b/internal/policy/callshare/callshare.go
@@ -24,12 +24,12 @@
 	cutFactor = 0.8
 )
 
-// Controller holds the share of one gateway. The zero value is closed: its share is 0. It is not safe for
+// Controller holds the share of one gateway. The zero value's share is 0: nobody calls. It is not safe for
 // concurrent use.
 type Controller struct{ share float64 }
 
-// Open lets every request call, as nothing is known yet.
-func (c *Controller) Open() { c.share = 1 }
+// New starts with a share from 0 to 1: with 1, every request may call, as long as nothing is known.
+func New(share float64) Controller { return Controller{share} }
 
 // Share is the share of the requests that may call, from 0 to 1.
 func (c *Controller) Share() float64 { return c.share }
--- a/internal/policy/check.go
+++ b/internal/policy/check.go
@@ -28,13 +28,8 @@
 		}
 	}
 	e.fillAll()
-	list := e.waiters
-	e.waiters = nil
-	for _, c := range list {
-		c.listed = false
-		e.serve(c)
-	}
-	e.forgetCustomers()
+	e.serveWaitingTenants()
+	e.tenants.evictIdle(e.now)
 	if e.settings.PollEndpoints && e.settings.PollInterval > 0 && e.now-e.listAt > e.settings.PollInterval/2 {
 		e.listAt = e.now
 		e.emit(FetchEndpoints{})
--- /dev/null
+++ b/internal/policy/countercalls.go
@@ -0,0 +1,144 @@
+package policy
+
+import (
+	"fmt"
+	"hash/fnv"
+	"time"
+
+	"bellwood/internal/policy/callshare"
+	"bellwood/internal/policy/lease"
+)
+
+const (
+	// quotaWindow is how long one number on the counter serves a quota, and quotaTTL how long the counter keeps
+	// it: past the end of its window for the last answers, and within the 60 s that the counter keeps anything.
+	quotaWindow = 30 * time.Second
+	quotaTTL    = 50 * time.Second
+	// maxPendingNumbers bounds the numbers on the counter for which calls are in flight.
+	maxPendingNumbers = 32
+	// minProbePause and probePausePerGateway are the pause between the calls that test a counter which does not
+	// respond: all gateways test it, and together they must not be what keeps it down.
+	minProbePause        = 100 * time.Millisecond
+	probePausePerGateway = 5 * time.Millisecond
+)
+
+// counterCalls are this gateway's calls of the shared counter: which are in flight, and how many it bears.
+type counterCalls struct {
+	inFlight map[uint64][]*counterCall // by the number's name, in the order of the calls
+	share    callshare.Controller      // of the requests without tokens that may call
+	askedAt  time.Duration             // the last call for a lease
+}
+
+// counterCall is a call that is in flight. It asks for a lease, borrows for a request, or only corrects a
+// number.
+type counterCall struct {
+	tenant   *tenant
+	calledAt time.Duration
+	window   int64     // of the number that it adds to
+	ask      lease.Ask // for tokens; zero: none are asked for
+	borrower *request  // waits for units of its hard limit's common part; nil: none does
+}
+
+// newCounterCalls starts with no call in flight. Where there is no counter nobody may call; else all may at
+// first.
+func newCounterCalls(sharedCounter bool) counterCalls {
+	c := counterCalls{inFlight: map[uint64][]*counterCall{}}
+	if sharedCounter {
+		c.share = callshare.New(1)
+	}
+	return c
+}
+
+// mayCall says that the counter can be called: it responds, or it is this gateway's turn to test it.
+func (c *counterCalls) mayCall(now time.Duration, gateways int) bool {
+	probePause := max(minProbePause, time.Duration(gateways)*probePausePerGateway)
+	return len(c.inFlight) < maxPendingNumbers && (c.share.Responds() || now-c.askedAt >= probePause)
+}
+
+// add keeps a call until its answer.
+func (c *counterCalls) add(number uint64, call *counterCall) {
+	c.inFlight[number] = append(c.inFlight[number], call)
+}
+
+// take finds the call that an answer belongs to: answers for one number come in the order of the calls. It is
+// nil where no call is in flight.
+func (c *counterCalls) take(number uint64) *counterCall {
+	calls := c.inFlight[number]
+	if len(calls) == 0 {
+		return nil
+	}
+	if c.inFlight[number] = calls[1:]; len(calls) == 1 {
+		delete(c.inFlight, number)
+	}
+	return calls[0]
+}
+
+// settle learns from how a call ended how many more the counter bears.
+func (c *counterCalls) settle(call *counterCall, status Status, now, timeout time.Duration) {
+	if status == OK {
+		c.share.Answered(now-call.calledAt, timeout)
+	} else {
+		c.share.Failed()
+	}
+}
+
+// mayCallCounter says that there is a counter and that it can be called.
+func (e *Engine) mayCallCounter() bool {
+	return e.settings.SharedCounter && e.counter.mayCall(e.now, e.settings.Gateways)
+}
+
+// counterResponds says whether there is a counter whose answers can be relied on.
+func (e *Engine) counterResponds() bool {
+	return e.settings.SharedCounter && e.counter.share.Responds()
+}
+
+// addToQuota calls the counter to add an amount to a tenant's quota in the present window; with an ask, it
+// asks for tokens.
+func (e *Engine) addToQuota(t *tenant, amount float64, ask lease.Ask) {
+	window := int64(e.now / quotaWindow)
+	call := &counterCall{tenant: t, window: window, ask: ask}
+	e.callCounter(quotaNumber(t.key, window), amount, quotaTTL, call)
+}
+
+// callCounter is the one place that calls the counter. A number that is new is kept there for the TTL.
+func (e *Engine) callCounter(number uint64, amount float64, ttl time.Duration, call *counterCall) {
+	call.calledAt = e.now
+	e.counter.add(number, call)
+	e.emit(AddToCounter{number, amount, ttl})
+}
+
+// counterAnswered takes the end of a call and serves the tenant that waited for it.
+func (e *Engine) counterAnswered(ev CounterResult) {
+	call := e.counter.take(ev.Name)
+	if call == nil {
+		return
+	}
+	e.counter.settle(call, ev.Status, e.now, e.settings.CounterTimeout)
+	switch {
+	case call.borrower != nil:
+		e.borrowAnswered(call, ev)
+	case call.ask.Block > 0:
+		e.askAnswered(call, ev)
+	}
+	e.serve(call.tenant)
+}
+
+// windowStart is when a window of the quotas' numbers began.
+func windowStart(window int64) time.Duration { return time.Duration(window) * quotaWindow }
+
+// quotaNumber is the counter's name for a quota in a window, within 63 bits.
+func quotaNumber(key tenantKey, window int64) uint64 {
+	return hash("%s %d %d", key.name, key.plan, window)
+}
+
+// hardLimitNumber is the counter's name for the common part of a tenant's hard limit in a window. Its text is
+// part of what all gateways agree on, so it keeps its word for the limit.
+func hardLimitNumber(key tenantKey, window int64) uint64 {
+	return hash("%s %d ceiling %d", key.name, key.plan, window)
+}
+
+func hash(format string, args ...any) uint64 {
+	h := fnv.New64a()
+	fmt.Fprintf(h, format, args...)
+	return h.Sum64() >> 1
+}
--- a/internal/policy/engine.go
+++ b/internal/policy/engine.go
@@ -38,23 +38,17 @@
 	doorsPerServer   float64 // doors that have one server in their subsets
 	queued           int     // requests in all queues
 	requests         map[uint64]*request
-	tenants          map[holder]*tenant
-	order            []*tenant
-	sweep            int
-	waiters          []*tenant
+	tenants          tenantRegistry
 	unplaced         []*request
-	pendingCalls     map[uint64][]*call // counter calls out, by name in their order
-	callShare        float64            // part of the requests without tokens that call the counter
-	denied           []float64          // by plan, part of the calls that found no units for their request
-	fleet            float64            // the last answers of all servers, in their classes' means
+	counter          counterCalls
+	asks             askEstimates
+	fleet            float64 // the last answers of all servers, in their classes' means
 	fleetAt          time.Duration
-	counterAt        time.Duration
 	checkedAt        time.Duration // last check of what no event tells
 	base             []float64     // mean latency of each class, seconds
 	answers          []int
 	maxRequestWeight float64
 	maxClassWeight   float64 // of the classes'
-	mostCallSavings  float64 // by a counter call
 	rate             float64 // answers a second of a warm server
 	rateAt           time.Duration
 	weight           float64 // mean weight of the warm servers
@@ -70,9 +64,9 @@
 		return nil, err
 	}
 	e := &Engine{settings: set, rng: rand.New(rand.NewPCG(seed, 1)), backends: map[string]*backend{},
-		requests: map[uint64]*request{}, tenants: map[holder]*tenant{}, pendingCalls: map[uint64][]*call{}}
+		requests: map[uint64]*request{}, tenants: newTenantRegistry(), counter: newCounterCalls(set.SharedCounter),
+		asks: newAskEstimates(&set)}
 	e.floor = make([]float64, len(set.Classes))
-	e.denied = make([]float64, len(set.Plans))
 	e.maxTimeLeft = make([]time.Duration, len(set.Classes))
 	e.base, e.answers = make([]float64, len(set.Classes)), make([]int, len(set.Classes))
 	return e, nil
@@ -94,7 +88,7 @@
 		case AttemptResult:
 			e.attemptEnded(ev)
 		case CounterResult:
-			e.counted(ev)
+			e.counterAnswered(ev)
 		case Timer:
 			e.timer(ev.Cookie)
 		case EndpointUpdate:
@@ -131,14 +125,10 @@
 // prime sets what a door takes for granted before it has seen anything.
 func (e *Engine) prime() {
 	e.fleet, e.doorsPerServer = 1, float64(e.settings.Gateways)
-	if e.settings.SharedCounter {
-		e.callShare = 1
-	}
 	for i, c := range e.settings.Classes {
 		e.base[i] = max(0.001, cmp.Or(c.LatencyObjective, c.ClientTimeout).Seconds()*priorShare)
-		for j, p := range e.settings.Plans {
+		for _, p := range e.settings.Plans {
 			e.maxClassWeight = max(e.maxClassWeight, c.PriorityWeight)
-			e.mostCallSavings = max(e.mostCallSavings, e.callSavings(i, j))
 			weight := c.PriorityWeight * p.WeightFactor * max(1, e.settings.MaxRequestCost)
 			e.maxRequestWeight = max(e.maxRequestWeight, weight)
 		}
--- /dev/null
+++ b/internal/policy/hardlimit.go
@@ -0,0 +1,113 @@
+package policy
+
+// Hard limits on a request's way: waiting for this gateway's share, reserving it while queued, spending it
+// with the first attempt, and borrowing from the part that all gateways have in common. Package hardlimit
+// keeps the shares.
+
+import "time"
+
+// hardLimitWaitShare is the part of its deadline budget that a request waits for the hard limit's share to
+// fill. What is left must do for the queue and the answer.
+const hardLimitWaitShare = 0.3
+
+// hardLimitState is how a request stands with its tenant's hard limit.
+type hardLimitState struct {
+	reserved      bool          // its cost is reserved in the share while it is queued
+	borrowAsked   bool          // it has asked for borrowed units; it asks once
+	borrowPending bool          // it waits for the answer
+	borrowedUntil time.Duration // it may be sent on borrowed units until then; 0: it has none
+}
+
+// hasBorrowed says whether the request may still be sent on borrowed units.
+func (h *hardLimitState) hasBorrowed(now time.Duration) bool { return now < h.borrowedUntil }
+
+// maxHardLimitWait is how long a request waits for the hard limit's share at most, in seconds: what is worth
+// less leaves the room to what is worth more.
+func (e *Engine) maxHardLimitWait(r *request) float64 {
+	weight := e.settings.Classes[r.class].PriorityWeight
+	return r.deadlineBudget.Seconds() * hardLimitWaitShare * weight / e.maxClassWeight
+}
+
+// hardLimitQueueWait is the time in seconds until this gateway's share has room for a request that would join
+// those of its tenant that wait.
+func (e *Engine) hardLimitQueueWait(r *request) float64 {
+	t := r.tenant
+	if !t.hardLimit.Limited() {
+		return 0
+	}
+	short := t.hardLimit.Shortfall(e.now, r.cost)
+	for _, waiting := range t.waiting {
+		if !waiting.ended {
+			short += waiting.cost
+		}
+	}
+	return t.hardLimit.FillSeconds(max(0, short))
+}
+
+// hardLimitFillsTooLate says whether the share of the hard limit, short of so many units, fills too late for
+// a request: for one whose plan earns something at the lowest level, or whose call for borrowed units came to
+// nothing.
+func (e *Engine) hardLimitFillsTooLate(r *request, short float64) bool {
+	fills := r.tenant.hardLimit.FillSeconds(short)
+	if e.earnsOverQuota(r) && fills > r.deadlineBudget.Seconds()*hardLimitWaitShare {
+		return true
+	}
+	return r.hardLimit.borrowAsked && fills > e.maxHardLimitWait(r)
+}
+
+// reserveHardLimit keeps a request's cost in the share while it is queued.
+func (e *Engine) reserveHardLimit(r *request) {
+	r.hardLimit.reserved = true
+	r.tenant.hardLimit.Reserve(r.cost)
+}
+
+// releaseHardLimit gives back what reserveHardLimit keeps, when the request leaves the queue.
+func (e *Engine) releaseHardLimit(r *request) {
+	if r.hardLimit.reserved {
+		r.hardLimit.reserved = false
+		r.tenant.hardLimit.Release(r.cost)
+	}
+}
+
+// spendHardLimit takes the cost of a request's first attempt from the share, unless it is borrowed, or says
+// that the share does not hold it. Further attempts take nothing (WIRE-bellwood.md, The contract, rule 5).
+func (e *Engine) spendHardLimit(r *request) bool {
+	if r.hardLimit.hasBorrowed(e.now) {
+		return true
+	}
+	if r.tenant.hardLimit.Available(e.now) < r.cost {
+		return false
+	}
+	r.tenant.hardLimit.Spend(r.cost)
+	return true
+}
+
+// mayBorrow says whether a request may ask for its cost out of the hard limit's common part. Of clients'
+// retries only a share may, as most are of what lacked units before.
+func (e *Engine) mayBorrow(r *request) bool {
+	return r.tenant.hardLimit.IsShared() && !r.hardLimit.borrowAsked &&
+		e.counterResponds() && e.mayCallCounter() && !r.tenant.hardLimit.CommonPartSpent(e.now) &&
+		(!r.clientRetry || e.rng.Float64() < e.counter.share.Share())
+}
+
+// borrow asks the counter for a request's cost out of the common part.
+func (e *Engine) borrow(r *request) {
+	r.hardLimit.borrowAsked, r.hardLimit.borrowPending = true, true
+	t := r.tenant
+	window := t.hardLimit.Window(e.now)
+	e.callCounter(hardLimitNumber(t.key, window), r.cost, t.hardLimit.CounterTTL(e.settings.CounterTimeout),
+		&counterCall{tenant: t, window: window, borrower: r})
+}
+
+// borrowAnswered takes the answer: while the window's total stays within its part, the units are the
+// request's.
+func (e *Engine) borrowAnswered(call *counterCall, ev CounterResult) {
+	borrower := call.borrower
+	borrower.hardLimit.borrowPending = false
+	if ev.Status != OK {
+		return
+	}
+	if until, lent := call.tenant.hardLimit.Lent(call.window, ev.Total); lent {
+		borrower.hardLimit.borrowedUntil = until
+	}
+}
--- a/internal/policy/hardlimit/hardlimit.go
+++ b/internal/policy/hardlimit/hardlimit.go
@@ -58,12 +58,15 @@
 // SetGateways tells through how many gateways the tenant's requests come.
 func (s *Share) SetGateways(gateways float64) { s.gateways = gateways }
 
+// Limited says whether there is a limit at all.
+func (s *Share) Limited() bool { return s.terms.Limit.Rate != 0 }
+
 // Available is what the share holds now, whatever is reserved; without a limit it has no end.
 func (s *Share) Available(now time.Duration) float64 {
-	limit := s.terms.Limit
-	if limit.Rate == 0 {
+	if !s.Limited() {
 		return math.Inf(1)
 	}
+	limit := s.terms.Limit
 	rate := s.Rate()
 	s.units += rate * (now - s.filledAt).Seconds()
 	s.units, s.filledAt = min(s.units, limit.Burst*rate/limit.Rate), now
@@ -80,13 +83,8 @@
 	return cost + s.reserved - s.Available(now)
 }
 
-// FillSeconds is the time in which the share gains so many units, in seconds; 0 without a limit.
-func (s *Share) FillSeconds(units float64) float64 {
-	if s.terms.Limit.Rate == 0 {
-		return 0
-	}
-	return units / s.Rate()
-}
+// FillSeconds is the time in which the share gains so many units, in seconds. There must be a limit.
+func (s *Share) FillSeconds(units float64) float64 { return units / s.Rate() }
 
 // Reserve keeps units for a queued request, Release gives them back.
 func (s *Share) Reserve(units float64) { s.reserved += units }
--- a/internal/policy/queues.go
+++ b/internal/policy/queues.go
@@ -65,17 +65,3 @@
 	clear(e.backlogged[len(kept):])
 	e.backlogged = kept
 }
-
-// release gives back what a request holds while it is queued.
-func (e *Engine) release(r *request) {
-	if r.holdsCeiling {
-		r.holdsCeiling = false
-		r.tenant.ceilingQueued -= r.cost
-	}
-}
-
-// hold keeps units of the ceiling's share for a queued request; release gives them back.
-func (e *Engine) hold(r *request) {
-	r.holdsCeiling = true
-	r.tenant.ceilingQueued += r.cost
-}
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -9,12 +9,9 @@
 	cost                      float64
 	arrivedAt, deadlineBudget time.Duration // arrival; useful time left then
 	level                     int
-	paid, live                bool          // paid by tokens; counted in customer.live
-	loanAsked                 bool          // has asked for units of the ceiling's common part ...
-	loanPending               bool          // ... has no answer yet ...
-	loanUntil                 time.Duration // ... and holds them until then
-	holdsCeiling              bool          // holds units of the ceiling's share while queued
-	queueEntry                *entry        // place in a queue of on
+	quota                     quotaState
+	hardLimit                 hardLimitState
+	queueEntry                *entry // place in a queue of on
 	queuedOn                  *backend
 	attempts                  []*attempt
 	attemptsInFlight          int
@@ -23,8 +20,6 @@
 	doubtOn                   *backend
 	streaming                 bool
 	clientRetry               bool // the client's repeat
-	unsure                    bool // on credit: neither paid by the lease nor looked up
-	asked                     bool // has called the counter
 }
 
 type attempt struct {
--- /dev/null
+++ b/internal/policy/tenants.go
@@ -0,0 +1,120 @@
+package policy
+
+import (
+	"cmp"
+	"time"
+
+	"bellwood/internal/policy/hardlimit"
+	"bellwood/internal/policy/lease"
+)
+
+const (
+	// tenantIdleTime is how long a tenant is kept without a request. Quotas of a tenant that comes back later
+	// are full again, as for one that was never seen.
+	tenantIdleTime = 60 * time.Second
+	// evictionsPerCheck is how many tenants one periodic check looks at, so that its cost does not grow with
+	// their number.
+	evictionsPerCheck = 8
+)
+
+// tenantKey names a quota: one tenant's on one plan. A request in a tenant's name that names another plan
+// must not change its figures.
+type tenantKey struct {
+	name string
+	plan int
+}
+
+// tenant is what this gateway keeps for the quota of one tenant on one plan.
+type tenant struct {
+	key       tenantKey
+	gateways  float64 // through which its requests come, this one included
+	lastSeen  time.Duration
+	lease     lease.Lease
+	hardLimit hardlimit.Share
+	inFlight  int        // its requests that count against the plan's MaxConcurrent
+	waiting   []*request // for its quota or limits, in the order of their arrival; some may have ended
+	inWaiting bool       // in tenantRegistry.waiting
+}
+
+// setGateways tells through how many gateways the tenant's requests come, by its latest one.
+func (t *tenant) setGateways(gateways float64) {
+	t.gateways = gateways
+	t.lease.SetGateways(gateways)
+	t.hardLimit.SetGateways(gateways)
+}
+
+// isIdle says whether nothing is lost when the tenant is forgotten.
+func (t *tenant) isIdle(now time.Duration) bool {
+	return now-t.lastSeen > tenantIdleTime && !t.lease.AwaitsAnswer() && t.inFlight == 0
+}
+
+// tenantRegistry holds all tenants that were seen of late.
+type tenantRegistry struct {
+	byKey    map[tenantKey]*tenant
+	order    []*tenant // all, for eviction to go round
+	evicting int       // where in order it stands
+	waiting  []*tenant // those with waiting requests, and maybe others
+}
+
+func newTenantRegistry() tenantRegistry { return tenantRegistry{byKey: map[tenantKey]*tenant{}} }
+
+func (t *tenantRegistry) add(added *tenant) {
+	t.byKey[added.key] = added
+	t.order = append(t.order, added)
+}
+
+// noteWaiting has the next periodic check serve a tenant.
+func (t *tenantRegistry) noteWaiting(waiting *tenant) {
+	if !waiting.inWaiting {
+		waiting.inWaiting = true
+		t.waiting = append(t.waiting, waiting)
+	}
+}
+
+// takeWaiting returns the tenants noted and forgets them. Each counts as noted until its inWaiting is
+// cleared.
+func (t *tenantRegistry) takeWaiting() []*tenant {
+	taken := t.waiting
+	t.waiting = nil
+	return taken
+}
+
+// evictIdle looks at a few tenants and forgets those that are idle.
+func (t *tenantRegistry) evictIdle(now time.Duration) {
+	for i := 0; i < evictionsPerCheck && len(t.order) > 0; i++ {
+		t.evicting = (t.evicting + 1) % len(t.order)
+		if seen := t.order[t.evicting]; seen.isIdle(now) {
+			delete(t.byKey, seen.key)
+			last := len(t.order) - 1
+			t.order[t.evicting] = t.order[last]
+			t.order = t.order[:last]
+		}
+	}
+}
+
+// tenantOf finds the tenant of a request, or adds it as one that was never seen.
+func (e *Engine) tenantOf(ev Request) *tenant {
+	key := tenantKey{ev.Tenant, ev.Plan}
+	gateways := float64(cmp.Or(max(0, ev.Gateways), e.settings.Gateways))
+	found := e.tenants.byKey[key]
+	if found == nil {
+		found = e.newTenant(key, gateways)
+		e.tenants.add(found)
+	}
+	found.setGateways(gateways)
+	return found
+}
+
+func (e *Engine) newTenant(key tenantKey, gateways float64) *tenant {
+	plan := &e.settings.Plans[key.plan]
+	terms := hardlimit.Terms{
+		Limit:         hardlimit.Limit{Rate: plan.HardLimitRate, Burst: plan.HardLimitBurst},
+		LargestCost:   max(1, e.settings.MaxRequestCost),
+		SharedCounter: e.settings.SharedCounter,
+	}
+	return &tenant{
+		key:       key,
+		lease:     lease.New(lease.Bucket{Rate: plan.Rate, Burst: plan.Burst}, gateways, e.now),
+		hardLimit: hardlimit.New(terms, gateways, e.startedAt),
+	}
+}
