--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -41,16 +41,14 @@
 		return
 	}
 	e.emit(SetTimer{e.now + r.deadlineBudget - e.settings.TimerResolution, r.id<<1 | 1})
-	t := r.tenant
-	t.lastSeen = e.now
-	t.lease.NoteDemand(e.now, r.cost)
+	r.tenant.noteRequest(e.now, r.cost)
 	// The queue for the hard limit must stay short, or each request that still leaves it is nearly late.
 	if wait := e.hardLimitQueueWait(r); wait > e.maxHardLimitWait(r) && !e.mayBorrow(r) {
 		e.reject(r, rejection{HardLimitQueueTooLong, time.Duration(wait * float64(time.Second))})
 		return
 	}
-	t.waiting = append(t.waiting, r)
-	e.serve(t)
+	r.tenant.waiting = append(r.tenant.waiting, r)
+	e.serve(r.tenant)
 }
 
 // have says whether the settings have a class and a plan of these numbers.
@@ -88,33 +86,26 @@
 // serve decides for a tenant's requests in the order they came, until one has to wait: for the counter's
 // answer, for one of the tenant's requests in flight to end, or for the hard limit's share to fill.
 func (e *Engine) serve(t *tenant) {
-	for len(t.waiting) > 0 {
-		r := t.waiting[0]
-		if r.ended {
-			t.waiting = t.waiting[1:]
-			continue
-		}
-		decision := e.decideQuota(r)
-		if decision == mustWait {
-			break
-		}
-		t.waiting = t.waiting[1:]
-		if decision == withinQuota {
+	for r := t.firstWaiting(); r != nil; r = t.firstWaiting() {
+		switch decision := e.decideQuota(r); decision {
+		case mustWait:
+			e.tenants.noteWaiting(t)
+			return
+		case withinQuota:
+			t.removeFirstWaiting()
 			e.dispatch(r)
-		} else {
+		default:
+			t.removeFirstWaiting()
 			e.placeOverQuota(r, decision)
 		}
 	}
-	if len(t.waiting) > 0 {
-		e.tenants.noteWaiting(t)
-	}
 }
 
 // serveWaitingTenants serves again those tenants whose first request had to wait: no event tells that a share
 // has filled or that a request has become late.
 func (e *Engine) serveWaitingTenants() {
 	for _, t := range e.tenants.takeWaiting() {
-		t.inWaiting = false
+		t.noLongerNoted()
 		e.serve(t)
 	}
 }
@@ -152,10 +143,7 @@
 		return decision
 	}
 	r.quota.promoted = r.level < priorityBands
-	if e.settings.Plans[r.plan].MaxConcurrent > 0 {
-		r.quota.inFlight = true
-		r.tenant.inFlight++
-	}
+	e.countInFlight(r)
 	if !r.hardLimit.hasBorrowed(e.now) {
 		e.reserveHardLimit(r)
 	}
@@ -195,9 +183,26 @@
 	return e.settings.Plans[r.plan].MaxConcurrent > 0 && r.tenant.inFlight >= e.maxInFlight(r)
 }
 
-// othersInFlightRoom is how many requests the other gateways may have in flight beyond what their mean demand
-// says.
-const othersInFlightRoom = 0.5
+// countInFlight counts a request against its plan's limit until stopCountingInFlight.
+func (e *Engine) countInFlight(r *request) {
+	if e.settings.Plans[r.plan].MaxConcurrent > 0 {
+		r.quota.inFlight = true
+		r.tenant.inFlight++
+	}
+}
+
+// stopCountingInFlight lets the tenant's next request have the place of one that has ended.
+func (e *Engine) stopCountingInFlight(r *request) {
+	if r.quota.inFlight {
+		r.quota.inFlight = false
+		r.tenant.inFlight--
+		e.serve(r.tenant)
+	}
+}
+
+// othersInFlightMargin is how many requests the other gateways may have in flight beyond what their mean
+// demand says.
+const othersInFlightMargin = 0.5
 
 // maxInFlight is how many of a tenant's requests may be in flight here: this gateway's even share of the
 // limit, or where the counter tells that the other gateways have less, what their demand leaves (a departure:
@@ -205,17 +210,22 @@
 func (e *Engine) maxInFlight(r *request) int {
 	plan := &e.settings.Plans[r.plan]
 	share := float64(plan.MaxConcurrent) / r.tenant.gateways
-	if _, known := r.tenant.lease.KnownLevel(); known && e.counter.share.Responds() {
+	if _, known := r.tenant.lease.KnownLevel(); known && e.counterResponds() {
 		elsewhere := r.tenant.lease.OthersRate() / max(r.cost, 1) * e.expectedLatency(r)
-		share = max(share, float64(plan.MaxConcurrent)-elsewhere-othersInFlightRoom-plan.OverQuotaPenalty)
+		share = max(share, float64(plan.MaxConcurrent)-elsewhere-othersInFlightMargin-plan.OverQuotaPenalty)
 	}
 	return max(1, int(share))
 }
 
-// priorityBand is the band of a request by its worth: each has half the worth of the one above it.
+// minRequestWeight stands for a request without weight or cost, of which there is no logarithm.
+const minRequestWeight = 1e-9
+
+// priorityBand is the band of a request by its weight, which is that of its class and plan times its cost.
+// Each band has half the weight of the one above it.
 func (e *Engine) priorityBand(r *request) int {
-	worth := max(1e-9, e.settings.Classes[r.class].PriorityWeight*e.settings.Plans[r.plan].WeightFactor*r.cost)
-	return min(priorityBands-1, max(0, int(math.Log2(e.maxRequestWeight/worth))))
+	class, plan := &e.settings.Classes[r.class], &e.settings.Plans[r.plan]
+	weight := max(minRequestWeight, class.PriorityWeight*plan.WeightFactor*r.cost)
+	return min(priorityBands-1, max(0, int(math.Log2(e.maxRequestWeight/weight))))
 }
 
 // payQuota promotes a request whose cost the lease pays (stage 2 of the paper). A request that is not
@@ -272,17 +282,18 @@
 	e.unqueue(r)
 	e.releaseHardLimit(r)
 	e.cancelAttempts(r)
-	if len(r.attempts) == 0 && r.quota.promoted && e.settings.Plans[r.plan].Rate > 0 {
+	if e.paidInVain(r) {
 		r.tenant.lease.Refund(r.cost)
 	}
-	if r.quota.inFlight {
-		r.quota.inFlight = false
-		r.tenant.inFlight--
-		e.serve(r.tenant)
-	}
+	e.stopCountingInFlight(r)
 	e.forget(r)
 }
 
+// paidInVain says whether a request was paid for and never sent.
+func (e *Engine) paidInVain(r *request) bool {
+	return len(r.attempts) == 0 && r.quota.promoted && e.settings.Plans[r.plan].Rate > 0
+}
+
 // cancelAttempts calls off what is in flight. A response that has begun to stream goes on.
 func (e *Engine) cancelAttempts(r *request) {
 	for _, a := range r.attempts {
--- a/internal/policy/callshare/callshare.go
+++ b/internal/policy/callshare/callshare.go
@@ -12,16 +12,16 @@
 
 const (
 	// Least is the smallest share. It is not 0, so that a counter that is back is found.
-	Least = 0.02
+	MinShare = 0.02
 	// Silent is the share at or below which the counter is taken to be silent or swamped. One answer in time
 	// brings the share back to it.
-	Silent = 0.05
+	SilentShare = 0.05
 	// timelyPart is the part of its time-out that a call should take at most: later answers lower the share.
 	timelyPart = 0.5
 	// growth is by how much of itself the share grows with an answer that took no time.
 	growth = 0.2
-	// cutFactor is the factor for each call that failed.
-	cutFactor = 0.8
+	// failureFactor is the factor for each call that failed.
+	failureFactor = 0.8
 )
 
 // Controller holds the share of one gateway. The zero value's share is 0: nobody calls. It is not safe for
@@ -35,16 +35,16 @@
 func (c *Controller) Share() float64 { return c.share }
 
 // Responds says whether the counter can be relied on: it is neither silent nor swamped.
-func (c *Controller) Responds() bool { return c.share > Silent }
+func (c *Controller) Responds() bool { return c.share > SilentShare }
 
 // Answered takes an answer that came in time.
 func (c *Controller) Answered(took, timeout time.Duration) {
 	lateness := took.Seconds() / timeout.Seconds() / timelyPart // 1: just in time
-	c.share = min(1, max(Silent, c.share*(1+growth*max(-1, 1-lateness))))
+	c.share = min(1, max(SilentShare, c.share*(1+growth*max(-1, 1-lateness))))
 }
 
 // Failed takes a call that was rejected or has no answer in time.
-func (c *Controller) Failed() { c.share = max(Least, c.share*cutFactor) }
+func (c *Controller) Failed() { c.share = max(MinShare, c.share*failureFactor) }
 
 // Chance is the chance that a request of a rank calls. Rank 1 has the share itself; the higher the rank, the
 // more it gives way to others when not all can call.
--- a/internal/policy/countercalls.go
+++ b/internal/policy/countercalls.go
@@ -24,19 +24,19 @@
 
 // counterCalls are this gateway's calls of the shared counter: which are in flight, and how many it bears.
 type counterCalls struct {
-	inFlight map[uint64][]*counterCall // by the number's name, in the order of the calls
-	share    callshare.Controller      // of the requests without tokens that may call
-	askedAt  time.Duration             // the last call for a lease
+	inFlight      map[uint64][]*counterCall // by the number's name, in the order of the calls
+	share         callshare.Controller      // of the requests without tokens; 0 where there is no counter
+	lastTokenCall time.Duration
 }
 
-// counterCall is a call that is in flight. It asks for a lease, borrows for a request, or only corrects a
+// counterCall is a call that is in flight. It is for tokens, for borrowed units, or only corrects a
 // number.
 type counterCall struct {
-	tenant   *tenant
-	calledAt time.Duration
-	window   int64     // of the number that it adds to
-	ask      lease.Ask // for tokens; zero: none are asked for
-	borrower *request  // waits for units of its hard limit's common part; nil: none does
+	tenant    *tenant
+	calledAt  time.Duration
+	window    int64      // of the number that it adds to
+	forTokens lease.Call // zero: it requests no tokens
+	borrower  *request   // waits for units of its hard limit's common part; nil: none does
 }
 
 // newCounterCalls starts with no call in flight. Where there is no counter nobody may call; else all may at
@@ -52,7 +52,7 @@
 // mayCall says that the counter can be called: it responds, or it is this gateway's turn to test it.
 func (c *counterCalls) mayCall(now time.Duration, gateways int) bool {
 	probePause := max(minProbePause, time.Duration(gateways)*probePausePerGateway)
-	return len(c.inFlight) < maxPendingNumbers && (c.share.Responds() || now-c.askedAt >= probePause)
+	return len(c.inFlight) < maxPendingNumbers && (c.share.Responds() || now-c.lastTokenCall >= probePause)
 }
 
 // add keeps a call until its answer.
@@ -73,6 +73,15 @@
 	return calls[0]
 }
 
+// callShare is the share of the requests without tokens that may call.
+func (c *counterCalls) callShare() float64 { return c.share.Share() }
+
+// callChance is the chance that a request of a rank calls, given that it may.
+func (c *counterCalls) callChance(rank float64) float64 { return c.share.Chance(rank) }
+
+// noteTokenCall notes a call for tokens; the next test of a counter that does not respond waits from here.
+func (c *counterCalls) noteTokenCall(now time.Duration) { c.lastTokenCall = now }
+
 // settle learns from how a call ended how many more the counter bears.
 func (c *counterCalls) settle(call *counterCall, status Status, now, timeout time.Duration) {
 	if status == OK {
@@ -88,15 +97,13 @@
 }
 
 // counterResponds says whether there is a counter whose answers can be relied on.
-func (e *Engine) counterResponds() bool {
-	return e.settings.SharedCounter && e.counter.share.Responds()
-}
+func (e *Engine) counterResponds() bool { return e.counter.share.Responds() }
 
-// addToQuota calls the counter to add an amount to a tenant's quota in the present window; with an ask, it
-// asks for tokens.
-func (e *Engine) addToQuota(t *tenant, amount float64, ask lease.Ask) {
+// addToQuota calls the counter to add an amount to a tenant's quota in the present window; with a lease
+// call, it requests tokens.
+func (e *Engine) addToQuota(t *tenant, amount float64, forTokens lease.Call) {
 	window := int64(e.now / quotaWindow)
-	call := &counterCall{tenant: t, window: window, ask: ask}
+	call := &counterCall{tenant: t, window: window, forTokens: forTokens}
 	e.callCounter(quotaNumber(t.key, window), amount, quotaTTL, call)
 }
 
@@ -117,8 +124,8 @@
 	switch {
 	case call.borrower != nil:
 		e.borrowAnswered(call, ev)
-	case call.ask.Block > 0:
-		e.askAnswered(call, ev)
+	case call.forTokens.Block > 0:
+		e.tokensAnswered(call, ev)
 	}
 	e.serve(call.tenant)
 }
--- a/internal/policy/engine.go
+++ b/internal/policy/engine.go
@@ -42,7 +42,7 @@
 	tenants          tenantRegistry
 	unplaced         []*request
 	counter          counterCalls
-	asks             askEstimates
+	callEstimates    callEstimates
 	checkedAt        time.Duration // last check of what no event tells
 	maxRequestWeight float64
 	maxClassWeight   float64 // of the classes'
@@ -59,7 +59,7 @@
 	}
 	e := &Engine{settings: set, rng: rand.New(rand.NewPCG(seed, 1)), backends: map[string]*backend{},
 		requests: map[uint64]*request{}, tenants: newTenantRegistry(), counter: newCounterCalls(set.SharedCounter),
-		asks: newAskEstimates(&set)}
+		callEstimates: newCallEstimates(&set)}
 	e.maxTimeLeft = make([]time.Duration, len(set.Classes))
 	objectives := make([]time.Duration, len(set.Classes))
 	for i, c := range set.Classes {
--- a/internal/policy/hardlimit.go
+++ b/internal/policy/hardlimit.go
@@ -12,10 +12,10 @@
 
 // hardLimitState is how a request stands with its tenant's hard limit.
 type hardLimitState struct {
-	reserved      bool          // its cost is reserved in the share while it is queued
-	borrowAsked   bool          // it has asked for borrowed units; it asks once
-	borrowPending bool          // it waits for the answer
-	borrowedUntil time.Duration // it may be sent on borrowed units until then; 0: it has none
+	reserved        bool          // its cost is reserved in the share while it is queued
+	borrowRequested bool          // it has requested units; it does so once
+	borrowPending   bool          // it waits for the answer
+	borrowedUntil   time.Duration // it may be sent on borrowed units until then; 0: it has none
 }
 
 // hasBorrowed says whether the request may still be sent on borrowed units.
@@ -52,7 +52,7 @@
 	if e.earnsOverQuota(r) && fills > r.deadlineBudget.Seconds()*hardLimitWaitShare {
 		return true
 	}
-	return r.hardLimit.borrowAsked && fills > e.maxHardLimitWait(r)
+	return r.hardLimit.borrowRequested && fills > e.maxHardLimitWait(r)
 }
 
 // reserveHardLimit keeps a request's cost in the share while it is queued.
@@ -82,17 +82,17 @@
 	return true
 }
 
-// mayBorrow says whether a request may ask for its cost out of the hard limit's common part. Of clients'
+// mayBorrow says whether a request may borrow its cost out of the hard limit's common part. Of clients'
 // retries only a share may, as most are of what lacked units before.
 func (e *Engine) mayBorrow(r *request) bool {
-	return r.tenant.hardLimit.IsShared() && !r.hardLimit.borrowAsked &&
+	return r.tenant.hardLimit.IsShared() && !r.hardLimit.borrowRequested &&
 		e.counterResponds() && e.mayCallCounter() && !r.tenant.hardLimit.CommonPartSpent(e.now) &&
-		(!r.clientRetry || e.rng.Float64() < e.counter.share.Share())
+		(!r.clientRetry || e.rng.Float64() < e.counter.callShare())
 }
 
-// borrow asks the counter for a request's cost out of the common part.
+// borrow calls the counter for a request's cost out of the common part.
 func (e *Engine) borrow(r *request) {
-	r.hardLimit.borrowAsked, r.hardLimit.borrowPending = true, true
+	r.hardLimit.borrowRequested, r.hardLimit.borrowPending = true, true
 	t := r.tenant
 	window := t.hardLimit.Window(e.now)
 	e.callCounter(hardLimitNumber(t.key, window), r.cost, t.hardLimit.CounterTTL(e.settings.CounterTimeout),
@@ -107,7 +107,7 @@
 	if ev.Status != OK {
 		return
 	}
-	if until, lent := call.tenant.hardLimit.Lent(call.window, ev.Total); lent {
+	if until, granted := call.tenant.hardLimit.Borrow(call.window, ev.Total); granted {
 		borrower.hardLimit.borrowedUntil = until
 	}
 }
--- a/internal/policy/hardlimit/hardlimit.go
+++ b/internal/policy/hardlimit/hardlimit.go
@@ -111,7 +111,7 @@
 		return false
 	}
 	even := limit.Burst / s.gateways
-	return even < fewRequests*largest && even*ownPart >= largest && limit.lentInWindow() >= largest
+	return even < fewRequests*largest && even*ownPart >= largest && limit.windowLimit() >= largest
 }
 
 // window is how long one number of the common part serves. What it lends may be sent until afterWindow after
@@ -122,8 +122,8 @@
 	return max(minWindow, min(maxWindow, (full-afterWindow)/2))
 }
 
-// lentInWindow is how many units one window lends.
-func (l Limit) lentInWindow() float64 { return (1 - ownPart) * l.Rate * l.window().Seconds() }
+// windowLimit is how many units one window lends.
+func (l Limit) windowLimit() float64 { return (1 - ownPart) * l.Rate * l.window().Seconds() }
 
 // Window is the number of the window that a time falls into. The share must be shared, as for all that
 // follows.
@@ -132,10 +132,10 @@
 // CommonPartSpent says whether the common part of the present window is known to be spent.
 func (s *Share) CommonPartSpent(now time.Duration) bool { return s.spent == s.Window(now)+1 }
 
-// Lent takes the total that the counter gives for a window, the units asked for included. It says until when
-// these may be sent, or that the window's part is spent.
-func (s *Share) Lent(window int64, total float64) (until time.Duration, lent bool) {
-	if total <= s.terms.Limit.lentInWindow() {
+// Borrow takes the total that the counter gives for a window, the units requested included. It says until
+// when these may be sent, or that the window's part is spent.
+func (s *Share) Borrow(window int64, total float64) (until time.Duration, granted bool) {
+	if total <= s.terms.Limit.windowLimit() {
 		return time.Duration(window+1)*s.terms.Limit.window() + afterWindow, true
 	}
 	s.spent = window + 1
--- a/internal/policy/lease/lease.go
+++ b/internal/policy/lease/lease.go
@@ -2,17 +2,17 @@
 //
 // The quota is a token bucket that all gateways share. Its state lies on the shared counter, as the sum of
 // what has left the bucket: a gateway adds what it takes, and the answer tells the bucket's level, also to a
-// gateway that has never seen the tenant. So that not every request has to ask, a gateway takes a block of
+// gateway that has never seen the tenant. So that not every request needs a call, a gateway takes a block of
 // tokens for the demand of the next seconds: the lease.
 //
 // Beside the leased tokens a gateway has fallback tokens, an even share of the bucket, for when the counter
-// has not been asked or does not answer. What is paid with them is unreported usage until the next call adds
+// has not been called or does not answer. What is paid with them is unreported usage until the next call adds
 // it to the counter. Fallback tokens may go below zero: requests that go on credit, without a look at the
 // counter.
 //
-// A Lease decides nothing about the counter: its caller says when to ask (BeginAsk) and hands in the answer
-// (Settle) or the failure (AskRejected, AnswerLost). The rules are those of DESIGN-bellwood.md, Promotion;
-// sizes and lifetimes are left open there.
+// A Lease decides nothing about the counter: its caller says when to call it (BeginCall) and hands in the
+// answer (Settle) or the failure (CallRejected, AnswerLost). The rules are those of DESIGN-bellwood.md,
+// Promotion; sizes and lifetimes are left open there.
 package lease
 
 import (
@@ -26,7 +26,7 @@
 	// coveredDemand is the span of demand that a block should cover: longer means fewer calls, and more tokens
 	// that lie where nobody needs them.
 	coveredDemand = 1500 * time.Millisecond
-	// renewalLead is the span of demand that the tokens left must cover, else the next block is asked for. It is
+	// renewalLead is the span of demand that the tokens left must cover, else the next block is requested. It is
 	// several times what the counter takes to answer.
 	renewalLead = 300 * time.Millisecond
 	// lifetime is how long leased tokens may lie unspent before they are given back.
@@ -159,7 +159,7 @@
 // CorrectCost replaces the cost that was taken for a request by the true one.
 func (l *Lease) CorrectCost(taken, actual float64) { l.tokens -= actual - taken }
 
-// RunsLow says whether the next block should be asked for, after a request of this cost: the tokens do not
+// RunsLow says whether the next block should be requested, after a request of this cost: the tokens do not
 // cover the demand until it is there, and the tenant comes often enough to use it.
 func (l *Lease) RunsLow(cost float64) bool {
 	return !l.awaitingAnswer && l.tokens < l.demand.Over(renewalLead) && l.ExpectsUse(cost)
@@ -184,54 +184,54 @@
 	return time.Duration(max(minRefillTime, seconds) * float64(time.Second))
 }
 
-// Ask is a call for a block of tokens.
-type Ask struct {
-	Cost       float64 // of the request that asks: a smaller block pays no request
-	Block      float64 // tokens asked for
+// Call is a call for a block of tokens.
+type Call struct {
+	Cost       float64 // of the request that calls: a smaller block pays none
+	Block      float64 // tokens requested
 	Unreported float64 // unreported usage that the call reports
 	Amount     float64 // what it adds to the counter in all
 }
 
-// BeginAsk sizes a call for a block that holds at least a request's cost. Where only a share of the requests
-// may call, it adds for those too that do not. The answer must be handed to Settle, AskRejected or
+// BeginCall sizes a call for a block that holds at least a request's cost. Where only a share of the requests
+// may call, it adds for those too that do not. The answer must be handed to Settle, CallRejected or
 // AnswerLost.
-func (l *Lease) BeginAsk(now time.Duration, cost, callShare float64) Ask {
+func (l *Lease) BeginCall(now time.Duration, cost, callShare float64) Call {
 	fairPart := l.expectedLevel(now) / l.gateways
 	block := max(cost, math.Floor(min(l.demand.Over(coveredDemand), fairPart)))
-	ask := Ask{Cost: cost, Block: block, Unreported: l.unreported,
+	call := Call{Cost: cost, Block: block, Unreported: l.unreported,
 		Amount: block/max(callShare, 1/maxRequestsPerCall) + l.unreported}
 	l.awaitingAnswer, l.unreported = true, 0
-	return ask
+	return call
 }
 
-// AskRejected ends an ask of which nothing was added to the counter.
-func (l *Lease) AskRejected(ask Ask) {
+// CallRejected ends a call of which nothing was added to the counter.
+func (l *Lease) CallRejected(call Call) {
 	l.awaitingAnswer = false
-	l.unreported += ask.Unreported
+	l.unreported += call.Unreported
 }
 
-// AnswerLost ends an ask that has no answer. It may have been added to the counter and counts as reported.
+// AnswerLost ends a call that has no answer. It may have been added to the counter and counts as reported.
 func (l *Lease) AnswerLost() { l.awaitingAnswer = false }
 
-// Settlement is what follows from the answer to an ask, beside the tokens that the lease has now.
+// Settlement is what follows from the answer to a call, beside the tokens that the lease has now.
 type Settlement struct {
-	// Found says that the bucket held the cost of the request that asked.
+	// Found says that the bucket held the cost of the request that called.
 	Found bool
 	// Overflow is to be added to the counter at once if it is above 0: what the bucket held beyond its burst has
 	// overflowed, and what it seems to have gained beyond its rate the counter has lost.
 	Overflow float64
 	// Short says that the bucket did not hold the block. What was added too much is in Excess.
 	Short bool
-	// Excess is to be added to the counter, at once or by AddWithNextAsk. It is negative.
+	// Excess is to be added to the counter, at once or by AddWithNextCall. It is negative.
 	Excess float64
 }
 
 // Settle turns the counter's answer into tokens: the total of what has left the bucket since the counter's
-// window began, so long ago, this ask included. The callShare must be above 0.
-func (l *Lease) Settle(now time.Duration, ask Ask, total float64, sinceWindow time.Duration,
+// window began, so long ago, this call included. The callShare must be above 0.
+func (l *Lease) Settle(now time.Duration, call Call, total float64, sinceWindow time.Duration,
 	callShare float64) Settlement {
 	l.awaitingAnswer = false
-	held := l.bucket.Burst + l.bucket.Rate*sinceWindow.Seconds() - total + ask.Amount
+	held := l.bucket.Burst + l.bucket.Rate*sinceWindow.Seconds() - total + call.Amount
 	possible := l.bucket.Burst
 	if l.levelKnown {
 		possible = l.expectedLevel(now)
@@ -242,16 +242,16 @@
 		s.Overflow = held - possible
 		held = possible
 	}
-	granted := min(ask.Block, held-ask.Unreported)
-	s.Found = granted >= ask.Cost
+	granted := min(call.Block, held-call.Unreported)
+	s.Found = granted >= call.Cost
 	if !s.Found {
 		granted = 0 // a part that pays no request is of use to other gateways only
 	}
-	added := ask.Amount
-	if granted < ask.Block {
-		s.Short, s.Excess = true, granted+ask.Unreported-ask.Amount
-		added = granted + ask.Unreported
-		l.leaveAlone(now, ask.Block-held)
+	added := call.Amount
+	if granted < call.Block {
+		s.Short, s.Excess = true, granted+call.Unreported-call.Amount
+		added = granted + call.Unreported
+		l.leaveAlone(now, call.Block-held)
 	}
 	if !l.levelKnown {
 		l.levelKnown, l.fallback = true, min(l.fallback, 0) // the share of a tenant never seen is no longer due
@@ -270,12 +270,12 @@
 	l.othersRate += demand.Weight(span) * (max(0, expected-held)/span.Seconds() - l.othersRate)
 }
 
-// leaveAlone keeps this gateway from asking until the bucket has filled by what is missing, taken together
+// leaveAlone keeps this gateway from calling until the bucket has filled by what is missing, taken together
 // with the other gateways of the tenant.
 func (l *Lease) leaveAlone(now time.Duration, missing float64) {
 	pause := max(missing, l.gateways/gatewaysPerToken) / l.bucket.Rate
 	l.emptyUntil = now + min(maxEmptyPause, time.Duration(pause*float64(time.Second)))
 }
 
-// AddWithNextAsk lets the next ask add an amount to the counter.
-func (l *Lease) AddWithNextAsk(amount float64) { l.unreported += amount }
+// AddWithNextCall lets the next call add an amount to the counter.
+func (l *Lease) AddWithNextCall(amount float64) { l.unreported += amount }
--- a/internal/policy/tenants.go
+++ b/internal/policy/tenants.go
@@ -43,6 +43,25 @@
 	t.hardLimit.SetGateways(gateways)
 }
 
+// noteRequest notes a request that was not rejected on its arrival.
+func (t *tenant) noteRequest(now time.Duration, cost float64) {
+	t.lastSeen = now
+	t.lease.NoteDemand(now, cost)
+}
+
+// firstWaiting is the first request that waits and has not ended; nil: none waits.
+func (t *tenant) firstWaiting() *request {
+	for len(t.waiting) > 0 && t.waiting[0].ended {
+		t.removeFirstWaiting()
+	}
+	if len(t.waiting) == 0 {
+		return nil
+	}
+	return t.waiting[0]
+}
+
+func (t *tenant) removeFirstWaiting() { t.waiting = t.waiting[1:] }
+
 // isIdle says whether nothing is lost when the tenant is forgotten.
 func (t *tenant) isIdle(now time.Duration) bool {
 	return now-t.lastSeen > tenantIdleTime && !t.lease.AwaitsAnswer() && t.inFlight == 0
@@ -71,14 +90,17 @@
 	}
 }
 
-// takeWaiting returns the tenants noted and forgets them. Each counts as noted until its inWaiting is
-// cleared.
+// takeWaiting returns the tenants noted. Each counts as noted until noLongerNoted, so that serving one of
+// them does not note another twice.
 func (t *tenantRegistry) takeWaiting() []*tenant {
 	taken := t.waiting
 	t.waiting = nil
 	return taken
 }
 
+// noLongerNoted lets noteWaiting note a tenant again.
+func (t *tenant) noLongerNoted() { t.inWaiting = false }
+
 // evictIdle looks at a few tenants and forgets those that are idle.
 func (t *tenantRegistry) evictIdle(now time.Duration) {
 	for i := 0; i < evictionsPerCheck && len(t.order) > 0; i++ {
