--- a/cmd/fleetbench/mixed.go
+++ b/cmd/fleetbench/mixed.go
@@ -63,7 +63,7 @@
 			Seed: s.Seed, Progress: s.Progress})
 		if r != nil {
 			for _, row := range r.Rows() {
-				rep.Add(fleetsim.Row{Name: row.Name, Unit: row.Unit, Doors: row.Doors, Backends: row.Backends, Value: row.Value,
+				rep.Add(fleetsim.Row{Name: row.Name, Unit: row.Unit, Gateways: row.Doors, Backends: row.Backends, Value: row.Value,
 					Noisy: strings.HasSuffix(row.How, "noisy"), How: row.How})
 			}
 			for _, row := range r.Failed() {
@@ -71,7 +71,7 @@
 			}
 		}
 		if ctx.Err() != nil {
-			rep.Cut = append(rep.Cut, fmt.Sprintf("%d backends and more: %v", n, context.Cause(ctx)))
+			rep.NotMeasured = append(rep.NotMeasured, fmt.Sprintf("%d backends and more: %v", n, context.Cause(ctx)))
 			break
 		}
 		if err != nil {
--- a/internal/fleetsim/audit.go
+++ b/internal/fleetsim/audit.go
@@ -32,8 +32,8 @@
 	return [...]string{"one change", fmt.Sprintf("%d changes a minute", manyChanges)}[c]
 }
 
-// AuditCounter is how many calls a second the counters of a fleet take: one bears 830, and 810 doors have five.
-func AuditCounter(doors int) float64 {
+// AuditCounterCapacity is how many calls a second the counters of a fleet take: one bears 830, and 810 doors have five.
+func AuditCounterCapacity(doors int) float64 {
 	const one, five, many = 830, 5, 300
 	if doors > many {
 		return five * one
@@ -56,7 +56,7 @@
 		}
 	}
 	put := func(name, unit string, value float64, how string) {
-		rep.Add(Row{Name: name + ", " + changes.String(), Unit: unit, Doors: doors, Value: value, How: how})
+		rep.Add(Row{Name: name + ", " + changes.String(), Unit: unit, Gateways: doors, Value: value, How: how})
 	}
 	runs := fmt.Sprintf("%d runs, each with another door behind; agents tell within %v, the counter answers in %v; window %v",
 		auditRuns, auditLag, auditAnswers, total.window)
@@ -65,9 +65,9 @@
 	put("straggler shut out, most", "s", total.outMost.Seconds(), fmt.Sprintf("%d of the runs came to it", total.outs))
 	put("others called stragglers", "doors", float64(total.others), "of all runs")
 	put("audit calls", "/s", total.calls/total.span.Seconds(), fmt.Sprintf("%.2f%% of the counter's %.0f",
-		100*total.calls/total.span.Seconds()/AuditCounter(doors), AuditCounter(doors)))
+		100*total.calls/total.span.Seconds()/AuditCounterCapacity(doors), AuditCounterCapacity(doors)))
 	put("audit calls, most in a second", "/s", total.most, fmt.Sprintf("%.2f%% of the counter's %.0f",
-		100*total.most/AuditCounter(doors), AuditCounter(doors)))
+		100*total.most/AuditCounterCapacity(doors), AuditCounterCapacity(doors)))
 	return nil
 }
 
@@ -112,7 +112,7 @@
 func newAuditSim(seed uint64, doors int, changes Changes) (*auditSim, error) {
 	s := &auditSim{rng: rand.New(rand.NewPCG(seed, 3)), changes: changes, numbers: map[uint64]auditNumber{},
 		now: time.Duration(1_800_000_000)*time.Second + time.Duration(seed)*3*time.Second,
-		set: audit.Settings{Gateways: doors, CallsPerSecond: AuditCounter(doors), Share: auditShare, CounterTimeout: 50 * ms}}
+		set: audit.Settings{Gateways: doors, CallsPerSecond: AuditCounterCapacity(doors), Share: auditShare, CounterTimeout: 50 * ms}}
 	for rank := range doors {
 		set := s.set
 		set.GatewayIndex = rank
--- a/internal/fleetsim/load.go
+++ b/internal/fleetsim/load.go
@@ -60,8 +60,8 @@
 	meanQuota   = 0.6*1 + 0.3*3 + 0.1*12     // of a customer
 )
 
-// list returns n backends of equal weight, dealt out over the zones, all started long ago.
-func list(n int) []policy.Backend {
+// endpointList returns n backends of equal weight, dealt out over the zones, all started long ago.
+func endpointList(n int) []policy.Backend {
 	all := make([]policy.Backend, n)
 	for i := range all {
 		all[i] = policy.Backend{Name: fmt.Sprintf("s-%08x", uint32(i+1)*2654435761), Zone: i % zones,
