--- a/cmd/fleetbench/main.go
+++ b/cmd/fleetbench/main.go
@@ -297,7 +297,7 @@
 			turns <- struct{}{}
 			defer func() { <-turns }()
 			reps[i] = fleetsim.NewReport(s.Options)
-			errs[i] = fleetsim.CounterCalls(ctx, s.Options, reps[i], size, v.customers, v.rate, s.sampleDoors)
+			errs[i] = fleetsim.CounterCalls(ctx, s.Options, reps[i], size, fleetsim.TenantLoad{Tenants: v.customers, Rate: v.rate}, s.sampleDoors)
 		})
 	}
 	wait.Wait()
--- a/internal/fleetsim/audit.go
+++ b/internal/fleetsim/audit.go
@@ -63,7 +63,7 @@
 // Audit reports how long it takes until a gateway whose agent has stopped bringing updates is called behind and leaves
 // service, and how many calls the audits of all gateways make. All gateways are played, as audits alone.
 func Audit(ctx context.Context, o Options, rep *Report, gateways int, changes Changes) error {
-	o.say("audit, %d doors, %v", gateways, changes)
+	o.sayMeasure("audit, %d doors, %v", gateways, changes)
 	var found auditFindings
 	for run := range auditRuns {
 		f, err := newAuditFleet(o.Seed+uint64(run), gateways, changes)
@@ -71,7 +71,7 @@
 			return err
 		}
 		if err := f.play(ctx, &found); err != nil {
-			return cut(ctx, rep, fmt.Sprintf("audit, %d doors", gateways), err)
+			return noteEarlyEnd(ctx, rep, fmt.Sprintf("audit, %d doors", gateways), err)
 		}
 	}
 	found.report(sizedRows{report: rep, size: Size{Gateways: gateways}, variant: changes.String()}, gateways)
--- /dev/null
+++ b/internal/fleetsim/helpers_test.go
@@ -0,0 +1,45 @@
+package fleetsim
+
+import (
+	"context"
+	"testing"
+	"time"
+)
+
+// Sizes of fleets that are quickly played.
+var (
+	small  = Size{Gateways: 3, Backends: 14}
+	medium = Size{Gateways: 30, Backends: 60}
+)
+
+// quickOptions are options with as few timings as may be.
+func quickOptions(seed uint64) Options {
+	o := Defaults()
+	o.Seed, o.RoundsBudget, o.Workers = seed, 0, 2
+	return o
+}
+
+// playCounts makes every measure that counts and times nothing, at small sizes.
+func playCounts(t *testing.T, o Options) *Report {
+	t.Helper()
+	rep, ctx := NewReport(o), context.Background()
+	for _, err := range []error{
+		Spread(ctx, o, rep, small, 4*time.Second, 0),
+		Spread(ctx, o, rep, medium, 2*time.Second, 4),
+		SlowStart(ctx, o, rep, small, EvenTraffic),
+		SlowStart(ctx, o, rep, medium, UnevenTraffic),
+		SlowStart(ctx, o, rep, medium, OthersDrain),
+		ZoneLoss(ctx, o, rep, small, 7, 0),
+		ZoneLoss(ctx, o, rep, medium, 3, 4),
+		CounterCalls(ctx, o, rep, medium, TenantLoad{Tenants: 60, Rate: 240}, 5),
+	} {
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	if len(rep.NotMeasured) > 0 {
+		t.Fatalf("not measured: %q", rep.NotMeasured)
+	}
+	rep.Close()
+	return rep
+}
--- /dev/null
+++ b/internal/fleetsim/memory.go
@@ -0,0 +1,90 @@
+package fleetsim
+
+import (
+	"context"
+	"fmt"
+	"runtime"
+	"time"
+
+	"bellwood/internal/policy"
+)
+
+const (
+	// minWeighed and maxWeighed: the heap of so many gateways is taken, ...
+	minWeighed = 4
+	maxWeighed = 64
+	// weighedRecords: ... as many as know so many backends together, so that small ones show in the heap.
+	weighedRecords = 40000
+	// minHeapTraffic and maxHeapTraffic bound the virtual time before it is taken.
+	minHeapTraffic = 2 * time.Second
+	maxHeapTraffic = 30 * time.Second
+)
+
+// Memory measures what a gateway of this size holds: one that was told the endpoint list, and one after some traffic.
+func Memory(ctx context.Context, o Options, rep *Report, size Size) error {
+	o.sayMeasure("memory, %v", size)
+	indexes := weighedGateways(size)
+	m := memoryMeasure{rows: sizedRows{report: rep, size: size}, gateways: len(indexes)}
+	f := o.fleet(size, EvenTraffic)
+	m.heapBefore = heapInUse()
+	s, err := f.newSimulation(ctx, indexes, 1)
+	if err != nil {
+		return noteEarlyEnd(ctx, rep, fmt.Sprintf("memory, %v", size), err)
+	}
+	engines := s.engines()
+	m.report("heap listed", "told the list")
+	s.startArrivals()
+	traffic := max(minHeapTraffic, min(maxHeapTraffic, s.timeForRequests(warmUpRequests)))
+	if err := playTraffic(ctx, &o, s, traffic); err != nil {
+		return noteEarlyEnd(ctx, rep, fmt.Sprintf("memory after traffic, %v", size), err)
+	}
+	s = nil // what plays the traffic must not count
+	m.report("heap loaded", fmt.Sprintf("%v of traffic, with nothing open", traffic.Round(time.Second)))
+	runtime.KeepAlive(engines)
+	runtime.KeepAlive(f)
+	return nil
+}
+
+// weighedGateways are the gateways whose heap is taken. Of a small fleet several have one index.
+func weighedGateways(size Size) []int {
+	n := max(minWeighed, min(maxWeighed, weighedRecords/size.Backends))
+	indexes := make([]int, n)
+	for i := range indexes {
+		indexes[i] = i * size.Gateways / n
+	}
+	return indexes
+}
+
+// playTraffic plays some traffic, and ends when nothing is open.
+func playTraffic(ctx context.Context, o *Options, s *simulation, duration time.Duration) error {
+	if err := s.runFor(ctx, duration); err != nil {
+		return err
+	}
+	if err := s.finish(ctx); err != nil {
+		return err
+	}
+	return o.checkHeap()
+}
+
+// engines returns the gateways' engines, which then live on without the simulation.
+func (s *simulation) engines() []*policy.Engine {
+	engines := make([]*policy.Engine, len(s.gateways))
+	for i, g := range s.gateways {
+		engines[i] = g.engine
+	}
+	return engines
+}
+
+// memoryMeasure compares the heap with what it was before there were gateways.
+type memoryMeasure struct {
+	rows       sizedRows
+	gateways   int
+	heapBefore uint64 // bytes
+}
+
+func (m *memoryMeasure) report(name, state string) {
+	each := (float64(heapInUse()) - float64(m.heapBefore)) / float64(m.gateways)
+	all := m.rows.size.Gateways
+	m.rows.add(name, "bytes", each, fmt.Sprintf("heap in use after a collection with %d gateways less that before, for each; "+
+		"%s; all %d would take %.0f MB", m.gateways, state, all, each*float64(all)/1e6))
+}
