--- a/cmd/fleetbench/main.go
+++ b/cmd/fleetbench/main.go
@@ -90,7 +90,7 @@
 		return err
 	}
 	if !s.quiet {
-		s.Progress = &lineWriter{w: progress}
+		s.Progress = &lineWriter{out: progress}
 	}
 	rep := fleetsim.NewReport(s.Options)
 	err = s.measureWithin(ctx, rep, measure)
@@ -133,12 +133,12 @@
 
 // lineWriter lets measures that run side by side write whole lines.
 type lineWriter struct {
-	mu sync.Mutex // guards w
-	w  io.Writer
+	mu  sync.Mutex // guards out
+	out io.Writer
 }
 
 func (l *lineWriter) Write(b []byte) (int, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.w.Write(b)
+	return l.out.Write(b)
 }
--- a/internal/fleetsim/countercalls.go
+++ b/internal/fleetsim/countercalls.go
@@ -49,7 +49,7 @@
 	part   float64 // that they are of the fleet
 
 	// The totals have the calls of the time that the last requests took to end: a second's at most.
-	totals     Totals
+	totals     requestTotals
 	pairsInUse int // of gateway and tenant
 }
 
--- a/internal/fleetsim/settings.go
+++ b/internal/fleetsim/settings.go
@@ -27,9 +27,9 @@
 	quotaUse = 0.5
 )
 
-// Settings returns the settings of a gateway: three classes and three plans. The quotas of the plans are scaled so that
+// gatewaySettings returns the settings of a gateway: three classes and three plans. The quotas of the plans are scaled so that
 // tenants who send meanTenantRate requests a second on average ask for half of the sum of their quotas.
-func Settings(gateways, index int, meanTenantRate float64) policy.Settings {
+func gatewaySettings(gateways, index int, meanTenantRate float64) policy.Settings {
 	return policy.Settings{
 		Gateways:        gateways,
 		GatewayIndex:    index,
--- a/internal/fleetsim/simulation.go
+++ b/internal/fleetsim/simulation.go
@@ -48,7 +48,7 @@
 // sentAttempt is what a simulation tells of an attempt that it sends.
 type sentAttempt struct {
 	backend      string
-	at           time.Duration
+	sentAt       time.Duration
 	phase        int           // that runs
 	requestPhase int           // in which its request came
 	first        bool          // of its request
@@ -81,7 +81,7 @@
 			return context.Cause(ctx)
 		}
 		e := s.events.take()
-		s.now = max(s.now, e.at)
+		s.now = max(s.now, e.dueAt)
 		s.fire(e)
 	}
 	s.now = max(s.now, until)
@@ -134,7 +134,7 @@
 func (s *simulation) scheduleArrival(g *simGateway) {
 	if rate := s.rateAt(g); rate > 0 {
 		gap := time.Duration(g.rng.ExpFloat64() / rate * float64(time.Second))
-		s.events.add(&event{at: s.now + gap, gateway: g, kind: nextArrival})
+		s.events.add(&event{dueAt: s.now + gap, gateway: g, kind: nextArrival})
 	}
 }
 
@@ -194,12 +194,12 @@
 		if action.Cookie == 0 {
 			kind = periodicStep
 		}
-		s.events.add(&event{at: action.At, gateway: g, kind: kind, input: policy.Timer{Cookie: action.Cookie}})
+		s.events.add(&event{dueAt: action.At, gateway: g, kind: kind, input: policy.Timer{Cookie: action.Cookie}})
 	}
 }
 
 // answer gives a request its final answer and returns the totals that it counts in; nil if it had one.
-func (s *simulation) answer(id uint64) *Totals {
+func (s *simulation) answer(id uint64) *requestTotals {
 	r, err := s.requests.answer(id)
 	if err != nil {
 		s.err = err
@@ -233,10 +233,10 @@
 }
 
 // countAttempt counts the next attempt of a request, and tells who wants to know.
-func (s *simulation) countAttempt(r *request, totals *Totals, backend string) {
+func (s *simulation) countAttempt(r *request, totals *requestTotals, backend string) {
 	sent := sentAttempt{
 		backend:      backend,
-		at:           s.now,
+		sentAt:       s.now,
 		phase:        s.tally.phase,
 		requestPhase: r.phase,
 		first:        len(r.attempts) == 0,
@@ -256,7 +256,7 @@
 
 // endAfter lets an attempt end after a while.
 func (s *simulation) endAfter(a *attempt, status policy.Status, delay time.Duration) {
-	s.events.add(&event{at: s.now + delay, gateway: a.gateway, kind: resultStep, attempt: a, input: policy.AttemptResult{
+	s.events.add(&event{dueAt: s.now + delay, gateway: a.gateway, kind: resultStep, attempt: a, input: policy.AttemptResult{
 		ID: a.requestID, Attempt: a.number, Backend: a.backend, Status: status, Latency: s.now + delay - a.sentAt}})
 }
 
@@ -307,6 +307,6 @@
 	} else {
 		s.tally.now().CounterCorrections++
 	}
-	s.events.add(&event{at: s.now + counterRoundTrip, gateway: g, kind: counterStep,
+	s.events.add(&event{dueAt: s.now + counterRoundTrip, gateway: g, kind: counterStep,
 		input: policy.CounterResult{Name: call.Name, Status: policy.OK, Total: total}})
 }
--- a/internal/fleetsim/spread.go
+++ b/internal/fleetsim/spread.go
@@ -53,7 +53,7 @@
 	leaver  policy.Backend // drains when the second stretch begins
 	joiner  policy.Backend // joins when the third one begins
 
-	totals           Totals
+	totals           requestTotals
 	attempts         map[string]int // by backend: attempts in the first stretch
 	gatewaysSending  map[string]int // by backend: gateways that sent to it in the first stretch
 	backendsUsed     map[int]int    // by gateway: backends that it sent to in the first stretch
--- a/internal/fleetsim/steptimes.go
+++ b/internal/fleetsim/steptimes.go
@@ -124,7 +124,7 @@
 func timeSnapshots(ctx context.Context, o *Options, t *timings, f *fleet, index int, meter *stepMeter) error {
 	var again rounds
 	first, err := repeat(ctx, o.RoundsBudget, func() (float64, error) {
-		engine, err := policy.New(Settings(f.gateways, index, f.population.meanTenantRate), o.Seed)
+		engine, err := policy.New(gatewaySettings(f.gateways, index, f.population.meanTenantRate), o.Seed)
 		if err != nil {
 			return 0, err
 		}
--- a/internal/fleetsim/table.go
+++ b/internal/fleetsim/table.go
@@ -33,7 +33,7 @@
 	fmt.Fprintf(w, "Ratios within a run count, not its times. Spread is the largest of the rounds over the least; over "+
 		"%.2g it is noisy.\n", r.NoisyAbove)
 	fmt.Fprintf(w, "/backends: over the value at %d backends (or the fewest) and the same doors. /doors: over that at the "+
-		"fewest doors and the same backends.\n\n", BaseBackends)
+		"fewest doors and the same backends.\n\n", baseBackends)
 	if r.Earlier != "" {
 		fmt.Fprintf(w, "/before: over the value of the earlier run (%s).\n\n", r.Earlier)
 	}
--- a/internal/fleetsim/totals.go
+++ b/internal/fleetsim/totals.go
@@ -5,9 +5,9 @@
 // forwardedAtOnceWithin: a call to the counter and its answer fit in.
 const forwardedAtOnceWithin = 10 * ms
 
-// Totals counts what became of requests, counter calls and attempts. Once nothing is open any more, Requests add up to
+// requestTotals counts what became of requests, counter calls and attempts. Once nothing is open any more, Requests add up to
 // Served, Rejected and Failed, and Attempts to Results.
-type Totals struct {
+type requestTotals struct {
 	Requests        int // that came
 	Forwarded       int // with one attempt or more
 	ForwardedAtOnce int // whose first attempt went out within forwardedAtOnceWithin
@@ -24,10 +24,10 @@
 }
 
 // CounterCalls is the number of counter calls.
-func (t *Totals) CounterCalls() int { return t.CounterAdds + t.CounterCorrections }
+func (t *requestTotals) CounterCalls() int { return t.CounterAdds + t.CounterCorrections }
 
 // Add adds another's counts.
-func (t *Totals) Add(o Totals) {
+func (t *requestTotals) Add(o requestTotals) {
 	t.Requests += o.Requests
 	t.Forwarded += o.Forwarded
 	t.ForwardedAtOnce += o.ForwardedAtOnce
@@ -42,7 +42,7 @@
 }
 
 // Check says what does not add up, of totals with nothing open.
-func (t *Totals) Check() error {
+func (t *requestTotals) Check() error {
 	switch {
 	case t.Requests != t.Served+t.Rejected+t.Failed:
 		return fmt.Errorf("%d requests, but %d served, %d rejected and %d failed", t.Requests, t.Served, t.Rejected, t.Failed)
@@ -53,10 +53,10 @@
 }
 
 // servedShare is the share of the requests that were served.
-func (t *Totals) servedShare() float64 { return t.shareOfRequests(t.Served) }
+func (t *requestTotals) servedShare() float64 { return t.shareOfRequests(t.Served) }
 
 // shareOfRequests is a count over the number of requests; 0 if none came.
-func (t *Totals) shareOfRequests(count int) float64 {
+func (t *requestTotals) shareOfRequests(count int) float64 {
 	return float64(count) / float64(max(1, t.Requests))
 }
 
@@ -64,16 +64,16 @@
 // that in which they were made.
 type tally struct {
 	phase   int // that runs
-	byPhase []Totals
+	byPhase []requestTotals
 }
 
-func (t *tally) now() *Totals { return &t.byPhase[t.phase] }
+func (t *tally) now() *requestTotals { return &t.byPhase[t.phase] }
 
 // of returns the totals that a request counts in.
-func (t *tally) of(r *request) *Totals { return &t.byPhase[r.phase] }
+func (t *tally) of(r *request) *requestTotals { return &t.byPhase[r.phase] }
 
 // sum adds up the phases.
-func (t *tally) sum() (all Totals) {
+func (t *tally) sum() (all requestTotals) {
 	for _, phase := range t.byPhase {
 		all.Add(phase)
 	}
