--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -6,9 +6,7 @@
 // In the paper's terms a token bucket promotes what the contract guarantees (stage 2); what follows is in
 // dispatch.go (stages 3 and 4). See doc.go for the whole way.
 //
-// Of the rules that can reject here the first in this order wins: admit (class and plan, service, deadline,
-// the queue for the hard limit), then decideQuota when it is the request's turn (requests in flight, hard
-// limit, quota), and for what is over its quota placeOverQuota (what the plan earns, hard limit).
+// The order of the rules that can reject, here and later, stands at the head of rejection.go.
 
 import (
 	"maps"
@@ -193,8 +191,12 @@
 	return withinQuota
 }
 
-// placeOverQuota queues a request that no tokens pay at the lowest level, if its plan earns something for it
-// there and its hard limit holds it. Else it is rejected: for what left it unpaid, or for the hard limit.
+// placeOverQuota dispatches a request that is over a limit or its quota at the lowest level, if its plan
+// earns something for it there and its hard limit holds it. Else it is rejected: for what it is over, or for
+// the hard limit. At the lowest level a first attempt goes only to a backend with a free slot; it never joins
+// a queue behind others (waitsTooLong). The advice when to come back is always the quota's, also where it was
+// another limit: until the bucket should hold the cost (lease.TimeUntil), for a plan without a rate as if it
+// filled by 0.1 a second.
 func (e *Engine) placeOverQuota(r *request, decision quotaDecision) {
 	if !e.earnsOverQuota(r) {
 		e.reject(r, rejection{decision.rejectReason(), r.tenant.lease.TimeUntil(e.now, r.cost)})
--- a/internal/policy/dispatch.go
+++ b/internal/policy/dispatch.go
@@ -70,9 +70,10 @@
 	return drawn < min(1, 2*e.sparseness())*chance
 }
 
-// waitsTooLong is EQ 4 of the paper seen from the back of the queue: the wait for those of the same level
-// and above, and the answer, would take most of the deadline budget. The lower the level, the less they
-// may take.
+// waitsTooLong is EQ 4 of the paper seen from the back of the queue: it says whether the time since arrival,
+// the wait for those of the same level and above, and the answer would together take a share of the deadline
+// budget or more. The share falls from 45% at level 0 to nothing at the lowest level: there the answer is
+// always yes, so that what is over its quota is sent only where a slot is free.
 func (e *Engine) waitsTooLong(r *request, b *backend) bool {
 	ahead := 1 + b.queue.countUpTo(r.level)
 	latency := e.expectedLatencyAt(r, b)
--- a/internal/policy/doc.go
+++ b/internal/policy/doc.go
@@ -22,7 +22,7 @@
 //	  serve           admission.go   the tenant's requests in their order, until one must wait
 //	  decideQuota     admission.go   requests in flight, hard limit, priority level; then payCost (quota.go)
 //	  |                              from the lease, from fallback tokens, or by a call to the counter
-//	  dispatch        dispatch.go    choose (selection.go) names a backend; is there overload?
+//	  dispatch        dispatch.go    choose (selection.go) picks a backend; is there overload?
 //	  priority queue  priorityqueue.go
 //	  fill, pick      dispatch.go    a backend has a free slot: who goes next, who has become stale?
 //	  send            attempt.go     the last guards
@@ -33,12 +33,12 @@
 //	  retry           retry.go       a retry goes back to dispatch
 //	  end             requestend.go  what is in flight is cancelled, what it holds goes back
 //
-// A request for which no backend is known waits among the unplaced, and is dispatched again by the periodic
-// check. Whatever rejects a request calls reject (rejection.go) with a [RejectReason]; it is the one place
-// that answers, but for requests of an unknown class or plan, which admit answers at once. What a request
-// holds when it ends goes back, and may let others of its tenant go on: so reject, too, can lead to dispatch.
-// Beside this way, a request ends by its timer (deadlinePassed), when its client is gone (clientGone), and by
-// suspend.
+// A request for which no backend is usable, and that cannot have run, waits among the unplaced and is
+// dispatched again by the periodic check. Whatever rule of the engine rejects a request calls reject
+// (rejection.go) with a [RejectReason]; only requests of an unknown class or plan are answered by admit
+// itself. The order of these rules stands at the head of rejection.go. What a request holds when it ends goes
+// back, and may let others of its tenant go on: so reject, too, can lead to dispatch. Beside this way, a
+// request ends by its timer (deadlinePassed), when its client is gone (clientGone), and by suspend.
 //
 // # Which rule stands where
 //
--- a/internal/policy/endpoints_test.go
+++ b/internal/policy/endpoints_test.go
@@ -58,8 +58,9 @@
 	}
 }
 
-// A list that could not be had is polled again so soon that two polls which come to nothing, each after 2 s at most,
-// and their pauses leave time for a third within the 6 s after which a change counts as told; also after a long outage.
+// A list that could not be had is polled again so soon that two polls which come to nothing, each after 2 s
+// at most, and their pauses leave time for a third within the 6 s after which a change counts as told; also
+// after a long outage.
 func TestFailedListIsPolledAgainSoon(t *testing.T) {
 	const maxPause = 750 * time.Millisecond
 	settings := testSettings()
@@ -83,8 +84,8 @@
 	}
 }
 
-// What is counted along the way stays what a count of all would give: here over updates, restarts, ejections and
-// requests of all kinds.
+// What is counted along the way stays what a count of all would give: here over updates, restarts, ejections
+// and requests of all kinds.
 func TestCountsStayWhatACountOfAllGives(t *testing.T) {
 	list := largeEndpointList(60)
 	engine := newTestEngine(t, manyGateways(30), list...)
--- a/internal/policy/healthcheck.go
+++ b/internal/policy/healthcheck.go
@@ -80,7 +80,9 @@
 	return 4*responding >= len(e.subset.backends) && responding > 0
 }
 
-// eject stops new work to a backend, moves its queue on and cancels what could still be served elsewhere.
+// eject stops new work to a backend, moves its queue on and cancels those attempts in flight that leave time
+// for another. Whether another is allowed is not asked: a request that is not idempotent is given up with
+// Fail once its cancelled attempt has ended.
 func (e *Engine) eject(b *backend) {
 	b.detector.Eject(e.now, e.subset.gatewaysPerBackend, e.rng)
 	e.countWarm(b)
--- a/internal/policy/module_test.go
+++ b/internal/policy/module_test.go
@@ -15,9 +15,9 @@
 	"testing"
 )
 
-// The decision module is internal/policy with all below it, and internal/subset. The tests of this file hold it to
-// what the deploy file promises: the same files decide in the simulator and in the gateway, and they decide from
-// events alone.
+// The decision module is internal/policy with all below it, and internal/subset. The tests of this file hold
+// it to what the deploy file promises: the same files decide in the simulator and in the gateway, and they
+// decide from events alone.
 
 const (
 	projectRoot   = "../.."
@@ -102,7 +102,8 @@
 	}
 }
 
-// forbiddenImports do input or output, read the clock or wait for other goroutines; so do the packages below them.
+// forbiddenImports do input or output, read the clock or wait for other goroutines; so do the packages below
+// them.
 var forbiddenImports = []string{"os", "net", "net/http", "io", "log", "sync", "syscall", "context", "runtime", "unsafe",
 	"math/rand", "crypto/rand"}
 
@@ -118,8 +119,8 @@
 	"math/rand/v2": {"New", "NewPCG", "Rand", "Source"},
 }
 
-// TestModuleDecidesFromEventsAlone: the module does no input or output, starts no goroutine, reads no clock and draws
-// random numbers from seeded sources only.
+// TestModuleDecidesFromEventsAlone: the module does no input or output, starts no goroutine, reads no clock
+// and draws random numbers from seeded sources only.
 func TestModuleDecidesFromEventsAlone(t *testing.T) {
 	for _, file := range moduleFiles(t) {
 		for _, fault := range purityFaults(t, file, nil) {
--- a/internal/policy/overload_test.go
+++ b/internal/policy/overload_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// rejectionsOfIdleDay plays 20 s of five requests a second at one gateway of many, over backends that answer in 60 ms
-// on average, some of them rejecting all, and returns how many requests were rejected.
+// rejectionsOfIdleDay plays 20 s of five requests a second at one gateway of many, over backends that answer
+// in 60 ms on average, some of them rejecting all, and returns how many requests were rejected.
 func rejectionsOfIdleDay(t *testing.T, seed uint64, rejects func(backend string) bool) (rejected int) {
 	t.Helper()
 	engine := newTestEngine(t, manyGateways(80), testBackends(60)...)
--- a/internal/policy/rejection.go
+++ b/internal/policy/rejection.go
@@ -1,17 +1,33 @@
 package policy
 
 // Rejections: why a request is given up, and its final answer.
+//
+// A request meets the rules in this order; the first that holds wins:
+//
+//  1. On arrival, admit: UnknownClassOrPlan, OutOfService, DeadlineCannotBeMet, HardLimitQueueTooLong.
+//  2. On its turn among its tenant's requests, decideQuota: of the limits (checkLimits) OverConcurrencyLimit
+//     before OverHardLimit, then the quota (payQuota), OverQuota. All three go through placeOverQuota: where
+//     the plan earns beyond its quota the request goes on at the lowest level, or ends as OverHardLimit.
+//  3. dispatch: NoBackendForRetry; then overload, which gives BackendsOverloaded only where the chosen
+//     backend has a free slot, and QueueTooLong only where it has none, and for first attempts.
+//  4. In the queue, rejectStale: StaleInQueue.
+//  5. send: attemptForbidden with OutOfService, AttemptInFlight, AttemptsExhausted, NoBackendForRetry,
+//     DeadlinePassed; then, for a first attempt, spendHardLimit with OverHardLimit.
+//  6. After a failed attempt, retry: AttemptsExhausted, NoTimeForRetry; then on at 3.
+//  7. At any time: DeadlinePassed by the request's timer (deadlinePassed), and OutOfService by suspend.
+//
+// The gateway also rejects requests by itself, without a RejectReason: see package gateway.
 
 import (
 	"fmt"
 	"time"
 )
 
-// RejectReason says which rule gave a request up. It goes from that rule to the one place that answers,
-// reject.
+// RejectReason says which rule gave a request up. It goes from that rule to the one place of the engine that
+// answers, reject.
 type RejectReason int
 
-// The reasons, in the order in which a request can meet them on its way.
+// The reasons. The order in which a request meets the rules stands at the head of this file.
 const (
 	// UnknownClassOrPlan: the request names a class or a plan that the settings do not have (admit).
 	UnknownClassOrPlan RejectReason = iota
@@ -28,17 +44,17 @@
 	// OverHardLimit: this gateway's share of the tenant's hard limit does not hold the request's cost and does
 	// not fill in time (checkLimits, placeOverQuota, send).
 	OverHardLimit
-	// OverQuota: neither the lease nor this gateway's own share pays for the request, and its plan earns nothing
-	// beyond the quota (payCost, placeOverQuota).
+	// OverQuota: neither leased nor fallback tokens pay for the request, it may not go on credit, and its plan
+	// earns nothing beyond the quota (payCost, placeOverQuota).
 	OverQuota
 	// BackendsOverloaded: latency says that the backends hold queues of their own; a part of the requests is
 	// rejected by chance, more at lower levels (overload, shedByLatency).
 	BackendsOverloaded
-	// QueueTooLong: by what waits before the request at the chosen backend, its answer would come too late
-	// (overload, waitsTooLong: EQ 4 of the paper seen from the back of the queue).
+	// QueueTooLong: by what waits before the request at the chosen backend, its answer would come after 45% of
+	// its deadline budget or more, at lower levels after less (overload, waitsTooLong).
 	QueueTooLong
-	// StaleInQueue: the time in the queue and a usual answer's time together reach the deadline (pick,
-	// rejectStale: EQ 3 of the paper).
+	// StaleInQueue: the time since arrival and a usual answer's time together reach 90% of the deadline budget
+	// (pick, rejectStale: EQ 3 of the paper).
 	StaleInQueue
 	// NoBackendForRetry: the request may have run, and no backend is in use that may be sent it again
 	// (dispatch, attemptForbidden).
@@ -122,7 +138,8 @@
 
 // clientRetryMayRunTwice says whether a client that tries again could have its request take effect twice. A
 // Reject promises that trying again is harmless, so such a request ends with Fail (WIRE-bellwood.md, The
-// contract, rule 2).
+// contract, rule 2, "No effect done twice": a request with a key that may have run is rejected only where all
+// backends drop repeats, one that is not idempotent only where it provably never ran).
 func (e *Engine) clientRetryMayRunTwice(r *request) bool {
 	return r.mayHaveRun() && !repeatIsHarmless(&e.settings.Classes[r.class])
 }
@@ -131,7 +148,8 @@
 func (r *request) mayHaveRun() bool { return r.firstInDoubt != nil || r.attemptsInFlight > 0 }
 
 // repeatIsHarmless says whether a request of the class may be sent again to any backend, as a client that
-// tries again may reach any.
+// tries again may reach any. It leaves out DedupWindow, which mayRepeat heeds: it assumes that a client
+// itself repeats a request within the window only (WIRE-bellwood.md, The other side).
 func repeatIsHarmless(class *Class) bool {
 	switch class.Idempotency {
 	case NonIdempotent:
--- a/internal/policy/stall_test.go
+++ b/internal/policy/stall_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// A gateway that stood still finds time-outs of its own making when it goes on; it ejects no backend for them.
+// A gateway that stood still finds time-outs of its own making when it goes on; it ejects no backend for
+// them.
 func TestOwnStallIsNoSilenceOfBackends(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), testBackends(4)...)
 	var inFlight []SendAttempt
--- a/internal/policy/subset_test.go
+++ b/internal/policy/subset_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// sharesOfTraffic gives by backend the part of a gateway's traffic that it gets from all gateways, were each to share
-// its traffic out evenly, and the size of the smallest subset when a zone is lost.
+// sharesOfTraffic gives by backend the part of a gateway's traffic that it gets from all gateways, were each
+// to share its traffic out evenly, and the size of the smallest subset when a zone is lost.
 func sharesOfTraffic(gateways []*Engine, lostZone int) (load map[string]float64, smallest int) {
 	load, smallest = map[string]float64{}, 1<<30
 	for _, engine := range gateways {
@@ -78,8 +78,8 @@
 	}
 }
 
-// replaceOne tells all gateways that a backend has terminated or, in odd steps, that a new one has come, and returns
-// how many change their subsets.
+// replaceOne tells all gateways that a backend has terminated or, in odd steps, that a new one has come, and
+// returns how many change their subsets.
 func replaceOne(gateways []*Engine, b Backend, step int) (changed int) {
 	if step%2 == 0 {
 		b.State = Terminated
@@ -141,9 +141,9 @@
 	}
 }
 
-// BenchmarkSubsets tells how evenly all 810 gateways share out the fleet, by their subsets alone: the busiest backend
-// over the mean, the fewest and the most gateways that have one backend, the gateways whose subset one departure
-// changes, and what is left of the smallest subset when a zone is lost.
+// BenchmarkSubsets tells how evenly all 810 gateways share out the fleet, by their subsets alone: the busiest
+// backend over the mean, the fewest and the most gateways that have one backend, the gateways whose subset
+// one departure changes, and what is left of the smallest subset when a zone is lost.
 func BenchmarkSubsets(b *testing.B) {
 	for _, backends := range []int{200, 1000, 3000, 11000} {
 		b.Run(fmt.Sprint(backends), func(b *testing.B) {
@@ -220,8 +220,8 @@
 	return count
 }
 
-// Each of many gateways uses a few backends, each backend serves as many gateways, and one that goes moves few of
-// them.
+// Each of many gateways uses a few backends, each backend serves as many gateways, and one that goes moves
+// few of them.
 func TestManyGatewaysShareOutTheBackends(t *testing.T) {
 	const gateways, backends = 80, 60
 	set := manyGateways(gateways)
