--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -87,7 +87,7 @@
 		case mustWait:
 			e.tenants.noteWaiting(t)
 			return
-		case withinQuota:
+		case goesOn:
 			t.removeFirstWaiting()
 			e.dispatch(r)
 		default:
@@ -110,11 +110,11 @@
 type quotaDecision int
 
 const (
-	withinQuota          quotaDecision = iota // it may be queued at its priority level
+	goesOn               quotaDecision = iota // within the limits, and paid, on credit or of no rate
 	mustWait                                  // for the counter, an admitted request's end, or the hard limit
 	overConcurrencyLimit                      // admitted requests kept it waiting until it was too late
 	overHardLimit                             // the hard limit's share does not fill in time
-	overQuota                                 // neither the lease nor fallback tokens pay for it
+	overQuota                                 // no tokens pay for it, and it may not go on credit
 )
 
 // rejectReason is the reason for a rejection that follows from the decision.
@@ -128,14 +128,14 @@
 	return OverQuota
 }
 
-// decideQuota holds a request against its tenant's limits, then pays for it. What is within both gets its
-// priority level and counts as admitted from here on.
+// decideQuota holds a request against its tenant's limits, then pays for it. What goes on gets its priority
+// level, counts as admitted and reserves its cost in the hard limit's share from here on.
 func (e *Engine) decideQuota(r *request) quotaDecision {
-	if decision := e.checkLimits(r); decision != withinQuota {
+	if decision := e.checkLimits(r); decision != goesOn {
 		return decision
 	}
 	r.level = e.priorityBand(r)
-	if decision := e.payQuota(r); decision != withinQuota {
+	if decision := e.payOrDemote(r); decision != goesOn {
 		return decision
 	}
 	r.quota.promoted = r.level < priorityBands
@@ -143,7 +143,7 @@
 	if !r.hardLimit.hasBorrowed(e.now) {
 		e.reserveHardLimit(r)
 	}
-	return withinQuota
+	return goesOn
 }
 
 // checkLimits holds a request against the two limits of its plan that no tokens replace: requests admitted
@@ -153,7 +153,7 @@
 	full := e.concurrencyLimitReached(r)
 	short := r.tenant.hardLimit.Shortfall(e.now, r.cost)
 	if !full && (short <= 0 || r.hardLimit.hasBorrowed(e.now)) {
-		return withinQuota
+		return goesOn
 	}
 	late := e.tooLateToWait(r)
 	if !full && !late && e.mayBorrow(r) {
@@ -175,13 +175,13 @@
 	return (e.now-r.arrivedAt).Seconds()+e.expectedLatency(r) >= r.deadlineBudget.Seconds()*deadlineMargin
 }
 
-// payQuota promotes a request whose cost the lease pays (stage 2 of the paper). A request that is not
-// promoted, as its plan guarantees nothing or nobody has looked whether the bucket holds its cost, goes to
-// the band of the same worth among the lower levels.
-func (e *Engine) payQuota(r *request) quotaDecision {
+// payOrDemote pays for a request of a plan that has a rate (stage 2 of the paper). It demotes a request that
+// goes on credit, or whose plan guarantees nothing, to its band in the second group of levels: see
+// priority.go.
+func (e *Engine) payOrDemote(r *request) quotaDecision {
 	plan := &e.settings.Plans[r.plan]
 	if plan.Rate > 0 {
-		if decision := e.payCost(r); decision != withinQuota {
+		if decision := e.payCost(r); decision != goesOn {
 			return decision
 		}
 		if r.quota.onCredit {
@@ -190,7 +190,7 @@
 	} else if plan.MaxConcurrent == 0 {
 		r.level += priorityBands
 	}
-	return withinQuota
+	return goesOn
 }
 
 // placeOverQuota dispatches a request that is over a limit or its quota at the lowest level, if its plan
--- a/internal/policy/attempt.go
+++ b/internal/policy/attempt.go
@@ -62,7 +62,7 @@
 	}
 	a.finish(result.Status)
 	e.learn(a, result)
-	e.settleCost(r, result)
+	e.correctCost(r, result)
 	if result.RequestClosed || result.Status == OK {
 		e.end(r)
 	}
@@ -74,8 +74,8 @@
 	e.fill(a.backend)
 }
 
-// settleCost corrects what a request has paid by its true cost, where only the answer tells it.
-func (e *Engine) settleCost(r *request, result AttemptResult) {
+// correctCost corrects what a request has paid by its true cost, where only the answer tells it.
+func (e *Engine) correctCost(r *request, result AttemptResult) {
 	costKnown := result.Status == OK && e.settings.CostSettledOnResponse && result.Cost > 0
 	if costKnown && r.quota.promoted {
 		r.tenant.lease.CorrectCost(r.cost, result.Cost)
--- a/internal/policy/callshare/callshare.go
+++ b/internal/policy/callshare/callshare.go
@@ -11,14 +11,15 @@
 )
 
 const (
-	// Least is the smallest share. It is not 0, so that a counter that is back is found.
+	// MinShare is the smallest share. It is not 0, so that a counter that is back is found. How often a counter
+	// that does not respond is tested is the caller's to bound.
 	MinShare = 0.02
-	// Silent is the share at or below which the counter is taken to be silent or swamped. One answer in time
-	// brings the share back to it.
+	// SilentShare is the share at or below which the counter counts as silent or swamped. One answer lifts a
+	// smaller share to it, the next in good time above it.
 	SilentShare = 0.05
 	// timelyPart is the part of its time-out that a call should take at most: later answers lower the share.
 	timelyPart = 0.5
-	// growth is by how much of itself the share grows with an answer that took no time.
+	// growth is by which part of itself the share grows with an answer that took no time.
 	growth = 0.2
 	// failureFactor is the factor for each call that failed.
 	failureFactor = 0.8
@@ -34,18 +35,19 @@
 // Share is the share of the requests that may call, from 0 to 1.
 func (c *Controller) Share() float64 { return c.share }
 
-// Responds says whether the counter can be relied on: it is neither silent nor swamped.
+// Responds says whether the counter can be relied on: the share is over SilentShare.
 func (c *Controller) Responds() bool { return c.share > SilentShare }
 
-// Answered takes an answer that came in time.
+// Answered notes an answer before the time-out. The share grows by up to a fifth of itself for one that came
+// at once, stays for one at half the time-out, and shrinks by up to a fifth for a later one.
 func (c *Controller) Answered(took, timeout time.Duration) {
 	lateness := took.Seconds() / timeout.Seconds() / timelyPart // 1: just in time
 	c.share = min(1, max(SilentShare, c.share*(1+growth*max(-1, 1-lateness))))
 }
 
-// Failed takes a call that was rejected or has no answer in time.
+// Failed notes a call that was rejected or had no answer in time.
 func (c *Controller) Failed() { c.share = max(MinShare, c.share*failureFactor) }
 
-// Chance is the chance that a request of a rank calls. Rank 1 has the share itself; the higher the rank, the
-// more it gives way to others when not all can call.
+// Chance is the chance that a request of a rank calls, share^rank. Rank 1 has the share itself; the higher
+// the rank, the more it gives way to others when not all can call.
 func (c *Controller) Chance(rank float64) float64 { return math.Pow(c.share, rank) }
--- a/internal/policy/countercalls.go
+++ b/internal/policy/countercalls.go
@@ -1,5 +1,28 @@
 package policy
 
+// Calls of the shared counter: how many this gateway makes, and what becomes of its quotas while the counter
+// is silent.
+//
+// Where the counter is silent or slow, a request is paid and calls in these steps (payCost in quota.go,
+// package callshare, mayCall below):
+//
+//   - It is paid from leased tokens, then from fallback tokens. These are an even share of the plan's burst
+//   and
+//     rate; of that rate they get 1 minus the share of requests that may call, so nearly all of it once calls
+//     fail. Each call that fails multiplies that share by 0.8, down to 0.02; at 0.05 or less the counter
+//     counts as one that does not respond.
+//   - From then on a gateway calls for tokens at most once in 100 ms or in 5 ms for each gateway, whichever
+//   is
+//     longer, and only for a request that neither leased nor fallback tokens pay, with the chance share^rank
+//     (callChance). So tests of the counter are rare, and a gateway whose fallback tokens suffice makes none.
+//   - The first answer lifts the share to 0.05, which is still no counter that responds; the second in good
+//   time
+//     lifts it above. What was spent meanwhile, the unreported usage, is added to the counter by the next
+//     call for tokens, in the number of the window of 30 s that is then the present one.
+//   - As each window has a number of its own that starts at 0, a new one makes each bucket look fuller than
+//   it
+//     is. The first answer of a window shows this, and lease.Lease adds the difference (Settlement.Overflow).
+
 import (
 	"fmt"
 	"hash/fnv"
@@ -16,21 +39,21 @@
 	quotaTTL    = 50 * time.Second
 	// maxPendingNumbers bounds the numbers on the counter for which calls are in flight.
 	maxPendingNumbers = 32
-	// minProbePause and probePausePerGateway are the pause between the calls that test a counter which does not
-	// respond: all gateways test it, and together they must not be what keeps it down.
-	minProbePause        = 100 * time.Millisecond
-	probePausePerGateway = 5 * time.Millisecond
+	// minTestPause and testPausePerGateway give the pause between the calls that test a counter which does not
+	// respond, the longer of the two: all gateways test it, and together they must not be what keeps it down.
+	minTestPause        = 100 * time.Millisecond
+	testPausePerGateway = 5 * time.Millisecond
 )
 
 // counterCalls are this gateway's calls of the shared counter: which are in flight, and how many it bears.
 type counterCalls struct {
 	inFlight      map[uint64][]*counterCall // by the number's name, in the order of the calls
 	share         callshare.Controller      // of the requests without tokens; 0 where there is no counter
-	lastTokenCall time.Duration
+	lastTokenCall time.Duration             // when a block of tokens was requested last
 }
 
-// counterCall is a call that is in flight. It is for tokens, for borrowed units, or only corrects a
-// number.
+// counterCall is a call that is in flight: it requests tokens, borrows units of a hard limit, or only
+// corrects a number.
 type counterCall struct {
 	tenant    *tenant
 	calledAt  time.Duration
@@ -39,8 +62,8 @@
 	borrower  *request   // waits for units of its hard limit's common part; nil: none does
 }
 
-// newCounterCalls starts with no call in flight. Where there is no counter nobody may call; else all may at
-// first.
+// newCounterCalls starts with no call in flight. Where there is no counter no request may call; else all may
+// at first.
 func newCounterCalls(sharedCounter bool) counterCalls {
 	c := counterCalls{inFlight: map[uint64][]*counterCall{}}
 	if sharedCounter {
@@ -49,10 +72,10 @@
 	return c
 }
 
-// mayCall says that the counter can be called: it responds, or it is this gateway's turn to test it.
+// mayCall says whether the counter can be called: it responds, or the pause between tests is over.
 func (c *counterCalls) mayCall(now time.Duration, gateways int) bool {
-	probePause := max(minProbePause, time.Duration(gateways)*probePausePerGateway)
-	return len(c.inFlight) < maxPendingNumbers && (c.share.Responds() || now-c.lastTokenCall >= probePause)
+	testPause := max(minTestPause, time.Duration(gateways)*testPausePerGateway)
+	return len(c.inFlight) < maxPendingNumbers && (c.share.Responds() || now-c.lastTokenCall >= testPause)
 }
 
 // add keeps a call until its answer.
@@ -82,8 +105,8 @@
 // noteTokenCall notes a call for tokens; the next test of a counter that does not respond waits from here.
 func (c *counterCalls) noteTokenCall(now time.Duration) { c.lastTokenCall = now }
 
-// settle learns from how a call ended how many more the counter bears.
-func (c *counterCalls) settle(call *counterCall, status Status, now, timeout time.Duration) {
+// callEnded notes how a call ended, and so how many more the counter bears.
+func (c *counterCalls) callEnded(call *counterCall, status Status, now, timeout time.Duration) {
 	if status == OK {
 		c.share.Answered(now-call.calledAt, timeout)
 	} else {
@@ -91,7 +114,7 @@
 	}
 }
 
-// mayCallCounter says that there is a counter and that it can be called.
+// mayCallCounter says whether there is a counter and it can be called.
 func (e *Engine) mayCallCounter() bool {
 	return e.settings.SharedCounter && e.counter.mayCall(e.now, e.settings.Gateways)
 }
@@ -99,15 +122,16 @@
 // counterResponds says whether there is a counter whose answers can be relied on.
 func (e *Engine) counterResponds() bool { return e.counter.share.Responds() }
 
-// addToQuota calls the counter to add an amount to a tenant's quota in the present window; with a lease
-// call, it requests tokens.
-func (e *Engine) addToQuota(t *tenant, amount float64, forTokens lease.Call) {
+// reportUsage calls the counter to add an amount to what has been taken of a tenant's quota in the present
+// window. With a lease.Call that has a block it requests tokens as well.
+func (e *Engine) reportUsage(t *tenant, amount float64, forTokens lease.Call) {
 	window := int64(e.now / quotaWindow)
 	call := &counterCall{tenant: t, window: window, forTokens: forTokens}
 	e.callCounter(quotaNumber(t.key, window), amount, quotaTTL, call)
 }
 
-// callCounter is the one place that calls the counter. A number that is new is kept there for the TTL.
+// callCounter is the one place of the engine that calls the counter. A number that is new is kept there for
+// the TTL.
 func (e *Engine) callCounter(number uint64, amount float64, ttl time.Duration, call *counterCall) {
 	call.calledAt = e.now
 	e.counter.add(number, call)
@@ -120,7 +144,7 @@
 	if call == nil {
 		return
 	}
-	e.counter.settle(call, ev.Status, e.now, e.settings.CounterTimeout)
+	e.counter.callEnded(call, ev.Status, e.now, e.settings.CounterTimeout)
 	switch {
 	case call.borrower != nil:
 		e.borrowAnswered(call, ev)
--- a/internal/policy/hardlimit.go
+++ b/internal/policy/hardlimit.go
@@ -87,7 +87,7 @@
 // may, as most are of what lacked units before.
 func (e *Engine) mayBorrow(r *request) bool {
 	limit := &r.tenant.hardLimit
-	if !limit.IsShared() || r.hardLimit.borrowRequested {
+	if !limit.HasCommonPart() || r.hardLimit.borrowRequested {
 		return false
 	}
 	if !e.counterResponds() || !e.mayCallCounter() || limit.CommonPartSpent(e.now) {
--- a/internal/policy/hardlimit/hardlimit.go
+++ b/internal/policy/hardlimit/hardlimit.go
@@ -97,15 +97,15 @@
 
 // Rate is this gateway's own part of the limit's rate, in units a second.
 func (s *Share) Rate() float64 {
-	if s.IsShared() {
+	if s.HasCommonPart() {
 		return s.terms.Limit.Rate / s.gateways * ownPart
 	}
 	return s.terms.Limit.Rate / s.gateways
 }
 
-// IsShared says whether a part of the limit is kept in common: an even share holds few requests, and both
-// parts hold one.
-func (s *Share) IsShared() bool {
+// HasCommonPart says whether a part of the limit is kept in common: an even share holds few requests, and
+// both parts hold one.
+func (s *Share) HasCommonPart() bool {
 	limit, largest := s.terms.Limit, s.terms.LargestCost
 	if !s.terms.SharedCounter || limit.Rate <= 0 {
 		return false
--- a/internal/policy/lease/lease.go
+++ b/internal/policy/lease/lease.go
@@ -12,7 +12,9 @@
 //
 // A Lease decides nothing about the counter: its caller says when to call it (BeginCall) and hands in the
 // answer (Settle) or the failure (CallRejected, AnswerLost). The rules are those of DESIGN-bellwood.md,
-// Promotion; sizes and lifetimes are left open there.
+// Promotion: adds on the counter, named by tenant and window; blocks sized by recent demand, granted while
+// the window's total stays within rate x time + burst; settled differences added later; a new tenant, or one
+// whose counter is silent, has its burst divided by its gateways. Sizes and lifetimes are left open there.
 package lease
 
 import (
@@ -40,11 +42,11 @@
 	creditBurstShare = 0.5
 	// creditBursts is how many bursts all gateways together may let through on credit.
 	creditBursts = 20.0
-	// overflowSlack is by how many bursts, over the share of requests that may call, the bucket's level must
-	// exceed what it can be before it is corrected: a correction is a call too.
+	// overflowSlack, divided by the share of requests that may call, is by how many bursts the bucket's level
+	// must exceed what it can be before it is corrected: a correction is a call too.
 	overflowSlack = 0.5
-	// gatewaysPerToken is how many gateways an empty bucket serves in the time in which it gains one token: it
-	// says how long each of them leaves it alone.
+	// gatewaysPerToken is how many gateways an empty bucket serves in the time in which it gains one token. Each
+	// of them leaves the bucket alone for max(missing, gateways/gatewaysPerToken)/rate seconds.
 	gatewaysPerToken = 4.0
 	// maxEmptyPause bounds the time for which a gateway leaves an empty bucket alone.
 	maxEmptyPause = 8 * time.Second
@@ -86,7 +88,7 @@
 		fallbackAt: now, level: bucket.Burst, levelAt: now}
 }
 
-// SetGateways tells through how many gateways the tenant's requests come.
+// SetGateways sets through how many gateways the tenant's requests come.
 func (l *Lease) SetGateways(gateways float64) { l.gateways = gateways }
 
 // NoteDemand notes a request of a cost, whatever comes of it.
@@ -104,8 +106,9 @@
 
 // Refresh brings the lease up to now, before a request is paid: tokens that have lain unspent for the
 // lifetime are given back with the next call, as what the bucket holds may have changed, and fallback tokens
-// fill at this gateway's part of the rate. The callShare is the share of requests that may call the counter:
-// the less, the more goes by fallback tokens. A debt is paid off at the full rate.
+// fill at 1-callShare of this gateway's even share of the rate. CallShare is the share of requests that may
+// call the counter: the smaller it is, the more is paid with fallback tokens. Below zero they fill at the
+// whole even share.
 func (l *Lease) Refresh(now time.Duration, callShare float64) {
 	if l.tokens > 0 && now-l.grantedAt > lifetime && !l.awaitingAnswer {
 		l.unreported -= l.tokens
@@ -223,11 +226,12 @@
 	// Short says that the bucket did not hold the block. What was added too much is in Excess.
 	Short bool
 	// Excess is to be added to the counter, at once or by AddWithNextCall. It is negative.
-	Excess float64
+	Correction float64
 }
 
-// Settle turns the counter's answer into tokens: the total of what has left the bucket since the counter's
-// window began, so long ago, this call included. The callShare must be above 0.
+// Settle turns the counter's answer into tokens. Total is what has left the bucket since the counter's window
+// began, this call included; sinceWindow is how long ago that was. CallShare is the share of requests that
+// may call the counter and must be above 0.
 func (l *Lease) Settle(now time.Duration, call Call, total float64, sinceWindow time.Duration,
 	callShare float64) Settlement {
 	l.awaitingAnswer = false
@@ -241,7 +245,7 @@
 	}
 	added := call.Amount
 	if granted < call.Block {
-		s.Short, s.Excess = true, granted+call.Unreported-call.Amount
+		s.Short, s.Correction = true, granted+call.Unreported-call.Amount
 		added = granted + call.Unreported
 		l.leaveAlone(now, call.Block-held)
 	}
--- a/internal/policy/priority.go
+++ b/internal/policy/priority.go
@@ -1,7 +1,22 @@
 package policy
 
+// Priority levels. A lower level is shed first.
+//
+//	0 to 5   promoted: paid by leased or fallback tokens; or of a plan without a rate that has MaxConcurrent
+//	6 to 11  on credit; or of a plan with neither a rate nor MaxConcurrent, which guarantees nothing
+//	12       over a limit or the quota, of a plan that earns something for it (placeOverQuota)
+//
+// Within each of the two upper groups a request has the band of its weight (priorityBand).
+
 import "math"
 
+const (
+	// priorityBands is how many levels a group has, each for half the weight of the one above.
+	priorityBands = 6
+	// lowestLevel is the level of what goes on over its quota.
+	lowestLevel = 2 * priorityBands
+)
+
 // requestWeights are the greatest weights that the settings allow.
 type requestWeights struct {
 	maxRequest float64 // of a request: its class's weight, its plan's factor and its cost
--- a/internal/policy/priorityqueue.go
+++ b/internal/policy/priorityqueue.go
@@ -4,16 +4,6 @@
 
 import "time"
 
-const (
-	// priorityBands is how many levels requests have by their weight, each for half the weight of the one
-	// above.
-	priorityBands = 6
-	// lowestLevel is the level of what is beyond its quota and sent on nevertheless. Levels 0 to
-	// priorityBands-1 are those of requests whose quota pays, promoted as the paper's stage 2 does; then
-	// come those of requests without a quota.
-	lowestLevel = 2 * priorityBands
-)
-
 // priorityQueues counts what waits, and knows where.
 type priorityQueues struct {
 	length     int        // requests in all queues
@@ -33,8 +23,10 @@
 	count   [lowestLevel + 1]int // entries that hold a request
 }
 
-// queueEntry is a place in a queue; nil when its request has left it.
-type queueEntry struct{ request *request }
+// queueEntry is a place in a queue.
+type queueEntry struct {
+	request *request // nil when it has left its place
+}
 
 func (q *priorityQueues) isEmpty() bool { return q.length == 0 }
 
--- a/internal/policy/quota.go
+++ b/internal/policy/quota.go
@@ -1,7 +1,8 @@
 package policy
 
 // Quotas on a request's way: paying its cost from the lease, calling the counter for more, and going on
-// credit where not every request can call. Package lease keeps the tokens.
+// credit where not every request can call. Package lease keeps the tokens; the head of countercalls.go says
+// what happens while the counter is silent.
 
 import (
 	"math"
@@ -10,28 +11,29 @@
 )
 
 const (
-	// creditPrice is the price of what goes on credit over its quota, against the worth that the rest earns, at
-	// which every request must call.
+	// creditPrice is the part of what a plan's requests earn that their penalties may cost if they go on credit:
+	// once these cost more, every request must call.
 	creditPrice = 0.25
-	// emptyShareGain is the weight of one call in its plan's share of calls that found the bucket empty.
+	// emptyShareGain is the weight of one call in callEstimates.emptyShare of its plan.
 	emptyShareGain = 0.1
 	// maxSavingsRank is how many ranks lie at most between the calls that save most and least.
 	maxSavingsRank = 5.0
-	// debtRank is the factor on the rank of a request whose tenant has no fallback tokens left: it comes first.
-	debtRank = 0.5
-	// retryRank is the factor on the rank of a client's retry: most are of what lacked tokens before.
-	retryRank = 2.0
+	// debtRankFactor lowers the rank of a request whose tenant has no fallback tokens left, so that it calls
+	// more often than others.
+	debtRankFactor = 0.5
+	// retryRankFactor raises the rank of a client's retry: most are of what lacked tokens before.
+	retryRankFactor = 2.0
 )
 
 // quotaState is how a request stands with its tenant's quota.
 type quotaState struct {
-	promoted      bool // paid, or its plan needs no payment: its level is shed last
+	promoted      bool // its level is one of the upper group: see priority.go
 	onCredit      bool // neither paid by the lease nor looked up on the counter
 	calledCounter bool // it has called for tokens; it does so once
 	admitted      bool // it counts in tenant.admitted
 }
 
-// callEstimates is what is known of the worth of calling the counter for tokens.
+// callEstimates tells for which requests it is most useful to call the counter for tokens.
 type callEstimates struct {
 	emptyShare []float64 // by plan, the share of calls that found the bucket empty
 	maxSavings float64   // the most that one call can save
@@ -47,7 +49,8 @@
 	return c
 }
 
-// callSavings is what a call for tokens saves for a request of a class and a plan, on a scale of its own.
+// callSavings is what a call for tokens saves for a request of a class and a plan. Only its ratio to
+// another's has a meaning.
 func callSavings(settings *Settings, class, plan int) float64 {
 	p := &settings.Plans[plan]
 	return settings.Classes[class].PriorityWeight * p.WeightFactor * p.OverQuotaPenalty / max(1, p.Burst)
@@ -62,7 +65,7 @@
 	return 1 + min(maxSavingsRank, math.Log2(c.maxSavings/callSavings(settings, class, plan)))
 }
 
-// record learns for a plan from whether a call found the bucket to hold its cost.
+// record notes for a plan whether a call found the bucket to hold its cost.
 func (c *callEstimates) record(plan int, found bool) {
 	empty := 1.0
 	if found {
@@ -71,8 +74,9 @@
 	c.emptyShare[plan] += emptyShareGain * (empty - c.emptyShare[plan])
 }
 
-// creditCost is what requests of a plan cost on average if they go on credit, for being over the quota, and
-// what they earn. The share of calls that found the bucket empty stands for the share that is over it.
+// creditCost is what a request of a plan that goes on credit costs on average, by the penalty for being over
+// the quota, and what it earns, both as shares of its value. The share of calls that found the bucket empty
+// stands for the share of requests that are over the quota.
 func (c *callEstimates) creditCost(settings *Settings, plan int) (cost, earned float64) {
 	p, over := &settings.Plans[plan], c.emptyShare[plan]
 	return over * p.OverQuotaPenalty, 1 - over + over*p.OverQuotaValue
@@ -84,11 +88,12 @@
 	return plan.OverQuotaValue > plan.OverQuotaPenalty
 }
 
-// payCost pays for a request from the lease, else from the fallback tokens, and calls the counter for more.
-// Only a share of the requests may call, as large as the counter bears; each that calls stands for the others
-// too, and these go on credit (a departure: with many gateways the fallback tokens of one are less than one
-// request's cost). A bucket that was found empty is not called for again until the tenant's gateways, taken
-// together, would find it filled.
+// payCost pays for a request from leased tokens, else from fallback tokens, or calls the counter for more and
+// lets it wait for the answer. Only a share of the requests may call, as large as the counter bears; each
+// that calls stands for the others too, and these go on credit (a departure: with many gateways the fallback
+// tokens of one are less than one request's cost). A bucket that was found empty is not called for again
+// until the tenant's gateways, taken together, would find it filled. The chance of a call and that of going
+// on credit may each draw a random number.
 func (e *Engine) payCost(r *request) quotaDecision {
 	l := &r.tenant.lease
 	l.Refresh(e.now, e.counter.callShare())
@@ -97,9 +102,9 @@
 		if e.mayRequestTokens(r) && l.RunsLow(r.cost) {
 			e.requestTokens(r)
 		}
-		return withinQuota
+		return goesOn
 	case l.TakeFallback(r.cost):
-		return withinQuota
+		return goesOn
 	case l.AwaitsAnswer():
 		return mustWait
 	case e.mayRequestTokens(r) && e.rng.Float64() < e.callChance(r):
@@ -109,7 +114,7 @@
 	case e.mayGoOnCredit(r):
 		l.TakeOnCredit(r.cost)
 		r.quota.onCredit = true
-		return withinQuota
+		return goesOn
 	}
 	return overQuota
 }
@@ -120,13 +125,13 @@
 }
 
 // callChance is the chance that a request calls. Where not all can, the calls go where they save most: to
-// requests that cost much over their quota, of tenants whose bucket holds few and is thus often empty.
+// requests with a high penalty over their quota, of plans with a small burst, whose buckets are often empty.
 func (e *Engine) callChance(r *request) float64 {
 	rank := e.callEstimates.rank(&e.settings, r.class, r.plan)
 	if r.clientRetry {
-		rank *= retryRank
+		rank *= retryRankFactor
 	} else if !r.tenant.lease.HasFallback() {
-		rank *= debtRank
+		rank *= debtRankFactor
 	}
 	return e.counter.callChance(rank)
 }
@@ -147,7 +152,8 @@
 }
 
 // creditPays says whether a request of a plan should go on credit: the more such requests cost against what
-// they earn, the fewer do. Calls of a counter that does not respond tell nothing of that.
+// they earn, the fewer do. Calls of a counter that does not respond tell nothing of that. It may draw a
+// random number.
 func (e *Engine) creditPays(plan int) bool {
 	if !e.counterResponds() {
 		return true
@@ -160,14 +166,14 @@
 func (e *Engine) requestTokens(r *request) {
 	e.counter.noteTokenCall(e.now)
 	call := r.tenant.lease.BeginCall(e.now, r.cost, e.counter.callShare())
-	e.addToQuota(r.tenant, call.Amount, call)
+	e.reportUsage(r.tenant, call.Amount, call)
 }
 
-// tokensAnswered takes the end of a call for tokens.
+// tokensAnswered tells the lease how a call for tokens has ended.
 func (e *Engine) tokensAnswered(call *counterCall, ev CounterResult) {
 	switch ev.Status {
 	case OK:
-		e.takeTokens(call, ev.Total)
+		e.settleTokens(call, ev.Total)
 	case TimedOut:
 		call.tenant.lease.AnswerLost()
 	default:
@@ -175,23 +181,25 @@
 	}
 }
 
-// takeTokens turns the counter's total into tokens, and calls it again to correct the number where that is
-// worth a call: for what has overflowed, and for what the bucket did not hold, unless the next call comes
-// soon.
-func (e *Engine) takeTokens(call *counterCall, total float64) {
+// settleTokens turns the counter's total into tokens, and calls it again to correct the number where that is
+// worth a call: for what has overflowed, and for what the bucket did not hold. The latter waits for the next
+// call where that comes soon: the tenant's demand says so, and this gateway is busy (sparseness is 0: its
+// part of a warm backend's answers is one a second or more). Why a figure of the backends is asked here is
+// not recorded.
+func (e *Engine) settleTokens(call *counterCall, total float64) {
 	t := call.tenant
 	sinceWindow := e.now - windowStart(call.window)
 	settled := t.lease.Settle(e.now, call.forTokens, total, sinceWindow, e.counter.callShare())
 	if settled.Overflow > 0 {
-		e.addToQuota(t, settled.Overflow, lease.Call{})
+		e.reportUsage(t, settled.Overflow, lease.Call{})
 	}
 	e.callEstimates.record(t.key.plan, settled.Found)
 	if !settled.Short {
 		return
 	}
 	if e.sparseness() == 0 && t.lease.ExpectsUse(call.forTokens.Block) {
-		t.lease.AddWithNextCall(settled.Excess)
+		t.lease.AddWithNextCall(settled.Correction)
 	} else {
-		e.addToQuota(t, settled.Excess, lease.Call{})
+		e.reportUsage(t, settled.Correction, lease.Call{})
 	}
 }
--- a/internal/policy/rejection.go
+++ b/internal/policy/rejection.go
@@ -6,8 +6,9 @@
 //
 //  1. On arrival, admit: UnknownClassOrPlan, OutOfService, DeadlineCannotBeMet, HardLimitQueueTooLong.
 //  2. On its turn among its tenant's requests, decideQuota: of the limits (checkLimits) OverConcurrencyLimit
-//     before OverHardLimit, then the quota (payQuota), OverQuota. All three go through placeOverQuota: where
-//     the plan earns beyond its quota the request goes on at the lowest level, or ends as OverHardLimit.
+//     before OverHardLimit, then the quota (payOrDemote), OverQuota. All three go through placeOverQuota:
+//     where the plan earns beyond its quota the request goes on at the lowest level, or ends as
+//     OverHardLimit.
 //  3. dispatch: NoBackendForRetry; then overload, which gives BackendsOverloaded only where the chosen
 //     backend has a free slot, and QueueTooLong only where it has none, and for first attempts.
 //  4. In the queue, rejectStale: StaleInQueue.
--- a/internal/policy/tenants.go
+++ b/internal/policy/tenants.go
@@ -10,7 +10,7 @@
 
 const (
 	// tenantIdleTime is how long a tenant is kept without a request. One that comes back later is as one that
-	// was never seen: what its lease held has expired by then, and the counter knows what it took.
+	// was never seen: what its lease held has expired by then. Its unreported usage is forgotten with it.
 	tenantIdleTime = 60 * time.Second
 	// evictionsPerCheck is how many tenants one periodic check looks at, so that its cost does not grow with
 	// their number.
@@ -36,14 +36,15 @@
 	inWaiting bool       // in tenantRegistry.waiting
 }
 
-// setGateways tells through how many gateways the tenant's requests come, by its latest one.
+// setGateways sets through how many gateways the tenant's requests come, by its latest one.
 func (t *tenant) setGateways(gateways float64) {
 	t.gateways = gateways
 	t.lease.SetGateways(gateways)
 	t.hardLimit.SetGateways(gateways)
 }
 
-// noteRequest notes a request that was not rejected on its arrival.
+// noteRequest notes a request that came while the gateway was in service and with enough time for an answer;
+// the queue for the hard limit may still be too long for it.
 func (t *tenant) noteRequest(now time.Duration, cost float64) {
 	t.lastSeen = now
 	t.lease.NoteDemand(now, cost)
@@ -68,7 +69,8 @@
 // noLongerNoted lets noteWaiting note a tenant again.
 func (t *tenant) noLongerNoted() { t.inWaiting = false }
 
-// isIdle says whether nothing is lost when the tenant is forgotten.
+// isIdle says whether the tenant may be forgotten: no request came for tenantIdleTime, no answer is awaited
+// and none of its requests is admitted. Usage that was not reported to the counter is lost.
 func (t *tenant) isIdle(now time.Duration) bool {
 	return now-t.lastSeen > tenantIdleTime && !t.lease.AwaitsAnswer() && t.admitted == 0
 }
