--- a/cmd/fleetbench/mixed.go
+++ b/cmd/fleetbench/mixed.go
@@ -58,12 +58,12 @@
 	}
 	var errs []error
 	for _, n := range m.backends {
-		r, err := fleettest.Run(ctx, fleettest.Options{Root: m.root, RealDoors: none(m.real), HollowDoors: none(m.hollow), Doors: m.told,
+		r, err := fleettest.Run(ctx, fleettest.Options{Root: m.root, RealGateways: none(m.real), SimulatedGateways: none(m.hollow), ToldGateways: m.told,
 			Backends: n, Duration: m.duration, Requests: m.requests, Drains: none(m.drains), Restarts: none(m.restart),
 			Seed: s.Seed, Progress: s.Progress})
 		if r != nil {
 			for _, row := range r.Rows() {
-				rep.Add(fleetsim.Row{Name: row.Name, Unit: row.Unit, Doors: row.Doors, Backends: row.Backends, Value: row.Value,
+				rep.Add(fleetsim.Row{Name: row.Name, Unit: row.Unit, Doors: row.Gateways, Backends: row.Backends, Value: row.Value,
 					Noisy: strings.HasSuffix(row.How, "noisy"), How: row.How})
 			}
 			for _, row := range r.Failed() {
--- a/internal/fleettest/hollow.go
+++ b/internal/fleettest/hollow.go
@@ -14,16 +14,16 @@
 )
 
 const (
-	counterHop  = 200 * time.Microsecond // from a hollow door's call of the counter to its answer
-	refusedHop  = 100 * time.Microsecond // ... and from an attempt to its being turned away
-	mostBehind  = time.Second            // a hollow door that is later than this with its requests leaves some out
-	mostAtATime = 64                     // requests that enter one Step
+	counterLatency     = 200 * time.Microsecond // from a hollow door's call of the counter to its answer
+	rejectionLatency   = 100 * time.Microsecond // ... and from an attempt to its being turned away
+	maxBehindSchedule  = time.Second            // a hollow door that is later than this with its requests leaves some out
+	maxArrivalsPerStep = 64                     // requests that enter one Step
 )
 
-// hollow is a door without sockets: the module, fed in real time by the same list, numbers and model of the backends as
+// simulatedGateway is a door without sockets: the module, fed in real time by the same list, numbers and model of the backends as
 // the real doors. Its goroutine owns it, but for what is atomic.
-type hollow struct {
-	w        *world
+type simulatedGateway struct {
+	w        *fleetRun
 	door     *policy.Engine
 	traffic  *emulator.Traffic
 	rank     int
@@ -31,7 +31,7 @@
 	listed   []bool
 	events   []policy.Event
 	timers   timerqueue.Queue
-	requests map[uint64]*hollowRequest
+	requests map[uint64]*simulatedRequest
 	lastID   uint64
 	left     int // requests still to come; below 0: without end
 	nextAt   time.Duration
@@ -43,18 +43,18 @@
 	abandoned atomic.Int64 // requests that the module left unanswered
 }
 
-type hollowRequest struct {
+type simulatedRequest struct {
 	id       uint64
 	q        *emulator.Request
 	due      time.Duration
 	overdue  *timerqueue.Timer
-	attempts []*hollowAttempt
+	attempts []*simulatedAttempt
 	open     int
 	ended    bool
 }
 
-type hollowAttempt struct {
-	r       *hollowRequest
+type simulatedAttempt struct {
+	r       *simulatedRequest
 	no      int
 	backend string
 	at      time.Duration
@@ -62,7 +62,7 @@
 	ended   bool
 }
 
-func newHollow(w *world, rank, requests int) (*hollow, error) {
+func newSimulatedGateway(w *fleetRun, rank, requests int) (*simulatedGateway, error) {
 	set, err := newSettings(rank, w.doors(), w.o.Zones).module()
 	if err != nil {
 		return nil, err
@@ -74,12 +74,12 @@
 	if requests == 0 {
 		requests = -1
 	}
-	return &hollow{w: w, door: door, rank: rank, traffic: emulator.NewTraffic(w.traffic, rank), left: requests,
-		listed: make([]bool, w.o.Backends), requests: map[uint64]*hollowRequest{}}, nil
+	return &simulatedGateway{w: w, door: door, rank: rank, traffic: emulator.NewTraffic(w.traffic, rank), left: requests,
+		listed: make([]bool, w.o.Backends), requests: map[uint64]*simulatedRequest{}}, nil
 }
 
 // run serves until the context ends. Requests come from when begin is closed until halt is.
-func (h *hollow) run(ctx context.Context, begin, halt <-chan struct{}) {
+func (h *simulatedGateway) run(ctx context.Context, begin, halt <-chan struct{}) {
 	alarm := time.NewTimer(0)
 	defer alarm.Stop()
 	h.take(h.w.catalog.Snapshot(), policy.CachedSnapshot)
@@ -120,7 +120,7 @@
 
 // step gives the Door what has happened and carries out what it wants, as few at a time as the run may use cores. It
 // returns false at the context's end.
-func (h *hollow) step(ctx context.Context) bool {
+func (h *simulatedGateway) step(ctx context.Context) bool {
 	if len(h.events) == 0 {
 		return ctx.Err() == nil
 	}
@@ -144,9 +144,9 @@
 	return ctx.Err() == nil
 }
 
-func (h *hollow) tell(ev policy.Event) { h.events = append(h.events, ev) }
+func (h *simulatedGateway) tell(ev policy.Event) { h.events = append(h.events, ev) }
 
-func (h *hollow) act(a policy.Action) {
+func (h *simulatedGateway) act(a policy.Action) {
 	switch a := a.(type) {
 	case policy.SendAttempt:
 		if r := h.requests[a.ID]; r != nil {
@@ -161,25 +161,25 @@
 	case policy.Fail:
 		h.answer(h.requests[a.ID], emulator.Failed)
 	case policy.HealthCheck:
-		h.after(refusedHop, func() { h.tell(policy.HealthCheckResult{Backend: a.Backend, Status: policy.OK}) })
+		h.after(rejectionLatency, func() { h.tell(policy.HealthCheckResult{Backend: a.Backend, Status: policy.OK}) })
 	case policy.AddToCounter:
 		total, ok := h.w.numbers.Add(time.Now(), counterName(a.Name), a.Amount, a.TTL)
 		ev := policy.CounterResult{Name: a.Name, Status: policy.Rejected}
 		if ok {
 			ev = policy.CounterResult{Name: a.Name, Status: policy.OK, Total: total}
 		}
-		h.after(counterHop, func() { h.tell(ev) })
+		h.after(counterLatency, func() { h.tell(ev) })
 	case policy.SetTimer:
 		h.timers.Add(a.At, func() { h.tell(policy.Timer{Cookie: a.Cookie}) })
 	case policy.FetchEndpoints:
-		h.after(refusedHop, func() { h.take(h.w.catalog.Snapshot(), policy.Snapshot) })
+		h.after(rejectionLatency, func() { h.take(h.w.catalog.Snapshot(), policy.Snapshot) })
 	}
 }
 
-func (h *hollow) after(pause time.Duration, do func()) { h.timers.Add(h.w.now()+pause, do) }
+func (h *simulatedGateway) after(pause time.Duration, do func()) { h.timers.Add(h.w.now()+pause, do) }
 
 // take hands a list or its changes on.
-func (h *hollow) take(m emulator.Members, scope policy.UpdateKind) {
+func (h *simulatedGateway) take(m emulator.Members, scope policy.UpdateKind) {
 	h.index = m.Index
 	if scope != policy.Delta {
 		clear(h.listed)
@@ -199,10 +199,10 @@
 	emulator.Deleted: policy.Terminated}
 
 // arrive takes the requests in that are due, and plans for the next.
-func (h *hollow) arrive() {
+func (h *simulatedGateway) arrive() {
 	now := h.w.now()
 	for n := 0; h.left != 0; n++ {
-		if n >= mostAtATime {
+		if n >= maxArrivalsPerStep {
 			h.timers.Add(now, h.arrive)
 			return
 		}
@@ -221,17 +221,17 @@
 	}
 }
 
-func (h *hollow) arrived(q *emulator.Request) {
+func (h *simulatedGateway) arrived(q *emulator.Request) {
 	h.left--
 	now := h.w.now()
-	if now-h.nextAt > mostBehind {
+	if now-h.nextAt > maxBehindSchedule {
 		h.nextAt = now
 		h.skipped.Add(1)
 		return
 	}
 	h.w.arrivals.Add(1)
 	h.lastID++
-	r := &hollowRequest{id: h.lastID, q: q, due: now + q.ClientTimeout}
+	r := &simulatedRequest{id: h.lastID, q: q, due: now + q.ClientTimeout}
 	h.requests[r.id] = r
 	r.overdue = h.timers.Add(r.due, func() {
 		h.abandoned.Add(1)
@@ -243,9 +243,9 @@
 }
 
 // send starts an attempt, with the same conditions as a real door's.
-func (h *hollow) send(r *hollowRequest, s policy.SendAttempt) {
+func (h *simulatedGateway) send(r *simulatedRequest, s policy.SendAttempt) {
 	wall, now := time.Now(), h.w.now()
-	a := &hollowAttempt{r: r, no: len(r.attempts), backend: s.Backend, at: now}
+	a := &simulatedAttempt{r: r, no: len(r.attempts), backend: s.Backend, at: now}
 	until := r.due
 	if s.Timeout > 0 {
 		until = min(until, now+s.Timeout)
@@ -260,7 +260,7 @@
 	h.w.reached(i, h.rank, wall)
 	done, ok := h.w.model.StartAttempt(i, wall)
 	if !ok {
-		a.result = h.timers.Add(now+refusedHop, func() { h.end(a, policy.Rejected) })
+		a.result = h.timers.Add(now+rejectionLatency, func() { h.end(a, policy.Rejected) })
 		return
 	}
 	h.w.ledger.AttemptStarted(r.q.ID)
@@ -276,7 +276,7 @@
 }
 
 // end gives the one outcome of an attempt.
-func (h *hollow) end(a *hollowAttempt, status policy.Status) {
+func (h *simulatedGateway) end(a *simulatedAttempt, status policy.Status) {
 	if a.ended {
 		return
 	}
@@ -289,7 +289,7 @@
 }
 
 // answer gives a request its final answer, once. The attempt that it comes from ends after it, by the caller.
-func (h *hollow) answer(r *hollowRequest, how emulator.Ending) {
+func (h *simulatedGateway) answer(r *simulatedRequest, how emulator.Ending) {
 	if r != nil && !r.ended {
 		h.leave(r, how)
 	}
@@ -297,7 +297,7 @@
 
 // leave ends a request and calls off what is still out. With second copies not allowed nothing but the attempt that
 // was served can be out at a Served.
-func (h *hollow) leave(r *hollowRequest, how emulator.Ending) {
+func (h *simulatedGateway) leave(r *simulatedRequest, how emulator.Ending) {
 	r.ended = true
 	h.timers.Stop(r.overdue)
 	h.w.ledger.RequestEnded(r.q, how)
@@ -309,7 +309,7 @@
 	h.forget(r)
 }
 
-func (h *hollow) forget(r *hollowRequest) {
+func (h *simulatedGateway) forget(r *simulatedRequest) {
 	if r.ended && r.open == 0 {
 		delete(h.requests, r.id)
 	}
--- a/internal/fleettest/settings.go
+++ b/internal/fleettest/settings.go
@@ -19,14 +19,14 @@
 type pathSettings map[string]any
 
 const (
-	deadline = 4 * time.Second // of all classes
-	connIdle = 30 * time.Second
+	clientTimeout   = 4 * time.Second // of all classes
+	connIdleTimeout = 30 * time.Second
 )
 
 var classes = []emulator.Class{
-	{Name: "lookup", Idempotency: emulator.Idempotent, Share: 0.6, ClientTimeout: deadline},
-	{Name: "order", Idempotency: emulator.IdempotentWithKey, Share: 0.25, ClientTimeout: deadline},
-	{Name: "settle", Idempotency: emulator.NonIdempotent, Share: 0.15, ClientTimeout: deadline},
+	{Name: "lookup", Idempotency: emulator.Idempotent, Share: 0.6, ClientTimeout: clientTimeout},
+	{Name: "order", Idempotency: emulator.IdempotentWithKey, Share: 0.25, ClientTimeout: clientTimeout},
+	{Name: "settle", Idempotency: emulator.NonIdempotent, Share: 0.15, ClientTimeout: clientTimeout},
 }
 
 var plans = []string{"open", "starter", "team", "capped"}
@@ -38,7 +38,7 @@
 		"areas": zoneNames(zones), "kinds": []string{"std"}, "family": "gate", "weights": "none",
 		"limits.max-attempts": 3, "limits.second-copies": false, "limits.cancel": true, "limits.may-probe": false,
 		"limits.retry-after": true, "limits.max-retry-after-us": 1_000_000, "limits.dial-timeout-us": 250_000,
-		"limits.conn-idle-us": connIdle.Microseconds(), "limits.open-cap": 2000, "limits.max-streams": 1,
+		"limits.conn-idle-us": connIdleTimeout.Microseconds(), "limits.open-cap": 2000, "limits.max-streams": 1,
 		"obligations.answer-slack-us": 50_000, "obligations.stop-sending-within-us": 250_000,
 		"obligations.fall-multiple": 3.0, "obligations.fall-us": 3_000_000, "obligations.cold-from": 0.25,
 		"obligations.warm-within-us": 15_000_000, "obligations.ask-every-us": 10_000_000,
@@ -46,11 +46,11 @@
 		"specifics.max-units": 1, "specifics.meter-us": 0, "specifics.trued-up": false,
 	}
 	p.list("classes", map[string]any{"name": "lookup", "effect": "safe", "worth": 1.0, "late-worth": 0.3,
-		"target-us": 2_000_000, "give-up-us": deadline.Microseconds()},
-		map[string]any{"name": "order", "effect": "keyed", "group": "all", "window-us": deadline.Microseconds(),
-			"worth": 5.0, "late-worth": 0.2, "target-us": 2_000_000, "give-up-us": deadline.Microseconds()},
+		"target-us": 2_000_000, "give-up-us": clientTimeout.Microseconds()},
+		map[string]any{"name": "order", "effect": "keyed", "group": "all", "window-us": clientTimeout.Microseconds(),
+			"worth": 5.0, "late-worth": 0.2, "target-us": 2_000_000, "give-up-us": clientTimeout.Microseconds()},
 		map[string]any{"name": "settle", "effect": "unsafe", "worth": 2.0, "target-us": 2_000_000,
-			"give-up-us": deadline.Microseconds()})
+			"give-up-us": clientTimeout.Microseconds()})
 	p.list("tiers-of-service", map[string]any{"name": "open", "value-factor": 1.0},
 		map[string]any{"name": "starter", "value-factor": 0.7, "units-per-s": 0.5, "most-at-once": 5.0, "over-cost": 1.2},
 		map[string]any{"name": "team", "value-factor": 1.1, "units-per-s": 2.0, "most-at-once": 10.0, "over-cost": 0.5},
@@ -123,20 +123,20 @@
 	return root
 }
 
-// doorConfig is the file that NODE_CONFIG names.
-type doorConfig struct {
+// gatewayConfig is the file that NODE_CONFIG names.
+type gatewayConfig struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
 	Discovery string          `json:"discovery"`
 	Seed      string          `json:"seed"`
-	Limits    doorLimits      `json:"limits"`
+	Limits    gatewayLimits   `json:"limits"`
 	Counter   string          `json:"counter"`
 	Known     json.RawMessage `json:"known"`
 	Audit     json.RawMessage `json:"audit,omitempty"`
 	Settings  map[string]any  `json:"settings"`
 }
 
-type doorLimits struct {
+type gatewayLimits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
