--- /dev/null
+++ b/internal/fleettest/load.go
@@ -0,0 +1,206 @@
+package fleettest
+
+import (
+	"context"
+	"errors"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"bellwood/internal/emulator"
+)
+
+const (
+	warmUp                   = time.Second            // from the load's begin to the first measuring
+	connectionSampleInterval = 100 * time.Millisecond // of the connections that backends hold
+	// A number of requests is bound to end within so many times what it takes at its rate and at the worst.
+	requestsTimeoutFactor = 3
+)
+
+var errRequestsOpen = errors.New("requests are still open")
+
+// loadSwitch tells all gateways when requests begin to come and when no more do.
+type loadSwitch struct {
+	begin, halt chan struct{} // closed when it is so
+	haltOnce    sync.Once
+}
+
+func newLoadSwitch() *loadSwitch {
+	return &loadSwitch{begin: make(chan struct{}), halt: make(chan struct{})}
+}
+
+// stop closes halt; it may be called again.
+func (l *loadSwitch) stop() { l.haltOnce.Do(func() { close(l.halt) }) }
+
+// loadMeter gathers what clients see, from many goroutines.
+type loadMeter struct {
+	measuring atomic.Bool
+	arrivals  atomic.Int64 // requests at all gateways, real and simulated
+	added     *histogram   // the client's time less the backend's, through real gateways
+	direct    *histogram   // the same with no gateway between
+}
+
+func newLoadMeter() *loadMeter { return &loadMeter{added: newHistogram(), direct: newHistogram()} }
+
+func (m *loadMeter) requestArrived() { m.arrivals.Add(1) }
+
+// senders are the goroutines that send requests.
+type senders struct {
+	goroutines sync.WaitGroup
+	ended      chan struct{} // closed once all requests have ended, those of simulated gateways as well
+	stop       func()        // stops them and waits for their end
+}
+
+// startSenders lets requests begin at all gateways. A context that ends closes the clients, since an answer would still
+// be awaited otherwise.
+func (r *fleetRun) startSenders(ctx context.Context, load *loadSwitch) *senders {
+	s := &senders{ended: make(chan struct{})}
+	close(load.begin)
+	keepClientsOpen := context.AfterFunc(ctx, func() {
+		for _, gateway := range r.ready {
+			gateway.clients.Close()
+		}
+	})
+	for _, gateway := range r.ready {
+		s.goroutines.Go(func() { r.sendThrough(ctx, gateway, load.halt) })
+	}
+	directCtx, cancelDirect := context.WithCancel(ctx)
+	s.goroutines.Go(func() { r.sendDirect(directCtx, load.halt) })
+	go func() { // ends with ctx at the latest
+		defer close(s.ended)
+		s.goroutines.Wait()
+		r.simulated.awaitIdle(ctx)
+	}()
+	s.stop = func() {
+		cancelDirect()
+		keepClientsOpen()
+		load.stop()
+		s.goroutines.Wait()
+	}
+	return s
+}
+
+// sendThrough sends a gateway its requests from now on, until halt is closed or there are no more.
+func (r *fleetRun) sendThrough(ctx context.Context, gateway *measuredGateway, halt <-chan struct{}) {
+	schedule := requestSchedule{traffic: emulator.NewTraffic(r.emulated.traffic, gateway.setup.index),
+		requests: r.options.Load.Requests, halt: halt}
+	schedule.run(ctx, func(request *emulator.Request) {
+		r.load.requestArrived()
+		ending, took := gateway.clients.Do(ctx, request)
+		r.emulated.ledger.RequestEnded(request, ending)
+		if !r.load.measuring.Load() {
+			return
+		}
+		gateway.answered.Add(1)
+		if service := r.emulated.ledger.ServiceTime(request.ID); ending == emulator.Served && service > 0 {
+			r.load.added.record(took - service)
+			gateway.added.record(took - service)
+		}
+	})
+}
+
+// sendDirect sends requests to a backend with no gateway between, one at a time, as a measure of what the measuring
+// adds. Their ids name a gateway that there is not.
+func (r *fleetRun) sendDirect(ctx context.Context, halt <-chan struct{}) {
+	clients := emulator.NewClients(r.emulated.backends.Addr(0), 1, clientReplyGrace)
+	defer clients.Close()
+	defer context.AfterFunc(ctx, clients.Close)()
+	traffic := emulator.NewTraffic(r.emulated.traffic, r.options.Fleet.ConfiguredGateways)
+	requests := r.options.Load.Requests
+	for n := 0; requests == 0 || n < requests; n++ {
+		gap, request := traffic.Next()
+		select {
+		case <-time.After(gap):
+		case <-halt:
+			return
+		case <-ctx.Done():
+			return
+		}
+		ending, took := clients.Do(ctx, request)
+		r.emulated.ledger.RequestEnded(request, ending)
+		if service := r.emulated.ledger.ServiceTime(request.ID); ending == emulator.Served && r.load.measuring.Load() {
+			r.load.direct.record(took - service)
+		}
+	}
+}
+
+// applyLoad sends requests, measures, and drains backends meanwhile.
+func (r *fleetRun) applyLoad(ctx context.Context, load *loadSwitch) error {
+	senders := r.startSenders(ctx, load)
+	defer senders.stop()
+	if r.options.Load.Requests == 0 {
+		if err := pause(ctx, warmUp); err != nil {
+			return err
+		}
+	}
+	r.reporter.phase("load of %.0f requests/s at each gateway", r.options.Load.RequestsPerSecond)
+	r.resetTimes()
+	r.load.measuring.Store(true)
+	before := r.count()
+	if r.options.Load.Requests > 0 {
+		return r.measureRequests(ctx, senders, before)
+	}
+	return r.measureDuration(ctx, senders, load, before)
+}
+
+// resetTimes forgets the times that were measured so far.
+func (r *fleetRun) resetTimes() {
+	r.reporter.noise()
+	r.simulated.resetTimes()
+	for _, gateway := range r.ready {
+		gateway.added.reset()
+	}
+	r.load.added.reset()
+	r.load.direct.reset()
+}
+
+// measureRequests measures until a number of requests has ended, and drains backends before.
+func (r *fleetRun) measureRequests(ctx context.Context, senders *senders, before counters) error {
+	var connections connectionSamples
+	connections.take(r.emulated.backends)
+	if err := r.drainBackends(ctx); err != nil {
+		return err
+	}
+	select {
+	case <-senders.ended:
+	case <-ctx.Done():
+		return ctx.Err()
+	case <-time.After(r.requestsTimeout()):
+		return errRequestsOpen
+	}
+	connections.take(r.emulated.backends)
+	r.reportLoad(before, r.count(), &connections)
+	return nil
+}
+
+// requestsTimeout is how long a number of requests may take at the worst.
+func (r *fleetRun) requestsTimeout() time.Duration {
+	load := &r.options.Load
+	atRate := requestsTimeoutFactor * float64(load.Requests) / load.RequestsPerSecond * float64(time.Second)
+	return time.Duration(atRate) + requestsTimeoutFactor*(clientTimeout+clientReplyGrace)
+}
+
+// measureDuration measures for a duration. After it, it drains backends, and halts the load.
+func (r *fleetRun) measureDuration(ctx context.Context, senders *senders, load *loadSwitch, before counters) error {
+	var connections connectionSamples
+	for end := before.countedAt.Add(r.options.Load.Duration); time.Now().Before(end); {
+		if err := pause(ctx, min(connectionSampleInterval, time.Until(end))); err != nil {
+			return err
+		}
+		connections.take(r.emulated.backends)
+	}
+	r.load.measuring.Store(false)
+	r.reportLoad(before, r.count(), &connections)
+	if err := r.drainBackends(ctx); err != nil {
+		return err
+	}
+	load.stop()
+	select {
+	case <-senders.ended:
+	case <-ctx.Done():
+		return ctx.Err()
+	case <-time.After(clientTimeout + clientReplyGrace + time.Second):
+		r.reporter.failure("requests left open", "", r.running(), errRequestsOpen)
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/fleettest/main_test.go
@@ -0,0 +1,56 @@
+package fleettest
+
+import (
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"sync"
+	"testing"
+)
+
+// builtRoot is a folder that looks like the repository's root, with the deploy file and the program.
+var builtRoot = sync.OnceValues(func() (string, error) {
+	root, err := os.MkdirTemp("", "built-")
+	if err != nil {
+		return "", err
+	}
+	text, err := os.ReadFile("../../deploy/balancer.toml")
+	if err != nil {
+		return root, err
+	}
+	if err := writeDeployFile(root, string(text)); err != nil {
+		return root, err
+	}
+	build := exec.Command("go", "build", "-o", filepath.Join(root, "bin")+"/", "bellwood/cmd/bellwood")
+	if out, err := build.CombinedOutput(); err != nil {
+		return root, fmt.Errorf("%w: %s", err, out)
+	}
+	return root, nil
+})
+
+// writeDeployFile writes a deploy file under a root.
+func writeDeployFile(root, text string) error {
+	if err := os.Mkdir(filepath.Join(root, "deploy"), 0o700); err != nil {
+		return err
+	}
+	return os.WriteFile(filepath.Join(root, "deploy", "balancer.toml"), []byte(text), 0o600)
+}
+
+// buildRoot returns a folder from which gateways can be started.
+func buildRoot(t *testing.T) string {
+	t.Helper()
+	root, err := builtRoot()
+	if err != nil {
+		t.Fatal(err)
+	}
+	return root
+}
+
+func TestMain(m *testing.M) {
+	code := m.Run()
+	if root, _ := builtRoot(); root != "" {
+		os.RemoveAll(root)
+	}
+	os.Exit(code)
+}
--- /dev/null
+++ b/internal/fleettest/process_test.go
@@ -0,0 +1,71 @@
+package fleettest
+
+import (
+	"bytes"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+)
+
+// groupProcesses returns the processes of a group. Those that only wait to be reaped by whoever inherited them do not
+// count.
+func groupProcesses(t *testing.T, group int) (running []string) {
+	t.Helper()
+	files, err := filepath.Glob("/proc/[0-9]*/stat")
+	if err != nil || len(files) == 0 {
+		t.Fatalf("/proc: %v", err)
+	}
+	for _, file := range files {
+		stat, err := os.ReadFile(file)
+		if err != nil { // it has just ended
+			continue
+		}
+		var state string
+		var parent, leader int
+		_, err = fmt.Sscan(string(stat[bytes.LastIndexByte(stat, ')')+1:]), &state, &parent, &leader)
+		if err != nil {
+			t.Fatalf("%s: %q", file, stat)
+		}
+		if leader == group && state != "Z" && state != "X" {
+			running = append(running, string(stat))
+		}
+	}
+	return running
+}
+
+// remainingProcesses returns what runs of a group once there has been time for signals to arrive.
+func remainingProcesses(t *testing.T, group int) (running []string) {
+	t.Helper()
+	end := time.Now().Add(patience)
+	for running = groupProcesses(t, group); len(running) > 0 && time.Now().Before(end); running = groupProcesses(t, group) {
+		time.Sleep(time.Millisecond)
+	}
+	return running
+}
+
+// A gateway's shell does not heed SIGTERM, and what it started runs on. Both are killed.
+func TestProcessThatIgnoresSIGTERMIsKilledWithItsGroup(t *testing.T) {
+	p, err := startProcess(t.TempDir(), "trap '' TERM; sleep 60 & wait; wait", nil, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	for end := time.Now().Add(patience); len(groupProcesses(t, p.pid())) < 2 && time.Now().Before(end); {
+		time.Sleep(time.Millisecond)
+	}
+	if both := groupProcesses(t, p.pid()); len(both) != 2 {
+		t.Errorf("the group is %q", both)
+	}
+	usage, err := p.usage()
+	if err != nil || usage.residentBytes <= 0 || usage.peakResident < usage.residentBytes || usage.openDescriptors < 3 {
+		t.Errorf("it uses %+v, %v", usage, err)
+	}
+	if _, err := p.terminate(50 * time.Millisecond); err == nil || !strings.Contains(err.Error(), "SIGKILL was needed") {
+		t.Errorf("it ended with %v", err)
+	}
+	if running := remainingProcesses(t, p.pid()); len(running) > 0 {
+		t.Errorf("of the group run: %q", running)
+	}
+}
--- /dev/null
+++ b/internal/fleettest/restart.go
@@ -0,0 +1,82 @@
+package fleettest
+
+import (
+	"context"
+	"fmt"
+	"sync"
+	"time"
+)
+
+// restartGateway kills a real gateway and starts it again, some times with the whole endpoint list known and as many
+// with none.
+func (r *fleetRun) restartGateway(ctx context.Context) error {
+	if r.options.Changes.Restarts == 0 || len(r.ready) == 0 {
+		return ctx.Err()
+	}
+	for _, restart := range []struct {
+		known     knownList
+		name, how string
+	}{
+		{wholeListKnown, "time to ready after SIGKILL, list known", "from fork to +PONG, the whole list in known"},
+		{noListKnown, "time to ready after SIGKILL, list unknown", "from fork to +PONG, the whole list from the agent"},
+	} {
+		r.reporter.phase("%d restarts: %s", r.options.Changes.Restarts, restart.how)
+		r.reporter.noise()
+		times, notReady, err := r.timeRestarts(ctx, r.ready[0], restart.known)
+		if err != nil {
+			return err
+		}
+		if notReady != nil {
+			r.reporter.failure(restart.name, "ms", 1, notReady)
+			continue
+		}
+		r.reporter.row(restart.name, "ms", 1, times,
+			fmt.Sprintf("%s, mean of %d%s", restart.how, len(times), r.reporter.noise()))
+	}
+	return nil
+}
+
+// timeRestarts returns how many milliseconds a gateway took to become ready after each restart. notReady says that it
+// did not once; err, that the run can't go on.
+func (r *fleetRun) timeRestarts(ctx context.Context, gateway *measuredGateway, known knownList) (times []float64,
+	notReady, err error) {
+	for range r.options.Changes.Restarts {
+		if err := gateway.process.kill(); err != nil {
+			return nil, nil, err
+		}
+		took, err := r.startGateway(ctx, gateway, known)
+		if ctx.Err() != nil {
+			return nil, nil, ctx.Err()
+		}
+		if err != nil {
+			return nil, err, nil
+		}
+		times = append(times, milliseconds(took))
+	}
+	return times, nil, nil
+}
+
+// endGateways ends the real gateways as a planned restart would.
+func (r *fleetRun) endGateways() {
+	const rowName = "end after SIGTERM"
+	r.reporter.phase("SIGTERM to the real gateways")
+	times := make([]time.Duration, len(r.ready))
+	errs := make([]error, len(r.ready))
+	var ends sync.WaitGroup
+	for i, gateway := range r.ready {
+		gateway.clients.Close()
+		ends.Go(func() { times[i], errs[i] = gateway.process.terminate(terminateTimeout) })
+	}
+	ends.Wait()
+	var took []float64 // ms
+	for i, gateway := range r.ready {
+		if errs[i] != nil {
+			r.reporter.failure(rowName, "ms", 1, fmt.Errorf("%s: %w", gateway.name(), errs[i]))
+			continue
+		}
+		took = append(took, milliseconds(times[i]))
+	}
+	if len(took) > 0 {
+		r.reporter.row(rowName, "ms", len(took), took, "no request open; new connections are taken for 500 ms")
+	}
+}
--- /dev/null
+++ b/internal/fleettest/simulated.go
@@ -0,0 +1,283 @@
+package fleettest
+
+import (
+	"context"
+	"fmt"
+	"strconv"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"bellwood/internal/emulator"
+	"bellwood/internal/policy"
+	"bellwood/internal/timerqueue"
+)
+
+const (
+	simulatedCores        = 2                      // simulated gateways that compute at once
+	simulatedReadyTimeout = 30 * time.Second       // for all of them to take in the endpoint list
+	counterLatency        = 200 * time.Microsecond // from a counter call to its answer
+	rejectionLatency      = 100 * time.Microsecond // from an attempt to its being rejected
+	statePollInterval     = time.Millisecond       // while somebody waits for the gateways to be ready, or idle
+)
+
+// simulatedFleet is what the simulated gateways of one run share.
+type simulatedFleet struct {
+	gateways  []*simulatedGateway
+	emulated  *emulatedSystems
+	begun     time.Time     // of the run: their clock starts then
+	cores     chan struct{} // one place for each gateway that may compute
+	zones     int
+	onArrival func()                                               // a request has come to one of them
+	onAttempt func(backend, gatewayIndex int, firstByte time.Time) // an attempt of one of them has come to a backend
+	lateness  *histogram                                           // of what was due in their loops
+	stepTime  *histogram                                           // that one Step takes
+}
+
+// add adds a gateway with an index of its own, that gets so many requests; 0: without end.
+func (f *simulatedFleet) add(index int, o Options) error {
+	settings, err := newSettings(index, o.Fleet.ConfiguredGateways, f.zones).policySettings()
+	if err != nil {
+		return err
+	}
+	engine, err := policy.New(settings, o.Load.Seed+uint64(index))
+	if err != nil {
+		return err
+	}
+	requestsLeft := o.Load.Requests
+	if requestsLeft == 0 {
+		requestsLeft = unlimitedRequests
+	}
+	gateway := &simulatedGateway{fleet: f, index: index, engine: engine, requests: map[uint64]*simulatedRequest{},
+		inService: make([]bool, len(f.emulated.endpoints)),
+		arrivals:  arrivalSchedule{traffic: emulator.NewTraffic(f.emulated.traffic, index), left: requestsLeft}}
+	f.gateways = append(f.gateways, gateway)
+	return nil
+}
+
+// start starts a goroutine for each gateway, which ends with the context.
+func (f *simulatedFleet) start(ctx context.Context, goroutines *sync.WaitGroup, load *loadSwitch) {
+	for _, gateway := range f.gateways {
+		goroutines.Go(func() { gateway.run(ctx, load.begin, load.halt) })
+	}
+}
+
+// now is the gateways' clock: like a real gateway's, the Unix time at the start and what has passed since.
+func (f *simulatedFleet) now() time.Duration {
+	return time.Duration(f.begun.UnixNano()) + time.Since(f.begun)
+}
+
+// awaitReady waits until each gateway has taken in the endpoint list.
+func (f *simulatedFleet) awaitReady(ctx context.Context) error {
+	end := time.Now().Add(simulatedReadyTimeout)
+	for _, gateway := range f.gateways {
+		for !gateway.ready.Load() {
+			if err := pause(ctx, statePollInterval); err != nil {
+				return err
+			}
+			if time.Now().After(end) {
+				return fmt.Errorf("simulated gateway %d has not taken in the endpoint list in %v", gateway.index,
+					simulatedReadyTimeout)
+			}
+		}
+	}
+	return nil
+}
+
+// awaitIdle waits until no gateway has a request or gets a further one.
+func (f *simulatedFleet) awaitIdle(ctx context.Context) {
+	for _, gateway := range f.gateways {
+		for !gateway.idle.Load() && ctx.Err() == nil {
+			time.Sleep(statePollInterval)
+		}
+	}
+}
+
+// steps is how many Steps all took.
+func (f *simulatedFleet) steps() (sum int64) {
+	for _, gateway := range f.gateways {
+		sum += gateway.steps.Load()
+	}
+	return sum
+}
+
+// requestsSkipped is how many requests all were too late for.
+func (f *simulatedFleet) requestsSkipped() (sum int64) {
+	for _, gateway := range f.gateways {
+		sum += gateway.skipped.Load()
+	}
+	return sum
+}
+
+// resetTimes forgets the times that were measured so far.
+func (f *simulatedFleet) resetTimes() {
+	f.lateness.reset()
+	f.stepTime.reset()
+}
+
+// simulatedGateway is a gateway without sockets: a decision module, fed in real time by the same endpoint list, numbers
+// and model of the backends as the real gateways. The goroutine that runs it owns it, but for what is atomic.
+type simulatedGateway struct {
+	fleet     *simulatedFleet
+	index     int
+	engine    *policy.Engine
+	events    []policy.Event // for the next Step
+	timers    timerqueue.Queue
+	listIndex int64  // of the endpoint list as this gateway has it
+	inService []bool // by backend, as this gateway's list says
+
+	requests      map[uint64]*simulatedRequest
+	lastRequestID uint64
+	arrivals      arrivalSchedule
+
+	ready   atomic.Bool // it has had its first Step
+	idle    atomic.Bool // no further request comes and none is open
+	steps   atomic.Int64
+	skipped atomic.Int64 // requests that it was too late for
+}
+
+// run serves until the context ends. Requests come from when begin is closed until halt is.
+func (g *simulatedGateway) run(ctx context.Context, begin, halt <-chan struct{}) {
+	alarm := time.NewTimer(0)
+	defer alarm.Stop()
+	catalog := g.fleet.emulated.catalog
+	g.takeList(catalog.Snapshot(), policy.CachedSnapshot)
+	_, listChanged := catalog.ChangesSince(g.listIndex)
+	for {
+		if !g.step(ctx) {
+			return
+		}
+		g.ready.Store(true)
+		g.idle.Store(g.arrivals.left == 0 && len(g.requests) == 0)
+		alarm.Reset(g.timers.Wait(g.fleet.now()))
+		select {
+		case <-ctx.Done():
+			return
+		case <-begin:
+			begin = nil
+			g.arrivals.nextAt = g.fleet.now()
+			g.takeArrivals()
+		case <-halt:
+			halt = nil
+			g.arrivals.left = 0
+		case <-listChanged:
+			listChanged = g.takeChanges()
+		case <-alarm.C:
+		}
+		g.runTimers()
+	}
+}
+
+// runTimers runs what is due.
+func (g *simulatedGateway) runTimers() {
+	now := g.fleet.now()
+	if late := g.timers.Late(now); late > 0 {
+		g.fleet.lateness.record(late)
+	}
+	g.timers.Run(now)
+}
+
+// step gives the engine what has happened and carries out its actions, until there are no more events; only so many
+// gateways as the run may use cores do so at a time. It returns false at the context's end.
+func (g *simulatedGateway) step(ctx context.Context) bool {
+	if len(g.events) == 0 {
+		return ctx.Err() == nil
+	}
+	select {
+	case g.fleet.cores <- struct{}{}:
+		defer func() { <-g.fleet.cores }()
+	case <-ctx.Done():
+		return false
+	}
+	for len(g.events) > 0 && ctx.Err() == nil {
+		events := g.events
+		g.events = nil
+		g.steps.Add(1)
+		start := time.Now()
+		actions := g.engine.Step(g.fleet.now(), events)
+		g.fleet.stepTime.record(time.Since(start))
+		for _, action := range actions {
+			g.carryOut(action)
+		}
+	}
+	return ctx.Err() == nil
+}
+
+// emit notes an event for the next Step.
+func (g *simulatedGateway) emit(event policy.Event) { g.events = append(g.events, event) }
+
+// after runs a task later on this gateway's goroutine.
+func (g *simulatedGateway) after(pause time.Duration, task func()) {
+	g.timers.Add(g.fleet.now()+pause, task)
+}
+
+func (g *simulatedGateway) carryOut(action policy.Action) {
+	switch action := action.(type) {
+	case policy.SendAttempt:
+		if request := g.requests[action.ID]; request != nil {
+			g.sendAttempt(request, action)
+		}
+	case policy.CancelAttempt:
+		if request := g.requests[action.ID]; request != nil && action.Attempt < len(request.attempts) {
+			g.endAttempt(request.attempts[action.Attempt], policy.Cancelled)
+		}
+	case policy.Reject:
+		g.answer(g.requests[action.ID], emulator.Rejected)
+	case policy.Fail:
+		g.answer(g.requests[action.ID], emulator.Failed)
+	case policy.HealthCheck:
+		g.after(rejectionLatency, func() {
+			g.emit(policy.HealthCheckResult{Backend: action.Backend, Status: policy.OK})
+		})
+	case policy.AddToCounter:
+		g.callCounter(action)
+	case policy.SetTimer:
+		g.timers.Add(action.At, func() { g.emit(policy.Timer{Cookie: action.Cookie}) })
+	case policy.FetchEndpoints:
+		g.after(rejectionLatency, func() { g.takeList(g.fleet.emulated.catalog.Snapshot(), policy.Snapshot) })
+	}
+}
+
+// callCounter adds to a number at once and emits the result when the answer would come.
+func (g *simulatedGateway) callCounter(call policy.AddToCounter) {
+	name := strconv.FormatUint(call.Name, 10)
+	total, ok := g.fleet.emulated.numbers.Add(time.Now(), name, call.Amount, call.TTL)
+	result := policy.CounterResult{Name: call.Name, Status: policy.Rejected}
+	if ok {
+		result = policy.CounterResult{Name: call.Name, Status: policy.OK, Total: total}
+	}
+	g.after(counterLatency, func() { g.emit(result) })
+}
+
+// takeChanges takes in what has changed in the endpoint list, and returns what is closed at the next change.
+func (g *simulatedGateway) takeChanges() (listChanged <-chan struct{}) {
+	members, listChanged := g.fleet.emulated.catalog.ChangesSince(g.listIndex)
+	if members.Snapshot {
+		g.takeList(members, policy.Snapshot)
+	} else if len(members.Endpoints) > 0 {
+		g.takeList(members, policy.Delta)
+	}
+	return listChanged
+}
+
+// backendStates are the states of the policy by discovery's.
+var backendStates = map[string]policy.BackendState{emulator.Serving: policy.InService,
+	emulator.Draining: policy.Draining, emulator.Deleted: policy.Terminated}
+
+// takeList takes in an endpoint list or its changes.
+func (g *simulatedGateway) takeList(members emulator.Members, kind policy.UpdateKind) {
+	g.listIndex = members.Index
+	if kind != policy.Delta {
+		clear(g.inService)
+	}
+	update := policy.EndpointUpdate{Kind: kind, Backends: make([]policy.Backend, 0, len(members.Endpoints))}
+	for _, endpoint := range members.Endpoints {
+		i := g.fleet.emulated.indexOf[endpoint.Name]
+		state := backendStates[endpoint.Status]
+		g.inService[i] = state == policy.InService
+		update.Backends = append(update.Backends, policy.Backend{Name: endpoint.Name, Zone: i % g.fleet.zones,
+			Cell: endpoint.Group, State: state, Weight: endpoint.Weight,
+			Started: time.Duration(endpoint.SinceMS) * time.Millisecond})
+	}
+	g.emit(update)
+}
--- a/internal/fleettest/sockets.go
+++ b/internal/fleettest/sockets.go
@@ -12,96 +12,121 @@
 	"syscall"
 )
 
-// unread returns how many bytes wait to be read by the process that holds the TCP socket with these two ends. It asks
-// the kernel for just that socket, by sock_diag(7); where that can't be, it reads the table of all, which takes tens of
-// milliseconds where there are many thousands. way names what it did.
-func unread(own, peer netip.AddrPort) (n int, way string, err error) {
-	if n, err = diagUnread(own, peer); err == nil {
-		return n, "sock_diag", nil
+// The ways to ask the kernel for a socket's receive queue, as rows name them.
+const (
+	bySockDiag    = "sock_diag"
+	bySocketTable = "/proc/net/tcp"
+)
+
+var errNoSuchSocket = errors.New("no such socket")
+
+// unreadBytes returns how many bytes wait to be read by the process that holds the TCP socket with these two ends. It
+// asks the kernel for just that socket, by sock_diag(7); where that can't be, it reads the table of all, which takes
+// tens of milliseconds where there are many thousands. method names what it did.
+func unreadBytes(own, peer netip.AddrPort) (n int, method string, err error) {
+	if n, err = unreadBySockDiag(own, peer); err == nil {
+		return n, bySockDiag, nil
 	}
-	n, err = tableUnread(own, peer)
-	return n, "/proc/net/tcp", err
+	n, err = unreadBySocketTable(own, peer)
+	return n, bySocketTable, err
 }
 
-// Figures of <linux/sock_diag.h>, <linux/inet_diag.h> and <linux/netlink.h>.
+// Figures of <linux/sock_diag.h>, <linux/inet_diag.h> and <linux/netlink.h>: sizes and offsets in bytes.
 const (
-	netlinkSockDiag  = 4
-	sockDiagByFamily = 20
-	netlinkHeader    = 16
-	diagRequest      = 56 // struct inet_diag_req_v2
-	diagPorts        = 8  // in it
-	diagCookie       = 48 // in it
-	diagReceiveQueue = 56 // in struct inet_diag_msg
+	netlinkSockDiag    = 4
+	sockDiagByFamily   = 20
+	netlinkHeaderSize  = 16
+	diagRequestSize    = 56 // struct inet_diag_req_v2
+	diagStates         = 4  // in it
+	diagPorts          = 8  // in it
+	diagSourceAddr     = 12 // in it
+	diagPeerAddr       = 28 // in it
+	diagCookie         = 48 // in it
+	diagReplyPorts     = 4  // in struct inet_diag_msg
+	diagReceiveQueue   = 56 // in it
+	portSize           = 2
+	anyState           = 0xffffffff
+	anyCookie          = 0xffffffffffffffff
+	sockDiagTimeoutSec = 1
 )
 
-func diagUnread(own, peer netip.AddrPort) (int, error) {
+// unreadBySockDiag asks the kernel for one socket.
+func unreadBySockDiag(own, peer netip.AddrPort) (int, error) {
 	fd, err := syscall.Socket(syscall.AF_NETLINK, syscall.SOCK_RAW|syscall.SOCK_CLOEXEC, netlinkSockDiag)
 	if err != nil {
 		return 0, err
 	}
 	defer syscall.Close(fd)
-	if err := syscall.SetsockoptTimeval(fd, syscall.SOL_SOCKET, syscall.SO_RCVTIMEO, &syscall.Timeval{Sec: 1}); err != nil {
+	timeout := &syscall.Timeval{Sec: sockDiagTimeoutSec}
+	if err := syscall.SetsockoptTimeval(fd, syscall.SOL_SOCKET, syscall.SO_RCVTIMEO, timeout); err != nil {
 		return 0, err
 	}
-	b := make([]byte, netlinkHeader+diagRequest)
-	ne := binary.NativeEndian
-	ne.PutUint32(b, uint32(len(b)))
-	ne.PutUint16(b[4:], sockDiagByFamily)
-	ne.PutUint16(b[6:], syscall.NLM_F_REQUEST)
-	r := b[netlinkHeader:]
-	r[0], r[1] = syscall.AF_INET, syscall.IPPROTO_TCP
-	ne.PutUint32(r[4:], 0xffffffff) // any state
-	binary.BigEndian.PutUint16(r[diagPorts:], own.Port())
-	binary.BigEndian.PutUint16(r[diagPorts+2:], peer.Port())
-	src, dst := own.Addr().Unmap().As4(), peer.Addr().Unmap().As4()
-	copy(r[diagPorts+4:], src[:])
-	copy(r[diagPorts+20:], dst[:])
-	ne.PutUint64(r[diagCookie:], 0xffffffffffffffff) // any
-	if err := syscall.Sendto(fd, b, 0, &syscall.SockaddrNetlink{Family: syscall.AF_NETLINK}); err != nil {
+	request := sockDiagRequest(own, peer)
+	if err := syscall.Sendto(fd, request, 0, &syscall.SockaddrNetlink{Family: syscall.AF_NETLINK}); err != nil {
 		return 0, err
 	}
-	in := make([]byte, 4096)
-	n, _, err := syscall.Recvfrom(fd, in, 0)
+	reply := make([]byte, 4096)
+	n, _, err := syscall.Recvfrom(fd, reply, 0)
 	if err != nil {
 		return 0, err
 	}
-	if n < netlinkHeader+diagReceiveQueue+4 || ne.Uint16(in[4:]) != sockDiagByFamily {
+	if n < netlinkHeaderSize+diagReceiveQueue+4 || binary.NativeEndian.Uint16(reply[4:]) != sockDiagByFamily {
 		return 0, errors.New("sock_diag: no such socket, or no answer of use")
 	}
-	if !bytes.Equal(in[netlinkHeader+4:netlinkHeader+8], r[diagPorts:diagPorts+4]) { // a listener on the same port
-		return 0, errors.New("sock_diag: no such socket")
+	wantPorts := request[netlinkHeaderSize+diagPorts:][:portSize+portSize]
+	if !bytes.Equal(reply[netlinkHeaderSize+diagReplyPorts:][:len(wantPorts)], wantPorts) { // a listener on the same port
+		return 0, fmt.Errorf("sock_diag: %w", errNoSuchSocket)
 	}
-	return int(ne.Uint32(in[netlinkHeader+diagReceiveQueue:])), nil
+	return int(binary.NativeEndian.Uint32(reply[netlinkHeaderSize+diagReceiveQueue:])), nil
+}
+
+// sockDiagRequest is the netlink message that asks for the socket with these two ends.
+func sockDiagRequest(own, peer netip.AddrPort) []byte {
+	message := make([]byte, netlinkHeaderSize+diagRequestSize)
+	native := binary.NativeEndian
+	native.PutUint32(message, uint32(len(message)))
+	native.PutUint16(message[4:], sockDiagByFamily)
+	native.PutUint16(message[6:], syscall.NLM_F_REQUEST)
+	request := message[netlinkHeaderSize:]
+	request[0], request[1] = syscall.AF_INET, syscall.IPPROTO_TCP
+	native.PutUint32(request[diagStates:], anyState)
+	binary.BigEndian.PutUint16(request[diagPorts:], own.Port())
+	binary.BigEndian.PutUint16(request[diagPorts+portSize:], peer.Port())
+	source, destination := own.Addr().Unmap().As4(), peer.Addr().Unmap().As4()
+	copy(request[diagSourceAddr:], source[:])
+	copy(request[diagPeerAddr:], destination[:])
+	native.PutUint64(request[diagCookie:], anyCookie)
+	return message
 }
 
-// tableUnread finds the socket in /proc/net/tcp, see proc(5).
-func tableUnread(own, peer netip.AddrPort) (n int, err error) {
-	file, err := os.Open("/proc/net/tcp")
+// unreadBySocketTable finds the socket in /proc/net/tcp, see proc(5).
+func unreadBySocketTable(own, peer netip.AddrPort) (int, error) {
+	table, err := os.Open("/proc/net/tcp")
 	if err != nil {
 		return 0, err
 	}
-	defer file.Close()
-	ends := procAddr(own) + " " + procAddr(peer) + " "
-	lines := bufio.NewScanner(file)
+	defer table.Close()
+	ends := socketTableAddr(own) + " " + socketTableAddr(peer) + " "
+	lines := bufio.NewScanner(table)
 	for lines.Scan() {
 		_, rest, ok := strings.Cut(lines.Text(), ends)
 		if !ok {
 			continue
 		}
-		var state, out int
-		if _, err := fmt.Sscanf(rest, "%x %x:%x", &state, &out, &n); err != nil {
+		var state, sendQueue, receiveQueue int
+		if _, err := fmt.Sscanf(rest, "%x %x:%x", &state, &sendQueue, &receiveQueue); err != nil {
 			return 0, fmt.Errorf("/proc/net/tcp: %q: %w", lines.Text(), err)
 		}
-		return n, nil
+		return receiveQueue, nil
 	}
 	if err := lines.Err(); err != nil {
 		return 0, err
 	}
-	return 0, errors.New("/proc/net/tcp: no such socket")
+	return 0, fmt.Errorf("/proc/net/tcp: %w", errNoSuchSocket)
 }
 
-// procAddr writes an IPv4 address and port as /proc/net/tcp does, the address in the machine's order of bytes.
-func procAddr(a netip.AddrPort) string {
-	ip := a.Addr().Unmap().As4()
-	return fmt.Sprintf("%08X:%04X", binary.NativeEndian.Uint32(ip[:]), a.Port())
+// socketTableAddr writes an IPv4 address and port as /proc/net/tcp does, the address in the machine's order of bytes.
+func socketTableAddr(addr netip.AddrPort) string {
+	ip := addr.Addr().Unmap().As4()
+	return fmt.Sprintf("%08X:%04X", binary.NativeEndian.Uint32(ip[:]), addr.Port())
 }
--- /dev/null
+++ b/internal/fleettest/sockets_test.go
@@ -0,0 +1,58 @@
+package fleettest
+
+import (
+	"net"
+	"net/netip"
+	"testing"
+	"time"
+)
+
+// connect returns the two ends of a TCP connection on loopback.
+func connect(t *testing.T) (client, server net.Conn) {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer listener.Close()
+	if client, err = net.Dial("tcp", listener.Addr().String()); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { client.Close() })
+	if server, err = listener.Accept(); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { server.Close() })
+	return client, server
+}
+
+// expectUnread checks that both ways of asking tell how many bytes a socket has not been read of.
+func expectUnread(t *testing.T, own, peer netip.AddrPort, want int) {
+	t.Helper()
+	n, err := unreadBySocketTable(own, peer)
+	for end := time.Now().Add(patience); n != want && err == nil && time.Now().Before(end); {
+		time.Sleep(time.Millisecond)
+		n, err = unreadBySocketTable(own, peer)
+	}
+	if n != want || err != nil {
+		t.Errorf("%d bytes by the table, %v; want %d", n, err, want)
+	}
+	if n, err := unreadBySockDiag(own, peer); err == nil && n != want { // the kernel may come without it
+		t.Errorf("%d bytes by sock_diag, want %d", n, want)
+	} else if err != nil {
+		t.Log(err)
+	}
+}
+
+func TestUnreadBytesOfASocket(t *testing.T) {
+	client, server := connect(t)
+	own, peer := netip.MustParseAddrPort(client.LocalAddr().String()), netip.MustParseAddrPort(server.LocalAddr().String())
+	expectUnread(t, own, peer, 0)
+	server.Write([]byte("12345"))
+	expectUnread(t, own, peer, 5)
+	client.Read(make([]byte, 64))
+	expectUnread(t, own, peer, 0)
+	if _, _, err := unreadBytes(peer, netip.MustParseAddrPort("127.0.0.1:1")); err == nil {
+		t.Error("a socket that there is not is found")
+	}
+}
