--- a/cmd/fleetbench/mixed.go
+++ b/cmd/fleetbench/mixed.go
@@ -27,8 +27,11 @@
 // defaultMixedBackends are the numbers of backends of the runs.
 var defaultMixedBackends = []int{14, 200, 11000}
 
-// mixedCommand builds the subcommand that starts real gateways. newCommand makes a subcommand of a measure.
-func (s *settings) mixedCommand(newCommand func(name, short string, measure func(context.Context, *fleetsim.Report) error) *cobra.Command) *cobra.Command {
+// commandMaker makes a subcommand of a measure that adds to a report.
+type commandMaker func(name, short string, measure func(context.Context, *fleetsim.Report) error) *cobra.Command
+
+// mixedCommand builds the subcommand that starts real gateways.
+func (s *settings) mixedCommand(newCommand commandMaker) *cobra.Command {
 	var mixed mixedFlags
 	command := newCommand("mixed", "Start real gateways beside simulated ones, in real time",
 		func(ctx context.Context, report *fleetsim.Report) error { return mixed.measure(ctx, s, report) })
--- a/internal/fleettest/drain.go
+++ b/internal/fleettest/drain.go
@@ -128,14 +128,14 @@
 	return w.current.pushedAt
 }
 
-// reads returns how many gateways have read the change that is being watched.
+// reads returns how many gateways have read of the drain that is being watched; there must be one.
 func (w *drainWatch) reads() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.current.readAfter)
 }
 
-// end ends the watch and adds what it gave.
+// end ends the watch, which begin began, and adds what it gave.
 func (w *drainWatch) end(results *drainResults) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -242,8 +242,8 @@
 	if count > 1 {
 		drain = fmt.Sprintf("drain of %d backends", count)
 	}
-	inForceHow := fmt.Sprintf("from the push to the last first byte at a drained backend, 0: none came; mean of %d; %.1f attempts/s came there before%s",
-		len(results.inForce), mean(results.rateBefore), r.reporter.noise())
+	inForceHow := fmt.Sprintf("from the push to the last first byte at a drained backend, 0: none came; "+
+		"mean of %d; %.1f attempts/s came there before%s", len(results.inForce), mean(results.rateBefore), r.reporter.noise())
 	real := len(r.ready)
 	r.reporter.row(drain+", in force at all doors", "ms", r.running(), results.inForce, inForceHow)
 	if real > 0 {
--- a/internal/fleettest/emulated.go
+++ b/internal/fleettest/emulated.go
@@ -13,14 +13,13 @@
 	emulatorHost = "127.0.0.3" // of agents and counters
 	gatewayHost  = "127.0.0.4"
 
+	// A backend lets an attempt wait for so many mean service times.
+	maxQueuedServiceTimes = 10
 	maxDedicatedListeners = 1024 // backends with a listener of their own
 	sharedListeners       = 16   // for all further backends
 	gatewaysPerTenant     = 8
-	// A backend lets an attempt wait for so many mean service times.
-	maxQueuedServiceTimes = 10
-	// The type, and how many groups, the endpoint list has.
-	backendType   = "std"
-	backendGroups = 64
+	backendType           = "std" // of all backends; settings name it
+	backendGroups         = 64    // into which each zone's backends are dealt out
 )
 
 // emulatedSystems are the systems outside the gateways of one run, which real and simulated gateways share.
--- a/internal/fleettest/load.go
+++ b/internal/fleettest/load.go
@@ -29,6 +29,9 @@
 	return &loadSwitch{begin: make(chan struct{}), halt: make(chan struct{})}
 }
 
+// start closes begin, once.
+func (l *loadSwitch) start() { close(l.begin) }
+
 // stop closes halt; it may be called again.
 func (l *loadSwitch) stop() { l.haltOnce.Do(func() { close(l.halt) }) }
 
@@ -55,7 +58,7 @@
 // be awaited otherwise.
 func (r *fleetRun) startSenders(ctx context.Context, load *loadSwitch) *senders {
 	s := &senders{ended: make(chan struct{})}
-	close(load.begin)
+	load.start()
 	keepClientsOpen := context.AfterFunc(ctx, func() {
 		for _, gateway := range r.ready {
 			gateway.clients.Close()
