--- a/cmd/fleetbench/mixed.go
+++ b/cmd/fleetbench/mixed.go
@@ -27,18 +27,18 @@
 // defaultMixedBackends are the numbers of backends of the runs.
 var defaultMixedBackends = []int{14, 200, 11000}
 
-// commandMaker makes a subcommand of a measure that adds to a report.
-type commandMaker func(name, short string, measure func(context.Context, *fleetsim.Report) error) *cobra.Command
+// commandMaker makes a subcommand of a measure.
+type commandMaker func(name, short string, measure measureFunc) *cobra.Command
 
 // mixedCommand builds the subcommand that starts real gateways.
 func (s *settings) mixedCommand(newCommand commandMaker) *cobra.Command {
 	var mixed mixedFlags
-	command := newCommand("mixed", "Start real gateways beside simulated ones, in real time",
+	subcommand := newCommand("mixed", "Start real gateways beside simulated ones, in real time",
 		func(ctx context.Context, report *fleetsim.Report) error { return mixed.measure(ctx, s, report) })
-	command.Long = "mixed starts a few real gateways on loopback, as deploy/balancer.toml says, beside decision modules that\n" +
+	subcommand.Long = "mixed starts a few real gateways on loopback, as deploy/balancer.toml says, beside decision modules that\n" +
 		"share this process, all before the same emulated agent of discovery, counter and backends. Build first, by\n" +
 		"that file's build. The whole program's times are the machine's; a row says where they are not to be trusted."
-	flags := command.Flags()
+	flags := subcommand.Flags()
 	flags.StringVar(&mixed.root, "root", ".", "the repository's root, from which gateways are started")
 	flags.IntVar(&mixed.realGateways, "real", 3, "real gateways; 0: none")
 	flags.IntVar(&mixed.simulatedGateways, "hollow", 30, "simulated gateways; 0: none")
@@ -49,7 +49,7 @@
 	flags.IntVar(&mixed.drains, "drains", 3, "drains of one backend, and as many of a fifth at once; 0: none")
 	flags.IntVar(&mixed.restarts, "restarts", 2,
 		"restarts of a real gateway with the known list, and as many without; 0: none")
-	return command
+	return subcommand
 }
 
 // measure makes one run for each number of backends. A gateway's failure is told and is an error.
@@ -64,7 +64,7 @@
 			}
 		}
 		if ctx.Err() != nil {
-			report.Cut = append(report.Cut, fmt.Sprintf("%d backends and more: %v", backends, context.Cause(ctx)))
+			report.NotMeasured = append(report.NotMeasured, fmt.Sprintf("%d backends and more: %v", backends, context.Cause(ctx)))
 			break
 		}
 		if err != nil {
@@ -98,7 +98,7 @@
 // addRows adds the figures of a run.
 func addRows(report *fleetsim.Report, run *fleettest.Report) {
 	for _, row := range run.Rows {
-		report.Add(fleetsim.Row{Name: row.Name, Unit: row.Unit, Doors: row.Gateways, Backends: row.Backends,
+		report.Add(fleetsim.Row{Name: row.Name, Unit: row.Unit, Gateways: row.Gateways, Backends: row.Backends,
 			Value: row.Value, Noisy: strings.HasSuffix(row.How, "noisy"), How: row.How})
 	}
 }
