--- a/internal/policy/demand/demand.go
+++ b/internal/policy/demand/demand.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// AveragingTime is the time constant of the average: what is older by so much weighs less by the factor e.
+// AveragingTime is the time constant of the average: what is older by this much weighs less by the factor e.
 const AveragingTime = 2 * time.Second
 
 // Estimator is the estimate for one tenant. The zero value has seen nothing, at time 0. It is not safe for
--- a/internal/policy/hardlimit.go
+++ b/internal/policy/hardlimit.go
@@ -1,19 +1,20 @@
 package policy
 
-// Hard limits on a request's way: waiting for this gateway's share, reserving it while queued, spending it
-// with the first attempt, and borrowing from the part that all gateways have in common. Package hardlimit
-// keeps the shares.
+// Hard limits on a request's way: waiting for this gateway's share of the limit, reserving the cost in it
+// while queued, spending it with the first attempt, and borrowing units of the part that all gateways have in
+// common. Package hardlimit keeps the share. In this file "the share" is this gateway's share of the tenant's
+// limit.
 
 import "time"
 
-// hardLimitWaitShare is the part of its deadline budget that a request waits for the hard limit's share to
-// fill. What is left must do for the queue and the answer.
+// hardLimitWaitShare is the part of its deadline budget that a request may wait for the share to fill. What
+// is left must do for the queue and the answer.
 const hardLimitWaitShare = 0.3
 
 // hardLimitState is how a request stands with its tenant's hard limit.
 type hardLimitState struct {
 	reserved        bool          // its cost is reserved in the share while it is queued
-	borrowRequested bool          // it has requested units; it does so once
+	borrowRequested bool          // it has called the counter to borrow; it does so once
 	borrowPending   bool          // it waits for the answer
 	borrowedUntil   time.Duration // it may be sent on borrowed units until then; 0: it has none
 }
@@ -21,8 +22,8 @@
 // hasBorrowed says whether the request may still be sent on borrowed units.
 func (h *hardLimitState) hasBorrowed(now time.Duration) bool { return now < h.borrowedUntil }
 
-// maxHardLimitWait is how long a request waits for the hard limit's share at most, in seconds: what is worth
-// less leaves the room to what is worth more.
+// maxHardLimitWait is how long a request waits for the share at most, in seconds. It is in proportion to the
+// class's priority weight, so that requests of low weight leave the share to others.
 func (e *Engine) maxHardLimitWait(r *request) float64 {
 	weight := e.settings.Classes[r.class].PriorityWeight
 	return r.deadlineBudget.Seconds() * hardLimitWaitShare * weight / e.weights.maxClass
@@ -44,9 +45,10 @@
 	return t.hardLimit.FillSeconds(max(0, short))
 }
 
-// hardLimitFillsTooLate says whether the share of the hard limit, short of so many units, fills too late for
-// a request: for one whose plan earns something at the lowest level, or whose call for borrowed units came to
-// nothing.
+// hardLimitFillsTooLate says whether the share, which lacks so many units, fills too late for a request.
+// Where the plan earns something beyond the quota, that is after hardLimitWaitShare of the deadline budget.
+// Where the request has tried to borrow and got nothing, it is after maxHardLimitWait. Others wait until
+// tooLateToWait.
 func (e *Engine) hardLimitFillsTooLate(r *request, short float64) bool {
 	fills := r.tenant.hardLimit.FillSeconds(short)
 	if e.earnsOverQuota(r) && fills > r.deadlineBudget.Seconds()*hardLimitWaitShare {
@@ -70,7 +72,8 @@
 }
 
 // spendHardLimit takes the cost of a request's first attempt from the share, unless it is borrowed, or says
-// that the share does not hold it. Further attempts take nothing (WIRE-bellwood.md, The contract, rule 5).
+// that the share does not hold it. Further attempts take nothing (WIRE-bellwood.md, The contract, rule 5: the
+// first attempt of each request draws its cost, be it within the quota or not).
 func (e *Engine) spendHardLimit(r *request) bool {
 	if r.hardLimit.hasBorrowed(e.now) {
 		return true
@@ -83,8 +86,9 @@
 }
 
 // mayBorrow says whether a request may borrow its cost out of the hard limit's common part: there is one, not
-// known to be spent, the request has not tried yet, and the counter answers. Of clients' retries only a share
-// may, as most are of what lacked units before.
+// known to be spent, the request has not tried yet, and the counter responds. Of clients' retries only a part
+// may, callShare, as most are of what lacked units before: for these it draws a random number. A request can
+// be asked twice, on its arrival (admit) and on its turn (checkLimits), with a new draw each time.
 func (e *Engine) mayBorrow(r *request) bool {
 	limit := &r.tenant.hardLimit
 	if !limit.HasCommonPart() || r.hardLimit.borrowRequested {
@@ -105,8 +109,8 @@
 		&counterCall{tenant: t, window: window, borrower: r})
 }
 
-// borrowAnswered takes the answer: while the window's total stays within its part, the units are the
-// request's.
+// borrowAnswered handles the answer: while the window's total stays within what a window lends, the units are
+// the request's.
 func (e *Engine) borrowAnswered(call *counterCall, ev CounterResult) {
 	borrower := call.borrower
 	borrower.hardLimit.borrowPending = false
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -62,7 +62,7 @@
 	return r.attempts[number]
 }
 
-// finish takes an attempt that has ended out of what is in flight, and notes whether it may have run.
+// finish takes an attempt that has ended out of those in flight, and notes whether it may have run.
 func (a *attempt) finish(status Status) {
 	r := a.request
 	a.inFlight = false
@@ -73,7 +73,7 @@
 	}
 }
 
-// forget drops a request that has its final answer and no attempt in flight.
+// forget drops a request that has ended and has no attempt in flight; another it keeps.
 func (e *Engine) forget(r *request) {
 	if r.ended && r.attemptsInFlight == 0 {
 		delete(e.requests, r.id)
--- a/internal/policy/requestend.go
+++ b/internal/policy/requestend.go
@@ -1,7 +1,7 @@
 package policy
 
-// end ends a request, whatever its answer: it leaves its queue, what is in flight is called off, and what it
-// holds of its tenant's quota and limits goes back.
+// end ends a request, whatever its answer: it leaves its queue, its attempts in flight are cancelled, and
+// what it holds of its tenant's quota and limits goes back. That may let the tenant's next requests go on.
 func (e *Engine) end(r *request) {
 	if r.ended {
 		return
@@ -22,7 +22,8 @@
 	return len(r.attempts) == 0 && r.quota.promoted && e.settings.Plans[r.plan].Rate > 0
 }
 
-// cancelAttempts calls off what is in flight. A response that has begun to stream goes on.
+// cancelAttempts cancels what is in flight, if the settings allow it. A response that has begun to stream
+// goes on.
 func (e *Engine) cancelAttempts(r *request) {
 	for _, a := range r.attempts {
 		if a.inFlight && e.settings.AllowCancel && !r.streaming {
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -1,13 +1,15 @@
 package policy
 
-// Retries: whether a request goes on after an attempt has failed, and where to. They read nothing but the
-// request, its class and the backend (WIRE-bellwood.md, The contract, rule 2: what may have run must not
-// take effect twice).
+// Retries: whether a request goes on after an attempt has failed, and where to. What may have run must not
+// take effect twice (WIRE-bellwood.md, The contract, rule 2): an idempotent request may be repeated anywhere;
+// one with a key only at backends that together drop repeats, and within DedupWindow of the first attempt in
+// doubt; one that is not idempotent nowhere. mayRepeat reads nothing but the request, its class and the
+// backend.
 
 import "time"
 
-// retry sends a request on after an attempt that brought no answer, if it may have another and an answer
-// could still be in time. To which backends it may go, dispatch asks mayRepeat.
+// retry dispatches a request again after an attempt that brought no answer, if it may have another and an
+// answer could still be in time. Else it is rejected. choose asks mayRepeat which backends may have it.
 func (e *Engine) retry(r *request) {
 	if len(r.attempts) >= e.settings.MaxAttempts {
 		e.reject(r, rejection{reason: AttemptsExhausted})
@@ -20,8 +22,8 @@
 	e.dispatch(r)
 }
 
-// mayRepeat says whether a request can be sent to a backend: one that may have run, only if that can't
-// take effect twice.
+// mayRepeat says whether a request may be sent to a backend: always if it can't have run yet, else only if it
+// can't take effect twice.
 func (e *Engine) mayRepeat(r *request, b *backend) bool {
 	first := r.firstInDoubt
 	if first == nil {
@@ -37,8 +39,8 @@
 	return false
 }
 
-// dropsRepeats says whether a backend drops the repeat of a request that another may have run, as the
-// backends of a scope together do.
+// dropsRepeats says whether two backends are of one scope, so that the next drops the repeat of a request
+// that the first may have run.
 func dropsRepeats(scope DedupScope, first, next *backend) bool {
 	switch scope {
 	case DedupAllBackends:
@@ -49,7 +51,7 @@
 	return next.zone == first.zone && next.cell == first.cell
 }
 
-// sendBefore is when a repeat must have gone out, where repeats are dropped for a while only; else 0.
+// sendBefore is the time by which a repeat must be sent, where repeats are dropped for a while only; else 0.
 func (e *Engine) sendBefore(r *request) time.Duration {
 	class := &e.settings.Classes[r.class]
 	if r.firstInDoubt != nil && class.Idempotency == IdempotentWithKey {
--- a/internal/policy/throughput.go
+++ b/internal/policy/throughput.go
@@ -2,10 +2,12 @@
 
 // What a warm backend carries, as far as this gateway sees it. See package throughput for the measurement.
 
-// currentRate is how many answers a second of each backend make what is known of it current.
+// currentRate is how many answers a second of a backend, by observedRate, keep what is known of it up to
+// date.
 const currentRate = 1.0
 
-// countWarm counts a backend anew among the warm ones: usable, and not warming up.
+// countWarm counts a backend among the warm ones if it is usable and not warming up, and else takes it out.
+// It must be called after each change of one of these, or of its weight.
 func (e *Engine) countWarm(b *backend) {
 	e.throughput.Count(&b.warmMark, b.usable() && !b.slowStart.Warming(), b.weight)
 }
--- a/internal/policy/throughput/throughput.go
+++ b/internal/policy/throughput/throughput.go
@@ -1,5 +1,5 @@
-// Package throughput keeps what a warm backend carries: the answers a second of one, by the answers that
-// this gateway gets from all that are usable and not warming up.
+// Package throughput measures what a warm backend carries: the answers a second that this gateway gets from
+// one backend, on average over all that are usable and not warming up.
 //
 // A [Meter] belongs to one engine, a [Mark] to one of its backends. Neither is safe for concurrent use.
 // Times are on the engine's clock.
@@ -34,7 +34,7 @@
 // Start begins the measurement.
 func (m *Meter) Start(now time.Duration) { m.rateAt = now }
 
-// Count counts a backend anew: as warm with its weight, or not.
+// Count counts a backend as warm with its weight, or as not warm, in place of how it was counted before.
 func (m *Meter) Count(mark *Mark, warm bool, weight float64) {
 	if mark.warm {
 		m.warm--
@@ -56,8 +56,8 @@
 // MeanWeight is the mean weight of the warm backends at the last answer; 0 before the first.
 func (m *Meter) MeanWeight() float64 { return m.meanWeight }
 
-// RecordAnswer takes the answer of a warm backend. Answers count and not what is sent: under overload more
-// is sent than is carried.
+// RecordAnswer notes an answer of a warm backend. Answers count and not what is sent: under overload more is
+// sent than is carried.
 func (m *Meter) RecordAnswer(now time.Duration) {
 	if m.warm > 0 {
 		m.meanWeight = m.warmWeight / float64(m.warm)
