--- a/cmd/fleetbench/main_test.go
+++ b/cmd/fleetbench/main_test.go
@@ -4,11 +4,15 @@
 	"bytes"
 	"context"
 	"encoding/json"
+	"io"
 	"os"
 	"path/filepath"
+	"regexp"
 	"strings"
 	"testing"
 
+	"github.com/spf13/cobra"
+
 	"bellwood/internal/fleetsim"
 )
 
@@ -111,6 +115,31 @@
 			}
 		}
 	}
+	names := map[string]bool{}
+	root := command(io.Discard, io.Discard)
+	for _, c := range append(root.Commands(), root) {
+		args := strings.Fields(c.CommandPath() + " --help")[1:]
+		out, _, err := fleetbench(context.Background(), args...)
+		for _, name := range flagNames(c) {
+			names[name] = true
+			if err != nil || !strings.Contains(out, name+" ") {
+				t.Errorf("%v: %v, no %s in %s", args, err, name, out)
+			}
+		}
+	}
+	if len(names) < 29 { // as the flags stand in flags.go and mixed.go, without --help
+		t.Errorf("%d flags in all: %v", len(names), names)
+	}
+}
+
+// flagNames returns the names of a command's flags, with the dashes, those of its parent included.
+func flagNames(c *cobra.Command) []string {
+	usages := c.NonInheritedFlags().FlagUsages() + c.InheritedFlags().FlagUsages()
+	var names []string
+	for _, line := range regexp.MustCompile(`(?m)^ +(?:-\w, )?(--[a-z-]+)`).FindAllStringSubmatch(usages, -1) {
+		names = append(names, line[1])
+	}
+	return names
 }
 
 // An interrupt ends every measure: the report is written, says what was cut, and the command fails.
--- a/internal/fleettest/report.go
+++ b/internal/fleettest/report.go
@@ -15,8 +15,8 @@
 // failedPrefix begins the text of a row that has no value.
 const failedPrefix = "failed: "
 
-// Row is one figure of a report. Stored reports have the names of the tags, and are compared with new ones by the rows'
-// names and units; in these a gateway is a door, and a simulated one a hollow door.
+// Row is one figure of a report. fleetbench mixed puts the rows, without Spread, into its own report, which is stored and
+// compared with others by the rows' names; in these a gateway is a door, and a simulated one a hollow door.
 type Row struct {
 	Name     string  `json:"name"`
 	Unit     string  `json:"unit"`
@@ -50,7 +50,8 @@
 	RequestsSkipped  int64         `json:"skipped"` // that simulated gateways were too late for
 }
 
-// Report is what a run measured. Stored reports have the names of the tags.
+// Report is what a run measured. fleetbench mixed takes the rows alone: Setup, Totals, Seconds, Noisy and WriteJSON are read
+// by tests alone. These check in Totals what must not happen: Phantom, Doubled, RejectedRan, Wrong and NotKept are 0.
 type Report struct {
 	Setup
 	Seconds float64 `json:"seconds"` // how long was measured
