--- a/internal/fleettest/doc.go
+++ b/internal/fleettest/doc.go
@@ -1,7 +1,7 @@
 // Package fleettest runs real gateways beside simulated ones, all before the same emulated systems, in real time.
 //
 // A real gateway is the program itself: a process that is started as deploy/balancer.toml says and is reached through
-// sockets on loopback alone. A simulated gateway is a decision module (policy.Engine) in this process: a goroutine feeds
+// sockets on loopback alone. A simulated gateway is an engine (policy.Engine) in this process: a goroutine feeds
 // it events and carries out its actions, with no sockets. It takes the place of a process where hundreds would be too
 // many for one machine. The systems outside a gateway (discovery's agent, the counter, the backends, the clients) are
 // emulated, by package emulator.
--- a/internal/fleettest/drain.go
+++ b/internal/fleettest/drain.go
@@ -26,7 +26,7 @@
 type drainWatch struct {
 	realGateways, configuredGateways int
 
-	mu         sync.Mutex // guards all below, and the drain that current is
+	mu         sync.Mutex // guards all below, and the fields of each drain
 	attempts   []int      // of real gateways since takeBusiest, by backend with a listener of its own
 	current    *drain     // nil: none is watched
 	readMethod string     // how it was found last that a list was read; see unreadBytes
@@ -175,7 +175,7 @@
 			continue
 		}
 		r.reporter.phase("%d drains of %d", drains, count)
-		r.reporter.noise()
+		r.reporter.resetNoise()
 		var results drainResults
 		for range drains {
 			if err := r.drainOnce(ctx, count, &results); err != nil {
@@ -211,8 +211,8 @@
 	return pause(ctx, pauseBetweenDrains) // else the two changes could be told as one
 }
 
-// attemptRate measures how many attempts a second come to backends. Which come first by takeBusiest is decided by what
-// came since the drain before, so their rate is measured anew.
+// attemptRate measures how many attempts a second come to backends now. What takeBusiest ranks them by won't do: these
+// counts go back to the drain before, and may hold what came in quite another time.
 func (r *fleetRun) attemptRate(ctx context.Context, backends []int) (float64, error) {
 	before, _ := r.emulated.model.Attempts()
 	start := time.Now()
@@ -243,7 +243,7 @@
 		drain = fmt.Sprintf("drain of %d backends", count)
 	}
 	inForceHow := fmt.Sprintf("from the push to the last first byte at a drained backend, 0: none came; "+
-		"mean of %d; %.1f attempts/s came there before%s", len(results.inForce), mean(results.rateBefore), r.reporter.noise())
+		"mean of %d; %.1f attempts/s came there before%s", len(results.inForce), mean(results.rateBefore), r.reporter.takeNoise())
 	real := len(r.ready)
 	r.reporter.row(drain+", in force at all doors", "ms", r.running(), results.inForce, inForceHow)
 	if real > 0 {
--- a/internal/fleettest/gatewayconfig.go
+++ b/internal/fleettest/gatewayconfig.go
@@ -32,10 +32,12 @@
 	{Name: "settle", Idempotency: emulator.NonIdempotent, Share: 0.15, ClientTimeout: clientTimeout},
 }
 
-// plans are the tenants' plans.
+// plans are the names of the tenants' plans, in the order of addPlans. Tenants are dealt out among them by number.
 var plans = []string{"open", "starter", "team", "capped"}
 
-// newSettings returns the settings of the gateway with an index, among so many.
+// newSettings returns the settings of the gateway with an index, among so many. They are as complete as a deployment's:
+// six of them no code reads (family, weights, limits.max-streams, specifics.count-fee, specifics.meter-us and, in addPlans,
+// ceiling-slack).
 func newSettings(index, gateways, zones int) pathSettings {
 	p := pathSettings{
 		"peers-total": gateways, "rank": index, "locality": index % zones, "resolution-us": 4000, "discovery": "pushed",
--- a/internal/fleettest/load.go
+++ b/internal/fleettest/load.go
@@ -13,7 +13,8 @@
 const (
 	warmUp                   = time.Second            // from the load's begin to the first measuring
 	connectionSampleInterval = 100 * time.Millisecond // of the connections that backends hold
-	// A number of requests is bound to end within so many times what it takes at its rate and at the worst.
+	// requestsTimeoutFactor: a run of a number of requests fails once they have taken so many times as long as their rate
+	// asks for and the last of them may take.
 	requestsTimeoutFactor = 3
 )
 
@@ -21,19 +22,19 @@
 
 // loadSwitch tells all gateways when requests begin to come and when no more do.
 type loadSwitch struct {
-	begin, halt chan struct{} // closed when it is so
-	haltOnce    sync.Once
+	begun, halted chan struct{} // closed by begin and by halt
+	haltOnce      sync.Once
 }
 
 func newLoadSwitch() *loadSwitch {
-	return &loadSwitch{begin: make(chan struct{}), halt: make(chan struct{})}
+	return &loadSwitch{begun: make(chan struct{}), halted: make(chan struct{})}
 }
 
-// start closes begin, once.
-func (l *loadSwitch) start() { close(l.begin) }
+// begin closes begun; it must not be called again.
+func (l *loadSwitch) begin() { close(l.begun) }
 
-// stop closes halt; it may be called again.
-func (l *loadSwitch) stop() { l.haltOnce.Do(func() { close(l.halt) }) }
+// halt closes halted; it may be called again.
+func (l *loadSwitch) halt() { l.haltOnce.Do(func() { close(l.halted) }) }
 
 // loadMeter gathers what clients see, from many goroutines.
 type loadMeter struct {
@@ -58,17 +59,17 @@
 // be awaited otherwise.
 func (r *fleetRun) startSenders(ctx context.Context, load *loadSwitch) *senders {
 	s := &senders{ended: make(chan struct{})}
-	load.start()
+	load.begin()
 	keepClientsOpen := context.AfterFunc(ctx, func() {
 		for _, gateway := range r.ready {
 			gateway.clients.Close()
 		}
 	})
 	for _, gateway := range r.ready {
-		s.goroutines.Go(func() { r.sendThrough(ctx, gateway, load.halt) })
+		s.goroutines.Go(func() { r.sendThrough(ctx, gateway, load.halted) })
 	}
 	directCtx, cancelDirect := context.WithCancel(ctx)
-	s.goroutines.Go(func() { r.sendDirect(directCtx, load.halt) })
+	s.goroutines.Go(func() { r.sendDirect(directCtx, load.halted) })
 	go func() { // ends with ctx at the latest
 		defer close(s.ended)
 		s.goroutines.Wait()
@@ -77,16 +78,16 @@
 	s.stop = func() {
 		cancelDirect()
 		keepClientsOpen()
-		load.stop()
+		load.halt()
 		s.goroutines.Wait()
 	}
 	return s
 }
 
-// sendThrough sends a gateway its requests from now on, until halt is closed or there are no more.
-func (r *fleetRun) sendThrough(ctx context.Context, gateway *measuredGateway, halt <-chan struct{}) {
+// sendThrough sends a gateway its requests from now on, until halted is closed or there are no more.
+func (r *fleetRun) sendThrough(ctx context.Context, gateway *measuredGateway, halted <-chan struct{}) {
 	schedule := requestSchedule{traffic: emulator.NewTraffic(r.emulated.traffic, gateway.index()),
-		requests: r.options.Load.Requests, halt: halt}
+		requests: r.options.Load.Requests, halted: halted}
 	schedule.run(ctx, func(request *emulator.Request) {
 		r.load.requestArrived()
 		ending, took := gateway.clients.Do(ctx, request)
@@ -94,7 +95,7 @@
 		if !r.load.measuring.Load() {
 			return
 		}
-		gateway.answered.Add(1)
+		gateway.requestsEnded.Add(1)
 		if service := r.emulated.ledger.ServiceTime(request.ID); ending == emulator.Served && service > 0 {
 			r.load.added.record(took - service)
 			gateway.added.record(took - service)
@@ -103,8 +104,8 @@
 }
 
 // sendDirect sends requests to a backend with no gateway between, one at a time, as a measure of what the measuring
-// adds. Their ids name a gateway that there is not.
-func (r *fleetRun) sendDirect(ctx context.Context, halt <-chan struct{}) {
+// adds. Their ids name the index behind the last gateway's, which no gateway has.
+func (r *fleetRun) sendDirect(ctx context.Context, halted <-chan struct{}) {
 	clients := emulator.NewClients(r.emulated.backends.Addr(0), 1, clientReplyGrace)
 	defer clients.Close()
 	defer context.AfterFunc(ctx, clients.Close)()
@@ -114,7 +115,7 @@
 		gap, request := traffic.Next()
 		select {
 		case <-time.After(gap):
-		case <-halt:
+		case <-halted:
 			return
 		case <-ctx.Done():
 			return
@@ -139,7 +140,7 @@
 	r.reporter.phase("load of %.0f requests/s at each gateway", r.options.Load.RequestsPerSecond)
 	r.resetTimes()
 	r.load.measuring.Store(true)
-	before := r.count()
+	before := r.read()
 	if r.options.Load.Requests > 0 {
 		return r.measureRequests(ctx, senders, before)
 	}
@@ -148,7 +149,7 @@
 
 // resetTimes forgets the times that were measured so far.
 func (r *fleetRun) resetTimes() {
-	r.reporter.noise()
+	r.reporter.resetNoise()
 	r.simulated.resetTimes()
 	for _, gateway := range r.ready {
 		gateway.added.reset()
@@ -157,8 +158,9 @@
 	r.load.direct.reset()
 }
 
-// measureRequests measures until a number of requests has ended, and drains backends before.
-func (r *fleetRun) measureRequests(ctx context.Context, senders *senders, before counters) error {
+// measureRequests measures until a number of requests has ended at each gateway. Its drains run between the two readings, so
+// the rows of what comes from discovery and of the connections hold what they cause.
+func (r *fleetRun) measureRequests(ctx context.Context, senders *senders, before readings) error {
 	var connections connectionSamples
 	connections.take(r.emulated.backends)
 	if err := r.drainBackends(ctx); err != nil {
@@ -172,7 +174,7 @@
 		return errRequestsOpen
 	}
 	connections.take(r.emulated.backends)
-	r.reportLoad(before, r.count(), &connections)
+	r.reportLoad(before, r.read(), &connections)
 	return nil
 }
 
@@ -183,21 +185,21 @@
 	return time.Duration(atRate) + requestsTimeoutFactor*(clientTimeout+clientReplyGrace)
 }
 
-// measureDuration measures for a duration. After it, it drains backends, and halts the load.
-func (r *fleetRun) measureDuration(ctx context.Context, senders *senders, load *loadSwitch, before counters) error {
+// measureDuration measures for a duration. After the second reading it drains backends, and then halts the load.
+func (r *fleetRun) measureDuration(ctx context.Context, senders *senders, load *loadSwitch, before readings) error {
 	var connections connectionSamples
-	for end := before.countedAt.Add(r.options.Load.Duration); time.Now().Before(end); {
+	for end := before.readAt.Add(r.options.Load.Duration); time.Now().Before(end); {
 		if err := pause(ctx, min(connectionSampleInterval, time.Until(end))); err != nil {
 			return err
 		}
 		connections.take(r.emulated.backends)
 	}
 	r.load.measuring.Store(false)
-	r.reportLoad(before, r.count(), &connections)
+	r.reportLoad(before, r.read(), &connections)
 	if err := r.drainBackends(ctx); err != nil {
 		return err
 	}
-	load.stop()
+	load.halt()
 	select {
 	case <-senders.ended:
 	case <-ctx.Done():
--- a/internal/fleettest/options.go
+++ b/internal/fleettest/options.go
@@ -91,7 +91,7 @@
 	return o
 }
 
-// check looks at options with their defaults.
+// check says why options, whose defaults are filled in, can't be used.
 func (o *Options) check() error {
 	fleet := &o.Fleet
 	switch {
--- a/internal/fleettest/realgateway.go
+++ b/internal/fleettest/realgateway.go
@@ -173,8 +173,8 @@
 // requestSchedule is when requests are sent to one gateway.
 type requestSchedule struct {
 	traffic  *emulator.Traffic
-	requests int             // how many; 0: until halt
-	halt     <-chan struct{} // closed: no more
+	requests int             // how many; 0: until halted
+	halted   <-chan struct{} // closed: no more
 }
 
 // run calls send for each request at its time, each on a goroutine of its own, until there are no more or the context
@@ -192,14 +192,14 @@
 		alarm.Reset(time.Until(next))
 		select {
 		case <-alarm.C:
-		case <-s.halt:
+		case <-s.halted:
 			return
 		case <-ctx.Done():
 			return
 		}
 		select {
 		case places <- struct{}{}:
-		case <-s.halt:
+		case <-s.halted:
 			return
 		case <-ctx.Done():
 			return
--- a/internal/fleettest/report.go
+++ b/internal/fleettest/report.go
@@ -47,7 +47,7 @@
 	Direct           emulator.Sums `json:"direct"` // ... and of those that went from clients to a backend with no gateway between
 	AttemptsStarted  int           `json:"begun"`  // by the backends' own count
 	AttemptsRejected int           `json:"turned_away"`
-	RequestsSkipped  int64         `json:"skipped"` // that simulated gateways were too late for
+	RequestsSkipped  int64         `json:"skipped"` // by simulated gateways, which came to them too late
 }
 
 // Report is what a run measured. fleetbench mixed takes the rows alone: Setup, Totals, Seconds, Noisy and WriteJSON are read
@@ -65,7 +65,7 @@
 // Failed returns the rows that have no value, since something failed.
 func (r *Report) Failed() (rows []Row) {
 	for _, row := range r.Rows {
-		if strings.HasPrefix(row.How, "failed:") {
+		if strings.HasPrefix(row.How, failedPrefix) {
 			rows = append(rows, row)
 		}
 	}
@@ -138,8 +138,9 @@
 	r.phase("%s failed: %s", name, text)
 }
 
-// noise returns what to add to a row's text where this process was woken too late since the last call to trust times.
-func (r *reporter) noise() string {
+// takeNoise returns what to add to a row's text, and marks the report as noisy, where this process was woken too late to
+// trust times since takeNoise or resetNoise was called last; it forgets these delays.
+func (r *reporter) takeNoise() string {
 	p99 := r.delay.takeP99()
 	if p99 <= noisySchedulingDelay {
 		return ""
@@ -148,6 +149,9 @@
 	return fmt.Sprintf("; own scheduling delay p99 %.1f ms: noisy", milliseconds(p99))
 }
 
+// resetNoise forgets the delays so far, before what is measured next. They mark the report as noisy all the same.
+func (r *reporter) resetNoise() { r.takeNoise() }
+
 func mean(values []float64) (mean float64) {
 	for _, value := range values {
 		mean += value / float64(len(values))
--- a/internal/fleettest/restart.go
+++ b/internal/fleettest/restart.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// restartGateway kills a real gateway and starts it again, some times with the whole endpoint list known and as many
+// restartGateway kills a real gateway and starts it again: Restarts times with the whole endpoint list known, and as many
 // with none.
 func (r *fleetRun) restartGateway(ctx context.Context) error {
 	if r.options.Changes.Restarts == 0 || len(r.ready) == 0 {
@@ -21,7 +21,7 @@
 		{noListKnown, "time to ready after SIGKILL, list unknown", "from fork to +PONG, the whole list from the agent"},
 	} {
 		r.reporter.phase("%d restarts: %s", r.options.Changes.Restarts, restart.how)
-		r.reporter.noise()
+		r.reporter.resetNoise()
 		times, notReady, err := r.timeRestarts(ctx, r.ready[0], restart.known)
 		if err != nil {
 			return err
@@ -31,7 +31,7 @@
 			continue
 		}
 		r.reporter.row(restart.name, "ms", 1, times,
-			fmt.Sprintf("%s, mean of %d%s", restart.how, len(times), r.reporter.noise()))
+			fmt.Sprintf("%s, mean of %d%s", restart.how, len(times), r.reporter.takeNoise()))
 	}
 	return nil
 }
--- a/internal/fleettest/run.go
+++ b/internal/fleettest/run.go
@@ -33,9 +33,9 @@
 // measuredGateway is a real gateway with what is measured at it.
 type measuredGateway struct {
 	*realGateway
-	configFiles map[knownList]string
-	answered    atomic.Int64 // requests that ended while there was measured
-	added       *histogram   // the time that it adds to a request
+	configFiles   map[knownList]string
+	requestsEnded atomic.Int64 // while loadMeter.measuring was set
+	added         *histogram   // the time that it adds to a request
 }
 
 // knownList says which endpoint list a configuration names as known.
@@ -47,7 +47,8 @@
 )
 
 // Run carries out a run and cleans up after it, however it ends. Failures of gateways become rows; an error tells that
-// the run itself failed, or was cancelled, with what was measured until then. The report is nil where nothing was.
+// the run itself failed, or was cancelled, with what was measured until then. The report is nil where the options can't be
+// used or what takes part can't be opened.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	o = o.withDefaults()
 	if err := o.check(); err != nil {
@@ -128,8 +129,8 @@
 	return nil
 }
 
-// run goes through the phases. It returns an error only where the run itself can't go on. All goroutines that it starts
-// end before it returns.
+// run goes through the phases. It returns an error only where the run itself can't go on. The goroutines that it starts
+// end before it returns, but for that of startSenders which waits for the others: it ends soon after.
 func (r *fleetRun) run(ctx context.Context) error {
 	var background sync.WaitGroup
 	defer background.Wait()
@@ -200,7 +201,7 @@
 		}
 		r.reporter.failure(rowName, "ms", 1, errs[i])
 	}
-	noise := r.reporter.noise()
+	noise := r.reporter.takeNoise()
 	if len(ready) > 0 {
 		r.reporter.row(rowName, "ms", len(ready), ready,
 			"all real gateways at once, from fork to +PONG, whole list known"+noise)
--- a/internal/fleettest/simulated.go
+++ b/internal/fleettest/simulated.go
@@ -18,6 +18,8 @@
 	simulatedReadyTimeout = 30 * time.Second       // for all of them to take in the endpoint list
 	counterLatency        = 200 * time.Microsecond // from a counter call to its answer
 	rejectionLatency      = 100 * time.Microsecond // from an attempt to its being rejected
+	healthCheckLatency    = 100 * time.Microsecond // from a health check to its answer
+	fetchLatency          = 100 * time.Microsecond // from a fetch of the endpoint list to its snapshot
 	statePollInterval     = time.Millisecond       // while somebody waits for the gateways to be ready, or idle
 )
 
@@ -64,7 +66,7 @@
 // start starts a goroutine for each gateway, which ends with the context.
 func (f *simulatedFleet) start(ctx context.Context, goroutines *sync.WaitGroup, load *loadSwitch) {
 	for _, gateway := range f.gateways {
-		goroutines.Go(func() { gateway.run(ctx, load.begin, load.halt) })
+		goroutines.Go(func() { gateway.run(ctx, load.begun, load.halted) })
 	}
 }
 
@@ -107,7 +109,7 @@
 	return sum
 }
 
-// requestsSkipped is how many requests all were too late for.
+// requestsSkipped is how many requests the gateways skipped, as they came to them too late.
 func (f *simulatedFleet) requestsSkipped() (sum int64) {
 	for _, gateway := range f.gateways {
 		sum += gateway.skipped.Load()
@@ -121,7 +123,7 @@
 	f.stepTime.reset()
 }
 
-// simulatedGateway is a gateway without sockets: a decision module, fed in real time by the same endpoint list, numbers
+// simulatedGateway is a gateway without sockets: an engine, fed in real time by the same endpoint list, numbers
 // and model of the backends as the real gateways. The goroutine that runs it owns it, but for what is atomic.
 type simulatedGateway struct {
 	fleet     *simulatedFleet
@@ -139,11 +141,11 @@
 	ready   atomic.Bool // it has had its first Step
 	idle    atomic.Bool // no further request comes and none is open
 	steps   atomic.Int64
-	skipped atomic.Int64 // requests that it was too late for
+	skipped atomic.Int64 // requests that it came to too late; see arrive
 }
 
-// run serves until the context ends. Requests come from when begin is closed until halt is.
-func (g *simulatedGateway) run(ctx context.Context, begin, halt <-chan struct{}) {
+// run serves until the context ends. Requests come from when begun is closed until halted is.
+func (g *simulatedGateway) run(ctx context.Context, begun, halted <-chan struct{}) {
 	alarm := time.NewTimer(0)
 	defer alarm.Stop()
 	catalog := g.fleet.emulated.catalog
@@ -159,12 +161,12 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-begin:
-			begin = nil
+		case <-begun:
+			begun = nil
 			g.arrivals.nextAt = g.fleet.now()
 			g.takeArrivals()
-		case <-halt:
-			halt = nil
+		case <-halted:
+			halted = nil
 			g.arrivals.left = 0
 		case <-listChanged:
 			listChanged = g.takeChanges()
@@ -232,7 +234,7 @@
 	case policy.Fail:
 		g.answer(g.requests[action.ID], emulator.Failed)
 	case policy.HealthCheck:
-		g.after(rejectionLatency, func() {
+		g.after(healthCheckLatency, func() {
 			g.emit(policy.HealthCheckResult{Backend: action.Backend, Status: policy.OK})
 		})
 	case policy.AddToCounter:
@@ -240,7 +242,7 @@
 	case policy.SetTimer:
 		g.timers.Add(action.At, func() { g.emit(policy.Timer{Cookie: action.Cookie}) })
 	case policy.FetchEndpoints:
-		g.after(rejectionLatency, func() { g.takeList(g.fleet.emulated.catalog.Snapshot(), policy.Snapshot) })
+		g.after(fetchLatency, func() { g.takeList(g.fleet.emulated.catalog.Snapshot(), policy.Snapshot) })
 	}
 }
 
