--- a/cmd/fleetbench/flags.go
+++ b/cmd/fleetbench/flags.go
@@ -66,7 +66,7 @@
 	f.DurationVar(&b.within, "within", 2*time.Minute, "end after this; the report says what was cut")
 	f.IntVar(&b.Workers, "workers", runtime.NumCPU(), "gateways played side by side where no time is measured")
 	f.Uint64Var(&b.memoryMB, "memory-mb", b.HeapLimit>>20,
-		"end a measure when the heap holds more; half of the machine's by default")
+		"end a measure when the heap holds more; half of the computer's by default")
 	f.Float64Var(&b.NoisyAbove, "noisy", b.NoisyAbove,
 		"mark a time as noisy when its largest round is more than this many times its least")
 	f.DurationVar(&b.RoundsBudget, "budget", b.RoundsBudget,
--- a/internal/fleetsim/machine.go
+++ b/internal/fleetsim/computer.go
@@ -9,7 +9,8 @@
 	"strings"
 )
 
-// heapInUse is what the heap holds after a collection, in bytes.
+// heapInUse is the size of the spans of the heap that are in use after a collection, in bytes: what objects take, and the
+// room beside them that the process holds as well.
 func heapInUse() uint64 {
 	runtime.GC()
 	runtime.GC() // what the first one's finalizers let go
@@ -25,8 +26,8 @@
 	return s[0].Value.Uint64()
 }
 
-// machineMemory is the memory of the machine in bytes; 0 if it is not known.
-func machineMemory() uint64 {
+// computerMemory is the memory of the computer in bytes; 0 if it is not known.
+func computerMemory() uint64 {
 	f, err := os.Open("/proc/meminfo")
 	if err != nil {
 		return 0
@@ -41,7 +42,7 @@
 	return 0
 }
 
-// loadAverage is the machine's over the last one, five and fifteen minutes, as the system words it.
+// loadAverage is the computer's over the last one, five and fifteen minutes, as the system words it.
 func loadAverage() string {
 	b, err := os.ReadFile("/proc/loadavg")
 	if fields := strings.Fields(string(b)); err == nil && len(fields) >= 3 {
--- a/internal/fleetsim/countercalls.go
+++ b/internal/fleetsim/countercalls.go
@@ -48,7 +48,8 @@
 	played int     // gateways
 	part   float64 // that they are of the fleet
 
-	// The totals have the calls of the time that the last requests took to end: a second's at most.
+	// The totals are of callsCountedFor and of the time after it in which the last requests end (simulation.finish), whose
+	// calls count as well.
 	totals     requestTotals
 	pairsInUse int // of gateway and tenant
 }
@@ -110,8 +111,8 @@
 	rows.add("calls a door", "/s", perSecond/float64(m.played), fmt.Sprintf("%d neighbouring gateways with %.3f of the tenants "+
 		"and requests, over %v; the counter takes all calls and answers in %v", m.played, m.part, callsCountedFor, counterRoundTrip))
 	rows.add("calls of all", "/s", perSecond/m.part, fmt.Sprintf("scaled by %.3f", 1/m.part))
-	rows.add("calls a request", "x", m.totals.shareOfRequests(made), fmt.Sprintf("of %d requests; %.0f%% of the calls correct a "+
-		"number or give back", m.totals.Requests, 100*float64(m.totals.CounterCorrections)/float64(max(1, made))))
+	rows.add("calls a request", "x", m.totals.shareOfRequests(made), fmt.Sprintf("of %d requests; %.0f%% of the calls subtract "+
+		"from a number", m.totals.Requests, 100*float64(m.totals.CounterSubtractions)/float64(max(1, made))))
 	rows.add("pairs in use", "pairs", float64(m.pairsInUse)/m.part, "of gateway and tenant, each with its lease; scaled")
 	rows.add("served", "share", m.totals.servedShare(), "of the requests; a tenth of the tenants ask for more than their quota")
 }
--- a/internal/fleetsim/doc.go
+++ b/internal/fleetsim/doc.go
@@ -22,7 +22,7 @@
 // calls to the counter are measured, the gateways share one simulation.
 //
 // What a seed decides (requests, answers, what gateways do) repeats with it, whatever runs side by side. Times and bytes
-// are the machine's, and only their ratios within one run count.
+// are the computer's, and only their ratios within one run count.
 //
 // # Which measure stands where
 //
@@ -45,5 +45,5 @@
 //	settings.go       the engines' settings, and the traffic's constants
 //	fleet.go          what all simulations of one measure start from
 //	run.go            gateways side by side; what ends a measure early
-//	machine.go        the machine's memory and load
+//	computer.go       the computer's memory and load
 package fleetsim
--- a/internal/fleetsim/memory.go
+++ b/internal/fleetsim/memory.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// minWeighed and maxWeighed: the heap of so many gateways is taken, ...
-	minWeighed = 4
-	maxWeighed = 64
-	// weighedRecords: ... as many as know so many backends together, so that small ones show in the heap.
-	weighedRecords = 40000
-	// minHeapTraffic and maxHeapTraffic bound the virtual time before it is taken.
+	// minGatewaysMeasured and maxGatewaysMeasured bound how many gateways hold the heap that is measured.
+	minGatewaysMeasured = 4
+	maxGatewaysMeasured = 64
+	// backendsMeasured is how many backends these gateways know together: so many gateways that small ones show in the heap.
+	backendsMeasured = 40000
+	// minHeapTraffic and maxHeapTraffic bound the virtual time for which traffic is played before the heap is measured.
 	minHeapTraffic = 2 * time.Second
 	maxHeapTraffic = 30 * time.Second
 )
@@ -23,7 +23,7 @@
 // Memory measures what a gateway of this size holds: one that was told the endpoint list, and one after some traffic.
 func Memory(ctx context.Context, o Options, rep *Report, size Size) error {
 	o.sayMeasure("memory, %v", size)
-	indexes := weighedGateways(size)
+	indexes := gatewaysMeasured(size)
 	m := memoryMeasure{rows: sizedRows{report: rep, size: size}, gateways: len(indexes)}
 	f := o.fleet(size, EvenTraffic)
 	m.heapBefore = heapInUse()
@@ -45,9 +45,9 @@
 	return nil
 }
 
-// weighedGateways are the gateways whose heap is taken. Of a small fleet several have one index.
-func weighedGateways(size Size) []int {
-	n := max(minWeighed, min(maxWeighed, weighedRecords/size.Backends))
+// gatewaysMeasured are the gateways whose heap is measured. Of a small fleet several have one index.
+func gatewaysMeasured(size Size) []int {
+	n := max(minGatewaysMeasured, min(maxGatewaysMeasured, backendsMeasured/size.Backends))
 	indexes := make([]int, n)
 	for i := range indexes {
 		indexes[i] = i * size.Gateways / n
--- a/internal/fleetsim/population.go
+++ b/internal/fleetsim/population.go
@@ -7,24 +7,24 @@
 	"sort"
 )
 
-// Traffic is what comes to the gateways.
+// Traffic is what comes to the gateways and, in SlowStart, whether the other backends drain meanwhile.
 type Traffic string
 
 // Kinds of traffic. Their words end the names of rows in stored reports.
 const (
-	EvenTraffic   Traffic = "even"
-	UnevenTraffic Traffic = "uneven"  // a tenth of the gateways get five times the mean
-	OthersDrain   Traffic = "pressed" // even; in SlowStart, all other backends drain soon after the start
+	EvenTraffic            Traffic = "even"
+	UnevenTraffic          Traffic = "uneven"  // a tenth of the gateways get five times the mean
+	EvenTrafficOthersDrain Traffic = "pressed" // even; in SlowStart, all other backends drain soon after the start
 )
 
 const (
-	// heavyShare of the gateways get, with uneven traffic, ...
+	// heavyShare is the share of the gateways that get more than the others with uneven traffic.
 	heavyShare = 0.1
-	// heavyTimes the mean.
+	// heavyTimes is how many times the mean they get.
 	heavyTimes = 5.0
-	// secondShare of a tenant's requests come through the second of its gateways, ...
+	// secondShare is the share of a tenant's requests that come through the second of its gateways.
 	secondShare = 0.25
-	// furtherShare through each one after it, and the rest through the first.
+	// furtherShare is the share that comes through each gateway after the second. The rest comes through the first.
 	furtherShare = secondShare / 2
 )
 
@@ -154,8 +154,8 @@
 	return heavy
 }
 
-// setRate scales a gateway's traffic. Tenants keep their demand where it gets much more: there are more of them, or their
-// quotas would take the traffic away again.
+// setRate scales a gateway's traffic. Where it gets several times as much, each tenant is copied and the copies share the
+// rate, since a tenant's quota would cap the traffic.
 func (p *population) setRate(gateway int, rate float64) {
 	pairs := p.pairs[gateway]
 	factor := rate / p.rates[gateway]
--- a/internal/fleetsim/report.go
+++ b/internal/fleetsim/report.go
@@ -31,7 +31,9 @@
 	How    string  `json:"how"`
 }
 
-// Timed says whether the value depends on the machine; the others repeat with the seed.
+// Timed says whether the value is a time or a size of memory of this package's measures, which depend on the computer; the
+// others of these repeat with the seed. The rows that fleetbench mixed adds depend on the computer in other units as well
+// (ms, us, MB), and only those in bytes count as timed.
 func (r *Row) Timed() bool { return r.Unit == "ns" || r.Unit == "bytes" }
 
 // baseBackends is the size that times are compared with, if a sweep holds it; else it is the smallest.
@@ -160,7 +162,7 @@
 }
 
 // Against takes the values of an earlier report beside those of this one. The times of two runs compare only as far as the
-// machine was as busy in both.
+// computer was as busy in both.
 func (r *Report) Against(earlier *Report) {
 	for i := range r.Rows {
 		row := &r.Rows[i]
--- a/internal/fleetsim/report_test.go
+++ b/internal/fleetsim/report_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// sweep times and weighs gateways of three sizes.
+// sweep measures the time and the memory of gateways of three sizes.
 func sweep(t *testing.T, o Options) *Report {
 	t.Helper()
 	ctx, rep := context.Background(), NewReport(o)
--- a/internal/fleetsim/simulation.go
+++ b/internal/fleetsim/simulation.go
@@ -120,8 +120,9 @@
 	case resultStep:
 		s.attemptEnds(e)
 	case requestTimerStep:
-		// The timers of requests that are answered are dropped, as their cookies tell whose they are: an event loop
-		// would hand them over, and they would change nothing.
+		// The timers of requests that are answered are dropped: an event loop would hand them over, and they would change
+		// nothing. This knows of the engine's cookies what policy/engine.go keeps to itself: a request's is odd, and its
+		// ID is what is left without the lowest bit (deadlineCookie).
 		if s.requests.unanswered(e.input.(policy.Timer).Cookie>>1) != nil {
 			s.step(e.gateway, e.kind, e.input)
 		}
@@ -190,6 +191,8 @@
 	case policy.AddToCounter:
 		s.callCounter(g, action)
 	case policy.SetTimer:
+		// Of the engine's cookies (policy/engine.go) 0 is the periodic check's; that of polls does not come up, as these
+		// settings poll no endpoint list.
 		kind := requestTimerStep
 		if action.Cookie == 0 {
 			kind = periodicStep
@@ -305,7 +308,7 @@
 	if call.Amount > 0 {
 		s.tally.now().CounterAdds++
 	} else {
-		s.tally.now().CounterCorrections++
+		s.tally.now().CounterSubtractions++
 	}
 	s.events.add(&event{dueAt: s.now + counterRoundTrip, gateway: g, kind: counterStep,
 		input: policy.CounterResult{Name: call.Name, Status: policy.OK, Total: total}})
--- a/internal/fleetsim/stepmeter.go
+++ b/internal/fleetsim/stepmeter.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// minRounds of each timing are made, whatever time they take, ...
+	// minRounds is how many rounds of each timing are made, whatever time they take.
 	minRounds = 3
-	// maxRounds at the most, while the budget of real time lasts.
+	// maxRounds is how many rounds are made at most, while the budget of real time lasts.
 	maxRounds = 8
-	// clockReadings are made to find out what reading the clock takes.
+	// clockReadings is how often the clock is read to find out what reading it takes.
 	clockReadings = 2000
 )
 
-// cpuTime is the processor time of this thread, so that what else runs on the machine counts only as far as it takes the
+// cpuTime is the processor time of this thread, so that what else runs on the computer counts only as far as it takes the
 // caches and the memory. A goroutine that uses it must be locked to its thread.
 func cpuTime() time.Duration {
 	var ts unix.Timespec
--- a/internal/fleetsim/steptimes.go
+++ b/internal/fleetsim/steptimes.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// timedGateways of a size are timed, ...
+	// timedGateways is how many gateways of a size are timed.
 	timedGateways = 2
-	// largeList: ... but one from so many backends on, as what it does takes long there.
+	// largeList is the number of backends from which on one gateway is timed, as what it does takes long there.
 	largeList = 3000
-	// minWarmUp is the virtual time before a measure at least, ...
+	// minWarmUp is the least virtual time before a measure.
 	minWarmUp = 3 * time.Second
-	// warmUpRequests: ... and a gateway has had so many requests by then.
+	// warmUpRequests is how many requests a gateway has had before a measure; minWarmUp is made longer for them.
 	warmUpRequests = 100
 	// minRound and roundRequests: a round of timings lasts so long in virtual time, and until a gateway has had so many
 	// requests.
@@ -24,7 +24,7 @@
 	roundRequests = 50
 )
 
-// The names of the measures that hang together.
+// The names of two rows that are made of the same rounds.
 const (
 	decisionName    = "decision"
 	decisionP99Name = "decision p99"
--- a/internal/fleetsim/zoneloss.go
+++ b/internal/fleetsim/zoneloss.go
@@ -82,7 +82,7 @@
 // maxRecordedWait: longer waits count as this.
 const maxRecordedWait = time.Minute
 
-// newWaitHistogram returns a histogram of waits in microseconds, each one higher than it was.
+// newWaitHistogram returns a histogram of waits in microseconds, each a microsecond higher, as the least value is 1.
 func newWaitHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, int64(maxRecordedWait/time.Microsecond), 3)
 }
--- a/internal/fleettest/doc.go
+++ b/internal/fleettest/doc.go
@@ -3,11 +3,11 @@
 // A real gateway is the program itself: a process that is started as deploy/balancer.toml says and is reached through
 // sockets on loopback alone. A simulated gateway is an engine (policy.Engine) in this process: a goroutine feeds
 // it events and carries out its actions, with no sockets. It takes the place of a process where hundreds would be too
-// many for one machine. The systems outside a gateway (discovery's agent, the counter, the backends, the clients) are
+// many for one computer. The systems outside a gateway (discovery's agent, the counter, the backends, the clients) are
 // emulated, by package emulator.
 //
 // All gateways of a run are told the same endpoint list, count by the same numbers and send to the same model of the
-// backends, so that the real ones meet the sum of what many do. Everything runs on the machine's clock; a simulated
+// backends, so that the real ones meet the sum of what many do. Everything runs on the computer's clock; a simulated
 // gateway's clock starts at the Unix time at which the run began, as a real one's does. Nothing here runs in virtual
 // time: that is package fleetsim. What is measured at the real gateways is counted by the emulated systems or read from
 // the kernel, never told by the gateways.
--- a/internal/fleettest/options.go
+++ b/internal/fleettest/options.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// maxRealGateways bounds the processes that one machine may have to bear.
+// maxRealGateways bounds the processes that one computer may have to bear.
 const maxRealGateways = 1024
 
 // defaultDrainDuration is the time from a drain to the next change. The backends' last attempts have come by then.
--- a/internal/fleettest/report.go
+++ b/internal/fleettest/report.go
@@ -55,7 +55,7 @@
 type Report struct {
 	Setup
 	Seconds float64 `json:"seconds"` // how long was measured
-	Noisy   bool    `json:"noisy"`   // the machine was too busy for some of the figures
+	Noisy   bool    `json:"noisy"`   // the computer was too busy for some of the figures; see takeNoise
 	Totals
 	Rows []Row `json:"rows"`
 
--- a/internal/fleettest/run.go
+++ b/internal/fleettest/run.go
@@ -138,14 +138,14 @@
 	defer cancel()
 	background.Go(func() { r.reporter.delay.measure(ctx) })
 
-	heapBefore := heapInUse()
+	heapBefore := heapAllocated()
 	load := newLoadSwitch()
 	r.simulated.start(ctx, &background, load)
 	if err := r.startGateways(ctx); err != nil {
 		return err
 	}
 	if n := len(r.simulated.gateways); n > 0 {
-		r.reporter.row("memory of a hollow door", "MB", n, []float64{megabytes(heapInUse()-heapBefore) / float64(n)},
+		r.reporter.row("memory of a hollow door", "MB", n, []float64{megabytes(heapAllocated()-heapBefore) / float64(n)},
 			"of the heap, with the list taken in and no load yet")
 	}
 	if r.running() == 0 {
@@ -165,8 +165,8 @@
 // running is how many gateways run, real and simulated.
 func (r *fleetRun) running() int { return len(r.ready) + len(r.simulated.gateways) }
 
-// heapInUse returns how many bytes of the heap are in use.
-func heapInUse() int64 {
+// heapAllocated returns how many bytes objects on the heap take after a collection.
+func heapAllocated() int64 {
 	runtime.GC()
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
--- a/internal/fleettest/sockets.go
+++ b/internal/fleettest/sockets.go
@@ -125,7 +125,7 @@
 	return 0, fmt.Errorf("/proc/net/tcp: %w", errNoSuchSocket)
 }
 
-// socketTableAddr writes an IPv4 address and port as /proc/net/tcp does, the address in the machine's order of bytes.
+// socketTableAddr writes an IPv4 address and port as /proc/net/tcp does, the address in the computer's order of bytes.
 func socketTableAddr(addr netip.AddrPort) string {
 	ip := addr.Addr().Unmap().As4()
 	return fmt.Sprintf("%08X:%04X", binary.NativeEndian.Uint32(ip[:]), addr.Port())
