--- a/cmd/fleetbench/measures.go
+++ b/cmd/fleetbench/measures.go
@@ -16,7 +16,7 @@
 	// largestFleet is the number of gateways that the operators plan for.
 	largestFleet = 810
 	// sampled gateways are played of a fleet that is too large to play all.
-	sampled = 4
+	sampledGateways = 4
 	// maxBackendsPlayedWhole: with more backends, gateways are sampled.
 	maxBackendsPlayedWhole = 1000
 	// shortStretchFrom: with so many backends each gateway gets more requests, and a shorter stretch is enough.
@@ -156,7 +156,7 @@
 // gatewaysPlayed is how many gateways of a size are played; 0: all.
 func (b *benchmark) gatewaysPlayed(size fleetsim.Size) int {
 	if size.Backends > maxBackendsPlayedWhole && !b.wholeFleet {
-		return sampled
+		return sampledGateways
 	}
 	return 0
 }
--- a/cmd/fleetbench/mixed.go
+++ b/cmd/fleetbench/mixed.go
@@ -76,7 +76,8 @@
 	return errors.Join(errs...)
 }
 
-// options are those of the run with so many backends.
+// options are those of the run with so many backends. A 0 of --told, --duration or --backends asks for fleettest's default,
+// not for the flag's: the gateways that run, 20 s, 200 backends.
 func (m *mixedFlags) options(b *benchmark, backends int) fleettest.Options {
 	return fleettest.Options{
 		Root: m.root,
--- a/internal/fleetsim/simulation_test.go
+++ b/internal/fleetsim/simulation_test.go
@@ -71,7 +71,7 @@
 	}
 }
 
-// An engine that breaks the module's promises is found out.
+// An engine that breaks its promises is found out.
 func TestSimulationFindsASecondFinalAnswer(t *testing.T) {
 	o := quickOptions(1)
 	s, err := o.fleet(small, EvenTraffic).newSimulation(context.Background(), []int{0}, 1)
--- a/internal/fleettest/doc.go
+++ b/internal/fleettest/doc.go
@@ -12,9 +12,10 @@
 // time: that is package fleetsim. What is measured at the real gateways is counted by the emulated systems or read from
 // the kernel, never told by the gateways.
 //
-// A run (Run) goes through these phases: start all gateways; send requests and measure; drain backends meanwhile; halt
-// the requests; kill and restart a real gateway; end the real gateways. The audit's tests play fleets of their own, with
-// faults on the links between the processes and the emulated systems.
+// A run (Run) goes through these phases: start all gateways; send requests and measure; drain backends while requests go on
+// (after what is measured or, where a number of requests is measured, within it); halt the requests; kill and restart a
+// real gateway; end the real gateways. The audit's tests play fleets of their own, with faults on the links between the
+// processes and the emulated systems.
 //
 //	options.go, report.go          what to run, and what was measured
 //	run.go                         the phases
--- a/internal/fleettest/load.go
+++ b/internal/fleettest/load.go
@@ -128,7 +128,7 @@
 	}
 }
 
-// applyLoad sends requests, measures, and drains backends meanwhile.
+// applyLoad sends requests, measures, and drains backends while requests go on.
 func (r *fleetRun) applyLoad(ctx context.Context, load *loadSwitch) error {
 	senders := r.startSenders(ctx, load)
 	defer senders.stop()
--- a/internal/fleettest/options.go
+++ b/internal/fleettest/options.go
@@ -40,13 +40,13 @@
 type LoadOptions struct {
 	RequestsPerSecond float64       // at each gateway; default 20
 	Duration          time.Duration // how long is measured, a second after the load has begun; default 20 s
-	Requests          int           // if above 0: each gateway gets so many requests, and Duration is passed over
+	Requests          int           // if above 0: each gateway gets so many, with no second before, and Duration is passed over
 	Seed              uint64        // of the requests, the service times and the simulated gateways
 }
 
 // ChangeOptions say what changes meanwhile.
 type ChangeOptions struct {
-	Drains   int // after Duration: drains of one backend, and as many of a fifth at once; default 5, below 0: none
+	Drains   int // under load: drains of one backend, and as many of a fifth at once; default 5, below 0: none
 	Restarts int // of a real gateway, with the endpoint list in its configuration and as many without; default 3, below 0: none
 
 	drainDuration time.Duration // from a drain to the next change; default: defaultDrainDuration
--- a/internal/fleettest/process.go
+++ b/internal/fleettest/process.go
@@ -15,7 +15,8 @@
 )
 
 const (
-	terminateTimeout    = 5 * time.Second // from SIGTERM to SIGKILL; a gateway ends after 3.75 s at the latest, 0.1 s for its log included
+	// From SIGTERM to SIGKILL. A gateway ends after 3.75 s at the latest: its loop within 3.65 s, its log within 0.1 s more.
+	terminateTimeout    = 5 * time.Second
 	killTimeout         = 5 * time.Second // from SIGKILL; what still runs then is stuck in the kernel
 	logTailBytes        = 16 << 10        // of a process's log that are kept
 	clockTicksPerSecond = 100             // of the processor times in /proc/PID/stat, by proc(5) USER_HZ
--- a/internal/simprotocol/parse.go
+++ b/internal/simprotocol/parse.go
@@ -47,7 +47,8 @@
 	in   *bufio.Reader
 	line int // number of the last line
 
-	// Lists are told once, by CENSUS and its entries, and referred to by number.
+	// Lists are told once, by CENSUS and its entries, and referred to by number, by any number of instances. They are kept
+	// to the end; the events that refer to one share its entries, which nobody may change.
 	lists      map[int][]policy.Backend
 	listNumber int // of the list being told
 	list       []policy.Backend
--- a/internal/simprotocol/transport.go
+++ b/internal/simprotocol/transport.go
@@ -16,7 +16,8 @@
 	MaxOpenRequests                     int           // requests that may be open at once; 0: no limit is told
 }
 
-// ParseTransport maps settings, by their paths, to a Transport. The error is a *SettingError.
+// ParseTransport maps settings, by their paths, to a Transport. Zones and backend types that are not given are one entry with
+// no name. The error is a *SettingError.
 func ParseTransport(settings map[string]string) (Transport, error) {
 	v := &settingValues{values: settings}
 	transport := Transport{
