--- a/internal/policy/action.go
+++ b/internal/policy/action.go
@@ -2,57 +2,57 @@
 
 import "time"
 
-// Action is something that the caller must do. The types of this file that name it are all there are.
+// Action is something that the caller must do. Only the types of this file implement it.
 type Action interface{ action() }
 
-// SendAttempt starts an attempt. Attempts of a request are numbered 0, 1, 2 in the order of their
+// SendAttempt starts an attempt. The attempts of a request are numbered 0, 1, 2 in the order of their
 // SendAttempts.
 type SendAttempt struct {
 	ID         uint64
 	Backend    string
-	Timeout    time.Duration // after this the attempt ends as TimedOut, while dialing as ConnectFailed
-	SendBefore time.Duration // on the caller's clock: not sent by then, it ends as NotSent; 0: no bound
+	Timeout    time.Duration // then the attempt ends as TimedOut, or as ConnectFailed while dialing
+	SendBefore time.Duration // on the caller's clock; if not sent by then, it ends as NotSent; 0: no limit
 }
 
-// Reject is the final answer: rejected, and trying again is harmless.
+// Reject is the final answer that a request was rejected and that retrying it is harmless.
 type Reject struct {
 	ID         uint64
-	RetryAfter time.Duration // how long the client should stay away; 0: no advice
+	RetryAfter time.Duration // how long the client should wait before it retries; 0: no advice
 }
 
-// Fail is the final answer: failed, with no promise about its effect.
+// Fail is the final answer that a request failed, without any promise about its effect.
 type Fail struct{ ID uint64 }
 
-// CancelAttempt stops waiting for an attempt, whose AttemptResult still comes.
+// CancelAttempt stops waiting for an attempt. Its AttemptResult still follows.
 type CancelAttempt struct {
 	ID      uint64
 	Attempt int
 }
 
-// HealthCheck checks a backend; a HealthCheckResult answers it.
+// HealthCheck checks the health of a backend. A HealthCheckResult follows.
 type HealthCheck struct{ Backend string }
 
-// AddToCounter adds Amount to a number that all gateways share; a CounterResult answers it.
+// AddToCounter adds Amount to a number on the counter that all gateways share. A CounterResult follows.
 type AddToCounter struct {
 	Name   uint64
 	Amount float64
-	TTL    time.Duration // a new name is forgotten after this
+	TTL    time.Duration // lifetime of a number that this call creates
 }
 
-// SetTimer asks for a Timer event with the same Cookie at or after At.
+// SetTimer requests a Timer event with the same Cookie at time At or later.
 type SetTimer struct {
 	At     time.Duration
 	Cookie uint64
 }
 
-// WatchEndpoints asks for changes of the endpoint list from now on. The gateway watches it anyway, and
-// fetches the list once, as for FetchEndpoints.
+// WatchEndpoints requests changes of the endpoint list from now on. The gateway watches the list in any
+// case and handles this action as one FetchEndpoints.
 type WatchEndpoints struct{}
 
-// FetchEndpoints asks for the whole endpoint list once.
+// FetchEndpoints requests the whole endpoint list once.
 type FetchEndpoints struct{}
 
-// Log is a line for people.
+// Log is a log line for operators.
 type Log struct{ Text string }
 
 func (SendAttempt) action()    {}
--- a/internal/policy/doc.go
+++ b/internal/policy/doc.go
@@ -1,73 +1,78 @@
 // Package policy makes the decisions of one gateway that meters many tenants' use of one shared service:
-// which requests are forwarded, to which backend, when, how often, and which are rejected.
+// which requests are forwarded, to which backend, when and how often, and which are rejected.
 //
-// # What an engine is told, and what it answers
+// # Events and actions
 //
-// An [Engine] does no input or output, starts no goroutine and reads no clock. The caller hands it what
-// happened as [Event] values (event.go) and carries out the [Action] values that come back (action.go), in
-// their order. All times are time.Duration values on the caller's clock, which may start anywhere and must
-// not go back. The same [Settings], seed and events give the same actions. An Engine is not safe for
-// concurrent use; different Engines share nothing but the counter, which they reach by [AddToCounter].
+// An [Engine] does no input or output, starts no goroutine and reads no clock. The caller reports what
+// happened as [Event] values (event.go) and carries out the returned [Action] values (action.go) in
+// order. All times are time.Duration values on the caller's clock, which may start at any value and must
+// not go backwards. The same [Settings], seed and events always produce the same actions. An Engine is
+// not safe for concurrent use. Engines share no state except the counter, which they access through
+// [AddToCounter].
 //
-// Each [Request] gets one final answer: the result of an attempt that closes it, a [Reject] or a [Fail].
-// Each [SendAttempt] gets one [AttemptResult], also after a [CancelAttempt]; each [AddToCounter] one
-// [CounterResult], each [HealthCheck] one [HealthCheckResult], each [SetTimer] one [Timer]. The caller
-// keeps those promises.
+// Each [Request] gets one final answer: the result of the attempt that closes it, a [Reject] or a
+// [Fail]. The caller guarantees one [AttemptResult] for each [SendAttempt], even after a
+// [CancelAttempt], one [CounterResult] for each [AddToCounter], one [HealthCheckResult] for each
+// [HealthCheck], and one [Timer] for each [SetTimer].
 //
-// # The way of a request
+// # The path of a request
 //
 //	Request
-//	  admit           admission.go   its deadline budget; is the gateway in service, can an answer be in time,
-//	  |                              is the queue for the tenant's hard limit short enough?
-//	  serve           admission.go   the tenant's requests in their order, until one must wait
-//	  decideQuota     admission.go   requests admitted, hard limit, priority level; then payCost (quota.go)
-//	  |                              from the lease, from fallback tokens, or by a call to the counter
-//	  dispatch        dispatch.go    choose (selection.go) picks a backend; is there overload?
+//	  admit           admission.go      computes the deadline budget; checks that the gateway is in service,
+//	  |                                 that an answer can be in time, and that the tenant's queue for its
+//	  |                                 hard limit is short enough
+//	  serve           admission.go      takes the tenant's requests in order until one must wait
+//	  decideQuota     admission.go      checks the concurrency limit and the hard limit, sets the priority
+//	  |                                 level; then payCost (quota.go) pays from the lease, from fallback
+//	  |                                 tokens, or after a call to the counter
+//	  dispatch        dispatch.go       picks a backend with choose (selection.go); checks for overload
 //	  priority queue  priorityqueue.go
-//	  sendQueued      dispatch.go    a backend has a free slot: who goes next (nextRequest), who is stale?
-//	  send            attempt.go     the last guards
+//	  sendQueued      dispatch.go       runs when a backend has a free slot: selects the next request
+//	  |                                 (nextRequest) and rejects stale ones
+//	  send            attempt.go        makes the final checks
 //	SendAttempt
 //	AttemptResult
 //	  attemptEnded    attempt.go
-//	  recordResult    result.go      what it tells of the backend
-//	  retry           retry.go       a retry goes back to dispatch
-//	  end             requestend.go  what is in flight is cancelled, what it holds goes back
+//	  recordResult    result.go         updates what is known about the backend
+//	  retry           retry.go          sends the request back to dispatch
+//	  endRequest      requestend.go     cancels attempts in flight, returns what the request holds
 //
-// A request for which no backend is usable, and that cannot have run, waits among the unplaced and is
-// dispatched again by the periodic check. Whatever rule of the engine rejects a request calls reject
-// (rejection.go) with a [RejectReason]; only requests of an unknown class or plan are answered by admit
-// itself. The order of these rules stands at the head of rejection.go. What a request holds when it ends goes
-// back, and may let others of its tenant go on: so reject, too, can lead to dispatch. Beside this way, a
-// request ends by its timer (deadlinePassed), when its client is gone (clientGone), and by suspend.
+// If no backend is usable and the request can't have run yet, it is kept as unplaced, and the periodic
+// check dispatches it again. Whichever rule rejects a request calls reject (rejection.go) with a
+// [RejectReason]; the one exception is a request of an unknown class or plan, which admit answers
+// itself. The head of rejection.go lists the order of the rules. When a request ends, what it holds is
+// returned, which may let other requests of its tenant proceed; reject can therefore lead to dispatch.
+// Independently of this path, a request also ends when its timer fires (deadlinePassed), when its client
+// disconnects (clientGone), and by suspend.
 //
-// # Which rule stands where
+// # Where each rule is implemented
 //
-//	which requests go on                            admission.go
-//	at which priority level                         priority.go
-//	how many of a tenant's are admitted at once     maxconcurrent.go
-//	a tenant's quota over all gateways              quota.go, countercalls.go, packages lease, callshare
-//	a tenant's hard limit over all gateways         hardlimit.go, package hardlimit
-//	why a request is rejected                       rejection.go
-//	what a request gives back when it ends          requestend.go
-//	which tenants are known                         tenants.go
-//	how many attempts a backend gets at once        result.go, package concurrency
-//	how long an answer takes                        package latency
-//	what a warm backend carries                     package throughput
-//	which backends are left out, and come back      outlier.go, package outlier
-//	what a started backend gets                     slowstart.go, package slowstart
-//	which backends there are                        endpoints.go
-//	which of them this gateway uses                 subset.go, package internal/subset
-//	which of these gets a request                   selection.go
-//	what is rejected under overload                 dispatch.go
-//	what may be tried again, and where              retry.go
-//	what no event tells                             periodic.go
+//	which requests proceed                               admission.go
+//	their priority levels                                priority.go
+//	a tenant's concurrency limit                         maxconcurrent.go
+//	a tenant's quota over all gateways                   quota.go, countercalls.go, packages lease, callshare
+//	a tenant's hard limit over all gateways              hardlimit.go, package hardlimit
+//	why a request is rejected                            rejection.go
+//	what a request returns when it ends                  requestend.go
+//	which tenants are tracked                            tenants.go
+//	concurrency limit per backend                        result.go, package concurrency
+//	expected latency                                     package latency
+//	throughput of a warm backend                         package throughput
+//	ejecting and restoring backends                      outlier.go, package outlier
+//	slow start of a started backend                      slowstart.go, package slowstart
+//	the list of backends                                 endpoints.go
+//	the subset that this gateway uses                    subset.go, package internal/subset
+//	the backend for a request                            selection.go
+//	what is rejected under overload                      dispatch.go
+//	what may be retried, and where                       retry.go
+//	what no event signals                                periodic.go
 //
 // Each of these parts owns its state: the packages, and the types endpointRegistry, endpointPolling,
-// backendSubset, slowStarts, checkList, priorityQueues, tenantRegistry, counterCalls and callEstimates, of
-// which the Engine is composed. The Engine's methods are what needs several of them, in the order of
-// events. All random numbers come from the Engine's one source.
+// backendSubset, slowStarts, checkList, priorityQueues, tenantRegistry, counterCalls and callEstimates,
+// of which the Engine is composed. The Engine's methods implement what involves several of them, in the
+// order of events. All random numbers come from the Engine's single source.
 //
-// The mechanism is that of J. Andersson and M. Kihl, "Load Balancing and Admission Control of a Parlay X
-// Application Server", NTS 17, 2004, sections 3.1 and 4, carried over from one balancer to many gateways.
-// Comments say "a departure" where a rule is another than the paper's.
+// The algorithm follows J. Andersson and M. Kihl, "Load Balancing and Admission Control of a Parlay X
+// Application Server", NTS 17, 2004, sections 3.1 and 4, adapted from one load balancer to many
+// gateways. Comments say "a departure" where a rule differs from the paper.
 package policy
--- a/internal/policy/engine.go
+++ b/internal/policy/engine.go
@@ -9,19 +9,19 @@
 	"bellwood/internal/policy/throughput"
 )
 
-// Engine decides for one gateway. It calls its parts in the order of the events. The requests, the clock and
-// whether it is suspended are its own; all other state belongs to the parts.
+// Engine makes the decisions of one gateway by calling its parts in the order of events. It owns the
+// requests, the clock and whether it is suspended; all other state belongs to the parts.
 type Engine struct {
 	settings Settings
-	rng      *rand.Rand // all random numbers come from here, in the order of the events
+	rng      *rand.Rand // the only source of random numbers, drawn in the order of events
 
-	now          time.Duration // of the Step that runs
-	previousStep time.Duration // of the Step before
+	now          time.Duration // of the current Step
+	previousStep time.Duration // of the previous Step
 	startedAt    time.Duration // of the first Step
 	checkedAt    time.Duration // of the last periodic check
 	started      bool
 	suspended    bool
-	actions      []Action // of the Step that runs
+	actions      []Action // of the current Step
 
 	requests   map[uint64]*request
 	rejections rejectionCounts
@@ -40,22 +40,22 @@
 	toCheck    checkList
 
 	queues     priorityQueues
-	roundRobin int // the turn of choose
+	roundRobin int // rotates the backend that choose starts with
 
-	maxTimeLeft []time.Duration // by class, the most time that a client gave
+	maxTimeLeft []time.Duration // by class, the largest Request.TimeLeft so far
 }
 
-// The cookies of the engine's timers. A request's is odd.
+// Timer cookies of the engine. Those of requests are odd (deadlineCookie).
 const (
 	checkCookie = 0 // the periodic check
-	pollCookie  = 2 // the pause after a failed call for the endpoint list is over
+	pollCookie  = 2 // the pause after a failed call for the endpoint list
 )
 
-// deadlineCookie is the cookie of the timer for a request's deadline.
+// deadlineCookie returns the cookie of the timer for a request's deadline.
 func deadlineCookie(id uint64) uint64 { return id<<1 | 1 }
 
-// New makes an engine that knows nothing yet. The seed is for its random numbers. An error names the field
-// of Settings that the engine can't work with.
+// New returns an engine that has seen no events. The seed is for its random numbers. An error names the
+// field of Settings that is invalid.
 func New(set Settings, seed uint64) (*Engine, error) {
 	if err := set.check(); err != nil {
 		return nil, err
@@ -80,8 +80,8 @@
 	}, nil
 }
 
-// Step takes what happened at time now, in order, and returns what to do, in order. The slice is the
-// caller's until the next Step.
+// Step processes the events that happened at time now, in order, and returns the actions to carry out,
+// in order. The returned slice is valid until the next Step.
 func (e *Engine) Step(now time.Duration, events []Event) []Action {
 	e.actions = e.actions[:0]
 	e.previousStep, e.now = e.now, max(e.now, now)
@@ -89,15 +89,15 @@
 		e.start()
 	}
 	for _, ev := range events {
-		e.take(ev)
+		e.handleEvent(ev)
 	}
 	return e.actions
 }
 
-// start begins the work, with the first Step.
+// start initializes the engine on the first Step.
 func (e *Engine) start() {
 	e.started, e.startedAt = true, e.now
-	e.roundRobin = e.rng.IntN(1 << 16) // gateways that start together don't all begin with the same backend
+	e.roundRobin = e.rng.IntN(1 << 16) // gateways that start together begin with different backends
 	e.throughput.Start(e.now)
 	e.emit(SetTimer{e.now + checkInterval, checkCookie})
 	if e.settings.PollEndpoints {
@@ -105,8 +105,8 @@
 	}
 }
 
-// take calls the rule for an event.
-func (e *Engine) take(ev Event) {
+// handleEvent calls the handler for an event.
+func (e *Engine) handleEvent(ev Event) {
 	switch ev := ev.(type) {
 	case Request:
 		e.admit(ev)
@@ -126,11 +126,11 @@
 		e.healthChecked(ev)
 	case Suspend:
 		e.suspend(ev.On)
-	case PeerMessage: // this engine sends none and needs none
+	case PeerMessage: // not used by this engine
 	}
 }
 
-// timerDue handles the engine's own timers and those of the requests' deadlines.
+// timerDue handles the timers of the engine and those of the requests' deadlines.
 func (e *Engine) timerDue(ev Timer) {
 	switch ev.Cookie {
 	case checkCookie:
@@ -143,5 +143,5 @@
 	}
 }
 
-// emit adds an action to those of the Step that runs.
+// emit appends an action to those that the current Step returns.
 func (e *Engine) emit(a Action) { e.actions = append(e.actions, a) }
--- a/internal/policy/event.go
+++ b/internal/policy/event.go
@@ -2,85 +2,87 @@
 
 import "time"
 
-// Event is something that happened. The types of this file that name it are all there are.
+// Event is something that happened. Only the types of this file implement it.
 type Event interface{ event() }
 
-// Request has reached this gateway, which now owes it one final answer. IDs never come twice.
+// Request reports a request that has reached this gateway, which now owes it one final answer. IDs are
+// never reused.
 type Request struct {
 	ID          uint64
-	Class       int // index of Settings.Classes
-	Plan        int // index of Settings.Plans
+	Class       int // index into Settings.Classes
+	Plan        int // index into Settings.Plans
 	Tenant      string
 	TimeLeft    time.Duration // until the client gives up on this try
-	Cost        float64       // units that it takes from the quota
-	Gateways    int           // gateways through which this tenant's requests come; 0: all
-	ClientRetry bool          // a client's repeat, where clients mark it
+	Cost        float64       // in units of the quota
+	Gateways    int           // number of gateways that receive this tenant's requests; 0: all
+	ClientRetry bool          // a client's retry, if clients mark their retries
 }
 
-// AttemptResult ends one attempt. Every SendAttempt gets exactly one.
+// AttemptResult reports how an attempt ended. Each SendAttempt gets exactly one.
 type AttemptResult struct {
 	ID            uint64
 	Attempt       int
 	Backend       string
 	Status        Status
-	Latency       time.Duration // since it was sent
-	RequestClosed bool          // the request is over
-	QuotaUsage    int           // not used by the engine: 1 + percent of the quota used; 0: not told
-	Cost          float64       // with Settings.CostSettledOnResponse: the true units, on the first OK
+	Latency       time.Duration // since the attempt was sent
+	RequestClosed bool          // the request has ended with this attempt
+	QuotaUsage    int           // not used by the engine: 1 + percent of the quota used; 0: unknown
+	Cost          float64       // with Settings.CostSettledOnResponse: the true cost, on the first OK
 }
 
-// Status says how an attempt, a health check or a counter call ended.
+// Status is the outcome of an attempt, a health check or a counter call.
 type Status int
 
-// How an attempt can end.
+// The outcomes of an attempt.
 const (
-	Failed          Status = iota // the backend answered with an error; it may have run
-	OK                            // served
-	Rejected                      // the backend rejected it unseen; it never ran
+	Failed          Status = iota // the backend returned an error; it may have run
+	OK                            // the request was served
+	Rejected                      // the backend rejected it without processing; it never ran
 	TimedOut                      // no answer in time; it may have run
-	ConnectFailed                 // no connection, or broken before all was written; it never ran
+	ConnectFailed                 // no connection, or it broke before all was written; it never ran
 	ConnectionReset               // the connection broke; it may have run
-	Cancelled                     // cancelled by this gateway; it may have run
-	NotSent                       // not sent; it never ran
+	Cancelled                     // this gateway cancelled it; it may have run
+	NotSent                       // it was not sent; it never ran
 )
 
-// mayHaveRun says whether a backend may have acted on an attempt that ended so.
+// mayHaveRun reports whether a backend may have acted on an attempt with this outcome.
 func (s Status) mayHaveRun() bool { return s != Rejected && s != ConnectFailed && s != NotSent }
 
-// FirstByte tells that a streamed answer has begun; its deadline no longer runs.
+// FirstByte reports that a streamed response has started; its deadline no longer applies.
 type FirstByte struct {
 	ID      uint64
 	Attempt int
 }
 
-// ClientGone ends a request whose client has left.
+// ClientGone reports that the client of a request has disconnected. It ends the request.
 type ClientGone struct{ ID uint64 }
 
-// CounterResult answers one AddToCounter. Results for one name come in the order of the calls.
+// CounterResult is the result of one AddToCounter. Results for the same name come in the order of the
+// calls.
 type CounterResult struct {
 	Name   uint64
-	Status Status // OK; Rejected or ConnectFailed: nothing was added; TimedOut: it may have been
+	Status Status // OK; Rejected, ConnectFailed: not added; TimedOut: perhaps added
 	Total  float64
 }
 
-// Timer is due: see SetTimer.
+// Timer reports that a timer is due; see SetTimer.
 type Timer struct{ Cookie uint64 }
 
-// EndpointUpdate brings changes of the endpoint list.
+// EndpointUpdate reports changes of the endpoint list.
 type EndpointUpdate struct {
 	Kind     UpdateKind
 	Backends []Backend
 }
 
-// UpdateKind says what an EndpointUpdate holds.
+// UpdateKind is the kind of an EndpointUpdate.
 type UpdateKind int
 
 // The kinds of update.
 const (
-	Delta          UpdateKind = iota // changed entries only
+	Delta          UpdateKind = iota // only the changed entries
 	Snapshot                         // the whole list
-	CachedSnapshot                   // the whole list as last had, maybe old
-	UpdateFailed                     // a WatchEndpoints or FetchEndpoints failed; no entries
+	CachedSnapshot                   // the whole list as last known, possibly outdated
+	UpdateFailed                     // WatchEndpoints or FetchEndpoints failed; no entries
 )
 
 // Backend is an entry of the endpoint list.
@@ -90,11 +92,11 @@
 	Kind    int // not used by the engine
 	Cell    int
 	State   BackendState
-	Weight  float64       // capacity compared with other backends'; 0 counts as 1
-	Started time.Duration // when it last started, on the caller's clock; 0: long ago
+	Weight  float64       // capacity relative to other backends; 0 counts as 1
+	Started time.Duration // time of its last start on the caller's clock; 0: long ago
 }
 
-// BackendState is what discovery says of a backend.
+// BackendState is the state of a backend according to discovery.
 type BackendState int
 
 // The states of a backend.
@@ -110,8 +112,8 @@
 	Status  Status
 }
 
-// Suspend tells that nothing more may be forwarded, or that it may again. Requests that come meanwhile, and
-// those with no attempt in flight, are rejected at once; attempts in flight go on.
+// Suspend tells the engine to stop or resume forwarding. While it is suspended, new requests and those
+// with no attempt in flight are rejected immediately; attempts in flight continue.
 type Suspend struct{ On bool }
 
 // PeerMessage is a message from another gateway. The engine ignores it.
