--- a/internal/policy/concurrency/concurrency.go
+++ b/internal/policy/concurrency/concurrency.go
@@ -1,6 +1,7 @@
-// Package concurrency limits how many attempts one gateway has in flight at one backend, by what the
-// backend's answers tell: additive increase while latency is well under what a request can wait,
-// multiplicative decrease when it is not, or when the backend rejects or a connection breaks.
+// Package concurrency limits the number of attempts that one gateway has in flight at one backend, based
+// on the backend's answers. The limit increases additively while latency is well below what a request
+// can wait, and decreases multiplicatively when it is not, when the backend rejects an attempt, or when
+// a connection breaks.
 //
 // A [Limiter] belongs to one backend of one engine and is not safe for concurrent use. Latencies are in
 // seconds, times are on the engine's clock.
@@ -9,94 +10,99 @@
 import "time"
 
 const (
-	startLimit = 4.0  // a backend's limit at first, over all gateways that use it
-	maxLimit   = 32.0 // of one gateway
-	minLimit   = 0.1  // of one gateway: under one, there are pauses between attempts
-
-	// growth is what each answer in time adds to the limit, divided by the limit.
-	growth = 0.5
-	// shrinkBudgetShare is the share of a request's deadline budget over which latency shrinks the limit.
+	startLimit = 4.0  // initial limit of a backend, over all gateways that use it
+	maxLimit   = 32.0 // per gateway
+	minLimit   = 0.1  // per gateway; below 1 there are pauses between attempts
+
+	// additiveIncrease, divided by the limit or by 1 if that is more, is what each sufficiently fast answer
+	// adds to the limit.
+	additiveIncrease = 0.5
+	// shrinkBudgetShare is the share of a request's deadline budget above which a latency reduces the
+	// limit.
 	shrinkBudgetShare = 0.4
-	// shrinkIdleRatio is the latency over that of an idle fleet over which it does so too.
+	// shrinkIdleRatio is the ratio to an idle fleet's latency above which a latency reduces the limit.
 	shrinkIdleRatio = 2.2
-	// growShare is the share of both bounds under which latency lets the limit grow.
+	// growShare is the share of both bounds below which a latency lets the limit grow.
 	growShare = 0.7
 
-	// lowTotal is the limit over all gateways at which waiting can't be what makes latency high.
+	// lowTotal is the limit over all gateways at which waiting inside the backend can't be the cause of
+	// high latency.
 	lowTotal = 3.0
-	// minTotalShare is the share of lowTotal down to which latency shrinks the limit.
+	// minTotalShare is the share of lowTotal down to which high latency reduces the limit.
 	minTotalShare = 0.7
 
-	lateFactor      = 0.93 // on the limit, for each late answer
-	timeoutFactor   = 0.8  // for an attempt out of time: it may still hold its place at the backend
-	rejectionFactor = 0.7  // for a rejection or a broken connection
+	lateFactor      = 0.93 // multiplies the limit on an answer with high latency
+	timeoutFactor   = 0.8  // on a time-out, since the attempt may still occupy the backend
+	rejectionFactor = 0.7  // on a rejection or a broken connection
 )
 
-// Limiter holds the limit of one backend. The zero value has no limit yet: nothing may be sent before
-// Start or Restart.
+// Limiter holds the concurrency limit of one backend. The zero value has no limit yet: no attempt is
+// allowed before Start or Restart.
 type Limiter struct {
 	limit       float64
 	pausedUntil time.Duration
 }
 
-// Ready says whether there is a limit.
+// Ready reports whether the limit has been set.
 func (l *Limiter) Ready() bool { return l.limit > 0 }
 
-// Limit is the limit; under one, attempts go one by one with pauses.
+// Limit returns the limit. Below 1, attempts are sent one at a time with pauses between them.
 func (l *Limiter) Limit() float64 { return l.limit }
 
-// Start sets the first limit of a backend that so many gateways use.
+// Start sets the initial limit of a backend that is used by the given number of gateways.
 func (l *Limiter) Start(gateways float64) { l.limit = max(minLimit, startLimit/gateways) }
 
-// Restart sets the limit of a backend that has just started: one attempt tells more of it.
+// Restart sets the limit of a backend that has just started to 1: a single attempt reveals more about
+// it.
 func (l *Limiter) Restart() { l.limit = 1 }
 
-// HasFree says whether one more attempt may be sent with so many in flight. A limit under one means a
-// pause between attempts: with many gateways even one of each at a time can be too much, and what a
-// backend rejects costs it work as well.
+// HasFree reports whether another attempt may be sent while inFlight attempts are in flight. A limit
+// below 1 means pauses between attempts: with many gateways, even one concurrent attempt from each can
+// be too much, and rejecting an attempt costs the backend work as well.
 func (l *Limiter) HasFree(now time.Duration, inFlight int) bool {
 	return inFlight < max(1, int(l.limit)) && now >= l.pausedUntil
 }
 
-// IsLow says whether the gateways together allow so few attempts at the backend that waiting there can't
-// explain its latency. It takes their limits to be equal.
+// IsLow reports whether all gateways together allow so few attempts at the backend that waiting there
+// can't explain its latency. It assumes that their limits are equal.
 func (l *Limiter) IsLow(gateways float64) bool { return l.limit*gateways <= lowTotal }
 
-// Answer is what an answer tells of a backend.
+// Answer describes an answer of a backend.
 type Answer struct {
-	Latency  float64 // that the backend's answers take of late
-	Budget   float64 // the time within which the request had to be answered
-	Idle     float64 // latency of its class on an idle fleet
-	InFlight int     // attempts that are still in flight there
-	Gateways float64 // that use the backend
+	Latency  float64 // recent latency of the backend's answers
+	Budget   float64 // time within which the request had to be answered
+	Idle     float64 // latency of the request's class on an idle fleet
+	InFlight int     // attempts still in flight at the backend
+	Gateways float64 // number of gateways that use the backend
 }
 
-// RecordAnswer grows the limit while latency is low and all of it is in use, and shrinks it when latency is
-// high: over a share of the request's time, or over a multiple of an idle fleet's latency (a departure). The
-// paper's time limit alone would let queues form inside the backends, where no priority counts and where work
-// that nobody waits for any more goes on.
+// RecordAnswer increases the limit while latency is low and the limit is fully used, and reduces it when
+// latency is high, that is, above a share of the request's time or above a multiple of an idle fleet's
+// latency. (The second bound is a departure: with the paper's time limit alone, queues would form inside
+// the backends, where priorities have no effect and where work continues that no client waits for any
+// more.)
 func (l *Limiter) RecordAnswer(a Answer) {
 	high := min(a.Budget*shrinkBudgetShare, shrinkIdleRatio*a.Idle)
 	switch {
 	case a.Latency > high && l.limit*a.Gateways > minTotalShare*lowTotal:
 		l.limit *= lateFactor
 	case a.Latency < high*growShare && a.InFlight+1 >= int(l.limit):
-		l.limit = min(maxLimit, l.limit+growth/max(1, l.limit))
+		l.limit = min(maxLimit, l.limit+additiveIncrease/max(1, l.limit))
 	}
 }
 
-// RecordTimeout notes an attempt without an answer in time.
+// RecordTimeout records an attempt that timed out.
 func (l *Limiter) RecordTimeout() { l.limit *= timeoutFactor }
 
-// RecordRejection notes a rejection by the backend: the limit falls under one at once.
+// RecordRejection records a rejection by the backend: the limit immediately drops below 1.
 func (l *Limiter) RecordRejection() { l.limit = min(1, l.limit) * rejectionFactor }
 
-// RecordBroken notes a broken connection, or one that could not be made.
-func (l *Limiter) RecordBroken() { l.limit *= rejectionFactor }
+// RecordBrokenConnection records a broken or failed connection.
+func (l *Limiter) RecordBrokenConnection() { l.limit *= rejectionFactor }
 
-// Pause begins a pause if the limit is under one and no pause is under way, so long that the backend has an
-// attempt for about that part of the time. It is called after each result, with the latency in seconds that
-// the backend's answers take.
+// Pause starts a pause if the limit is below 1 and no pause is in progress. Its length makes the backend
+// busy with an attempt for about that fraction of the time. Pause is called after each result, with the
+// latency of the backend's answers in seconds.
 func (l *Limiter) Pause(now time.Duration, latency float64) {
 	l.limit = max(minLimit, l.limit)
 	if l.limit < 1 && now >= l.pausedUntil {
--- a/internal/policy/concurrency/concurrency_test.go
+++ b/internal/policy/concurrency/concurrency_test.go
@@ -5,132 +5,132 @@
 	"time"
 )
 
-// quick and slow are answers on a fleet whose idle latency is 0.1 s.
+// fast and slow are answers on a fleet whose idle latency is 0.1 s.
 var (
-	quick = Answer{Latency: 0.1, Budget: 2, Idle: 0.1, InFlight: 31, Gateways: 1}
+	fast = Answer{Latency: 0.1, Budget: 2, Idle: 0.1, InFlight: 31, Gateways: 1}
 	slow  = Answer{Latency: 0.3, Budget: 2, Idle: 0.1, InFlight: 31, Gateways: 1}
 )
 
-func started(gateways float64) *Limiter {
+func startedLimiter(gateways float64) *Limiter {
 	l := &Limiter{}
 	l.Start(gateways)
 	return l
 }
 
-func TestNothingIsFreeBeforeTheStart(t *testing.T) {
+func TestLimiterAllowsNothingBeforeStart(t *testing.T) {
 	l := &Limiter{}
 	if l.Ready() {
-		t.Error("it has a limit")
+		t.Error("a new limiter is ready before Start")
 	}
 	if l.Start(1); !l.Ready() || l.Limit() != startLimit {
-		t.Errorf("a limit of %v", l.Limit())
+		t.Errorf("after Start(1): ready %v, limit %v, want a limit of %v", l.Ready(), l.Limit(), startLimit)
 	}
 }
 
-func TestFirstLimitIsDividedAmongTheGateways(t *testing.T) {
+func TestInitialLimitIsDividedAmongGateways(t *testing.T) {
 	for gateways, want := range map[float64]float64{1: 4, 2: 2, 16: 0.25, 1000: minLimit} {
-		if got := started(gateways).Limit(); got != want {
-			t.Errorf("%v gateways: %v, want %v", gateways, got, want)
+		if got := startedLimiter(gateways).Limit(); got != want {
+			t.Errorf("%v gateways: initial limit %v, want %v", gateways, got, want)
 		}
 	}
 }
 
-func TestFreeUnderTheLimit(t *testing.T) {
-	l := started(1)
+func TestAttemptsAreAllowedBelowTheLimit(t *testing.T) {
+	l := startedLimiter(1)
 	for inFlight := range 6 {
 		if got, want := l.HasFree(0, inFlight), inFlight < 4; got != want {
-			t.Errorf("%d in flight of 4: free %v", inFlight, got)
+			t.Errorf("limit 4, %d in flight: HasFree is %v, want %v", inFlight, got, want)
 		}
 	}
 }
 
-func TestQuickAnswersGrowTheLimitWhileItIsUsed(t *testing.T) {
-	l := started(1)
-	idle := quick
-	idle.InFlight = 2
-	if l.RecordAnswer(idle); l.Limit() != startLimit {
-		t.Errorf("grown to %v with half of it in use", l.Limit())
+func TestLowLatencyRaisesTheLimitOnlyWhileItIsFullyUsed(t *testing.T) {
+	l := startedLimiter(1)
+	partlyUsed := fast
+	partlyUsed.InFlight = 2
+	if l.RecordAnswer(partlyUsed); l.Limit() != startLimit {
+		t.Errorf("limit grew to %v with three of four slots in use", l.Limit())
 	}
-	if l.RecordAnswer(quick); l.Limit() != startLimit+growth/startLimit {
-		t.Errorf("%v after one quick answer", l.Limit())
+	if l.RecordAnswer(fast); l.Limit() != startLimit+additiveIncrease/startLimit {
+		t.Errorf("limit %v after one fast answer", l.Limit())
 	}
 	for range 10000 {
-		l.RecordAnswer(quick)
+		l.RecordAnswer(fast)
 	}
 	if l.Limit() != maxLimit {
-		t.Errorf("%v after many, want %v", l.Limit(), maxLimit)
+		t.Errorf("limit %v after many fast answers, want %v", l.Limit(), maxLimit)
 	}
 }
 
-func TestSlowAnswersShrinkTheLimitWhileWaitingCanBeTheCause(t *testing.T) {
-	l := started(1)
+func TestHighLatencyLowersTheLimitOnlyWhileWaitingCanBeTheCause(t *testing.T) {
+	l := startedLimiter(1)
 	if l.RecordAnswer(slow); l.Limit() != startLimit*lateFactor {
-		t.Errorf("%v after one", l.Limit())
+		t.Errorf("limit %v after one slow answer", l.Limit())
 	}
 	for range 1000 {
 		l.RecordAnswer(slow)
 	}
 	if low := l.Limit(); low > minTotalShare*lowTotal || low < minTotalShare*lowTotal*lateFactor || !l.IsLow(1) {
-		t.Errorf("%v after many: it stops where so few are in flight that none waits", low)
+		t.Errorf("limit %v after many slow answers: it should stop where too few attempts are in flight to wait", low)
 	}
 }
 
-func TestLatencyCountsAgainstTheBudgetToo(t *testing.T) {
-	l := started(1)
-	late := quick
+func TestLatencyOverTheBudgetShareLowersTheLimit(t *testing.T) {
+	l := startedLimiter(1)
+	late := fast
 	late.Budget = 0.2
 	if l.RecordAnswer(late); l.Limit() >= startLimit {
-		t.Errorf("%v after an answer that took half of its budget", l.Limit())
+		t.Errorf("limit %v after an answer that took half of its budget", l.Limit())
 	}
 }
 
-func TestFailuresShrinkTheLimit(t *testing.T) {
+func TestFailuresLowerTheLimit(t *testing.T) {
 	for name, c := range map[string]struct {
 		record func(*Limiter)
 		want   float64
 	}{
 		"time-out":          {(*Limiter).RecordTimeout, startLimit * timeoutFactor},
 		"rejection":         {(*Limiter).RecordRejection, rejectionFactor},
-		"broken connection": {(*Limiter).RecordBroken, startLimit * rejectionFactor},
+		"broken connection": {(*Limiter).RecordBrokenConnection, startLimit * rejectionFactor},
 	} {
-		l := started(1)
+		l := startedLimiter(1)
 		if c.record(l); l.Limit() != c.want {
-			t.Errorf("%s: %v, want %v", name, l.Limit(), c.want)
+			t.Errorf("%s: limit %v, want %v", name, l.Limit(), c.want)
 		}
 	}
 }
 
-func TestUnderOneThereArePauses(t *testing.T) {
+func TestLimitBelowOnePausesBetweenAttempts(t *testing.T) {
 	const latency = 0.1
-	l := started(8) // half an attempt
+	l := startedLimiter(8) // a limit of 0.5
 	now := time.Second
 	l.Pause(now, latency)
 	if l.HasFree(now, 0) || l.HasFree(now+99*time.Millisecond, 0) {
-		t.Error("free within the pause")
+		t.Error("an attempt is allowed during the pause")
 	}
 	if !l.HasFree(now+101*time.Millisecond, 0) {
-		t.Error("not free after a pause as long as an answer takes")
+		t.Error("no attempt is allowed after a pause as long as one answer")
 	}
 	l.Pause(now+50*time.Millisecond, latency)
 	if !l.HasFree(now+101*time.Millisecond, 0) {
-		t.Error("a pause was made longer while it was on")
+		t.Error("a pause in progress was extended")
 	}
 	if l.Restart(); l.Limit() != 1 {
-		t.Errorf("%v after a restart", l.Limit())
+		t.Errorf("limit %v after a restart, want 1", l.Limit())
 	}
 	l.Pause(now+time.Second, latency)
 	if !l.HasFree(now+time.Second, 0) {
-		t.Error("a pause with a limit of one")
+		t.Error("there is a pause at a limit of 1")
 	}
 }
 
-func TestLimitStaysAboveItsMinimum(t *testing.T) {
-	l := started(1)
+func TestLimitDoesNotFallBelowItsMinimum(t *testing.T) {
+	l := startedLimiter(1)
 	for range 100 {
 		l.RecordTimeout()
 		l.Pause(time.Second, 0.1)
 	}
 	if l.Limit() != minLimit {
-		t.Errorf("%v after many time-outs, want %v", l.Limit(), minLimit)
+		t.Errorf("limit %v after many time-outs, want %v", l.Limit(), minLimit)
 	}
 }
--- a/internal/policy/maxconcurrent.go
+++ b/internal/policy/maxconcurrent.go
@@ -1,14 +1,16 @@
 package policy
 
-// The limit of a plan on a tenant's requests at once, Plan.MaxConcurrent. A request counts from when it is
-// within its limits and its quota (decideQuota) until it ends: it is admitted, be it queued here or in flight
-// at a backend. What goes on over its quota (placeOverQuota) does not count.
+// The limit of a plan on a tenant's concurrent requests, Plan.MaxConcurrent. A request is counted as
+// admitted from when decideQuota finds it within its limits and its quota until it ends, whether it is
+// queued here or in flight at a backend. Requests that proceed over their quota (placeOverQuota) are not
+// counted.
 
-// othersAdmittedMargin is how many requests the other gateways may have admitted beyond what their mean
-// demand says.
+// othersAdmittedMargin is the number of requests that the other gateways are assumed to have admitted
+// beyond what their mean demand implies.
 const othersAdmittedMargin = 0.5
 
-// concurrencyLimitReached says whether a tenant has as many requests admitted here as it may.
+// concurrencyLimitReached reports whether a tenant has as many requests admitted at this gateway as are
+// allowed.
 func (e *Engine) concurrencyLimitReached(r *request) bool {
 	return e.settings.Plans[r.plan].MaxConcurrent > 0 && r.tenant.admitted >= e.maxAdmitted(r)
 }
@@ -21,7 +23,7 @@
 	}
 }
 
-// stopCountingAdmitted stops counting a request that has ended, and serves its tenant's next ones.
+// stopCountingAdmitted stops counting a request that has ended and serves its tenant's waiting requests.
 func (e *Engine) stopCountingAdmitted(r *request) {
 	if r.quota.admitted {
 		r.quota.admitted = false
@@ -30,12 +32,14 @@
 	}
 }
 
-// maxAdmitted is how many of a tenant's requests may be admitted here: this gateway's even share of the
-// limit, or where the counter tells that the other gateways have less, what their demand leaves (a departure:
-// traffic is uneven). Their demand in tokens a second counts as requests of this one's cost, each admitted
-// for a usual answer's time. The plan's penalty, a share of a request's value, is taken off as a number of
-// requests: the more it costs to be over, the more room is left to the others. No other reason for that unit
-// is recorded.
+// maxAdmitted returns how many of a tenant's requests may be admitted at this gateway: its even share of
+// the limit, or, if the counter shows that the other gateways use less than theirs, whatever their
+// demand leaves. (A departure: traffic is uneven.)
+//
+// The other gateways' demand, in tokens a second, is converted to requests of this one's cost, each
+// admitted for the expected latency. The plan's OverQuotaPenalty, a share of a request's value, is
+// subtracted as a number of requests: the more it costs to exceed the limit, the more room is left to
+// the other gateways. No other reason for subtracting it in that unit is recorded.
 func (e *Engine) maxAdmitted(r *request) int {
 	plan := &e.settings.Plans[r.plan]
 	here := float64(plan.MaxConcurrent) / r.tenant.gateways
--- a/internal/policy/periodic.go
+++ b/internal/policy/periodic.go
@@ -1,19 +1,19 @@
 package policy
 
-// The periodic check of what no event tells.
+// The periodic check, which handles what no event signals.
 
 import "time"
 
 const (
-	// checkInterval is the pace of the checks.
+	// checkInterval is the interval between checks.
 	checkInterval = 20 * time.Millisecond
 	// stalledAfter is the time without a check, or without any event, after which this gateway counts as
-	// stalled: its process had no processor, or its machine was stopped.
+	// stalled: its process got no processor time, or its machine was suspended.
 	stalledAfter = 5 * checkInterval
 )
 
-// periodicCheck looks for what no event tells: silent backends, slow starts that are over, what may be
-// sent or served now, tenants that may be forgotten, and an endpoint list that has become old.
+// periodicCheck handles what no event signals: silent backends, slow starts that have ended, requests
+// that can be sent or served now, idle tenants to be forgotten, and an outdated endpoint list.
 func (e *Engine) periodicCheck() {
 	e.emit(SetTimer{e.now + checkInterval, checkCookie})
 	e.checkBackends()
@@ -27,8 +27,8 @@
 	}
 }
 
-// checkBackends looks for silent backends, unless this gateway itself stalled: it has not yet read what came
-// meanwhile.
+// checkBackends checks for silent backends, unless this gateway itself stalled and so has not yet read
+// the responses that arrived during the stall.
 func (e *Engine) checkBackends() {
 	if e.now-e.checkedAt < stalledAfter {
 		for _, b := range e.toCheck {
--- a/internal/policy/priority.go
+++ b/internal/policy/priority.go
@@ -1,26 +1,27 @@
 package policy
 
-// Priority levels. A lower level is shed first.
+// Priority levels. Under overload, lower levels (higher numbers) are rejected first.
 //
-//	0 to 5   promoted: paid by leased or fallback tokens; or of a plan without a rate that has MaxConcurrent
+//	0 to 5   promoted: paid from leased or fallback tokens; or of a plan with MaxConcurrent but no rate
 //	6 to 11  on credit; or of a plan with neither a rate nor MaxConcurrent, which guarantees nothing
-//	12       over a limit or the quota, of a plan that earns something for it (placeOverQuota)
+//	12       over a limit or the quota, of a plan that earns something for such requests (placeOverQuota)
 //
-// Within each of the two upper groups a request has the band of its weight (priorityBand).
+// Within each of the first two groups, a request's weight determines its band (priorityBand).
 
 import "math"
 
 const (
-	// priorityBands is how many levels a group has, each for half the weight of the one above.
+	// priorityBands is the number of levels per group. Each level stands for half the weight of the
+	// level above it.
 	priorityBands = 6
-	// lowestLevel is the level of what goes on over its quota.
+	// lowestLevel is the level of requests that proceed over their quota.
 	lowestLevel = 2 * priorityBands
 )
 
-// requestWeights are the greatest weights that the settings allow.
+// requestWeights holds the greatest weights that the settings allow.
 type requestWeights struct {
-	maxRequest float64 // of a request: its class's weight, its plan's factor and its cost
-	maxClass   float64 // of a class
+	maxRequest float64 // of a request: class weight x plan factor x cost
+	maxClass   float64 // of a class alone
 }
 
 func newRequestWeights(set *Settings) (w requestWeights) {
@@ -33,11 +34,12 @@
 	return w
 }
 
-// minRequestWeight stands for a request without weight or cost, of which there is no logarithm.
+// minRequestWeight replaces the weight of a request without weight or cost, since 0 has no logarithm.
 const minRequestWeight = 1e-9
 
-// priorityBand is the band of a request by its weight, which is that of its class and plan times its cost.
-// Each band has half the weight of the one above it.
+// priorityBand returns the band of a request within its group of levels. The request's weight is the
+// weight of its class times its plan's factor and its cost, and each band stands for half the weight of
+// the band above it.
 func (e *Engine) priorityBand(r *request) int {
 	class, plan := &e.settings.Classes[r.class], &e.settings.Plans[r.plan]
 	weight := max(minRequestWeight, class.PriorityWeight*plan.WeightFactor*r.cost)
--- a/internal/policy/priorityqueue.go
+++ b/internal/policy/priorityqueue.go
@@ -1,37 +1,37 @@
 package policy
 
-// The priority queues: what waits at each backend, by priority level.
+// Priority queues: the requests queued at each backend, by priority level.
 
 import "time"
 
-// priorityQueues counts what waits, and knows where.
+// priorityQueues tracks the queued requests of all backends.
 type priorityQueues struct {
-	length     int        // requests in all queues
-	backlogged []*backend // those with something queued, and maybe others
-	unplaced   []*request // those for which no backend could be chosen
+	length     int        // total number of queued requests
+	backlogged []*backend // all with queued requests, and possibly some without
+	unplaced   []*request // requests for which no backend could be chosen
 }
 
-// requestQueue is what waits at one backend, by priority level. The zero value is empty.
+// requestQueue holds the requests queued at one backend, by priority level. The zero value is empty.
 type requestQueue struct {
-	levels     *queueLevels // nil until something is queued: most backends never have anything
+	levels     *queueLevels // nil until the first push: most backends never queue anything
 	length     int
-	backlogged bool // in priorityQueues.backlogged
+	backlogged bool // listed in priorityQueues.backlogged
 }
 
 type queueLevels struct {
 	entries [lowestLevel + 1][]*queueEntry
-	count   [lowestLevel + 1]int // entries that hold a request
+	count   [lowestLevel + 1]int // entries whose request has not left
 }
 
-// queueEntry is a place in a queue.
+// queueEntry is an entry of a level's queue.
 type queueEntry struct {
-	request *request // nil when it has left its place
+	request *request // nil once the request has left the queue
 }
 
 func (q *priorityQueues) isEmpty() bool { return q.length == 0 }
 
-// longestWithoutSlot is the backend with the longest queue of those that have no free slot; nil if there
-// is none.
+// longestWithoutSlot returns the backend with the longest queue among those without a free slot, or nil
+// if there is none.
 func (q *priorityQueues) longestWithoutSlot(now time.Duration) *backend {
 	var longest *backend
 	length := 0
@@ -43,7 +43,8 @@
 	return longest
 }
 
-// push queues a request at a backend: at the end of its level, or in front if it has had an attempt already.
+// push queues a request at a backend: at the back of its level, or at the front if it has already had an
+// attempt.
 func (q *priorityQueues) push(r *request, b *backend) {
 	r.queueEntry, r.queuedOn = &queueEntry{r}, b
 	if b.queue.levels == nil {
@@ -65,7 +66,8 @@
 	q.length++
 }
 
-// remove takes a request out of its queue, if it is in one. Its empty place is passed over later.
+// remove takes a request out of its queue, if it is in one. Its entry stays, empty, and is skipped
+// later.
 func (q *priorityQueues) remove(r *request) {
 	if r.queueEntry == nil {
 		return
@@ -73,24 +75,24 @@
 	r.queueEntry.request = nil
 	queue := &r.queuedOn.queue
 	if queue.levels.count[r.level]--; queue.levels.count[r.level] == 0 {
-		queue.levels.entries[r.level] = nil // only empty places are left, and nobody may come to pick here
+		queue.levels.entries[r.level] = nil // drops the empty entries: first may never be called for them
 	}
 	queue.length--
 	q.length--
 	r.queueEntry, r.queuedOn = nil, nil
 }
 
-// addUnplaced keeps a request until there may be a backend for it.
+// addUnplaced keeps a request until a backend may be available for it.
 func (q *priorityQueues) addUnplaced(r *request) { q.unplaced = append(q.unplaced, r) }
 
-// takeUnplaced returns what addUnplaced has kept; some may have ended.
+// takeUnplaced returns and clears the requests that addUnplaced has kept. Some of them may have ended.
 func (q *priorityQueues) takeUnplaced() []*request {
 	unplaced := q.unplaced
 	q.unplaced = nil
 	return unplaced
 }
 
-// prune drops backends with nothing queued.
+// prune removes backends without queued requests from backlogged.
 func (q *priorityQueues) prune() {
 	kept := q.backlogged[:0]
 	for _, b := range q.backlogged {
@@ -102,7 +104,7 @@
 	q.backlogged = kept
 }
 
-// count is how many requests wait at a level.
+// count returns the number of requests queued at a level.
 func (q *requestQueue) count(level int) int {
 	if q.levels == nil {
 		return 0
@@ -110,7 +112,7 @@
 	return q.levels.count[level]
 }
 
-// countUpTo is how many wait at a level and above it.
+// countUpTo returns the number of requests queued at a level and all levels above it.
 func (q *requestQueue) countUpTo(level int) int {
 	sum := 0
 	for l := 0; q.length > 0 && l <= level; l++ {
@@ -119,7 +121,7 @@
 	return sum
 }
 
-// first is the request in front at a level, of which count is over 0.
+// first returns the request at the front of a level. The level's count must be over 0.
 func (q *requestQueue) first(level int) *request {
 	entries := q.levels.entries[level]
 	for entries[0].request == nil {
@@ -129,7 +131,7 @@
 	return entries[0].request
 }
 
-// requests returns all that wait, by level.
+// requests returns all queued requests, ordered by level.
 func (q *requestQueue) requests() (all []*request) {
 	if q.length == 0 {
 		return nil
--- a/internal/policy/result.go
+++ b/internal/policy/result.go
@@ -65,7 +65,7 @@
 // recordBrokenConnection records a broken connection. A single one says nothing about its backend.
 func (e *Engine) recordBrokenConnection(b *backend) {
 	if b.detector.RecordBrokenConnection() > 1 {
-		b.limiter.RecordBroken()
+		b.limiter.RecordBrokenConnection()
 	}
 	if b.detector.Broken() {
 		e.eject(b)
