--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -53,9 +53,8 @@
 }
 
 // deadlineBudget returns how long after its arrival an answer to the request is still useful: the time
-// its client has left, or at most the latency objective if a late answer earns nothing. (A departure:
-// the paper has a single time limit, whereas here clients wait beyond the time at which an answer loses
-// its value.)
+// its client has left, or at most the latency objective if a late answer earns nothing. Unlike in the
+// paper, which has a single time limit, clients wait beyond the time at which an answer loses its value.
 //
 // If the gateway stalled for over 100 ms, the request has waited unnoticed. That wait is estimated as
 // the largest TimeLeft seen for the class minus this request's TimeLeft, capped at the length of the
@@ -157,8 +156,8 @@
 // it also calls the counter to borrow units, where that is allowed.
 func (e *Engine) checkLimits(r *request) quotaDecision {
 	full := e.concurrencyLimitReached(r)
-	short := r.tenant.hardLimit.Shortfall(e.now, r.cost)
-	if !full && (short <= 0 || r.hardLimit.hasBorrowed(e.now)) {
+	shortfall := r.tenant.hardLimit.Shortfall(e.now, r.cost)
+	if !full && (shortfall <= 0 || r.hardLimit.hasBorrowed(e.now)) {
 		return proceed
 	}
 	late := e.tooLateToWait(r)
@@ -170,7 +169,7 @@
 		return mustWait
 	case full && late:
 		return overConcurrencyLimit
-	case !full && (late || e.hardLimitFillsTooLate(r, short)):
+	case !full && (late || e.hardLimitFillsTooLate(r, shortfall)):
 		return overHardLimit
 	}
 	return mustWait
--- a/internal/policy/attempt_test.go
+++ b/internal/policy/attempt_test.go
@@ -8,7 +8,7 @@
 // one with an idempotency key may be retried only at backends that drop repeats together.
 func TestRetryDoesNotRepeatAnEffect(t *testing.T) {
 	cellOfBackend := map[string]int{"b0": 0, "b1": 0, "b2": 1, "b3": 1}
-	mayHaveRun := func(t *testing.T, class int, status Status) (first SendAttempt, actions []Action) {
+	endFirstAttempt := func(t *testing.T, class int, status Status) (first SendAttempt, actions []Action) {
 		t.Helper()
 		engine := newTestEngine(t, testSettings(), testBackends(4)...)
 		first = sendsOf(engine.Step(ms, []Event{testRequest(1, class, noQuotaPlan)}))[0]
@@ -16,13 +16,13 @@
 		return first, engine.Step(20*ms, []Event{result})
 	}
 	t.Run("non-idempotent after a connection reset", func(t *testing.T) {
-		_, actions := mayHaveRun(t, nonIdempotentClass, ConnectionReset)
+		_, actions := endFirstAttempt(t, nonIdempotentClass, ConnectionReset)
 		if len(sendsOf(actions)) != 0 || len(actionsOf[Fail](actions)) != 1 {
 			t.Errorf("got %v, want one Fail and no SendAttempt", actions)
 		}
 	})
 	t.Run("with an idempotency key after a failure", func(t *testing.T) {
-		first, actions := mayHaveRun(t, withKeyClass, Failed)
+		first, actions := endFirstAttempt(t, withKeyClass, Failed)
 		again := sendsOf(actions)
 		if len(again) != 1 || cellOfBackend[again[0].Backend] != cellOfBackend[first.Backend] {
 			t.Errorf("got %v after %v, want one retry in the same cell", actions, first)
--- a/internal/policy/concurrency/concurrency.go
+++ b/internal/policy/concurrency/concurrency.go
@@ -52,8 +52,8 @@
 // Start sets the initial limit of a backend that is used by the given number of gateways.
 func (l *Limiter) Start(gateways float64) { l.limit = max(minLimit, startLimit/gateways) }
 
-// Restart sets the limit of a backend that has just started to 1: a single attempt reveals more about
-// it.
+// Restart sets the limit of a backend that has just started to 1, until the first answer reveals more
+// about it.
 func (l *Limiter) Restart() { l.limit = 1 }
 
 // HasFree reports whether another attempt may be sent while inFlight attempts are in flight. A limit
@@ -78,9 +78,11 @@
 
 // RecordAnswer increases the limit while latency is low and the limit is fully used, and reduces it when
 // latency is high, that is, above a share of the request's time or above a multiple of an idle fleet's
-// latency. (The second bound is a departure: with the paper's time limit alone, queues would form inside
+// latency.
+//
+// The second bound departs from the paper. With the paper's time limit alone, queues would form inside
 // the backends, where priorities have no effect and where work continues that no client waits for any
-// more.)
+// more.
 func (l *Limiter) RecordAnswer(a Answer) {
 	high := min(a.Budget*shrinkBudgetShare, shrinkIdleRatio*a.Idle)
 	switch {
@@ -100,9 +102,9 @@
 // RecordBrokenConnection records a broken or failed connection.
 func (l *Limiter) RecordBrokenConnection() { l.limit *= rejectionFactor }
 
-// Pause starts a pause if the limit is below 1 and no pause is in progress. Its length makes the backend
-// busy with an attempt for about that fraction of the time. Pause is called after each result, with the
-// latency of the backend's answers in seconds.
+// Pause starts a pause if the limit is below 1 and no pause is in progress. The pause is so long that
+// the backend has an attempt in flight for about the fraction of the time that the limit states. Pause
+// is called after each result, with the latency of the backend's answers in seconds.
 func (l *Limiter) Pause(now time.Duration, latency float64) {
 	l.limit = max(minLimit, l.limit)
 	if l.limit < 1 && now >= l.pausedUntil {
--- a/internal/policy/dispatch.go
+++ b/internal/policy/dispatch.go
@@ -44,7 +44,7 @@
 		e.reject(r, rejection{reason: NoBackendForRetry})
 		return
 	}
-	if reason, overloaded := e.overload(r, b); overloaded {
+	if reason, overloaded := e.checkOverload(r, b); overloaded {
 		e.reject(r, rejection{reason: reason})
 		return
 	}
@@ -52,12 +52,14 @@
 	e.sendQueued(b)
 }
 
-// overload reports whether it is better to reject a request now than to queue it at backend b, and for
-// which reason. Rejecting now leaves the client time to retry. (A departure: the paper lets the request
-// wait until it is stale. Under overload every answer then arrives at the last moment and every client's
-// retry comes too late.) If the backend has a free slot, shedByLatency decides. If not, waitsTooLong
-// decides, and only for first attempts.
-func (e *Engine) overload(r *request, b *backend) (reason RejectReason, overloaded bool) {
+// checkOverload reports whether it is better to reject a request now than to queue it at backend b, and
+// for which reason. Rejecting now leaves the client time to retry. The paper instead lets the request
+// wait until it is stale; under overload, every answer would then arrive at the last moment and every
+// client's retry would come too late.
+//
+// If the backend has a free slot, shedByLatency decides. If not, waitsTooLong decides, and only for
+// first attempts.
+func (e *Engine) checkOverload(r *request, b *backend) (reason RejectReason, overloaded bool) {
 	if b.hasFreeSlot(e.now) {
 		return BackendsOverloaded, e.shedByLatency(r)
 	}
@@ -65,8 +67,8 @@
 }
 
 // shedByLatency decides at random whether to reject a request because of the latency of all backends.
-// With many gateways the queues form inside the backends. (A departure: the paper has one load
-// balancer.) The latency in excess of an idle fleet's is measured as a share of the time left beside an
+// Unlike in the paper, which has one load balancer, the queues of many gateways form inside the
+// backends. The latency in excess of an idle fleet's is measured as a share of the time left beside an
 // idle answer.
 //
 // A gateway that receives half an answer a second or more from each backend rejects fewer requests, and
@@ -77,9 +79,9 @@
 	idle := cmp.Or(e.latencies.Idle(r.class), latency)
 	queueShare := (latency - idle) / max(1e-3, r.deadlineBudget.Seconds()*deadlineMargin-idle) *
 		(1 + shedLevelSlope*float64(r.level)/lowestLevel)
-	drawn := e.rng.Float64()
+	random := e.rng.Float64()
 	chance := min(maxShedChance, (queueShare-minShedShare)/(fullShedShare-minShedShare))
-	return drawn < min(1, 2*e.sparseness())*chance
+	return random < min(1, 2*e.sparseness())*chance
 }
 
 // waitsTooLong applies EQ 4 of the paper from the back of the queue. It reports whether the time since
@@ -153,8 +155,8 @@
 }
 
 // rejectStale rejects requests from the front of a level until it reaches one that can still be answered
-// in time (EQ 3 of the paper). A departure: the promoted levels are checked too, since a request that
-// can't be answered in time only delays the others.
+// in time (EQ 3 of the paper). Unlike in the paper, the promoted levels are checked too, since a request
+// that can't be answered in time only delays the others.
 func (e *Engine) rejectStale(from, to *backend, level int) {
 	for from.queue.count(level) > 0 {
 		r := from.queue.first(level)
--- a/internal/policy/doc.go
+++ b/internal/policy/doc.go
@@ -73,6 +73,6 @@
 // order of events. All random numbers come from the Engine's single source.
 //
 // The algorithm follows J. Andersson and M. Kihl, "Load Balancing and Admission Control of a Parlay X
-// Application Server", NTS 17, 2004, sections 3.1 and 4, adapted from one load balancer to many
-// gateways. Comments say "a departure" where a rule differs from the paper.
+// Application Server", NTS 17, 2004, sections 3.1 and 4, adapted from one load balancer to many gateways.
+// Comments note where a rule departs from the paper.
 package policy
--- a/internal/policy/engine.go
+++ b/internal/policy/engine.go
@@ -57,7 +57,7 @@
 // New returns an engine that has seen no events. The seed is for its random numbers. An error names the
 // field of Settings that is invalid.
 func New(set Settings, seed uint64) (*Engine, error) {
-	if err := set.check(); err != nil {
+	if err := set.validate(); err != nil {
 		return nil, err
 	}
 	objectives := make([]time.Duration, len(set.Classes))
--- a/internal/policy/event.go
+++ b/internal/policy/event.go
@@ -25,7 +25,7 @@
 	Backend       string
 	Status        Status
 	Latency       time.Duration // since the attempt was sent
-	RequestClosed bool          // the request has ended with this attempt
+	RequestClosed bool          // the request has ended
 	QuotaUsage    int           // not used by the engine: 1 + percent of the quota used; 0: unknown
 	Cost          float64       // with Settings.CostSettledOnResponse: the true cost, on the first OK
 }
--- a/internal/policy/overload_test.go
+++ b/internal/policy/overload_test.go
@@ -90,7 +90,7 @@
 	engine := newTestEngine(t, testSettings(), testBackends(1)...)
 	engine.latencies.RecordAnswer(idempotentClass, idle)
 	engine.latencies.RecordIdle(idempotentClass, false)
-	engine.latencies.RecordAnswer(idempotentClass, 2*latency-idle) // the second has half the weight
+	engine.latencies.RecordAnswer(idempotentClass, 2*latency-idle) // the second answer has half the weight
 	for range answers {
 		engine.throughput.RecordAnswer(engine.now)
 	}
--- a/internal/policy/queue_test.go
+++ b/internal/policy/queue_test.go
@@ -146,15 +146,15 @@
 	engine := newTestEngine(t, testSettings(), testBackends(1)...)
 	b := engine.endpoints.byName["b0"]
 	overQuota := &request{level: lowestLevel, deadlineBudget: 500 * ms}
-	if reason, overloaded := engine.overload(overQuota, b); overloaded {
+	if reason, overloaded := engine.checkOverload(overQuota, b); overloaded {
 		t.Errorf("rejected as %q though a slot is free", reason)
 	}
 	requestsInFlight(b, 2)
-	if reason, overloaded := engine.overload(overQuota, b); !overloaded || reason != QueueTooLong {
+	if reason, overloaded := engine.checkOverload(overQuota, b); !overloaded || reason != QueueTooLong {
 		t.Errorf("without a free slot: rejected %v as %q, want QueueTooLong", overloaded, reason)
 	}
 	overQuota.attempts = []*attempt{{}}
-	if reason, overloaded := engine.overload(overQuota, b); overloaded {
+	if reason, overloaded := engine.checkOverload(overQuota, b); overloaded {
 		t.Errorf("a retry is rejected as %q", reason)
 	}
 }
--- a/internal/policy/rejection.go
+++ b/internal/policy/rejection.go
@@ -9,7 +9,7 @@
 //     OverConcurrencyLimit before OverHardLimit, then the quota (payOrDemote) with OverQuota. All three
 //     lead to placeOverQuota: if the plan earns something beyond its quota, the request proceeds at the
 //     lowest level or ends with OverHardLimit.
-//  3. dispatch: NoBackendForRetry; then overload, which gives BackendsOverloaded only if the chosen
+//  3. dispatch: NoBackendForRetry; then checkOverload, which gives BackendsOverloaded only if the chosen
 //     backend has a free slot, and QueueTooLong only if it has none and the request has had no attempt.
 //  4. In the queue, rejectStale: StaleInQueue.
 //  5. send: attemptForbidden with OutOfService, AttemptInFlight, AttemptsExhausted, NoBackendForRetry or
@@ -52,11 +52,11 @@
 	// its plan earns nothing beyond the quota (payCost, placeOverQuota).
 	OverQuota
 	// BackendsOverloaded: the backends' latency indicates queues inside the backends, so a fraction of
-	// the requests is rejected at random, more of them at lower priority levels (overload,
+	// the requests is rejected at random, more of them at lower priority levels (checkOverload,
 	// shedByLatency).
 	BackendsOverloaded
 	// QueueTooLong: given the requests queued ahead at the chosen backend, the answer is expected after
-	// 45% of the deadline budget or more; the bound is lower at lower priority levels (overload,
+	// 45% of the deadline budget or more; the bound is lower at lower priority levels (checkOverload,
 	// waitsTooLong).
 	QueueTooLong
 	// StaleInQueue: the time since arrival plus the expected latency has reached 90% of the deadline
@@ -77,7 +77,7 @@
 	// attemptForbidden).
 	DeadlinePassed
 
-	rejectReasons // the number of reasons
+	numRejectReasons // the number of reasons
 )
 
 // String returns the reason as text for tests and logs.
@@ -124,23 +124,23 @@
 }
 
 // rejectionCounts counts rejections by reason.
-type rejectionCounts [rejectReasons]uint64
+type rejectionCounts [numRejectReasons]uint64
 
 func (c *rejectionCounts) add(reason RejectReason) { c[reason]++ }
 
 // reject ends a request for the given reason and sends its final answer. It does nothing for a request
 // that has already ended.
-func (e *Engine) reject(r *request, why rejection) {
+func (e *Engine) reject(r *request, rej rejection) {
 	if r.ended {
 		return
 	}
 	mayRunTwice := e.clientRetryMayRunTwice(r)
 	e.endRequest(r)
-	e.rejections.add(why.reason)
+	e.rejections.add(rej.reason)
 	if mayRunTwice {
 		e.emit(Fail{r.id})
 	} else {
-		e.emit(Reject{r.id, e.clientRetryAfter(why)})
+		e.emit(Reject{r.id, e.clientRetryAfter(rej)})
 	}
 	e.deleteIfDone(r)
 }
@@ -173,8 +173,8 @@
 
 // clientRetryAfter caps the retry-after advice at the longest that clients heed. It returns 0 if the
 // settings disable the advice.
-func (e *Engine) clientRetryAfter(why rejection) time.Duration {
-	advice := why.retryAfter
+func (e *Engine) clientRetryAfter(rej rejection) time.Duration {
+	advice := rej.retryAfter
 	if !e.settings.SendRetryAfter {
 		advice = 0
 	}
--- a/internal/policy/rejection_test.go
+++ b/internal/policy/rejection_test.go
@@ -155,7 +155,7 @@
 		})
 		seen[c.reason] = true
 	}
-	for reason := range rejectReasons {
+	for reason := range numRejectReasons {
 		if !seen[reason] {
 			t.Errorf("no case for %q", reason)
 		}
@@ -165,7 +165,7 @@
 // Each reason has its own text.
 func TestRejectReasonsHaveDistinctText(t *testing.T) {
 	texts := map[string]RejectReason{}
-	for reason := range rejectReasons {
+	for reason := range numRejectReasons {
 		text := reason.String()
 		if other, twice := texts[text]; twice || strings.HasPrefix(text, "RejectReason(") {
 			t.Errorf("reason %d has the text %q, missing or shared with reason %d", int(reason), text, int(other))
--- a/internal/policy/settings.go
+++ b/internal/policy/settings.go
@@ -81,8 +81,8 @@
 	HardLimitBurst   float64 // capacity of the hard limit's bucket in units; it starts full
 }
 
-// check returns an error for settings that an Engine can't work with.
-func (s *Settings) check() error {
+// validate returns an error for settings that an Engine can't work with.
+func (s *Settings) validate() error {
 	switch {
 	case s.Gateways < 1:
 		return fmt.Errorf("policy: Gateways is %d, must be at least 1", s.Gateways)
