--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -31,7 +31,7 @@
 // attempt is one try to have a request served by a backend.
 type attempt struct {
 	request  *request
-	number   int // counts the request's attempts from 0
+	number   int // 0, 1, 2, ... among the request's attempts
 	backend  *backend
 	sentAt   time.Duration
 	kind     attemptKind
