--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -37,7 +37,7 @@
 		return
 	}
 	e.emit(SetTimer{e.now + r.deadlineBudget - e.settings.TimerResolution, deadlineCookie(r.id)})
-	r.tenant.noteRequest(e.now, r.cost)
+	r.tenant.recordRequest(e.now, r.cost)
 	// The queue for the hard limit must stay short, or each request that still leaves it is nearly late.
 	if wait := e.hardLimitQueueWait(r); wait > e.maxHardLimitWait(r) && !e.mayBorrow(r) {
 		e.reject(r, rejection{HardLimitQueueTooLong, time.Duration(wait * float64(time.Second))})
@@ -88,7 +88,7 @@
 	for r := t.firstWaiting(); r != nil; r = t.firstWaiting() {
 		switch decision := e.decideQuota(r); decision {
 		case mustWait:
-			e.tenants.noteWaiting(t)
+			e.tenants.markWaiting(t)
 			return
 		case goesOn:
 			t.removeFirstWaiting()
@@ -104,7 +104,7 @@
 // limit's share has filled or that a request has become late.
 func (e *Engine) serveWaitingTenants() {
 	for _, t := range e.tenants.takeWaiting() {
-		t.noLongerNoted()
+		t.clearWaitingMark()
 		e.serve(t)
 	}
 }
--- a/internal/policy/tenants.go
+++ b/internal/policy/tenants.go
@@ -27,14 +27,14 @@
 
 // tenant is what this gateway keeps for the quota of one tenant on one plan.
 type tenant struct {
-	key       tenantKey
-	gateways  float64 // through which its requests come, this one included
-	lastSeen  time.Duration
-	lease     lease.Lease
-	hardLimit hardlimit.Share
-	admitted  int        // its requests that count against the plan's MaxConcurrent
-	waiting   []*request // for its quota or limits, in the order of their arrival; some may have ended
-	inWaiting bool       // in tenantRegistry.waiting
+	key           tenantKey
+	gateways      float64 // through which its requests come, this one included
+	lastSeen      time.Duration
+	lease         lease.Lease
+	hardLimit     hardlimit.Share
+	admitted      int        // its requests that count against the plan's MaxConcurrent
+	waiting       []*request // for its quota or limits, in the order of their arrival; some may have ended
+	markedWaiting bool       // in tenantRegistry.waiting
 }
 
 // setGateways sets through how many gateways the tenant's requests come, by its latest one.
@@ -44,9 +44,9 @@
 	t.hardLimit.SetGateways(gateways)
 }
 
-// noteRequest notes a request that came while the gateway was in service and with enough time for an answer;
+// recordRequest notes a request that came while the gateway was in service and with enough time for an answer;
 // the queue for the hard limit may still be too long for it.
-func (t *tenant) noteRequest(now time.Duration, cost float64) {
+func (t *tenant) recordRequest(now time.Duration, cost float64) {
 	t.lastSeen = now
 	t.lease.NoteDemand(now, cost)
 }
@@ -67,8 +67,8 @@
 
 func (t *tenant) removeFirstWaiting() { t.waiting = t.waiting[1:] }
 
-// noLongerNoted allows noteWaiting to note the tenant again.
-func (t *tenant) noLongerNoted() { t.inWaiting = false }
+// clearWaitingMark allows markWaiting to note the tenant again.
+func (t *tenant) clearWaitingMark() { t.markedWaiting = false }
 
 // isIdle says whether the tenant may be forgotten: no request came for tenantIdleTime, no answer is awaited
 // and none of its requests is admitted. Usage that was not reported to the counter is lost.
@@ -91,10 +91,10 @@
 	t.order = append(t.order, added)
 }
 
-// noteWaiting makes the next periodic check serve a tenant.
-func (t *tenantRegistry) noteWaiting(waiting *tenant) {
-	if !waiting.inWaiting {
-		waiting.inWaiting = true
+// markWaiting makes the next periodic check serve a tenant.
+func (t *tenantRegistry) markWaiting(waiting *tenant) {
+	if !waiting.markedWaiting {
+		waiting.markedWaiting = true
 		t.waiting = append(t.waiting, waiting)
 	}
 }
--- a/internal/policy/tenants_test.go
+++ b/internal/policy/tenants_test.go
@@ -48,15 +48,15 @@
 
 func TestWaitingTenantsAreNotedOnce(t *testing.T) {
 	registry, added := registryOf(0, 0)
-	registry.noteWaiting(added[0])
-	registry.noteWaiting(added[1])
-	registry.noteWaiting(added[0])
+	registry.markWaiting(added[0])
+	registry.markWaiting(added[1])
+	registry.markWaiting(added[0])
 	if taken := registry.takeWaiting(); len(taken) != 2 || taken[0] != added[0] || taken[1] != added[1] {
 		t.Errorf("taken: %v", taken)
 	}
-	registry.noteWaiting(added[0]) // it counts as noted until it is served
-	added[1].noLongerNoted()
-	registry.noteWaiting(added[1])
+	registry.markWaiting(added[0]) // it counts as noted until it is served
+	added[1].clearWaitingMark()
+	registry.markWaiting(added[1])
 	if taken := registry.takeWaiting(); len(taken) != 1 || taken[0] != added[1] {
 		t.Errorf("taken: %v", taken)
 	}
