--- a/internal/policy/lease/lease_test.go
+++ b/internal/policy/lease/lease_test.go
@@ -11,12 +11,13 @@
 
 var bucket = lease.Bucket{Rate: 2, Burst: 8}
 
-func fresh(gateways float64) *lease.Lease {
+// newLease returns the lease of a new tenant whose requests arrive at the given number of gateways.
+func newLease(gateways float64) *lease.Lease {
 	l := lease.New(bucket, gateways, 0)
 	return &l
 }
 
-// spendFallback pays with fallback tokens while these last and returns how many requests they paid.
+// spendFallback uses up the fallback tokens and returns how many requests of cost 1 they paid for.
 func spendFallback(l *lease.Lease) (paid int) {
 	for l.TakeFallback(1) {
 		paid++
@@ -24,9 +25,9 @@
 	return paid
 }
 
-func TestATenantNeverSeenHasAnEvenShareOfTheBurst(t *testing.T) {
+func TestNewLeaseHasEvenShareOfBurst(t *testing.T) {
 	for gateways, want := range map[float64]int{1: 8, 2: 4, 3: 2, 100: 0} {
-		l := fresh(gateways)
+		l := newLease(gateways)
 		if l.TakeTokens(1) {
 			t.Errorf("%v gateways: leased tokens before any call", gateways)
 		}
@@ -36,9 +37,10 @@
 	}
 }
 
-func TestFallbackTokensFillByWhatTheCounterCantServe(t *testing.T) {
-	for callShare, want := range map[float64]int{1: 0, 0.5: 2, 0: 4} { // in 4 s a gateway of two gains 4 of 8 units
-		l := fresh(2)
+func TestFallbackTokensRefillByShareThatMayNotCall(t *testing.T) {
+	// One of two gateways has an even share of 1 unit per second, 4 units in 4 s.
+	for callShare, want := range map[float64]int{1: 0, 0.5: 2, 0: 4} {
+		l := newLease(2)
 		spendFallback(l)
 		l.Refresh(4*time.Second, callShare)
 		if paid := spendFallback(l); paid != want {
@@ -47,84 +49,85 @@
 	}
 }
 
-func TestADebtIsPaidOffAtTheFullRate(t *testing.T) {
-	l := fresh(2)
+func TestFallbackDebtIsRepaidAtFullRate(t *testing.T) {
+	l := newLease(2)
 	spendFallback(l)
 	l.TakeOnCredit(2)
-	l.Refresh(2*time.Second, 1) // the counter serves all: only the debt is paid, with 2 units
+	l.Refresh(2*time.Second, 1) // all requests may call: the 2 units only repay the debt
 	if l.HasFallback() || !l.HasCredit(1) {
-		t.Errorf("fallback left %v, credit %v", l.HasFallback(), l.HasCredit(1))
+		t.Errorf("after repaying the debt: fallback tokens left %v, credit %v; want false and true", l.HasFallback(),
+			l.HasCredit(1))
 	}
 	if l.TakeFallback(0.5) || !l.TakeFallback(0) {
-		t.Error("after the debt there is not exactly nothing")
+		t.Error("the fallback balance is not exactly 0 after repaying the debt")
 	}
 }
 
-func TestCreditEndsWithTheGatewaysPartOfTheBurst(t *testing.T) {
-	l := fresh(2)
+func TestCreditIsLimitedToGatewaysPartOfBurst(t *testing.T) {
+	l := newLease(2)
 	spendFallback(l)
 	n := 0
 	for ; l.HasCredit(1) && n < 100; n++ {
 		l.TakeOnCredit(1)
 	}
-	if n != 3 { // half the burst is 4, this request's cost included
+	if n != 3 { // the limit is half the burst, 4, including the cost of the request
 		t.Errorf("%d requests on credit, want 3", n)
 	}
-	if l := fresh(100); l.HasCredit(2) != l.HasFallback() {
-		t.Error("credit for a cost beyond the gateway's part")
+	if l := newLease(100); l.HasCredit(2) != l.HasFallback() {
+		t.Error("credit was given for a cost above the gateway's limit")
 	}
 }
 
-func TestACallReportsWhatWasSpentWithoutALease(t *testing.T) {
-	l := fresh(2)
+func TestBeginCallReportsUsagePaidWithFallbackTokens(t *testing.T) {
+	l := newLease(2)
 	paid := spendFallback(l)
 	call := l.BeginCall(ms, 1, 1)
 	if call.Unreported != float64(paid) || call.Amount != call.Block+call.Unreported || !l.AwaitsAnswer() {
-		t.Errorf("%+v after %d requests without a lease", call, paid)
+		t.Errorf("call %+v after %d requests paid with fallback tokens", call, paid)
 	}
 	if again := l.BeginCall(ms, 1, 1); again.Unreported != 0 {
-		t.Errorf("reported twice: %+v", again)
+		t.Errorf("the same usage was reported twice: %+v", again)
 	}
 }
 
-func TestOneCallStandsForThoseThatMayNotCall(t *testing.T) {
+func TestBeginCallAccountsForRequestsThatMayNotCall(t *testing.T) {
 	for callShare, want := range map[float64]float64{1: 1, 0.5: 2, 0.1: 3} {
-		if call := fresh(100).BeginCall(ms, 1, callShare); call.Amount != want {
+		if call := newLease(100).BeginCall(ms, 1, callShare); call.Amount != want {
 			t.Errorf("call share %v: %v added, want %v", callShare, call.Amount, want)
 		}
 	}
 }
 
-func TestABlockCoversTheDemandWithinAnEvenPart(t *testing.T) {
-	for perSecond, want := range map[int]float64{1: 1, 2: 3, 50: 4} { // at most 8 units by 2 gateways
-		l := fresh(2)
+func TestBlockCoversDemandWithinEvenShareOfBucket(t *testing.T) {
+	for perSecond, want := range map[int]float64{1: 1, 2: 3, 50: 4} { // at most 8 units / 2 gateways
+		l := newLease(2)
 		for i := range 20 * perSecond {
 			l.RecordDemand(time.Duration(i)*time.Second/time.Duration(perSecond), 1)
 		}
 		if call := l.BeginCall(20*time.Second, 1, 1); call.Block != want {
-			t.Errorf("%d requests a second: a block of %v, want %v", perSecond, call.Block, want)
+			t.Errorf("%d requests per second: block of %v, want %v", perSecond, call.Block, want)
 		}
 	}
 }
 
-func TestACallThatCameToNothing(t *testing.T) {
-	l := fresh(2)
+func TestFailedCallReportsUsageAgainOnlyIfNothingWasAdded(t *testing.T) {
+	l := newLease(2)
 	paid := spendFallback(l)
 	l.CallRejected(l.BeginCall(ms, 1, 1))
 	if call := l.BeginCall(ms, 1, 1); call.Unreported != float64(paid) {
-		t.Errorf("nothing was added, and %v of %d are reported again", call.Unreported, paid)
+		t.Errorf("after a rejected call %v of %d units were reported again, want all", call.Unreported, paid)
 	}
 	l.AnswerLost()
 	if call := l.BeginCall(ms, 1, 1); l.AwaitsAnswer() == false || call.Unreported != 0 {
-		t.Errorf("it may have been added, and %v are reported again", call.Unreported)
+		t.Errorf("after a lost answer %v units were reported again, want 0 and a call in flight", call.Unreported)
 	}
 }
 
-func TestTheAnswerGivesTokensWhileTheBucketHolds(t *testing.T) {
+func TestSettleGrantsTokensWhileBucketHoldsCost(t *testing.T) {
 	for _, c := range []struct {
 		name       string
-		total      float64 // with the one unit requested
-		found      bool
+		total      float64 // including the one unit requested
+		granted    bool
 		correction float64
 		overflow   float64
 	}{
@@ -132,102 +135,102 @@
 		{"nearly empty", 8, true, 0, 0},
 		{"less than the cost", 8.4, false, -1, 0},
 		{"overdrawn", 30, false, -1, 0},
-		{"the counter has lost its number", -60, true, 0, 61},
+		{"the counter lost its total", -60, true, 0, 61},
 	} {
-		l := fresh(100)
+		l := newLease(100)
 		call := l.BeginCall(0, 1, 1)
 		s := l.Settle(ms, call, c.total, 0, 1)
-		if s.CostCovered != c.found || s.Reduced != !c.found || s.Correction != c.correction || s.Overflow != c.overflow {
+		if s.CostCovered != c.granted || s.Reduced != !c.granted || s.Correction != c.correction || s.Overflow != c.overflow {
 			t.Errorf("%s: %+v", c.name, s)
 		}
-		if paid := l.TakeTokens(1); paid != c.found || l.AwaitsAnswer() {
-			t.Errorf("%s: paid %v, awaits %v", c.name, paid, l.AwaitsAnswer())
+		if paid := l.TakeTokens(1); paid != c.granted || l.AwaitsAnswer() {
+			t.Errorf("%s: request paid for %v, awaits an answer %v", c.name, paid, l.AwaitsAnswer())
 		}
-		if l.SeemsEmpty(2*ms) == c.found {
+		if l.SeemsEmpty(2*ms) == c.granted {
 			t.Errorf("%s: seems empty %v", c.name, l.SeemsEmpty(2*ms))
 		}
 	}
 }
 
-func TestAnEmptyBucketIsLeftAloneForAWhile(t *testing.T) {
+func TestEmptyBucketBackoffGrowsWithGateways(t *testing.T) {
 	for gateways, want := range map[float64]time.Duration{2: 500 * ms, 8: time.Second, 100: 8 * time.Second} {
-		l := fresh(gateways)
+		l := newLease(gateways)
 		spendFallback(l)
 		call := l.BeginCall(0, 1, 1)
-		l.Settle(0, call, 8+call.Amount, 0, 1) // it holds nothing: one token fills in 500 ms
+		l.Settle(0, call, 8+call.Amount, 0, 1) // the bucket is empty; it gains one token in 500 ms
 		if !l.SeemsEmpty(want-1) || l.SeemsEmpty(want) {
-			t.Errorf("%v gateways: left alone %v just before %v, %v then", gateways, l.SeemsEmpty(want-1), want,
+			t.Errorf("%v gateways: seems empty %v just before %v, %v then", gateways, l.SeemsEmpty(want-1), want,
 				l.SeemsEmpty(want))
 		}
 	}
 }
 
-func TestExpiredTokensAreGivenBack(t *testing.T) {
-	l := fresh(2)
+func TestExpiredTokensAreReturnedWithNextCall(t *testing.T) {
+	l := newLease(2)
 	call := l.BeginCall(0, 1, 1)
 	l.Settle(0, call, call.Amount, 0, 1)
 	if l.Refresh(3*time.Second, 1); !l.TakeTokens(1) {
-		t.Fatal("expired within the lifetime")
+		t.Fatal("the tokens expired before the end of their lifetime")
 	}
 	l.Refund(1)
 	l.Refresh(3*time.Second+ms, 1)
 	if l.TakeTokens(1) {
-		t.Error("paid with expired tokens")
+		t.Error("a request was paid for with expired tokens")
 	}
 	if call := l.BeginCall(4*time.Second, 1, 1); call.Unreported != -1 {
-		t.Errorf("%v reported, want one unit given back", call.Unreported)
+		t.Errorf("%v units reported, want -1: one unit returned", call.Unreported)
 	}
 }
 
-func TestTheLevelTellsWhatOthersTake(t *testing.T) {
-	l := fresh(2)
+func TestOthersRateIsEstimatedFromLevel(t *testing.T) {
+	l := newLease(2)
 	if _, known := l.KnownLevel(); known {
-		t.Error("known before any answer")
+		t.Error("the level is known before any answer")
 	}
 	first := l.BeginCall(0, 1, 1)
 	l.Settle(0, first, first.Amount, 0, 1)
 	if level, known := l.KnownLevel(); !known || level != 7 || l.OthersRate() != 0 {
-		t.Errorf("level %v, known %v, others %v", level, known, l.OthersRate())
+		t.Errorf("level %v, known %v, others' rate %v; want 7, true, 0", level, known, l.OthersRate())
 	}
 	second := l.BeginCall(time.Second, 1, 1)
 	l.Settle(time.Second, second, first.Amount+second.Amount+5, time.Second, 1)
-	if got := l.OthersRate(); got < 1.5 || got > 2.5 { // 5 a second, less what overflowed, seen for half the averaging time
-		t.Errorf("others take %v a second", got)
+	if got := l.OthersRate(); got < 1.5 || got > 2.5 { // 5 per second, less overflow, observed for half the averaging time
+		t.Errorf("others' rate %v per second, want 1.5 to 2.5", got)
 	}
 }
 
-func TestRunsLowOnlyForATenantThatComesOften(t *testing.T) {
-	often, rarely := fresh(2), fresh(2)
+func TestRunsLowOnlyForTenantWithFrequentRequests(t *testing.T) {
+	frequent, rare := newLease(2), newLease(2)
 	for i := range 40 {
-		often.RecordDemand(time.Duration(i)*50*ms, 1)
+		frequent.RecordDemand(time.Duration(i)*50*ms, 1)
 	}
-	rarely.RecordDemand(0, 1)
-	if !often.RunsLow(1) || rarely.RunsLow(1) {
-		t.Errorf("runs low: %v for 20 a second, %v for one request", often.RunsLow(1), rarely.RunsLow(1))
+	rare.RecordDemand(0, 1)
+	if !frequent.RunsLow(1) || rare.RunsLow(1) {
+		t.Errorf("runs low: %v at 20 requests per second, %v after a single request", frequent.RunsLow(1), rare.RunsLow(1))
 	}
-	if often.BeginCall(2*time.Second, 1, 1); often.RunsLow(1) {
-		t.Error("calls again while it awaits an answer")
+	if frequent.BeginCall(2*time.Second, 1, 1); frequent.RunsLow(1) {
+		t.Error("the lease asks for another call while it awaits an answer")
 	}
 }
 
-func TestTheTrueCostReplacesTheToldOne(t *testing.T) {
-	l := fresh(2)
+func TestCorrectCostReplacesEstimateByActualCost(t *testing.T) {
+	l := newLease(2)
 	l.Refund(5)
 	l.CorrectCost(1, 4)
 	if l.TakeTokens(3) || !l.TakeTokens(2) {
-		t.Error("of 5 tokens not exactly 2 are left after 3 more were taken")
+		t.Error("of 5 tokens, not exactly 2 are left after a cost was corrected by 3")
 	}
 }
 
-func TestTimeUntilTheBucketHoldsACost(t *testing.T) {
-	l := fresh(2)
+func TestTimeUntilBucketHoldsCost(t *testing.T) {
+	l := newLease(2)
 	for cost, want := range map[float64]time.Duration{1: 10 * ms, 8: 10 * ms, 10: time.Second} {
 		if got := l.TimeUntil(0, cost); got != want {
-			t.Errorf("a cost of %v: %v, want %v", cost, got, want)
+			t.Errorf("cost %v: %v, want %v", cost, got, want)
 		}
 	}
 	none := lease.New(lease.Bucket{}, 2, 0)
 	if got := none.TimeUntil(0, 1); got != 10*time.Second {
-		t.Errorf("a plan without quota: %v", got)
+		t.Errorf("plan without a rate: %v, want 10s", got)
 	}
 }
