--- a/internal/policy/hardlimit_test.go
+++ b/internal/policy/hardlimit_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestFreshGatewayStartsWithAnEmptyShareOfTheHardLimit(t *testing.T) {
+func TestNewGatewayStartsWithEmptyHardLimitShare(t *testing.T) {
 	engine := newTestEngine(t, withoutCounter(), testBackends(40)...)
 	sent := 0
 	for i := range 1000 {
@@ -16,13 +16,13 @@
 		}
 	}
 	if sent > 10 {
-		t.Errorf("%d units in the first second of a fresh gateway; its share of the hard limit is 10", sent)
+		t.Errorf("a new gateway sent %d units in its first second; its share of the hard limit gains 10", sent)
 	}
 }
 
-// A tenant far over its hard limit has no queue in which all that goes out is nearly late: what would wait long is
-// rejected at once, with advice when to come back; and the less it is worth, the sooner.
-func TestQueueForTheHardLimitStaysShort(t *testing.T) {
+// A tenant far over its hard limit must not build up a queue from which every request leaves just before its deadline.
+// Requests that would wait too long are rejected at once with Retry-After advice, those of low weight first.
+func TestHardLimitQueueStaysShortForTenantFarOverLimit(t *testing.T) {
 	engine := newTestEngine(t, withoutCounter(), testBackends(2)...)
 	waiting := map[int]int{} // by class
 	id, advised := uint64(1), 0
@@ -39,9 +39,9 @@
 		}
 	}
 	if advised == 0 {
-		t.Error("nobody was told when to come back")
+		t.Error("no rejection had Retry-After advice")
 	}
 	if waiting[idempotentClass] > 1 || waiting[withKeyClass] < 1 || waiting[withKeyClass] > 2 {
-		t.Errorf("by class, %v wait", waiting)
+		t.Errorf("waiting requests by class: %v", waiting)
 	}
 }
--- a/internal/policy/hardlimitshare_test.go
+++ b/internal/policy/hardlimitshare_test.go
@@ -6,68 +6,69 @@
 	"time"
 )
 
-// hardLimitDay is what became of a tenant's requests: how many were sent, and the lowest level that the bucket of the
-// hard limit came to; below 0 the limit was passed.
-type hardLimitDay struct {
+// hardLimitOutcome is the outcome of runHardLimit: the number of requests sent and the lowest level of the hard limit's
+// bucket. A level below 0 means that the limit was exceeded.
+type hardLimitOutcome struct {
 	sent     int
 	minLevel float64
 }
 
-// playHardLimitDay plays 20 s of a tenant's requests, one each gap, through 13 gateways, 7 of 19 through the
-// first.
-func playHardLimitDay(t *testing.T, set Settings, gap time.Duration) hardLimitDay {
+// runHardLimit simulates 20 s of a tenant's requests through 13 gateways, one request per interval. The first gateway
+// gets 7 of 19 requests.
+func runHardLimit(t *testing.T, set Settings, interval time.Duration) hardLimitOutcome {
 	t.Helper()
 	const gateways, step = 13, ms
 	set.Gateways = gateways
-	g := newCountingGateways(t, set, ms, step)
+	s := newCounterSimulation(t, set, ms, step)
 	plan := set.Plans[softPlan]
-	day := hardLimitDay{minLevel: plan.HardLimitBurst}
+	outcome := hardLimitOutcome{minLevel: plan.HardLimitBurst}
 	level, levelAt := plan.HardLimitBurst, time.Duration(0)
-	g.onSend = func(now time.Duration) {
+	s.onSend = func(now time.Duration) {
 		level = min(plan.HardLimitBurst, level+plan.HardLimitRate*(now-levelAt).Seconds()) - 1
-		levelAt, day.minLevel = now, min(day.minLevel, level)
-		day.sent++
+		levelAt, outcome.minLevel = now, min(outcome.minLevel, level)
+		outcome.sent++
 	}
 	rng := rand.New(rand.NewPCG(3, 4))
 	for now := step; now < 20*time.Second; now += step {
-		requested := -1 // the gateway that gets a request
-		if now%gap == 0 {
-			requested = max(0, rng.IntN(gateways*3/2)-gateways/2)
+		target := -1 // the gateway that gets a request
+		if now%interval == 0 {
+			target = max(0, rng.IntN(gateways*3/2)-gateways/2)
 		}
-		for i := range g.engines {
-			events := g.takeDue(i, now)
-			if i == requested {
+		for i := range s.engines {
+			events := s.takeDue(i, now)
+			if i == target {
 				events = append(events, testRequest(uint64(now), idempotentClass, softPlan))
 			}
 			if now%(20*ms) == 0 {
 				events = append(events, Timer{checkCookie})
 			}
 			if len(events) > 0 {
-				g.take(i, now, events)
+				s.deliver(i, now, events)
 			}
 		}
 	}
-	return day
+	return outcome
 }
 
-// A hard limit of which an even share is thin is shared in part: it is never passed, whatever comes, and a tenant
-// that stays under it is served though one gateway has over a third of the traffic.
-func TestThinHardLimitIsSharedInPart(t *testing.T) {
+// If an even share of a hard limit holds only a few requests, a part of the limit is in a shared pool. The limit must
+// hold under overload. A tenant that stays within it must be served even if one gateway gets more than a third of the
+// traffic.
+func TestHardLimitWithSmallSharesHoldsAndServesUnevenTraffic(t *testing.T) {
 	set := manyGateways(13)
 	set.MaxRequestCost = 1
 	set.Plans[softPlan] = Plan{Rate: 8, Burst: 20, WeightFactor: 1, OverQuotaValue: 1,
 		HardLimitRate: 11, HardLimitBurst: 27}
-	if day := playHardLimitDay(t, set, 10*ms); day.minLevel < 0 {
-		t.Errorf("at 100 requests a second, %d were sent and the hard limit's bucket fell to %.1f", day.sent, day.minLevel)
+	if got := runHardLimit(t, set, 10*ms); got.minLevel < 0 {
+		t.Errorf("at 100 requests per second, %d were sent and the hard limit's bucket fell to %.1f", got.sent, got.minLevel)
 	}
-	if day := playHardLimitDay(t, set, 180*ms); day.sent < 100 || day.minLevel < 0 {
-		t.Errorf("of 111 requests, at half the hard limit, %d were sent; the bucket fell to %.1f", day.sent, day.minLevel)
+	if got := runHardLimit(t, set, 180*ms); got.sent < 100 || got.minLevel < 0 {
+		t.Errorf("of 111 requests, at half the hard limit, %d were sent; the bucket fell to %.1f", got.sent, got.minLevel)
 	}
 }
 
-// A hard limit so low that three quarters of an even share hold no request is divided as a whole: nothing of it is
-// borrowed by way of the counter.
-func TestLowHardLimitIsDivided(t *testing.T) {
+// If three quarters of an even share of a hard limit hold no request, there is no shared pool: the whole limit is
+// divided among the gateways, and nothing is borrowed from the counter.
+func TestLowHardLimitIsDividedWithoutCounterCalls(t *testing.T) {
 	set := manyGateways(13)
 	set.MaxRequestCost = 1
 	set.Plans[softPlan] = Plan{Rate: 100, Burst: 100, WeightFactor: 1, OverQuotaPenalty: 0.5,
@@ -75,6 +76,6 @@
 	engine := newTestEngine(t, set, testBackends(30)...)
 	acts := engine.Step(2*time.Second, []Event{testRequest(1, idempotentClass, softPlan)})
 	if len(sendsOf(acts)) != 1 || len(callsOf(acts)) != 0 {
-		t.Errorf("with a share of one unit, long filled: %v", acts)
+		t.Errorf("the share of one unit is full; want one attempt and no counter call: %v", acts)
 	}
 }
--- a/internal/policy/quota_test.go
+++ b/internal/policy/quota_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestNewTenantSpendsItsBurstOverTheGateways(t *testing.T) {
+func TestNewTenantHasEvenShareOfBurstPerGateway(t *testing.T) {
 	engine := newTestEngine(t, withoutCounter(), testBackends(8)...)
 	sent, rejected := 0, 0
 	for i := range 8 {
@@ -19,37 +19,37 @@
 	}
 }
 
-func TestGrantedTokensSendWhatWaits(t *testing.T) {
+func TestGrantedTokensReleaseWaitingRequests(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), testBackends(8)...)
 	call := spendFallback(t, engine, ms)
 	engine.Step(2*ms, testRequests(1, 5, idempotentClass, hardPlan))
 	actions := engine.Step(4*ms, []Event{CounterResult{call.Name, OK, call.Amount}})
 	if len(sendsOf(actions)) == 0 {
-		t.Errorf("granted tokens sent nothing: %v", actions)
+		t.Errorf("the granted tokens released no waiting request: %v", actions)
 	}
 }
 
-func TestEmptyBucketRejectsOnAHardPlan(t *testing.T) {
+func TestEmptyBucketRejectsRequestsOnHardPlan(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), testBackends(8)...)
 	call := spendFallback(t, engine, ms)
 	engine.Step(2*ms, testRequests(1, 5, idempotentClass, hardPlan))
 	actions := engine.Step(4*ms, []Event{CounterResult{call.Name, OK, call.Amount + 30}})
 	if len(rejectsOf(actions)) == 0 || len(sendsOf(actions)) != 0 {
-		t.Errorf("an empty bucket let requests in: %v", actions)
+		t.Errorf("requests were admitted although the bucket is empty: %v", actions)
 	}
 }
 
-func TestOverQuotaIsNotRejectedOnASoftPlan(t *testing.T) {
+func TestOverQuotaRequestsAreAdmittedOnSoftPlan(t *testing.T) {
 	settings := withoutCounter()
 	settings.Plans[softPlan].HardLimitRate = 0
 	engine := newTestEngine(t, settings, testBackends(20)...)
 	actions := engine.Step(ms, testRequests(0, 15, idempotentClass, softPlan))
 	if len(rejectsOf(actions)) != 0 {
-		t.Errorf("a soft plan was rejected over its quota: %v", actions)
+		t.Errorf("requests over the quota of a soft plan were rejected: %v", actions)
 	}
 }
 
-func TestFallbackTokensFillWhileTheCounterIsSilent(t *testing.T) {
+func TestFallbackTokensRefillWhileCounterIsUnresponsive(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), testBackends(8)...)
 	now, call := ms, spendFallback(t, engine, ms)
 	for i := range 12 {
@@ -63,13 +63,13 @@
 	now += 3 * time.Second
 	actions := engine.Step(now, []Event{testRequest(20, idempotentClass, hardPlan)})
 	if len(sendsOf(actions)) != 1 {
-		t.Errorf("the fallback tokens did not fill while the counter was silent: %v", actions)
+		t.Errorf("the fallback tokens did not refill while the counter was unresponsive: %v", actions)
 	}
 }
 
-// The counter loses its numbers, and the other gateways add some units before this one calls again: only what they
-// added counts.
-func TestCounterThatLostItsNumbersGrantsWhatOthersLeave(t *testing.T) {
+// The counter loses its totals, and the other gateways add some units before this one calls again. Only these units
+// count against the quota then.
+func TestCounterThatLostTotalsGrantsWhatOthersLeave(t *testing.T) {
 	for _, c := range []struct {
 		others  float64 // units added by the other gateways since
 		granted bool
@@ -81,23 +81,23 @@
 			again := callAfterRefill(t, engine, now)
 			actions := engine.Step(now+2*ms, []Event{CounterResult{again.Name, OK, again.Amount + c.others}})
 			if c.granted != (len(sendsOf(actions)) > 0) {
-				t.Errorf("others added %v to a counter that lost its numbers: %v", c.others, actions)
+				t.Errorf("others added %v after the counter lost its totals: %v", c.others, actions)
 			}
 		})
 	}
 }
 
-// emptyBucket has the counter answer that the tenant's bucket is empty, within the first 5 ms.
+// emptyBucket uses the first 5 ms to let the engine learn from the counter that the tenant's bucket is empty.
 func emptyBucket(t *testing.T, engine *Engine) {
 	t.Helper()
 	call := spendFallback(t, engine, ms)
 	actions := engine.Step(3*ms, []Event{CounterResult{call.Name, OK, 30}})
-	for _, giveBack := range callsOf(actions) { // what the bucket did not hold
-		engine.Step(5*ms, []Event{CounterResult{giveBack.Name, OK, 30 + giveBack.Amount}})
+	for _, correction := range callsOf(actions) { // for tokens that the bucket did not hold
+		engine.Step(5*ms, []Event{CounterResult{correction.Name, OK, 30 + correction.Amount}})
 	}
 }
 
-// callAfterRefill returns the first call for tokens when the bucket has filled again.
+// callAfterRefill returns the first call for tokens at a time when the bucket has refilled.
 func callAfterRefill(t *testing.T, engine *Engine, now time.Duration) AddToCounter {
 	t.Helper()
 	var calls []AddToCounter
@@ -106,7 +106,7 @@
 		calls = append(calls, callsOf(actions)...)
 	}
 	if len(calls) == 0 {
-		t.Fatal("no call after the bucket has filled again")
+		t.Fatal("no call for tokens after the bucket refilled")
 	}
 	return calls[0]
 }
--- a/internal/policy/sharedcounter_test.go
+++ b/internal/policy/sharedcounter_test.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// slowCounter is a counter that all gateways of a test share. It serves calls one by one, and works on those that
-// nobody waits for any more.
-type slowCounter struct {
-	serviceTime   time.Duration // of a call
-	freeAt        time.Duration
+// simulatedCounter is a shared counter with a limited capacity. It processes calls one at a time, including those
+// whose callers have already timed out.
+type simulatedCounter struct {
+	serviceTime   time.Duration // processing time of one call
+	freeAt        time.Duration // when it has processed all calls so far
 	totals        map[uint64]float64
 	calls, failed int
 }
 
-// call takes a call and tells when its answer comes and what it is.
-func (c *slowCounter) call(now, timeout time.Duration, call AddToCounter) (time.Duration, CounterResult) {
+// call queues a call and returns when its result arrives and what it is.
+func (c *simulatedCounter) call(now, timeout time.Duration, call AddToCounter) (time.Duration, CounterResult) {
 	c.freeAt = max(c.freeAt, now) + c.serviceTime
 	c.totals[call.Name] += call.Amount
 	c.calls++
@@ -26,48 +26,48 @@
 	return c.freeAt, CounterResult{call.Name, OK, c.totals[call.Name]}
 }
 
-// countingGateways plays gateways that share a slow counter, over backends that serve each attempt in 50 ms. Time
-// goes on in steps.
-type countingGateways struct {
+// counterSimulation simulates gateways that share a counter and whose backends serve each attempt in 50 ms. Time
+// advances in steps.
+type counterSimulation struct {
 	engines  []*Engine
 	settings Settings
-	counter  slowCounter
+	counter  simulatedCounter
 	step     time.Duration
-	due      []map[time.Duration][]Event // by gateway
-	onSend   func(now time.Duration)
+	due      []map[time.Duration][]Event // results by gateway and the time of their delivery
+	onSend   func(now time.Duration)     // called for each attempt sent
 }
 
-func newCountingGateways(t *testing.T, set Settings, serviceTime, step time.Duration) *countingGateways {
+func newCounterSimulation(t *testing.T, set Settings, serviceTime, step time.Duration) *counterSimulation {
 	t.Helper()
-	g := &countingGateways{settings: set, step: step,
-		counter: slowCounter{serviceTime: serviceTime, totals: map[uint64]float64{}}}
+	s := &counterSimulation{settings: set, step: step,
+		counter: simulatedCounter{serviceTime: serviceTime, totals: map[uint64]float64{}}}
 	for i := range set.Gateways {
 		set.GatewayIndex = i
-		g.engines = append(g.engines, newTestEngine(t, set, testBackends(30)...))
-		g.due = append(g.due, map[time.Duration][]Event{})
+		s.engines = append(s.engines, newTestEngine(t, set, testBackends(30)...))
+		s.due = append(s.due, map[time.Duration][]Event{})
 	}
-	return g
+	return s
 }
 
-// takeDue returns the results that a gateway gets at a time.
-func (g *countingGateways) takeDue(gateway int, now time.Duration) []Event {
-	events := g.due[gateway][now]
-	delete(g.due[gateway], now)
+// takeDue removes and returns the results that are due at a gateway.
+func (s *counterSimulation) takeDue(gateway int, now time.Duration) []Event {
+	events := s.due[gateway][now]
+	delete(s.due[gateway], now)
 	return events
 }
 
-// take hands events to a gateway and carries out its actions.
-func (g *countingGateways) take(gateway int, now time.Duration, events []Event) {
-	due := g.due[gateway]
-	for _, a := range g.engines[gateway].Step(now, events) {
+// deliver passes events to a gateway and carries out the resulting actions.
+func (s *counterSimulation) deliver(gateway int, now time.Duration, events []Event) {
+	due := s.due[gateway]
+	for _, a := range s.engines[gateway].Step(now, events) {
 		switch a := a.(type) {
 		case SendAttempt:
-			g.onSend(now)
+			s.onSend(now)
 			at := now + 50*ms
 			due[at] = append(due[at], servedResult(a, 0, 50*ms))
 		case AddToCounter:
-			at, result := g.counter.call(now, g.settings.CounterTimeout, a)
-			at = max(now+g.step, at.Truncate(g.step))
+			at, result := s.counter.call(now, s.settings.CounterTimeout, a)
+			at = max(now+s.step, at.Truncate(s.step))
 			due[at] = append(due[at], result)
 		}
 	}
--- a/internal/policy/tenants_test.go
+++ b/internal/policy/tenants_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// registryOf has tenants that were seen last at the given times.
+// registryOf returns a registry and its tenants, which were last seen at the given times.
 func registryOf(lastSeen ...time.Duration) (tenantRegistry, []*tenant) {
 	registry := newTenantRegistry()
 	var added []*tenant
@@ -18,22 +18,22 @@
 	return registry, added
 }
 
-func TestEvictionForgetsIdleTenantsOnly(t *testing.T) {
+func TestEvictionRemovesOnlyIdleTenants(t *testing.T) {
 	registry, added := registryOf(0, time.Second, 0, 0)
 	added[2].admitted = 1
 	added[3].lease.BeginCall(0, 1, 1)
 	registry.evictIdle(tenantIdleTime)
 	if len(registry.byKey) != 4 {
-		t.Errorf("%d tenants are left of 4 that were seen within the idle time", len(registry.byKey))
+		t.Errorf("%d tenants are left, want all 4: they were seen within the idle time", len(registry.byKey))
 	}
 	registry.evictIdle(tenantIdleTime + 1)
 	if len(registry.byKey) != 3 || len(registry.order) != 3 || registry.byKey[added[0].key] != nil {
-		t.Errorf("left: %v; want all but the first, as one was seen of late, one has a request admitted and one "+
-			"awaits the counter", registry.byKey)
+		t.Errorf("left: %v; want all but the first: one was seen recently, one has an admitted request and one "+
+			"awaits the counter's answer", registry.byKey)
 	}
 }
 
-func TestEvictionLooksAtAFewTenantsEachTime(t *testing.T) {
+func TestEvictionExaminesBoundedNumberOfTenantsPerCheck(t *testing.T) {
 	registry, _ := registryOf(make([]time.Duration, 3*evictionsPerCheck)...)
 	for left := 3 * evictionsPerCheck; left > 0; left -= evictionsPerCheck {
 		if len(registry.byKey) != left {
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestWaitingTenantsAreNotedOnce(t *testing.T) {
+func TestWaitingTenantsAreListedOnce(t *testing.T) {
 	registry, added := registryOf(0, 0)
 	registry.markWaiting(added[0])
 	registry.markWaiting(added[1])
@@ -54,7 +54,7 @@
 	if taken := registry.takeWaiting(); len(taken) != 2 || taken[0] != added[0] || taken[1] != added[1] {
 		t.Errorf("taken: %v", taken)
 	}
-	registry.markWaiting(added[0]) // it counts as noted until it is served
+	registry.markWaiting(added[0]) // ignored: it stays marked until it is served
 	added[1].clearWaitingMark()
 	registry.markWaiting(added[1])
 	if taken := registry.takeWaiting(); len(taken) != 1 || taken[0] != added[1] {
@@ -62,25 +62,25 @@
 	}
 }
 
-func TestFirstWaitingPassesOverWhatHasEnded(t *testing.T) {
+func TestFirstWaitingSkipsEndedRequests(t *testing.T) {
 	var tenant tenant
 	if tenant.firstWaiting() != nil {
-		t.Error("somebody waits at a new tenant")
+		t.Error("a new tenant has a waiting request")
 	}
-	ended, waits := &request{ended: true}, &request{}
+	ended, waiting := &request{ended: true}, &request{}
 	tenant.addWaiting(ended)
-	tenant.addWaiting(waits)
-	if got := tenant.firstWaiting(); got != waits {
-		t.Errorf("first: %v", got)
+	tenant.addWaiting(waiting)
+	if got := tenant.firstWaiting(); got != waiting {
+		t.Errorf("first waiting request: %v", got)
 	}
 	tenant.removeFirstWaiting()
 	if tenant.firstWaiting() != nil {
-		t.Error("it is still there")
+		t.Error("the removed request still waits")
 	}
 }
 
-// Calls for one number are answered in their order; calls for others don't matter.
-func TestAnswersBelongToCallsInTheirOrder(t *testing.T) {
+// Answers for one counter key belong to its calls in their order, independent of calls for other keys.
+func TestCounterAnswersMatchCallsPerKeyInOrder(t *testing.T) {
 	calls := newCounterCalls(true)
 	first, second, other := &counterCall{}, &counterCall{}, &counterCall{}
 	calls.enqueue(1, first)
