--- a/internal/policy/countercalls_test.go
+++ b/internal/policy/countercalls_test.go
@@ -41,7 +41,8 @@
 	}
 }
 
-// While the counter rejects all calls, each gateway must call it only rarely, however many requests it gets.
+// While the counter rejects all calls, few requests may call it, and each gateway must call it only rarely, however
+// many gateways there are.
 func TestFailingCounterIsCalledRarely(t *testing.T) {
 	engine := newTestEngine(t, manyGateways(300), testBackends(8)...)
 	lateCalls := 0
--- a/internal/policy/hardlimit_test.go
+++ b/internal/policy/hardlimit_test.go
@@ -42,6 +42,6 @@
 		t.Error("no rejection had Retry-After advice")
 	}
 	if waiting[idempotentClass] > 1 || waiting[withKeyClass] < 1 || waiting[withKeyClass] > 2 {
-		t.Errorf("waiting requests by class: %v", waiting)
+		t.Errorf("waiting requests by class: %v; want at most 1 of the low weight, 1 or 2 of the high weight", waiting)
 	}
 }
--- a/internal/policy/tenants_test.go
+++ b/internal/policy/tenants_test.go
@@ -52,13 +52,13 @@
 	registry.markWaiting(added[1])
 	registry.markWaiting(added[0])
 	if taken := registry.takeWaiting(); len(taken) != 2 || taken[0] != added[0] || taken[1] != added[1] {
-		t.Errorf("taken: %v", taken)
+		t.Errorf("taken: %v, want both tenants, each once", taken)
 	}
 	registry.markWaiting(added[0]) // ignored: it stays marked until it is served
 	added[1].clearWaitingMark()
 	registry.markWaiting(added[1])
 	if taken := registry.takeWaiting(); len(taken) != 1 || taken[0] != added[1] {
-		t.Errorf("taken: %v", taken)
+		t.Errorf("taken: %v, want the second tenant only", taken)
 	}
 }
 
@@ -92,6 +92,6 @@
 		}
 	}
 	if calls.dequeue(2) != other || len(calls.inFlight) != 0 {
-		t.Errorf("in flight: %v", calls.inFlight)
+		t.Errorf("calls for the other key do not match, or calls are left in flight: %v", calls.inFlight)
 	}
 }
