--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -37,7 +37,7 @@
 		return
 	}
 	e.emit(SetTimer{e.now + r.deadlineBudget - e.settings.TimerResolution, deadlineCookie(r.id)})
-	r.tenant.noteRequest(e.now, r.cost)
+	r.tenant.recordRequest(e.now, r.cost)
 	// A long queue for the hard limit would leave every request that clears it close to its deadline.
 	if wait := e.hardLimitQueueWait(r); wait > e.maxHardLimitWait(r) && !e.mayBorrow(r) {
 		e.reject(r, rejection{HardLimitQueueTooLong, time.Duration(wait * float64(time.Second))})
@@ -89,7 +89,7 @@
 	for r := t.firstWaiting(); r != nil; r = t.firstWaiting() {
 		switch decision := e.decideQuota(r); decision {
 		case mustWait:
-			e.tenants.noteWaiting(t)
+			e.tenants.markWaiting(t)
 			return
 		case proceed:
 			t.removeFirstWaiting()
@@ -105,7 +105,7 @@
 // no event signals that a hard limit's share has refilled or that a request has become too late.
 func (e *Engine) serveWaitingTenants() {
 	for _, t := range e.tenants.takeWaiting() {
-		t.noLongerNoted()
+		t.clearWaitingMark()
 		e.serve(t)
 	}
 }
