--- a/internal/policy/subset.go
+++ b/internal/policy/subset.go
@@ -61,15 +61,15 @@
 	size := max(inService/float64(seats), float64(min(minSubset, endpoints.inServiceCount)))
 	s.gatewaysPerBackend = max(1, float64(s.gateways)*size/max(1, inService))
 	for _, b := range changed {
-		if !b.inService && b.member.Seated() {
+		if !b.inService && b.member.Assigned() {
 			s.round.Remove(&b.member)
 		}
 	}
-	if s.round == nil || s.round.Seats() != seats {
+	if s.round == nil || s.round.Bins() != seats {
 		s.beginRound(endpoints, seats)
 	}
 	for _, b := range changed {
-		if b.inService && !b.member.Seated() {
+		if b.inService && !b.member.Assigned() {
 			s.round.Add(&b.member, b.name)
 		}
 	}
@@ -82,8 +82,8 @@
 func (s *backendSubset) seats(inService int) int {
 	wanted := max(1, int(math.Round(float64(s.gateways)/maxGatewaysPerBackend)))
 	fitting := max(1, coarse((inService+minSubset/2)/minSubset))
-	if s.round != nil && float64(inService) >= keepSeatsShare*minSubset*float64(s.round.Seats()) {
-		fitting = max(fitting, s.round.Seats())
+	if s.round != nil && float64(inService) >= keepSeatsShare*minSubset*float64(s.round.Bins()) {
+		fitting = max(fitting, s.round.Bins())
 	}
 	return min(wanted, fitting)
 }
@@ -98,7 +98,7 @@
 // beginRound deals all backends out anew over so many seats.
 func (s *backendSubset) beginRound(endpoints *endpointRegistry, seats int) {
 	for _, b := range endpoints.all {
-		if b.member.Seated() {
+		if b.member.Assigned() {
 			b.member = subset.Member[*backend]{Value: b}
 			if b.inSubset && !b.extra {
 				s.set(b, false)
--- a/internal/subset/subset.go
+++ b/internal/subset/subset.go
@@ -1,9 +1,13 @@
-// Package subset deals the backends of a fleet out to gateways: each backend has one seat in a round, and
-// each gateway of the round takes those of one seat. It is consistent hashing with bounded loads (V.
-// Mirrokni, M. Thorup and M. Zadimoghaddam, SODA 2018): a backend takes the first seat of its own order
-// that has room or holds a backend of lower priority, which then moves on. Who sits where follows from the
-// backends that are there alone, not from the order in which they came; so all gateways that have the same
-// list deal alike, and a backend that comes or goes moves few others.
+// Package subset divides the backends of a fleet among gateways. In each round, every backend is assigned to
+// exactly one bin, and each gateway of the round uses the backends of one bin.
+//
+// The assignment is consistent hashing with bounded loads (V. Mirrokni, M. Thorup and M. Zadimoghaddam, SODA
+// 2018). Each backend has its own preference order over the bins. It gets the first bin of that order which
+// has room or holds a backend of lower priority; the latter is displaced and goes on to its next bin.
+//
+// The assignment depends only on which backends are present, not on the order in which they were added. All
+// gateways with the same list therefore compute the same assignment, and adding or removing a backend moves
+// few others.
 package subset
 
 import (
@@ -12,201 +16,207 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Member is a backend's place in one Round. It belongs to the Round from Add to Remove.
+// Member is the state of one backend in a Round. It belongs to the Round from Add to Remove.
 type Member[T any] struct {
-	Value     T
-	priority  uint64
-	firstSeat int // its order of seats is firstSeat, firstSeat+stride, firstSeat+2*stride, ..., modulo the seats
-	stride    int
-	choice    int // the place in that order of the seat that it has
-	seat      int
-	seated    bool
+	Value    T
+	priority uint64
+	// The preference order of the bins is firstBin, firstBin+stride, firstBin+2*stride, ..., modulo the number
+	// of bins.
+	firstBin int
+	stride   int
+	choice   int // index of the current bin in that order
+	bin      int
+	assigned bool
 }
 
-// Seated says whether the member is in a Round.
-func (m *Member[T]) Seated() bool { return m.seated }
+// Assigned reports whether the member is in a Round.
+func (m *Member[T]) Assigned() bool { return m.assigned }
 
-// Round is one dealing out of the whole list. The zero value is not usable. A Round is not safe for
+// Round assigns each of its members to one bin. The zero value is not usable. A Round is not safe for
 // concurrent use.
 type Round[T any] struct {
 	number    uint64
-	ownSeat   int
+	ownBin    int
 	slack     float64
-	moved     func(T, bool)
-	size      int          // members
-	capacity  int          // members that a seat may hold
-	occupants [][]place[T] // by seat
-	displaced [][]place[T] // by seat: the members that prefer it to the seat that they have
+	onChange  func(T, bool)
+	size      int          // number of members
+	capacity  int          // members that one bin may hold
+	contents  [][]entry[T] // by bin: the members that it holds
+	displaced [][]entry[T] // by bin: the members that prefer it to the bin that holds them
 }
 
-// place keeps the priority beside the member: looking for the lowest is most of the work.
-type place[T any] struct {
+// entry copies the priority next to the member pointer, because most of the running time is spent searching
+// for the lowest priority.
+type entry[T any] struct {
 	priority uint64
 	member   *Member[T]
 }
 
-// New makes an empty round. Its number goes into the order of seats of each member, so rounds with different
-// numbers deal differently. No seat holds over 1+slack times the mean, rounded up; a larger slack moves fewer
-// members when one comes or goes, and deals less evenly. Moved is called with the value of each member that
-// comes to ownSeat (true) or leaves it (false), from Add and Remove.
-func New[T any](number uint64, seats, ownSeat int, slack float64, moved func(T, bool)) *Round[T] {
-	return &Round[T]{number: number, ownSeat: ownSeat, slack: slack, moved: moved,
-		occupants: make([][]place[T], seats), displaced: make([][]place[T], seats)}
+// New creates an empty round. The round's number is hashed into each member's preference order, so that
+// rounds with different numbers assign differently.
+//
+// A bin holds at most 1+slack times the mean, rounded up. A larger slack moves fewer members when one is
+// added or removed, but distributes them less evenly.
+//
+// Add and Remove call onChange with the value of each member that enters ownBin (true) or leaves it (false).
+func New[T any](number uint64, bins, ownBin int, slack float64, onChange func(T, bool)) *Round[T] {
+	return &Round[T]{number: number, ownBin: ownBin, slack: slack, onChange: onChange,
+		contents: make([][]entry[T], bins), displaced: make([][]entry[T], bins)}
 }
 
-// Seats is the number of seats, from the call of New.
-func (r *Round[T]) Seats() int { return len(r.occupants) }
+// Bins returns the number of bins, as passed to New.
+func (r *Round[T]) Bins() int { return len(r.contents) }
 
-// Add takes a member in, by the name that every gateway knows it by.
+// Add adds a member. All gateways must pass the same name for it.
 func (r *Round[T]) Add(m *Member[T], name string) {
-	seats := uint64(len(r.occupants))
+	bins := uint64(len(r.contents))
 	hash := Mix(xxhash.Sum64String(name), r.number)
-	m.priority, m.choice, m.seated = hash, 0, true
-	m.firstSeat, m.stride = int(Mix(hash, 1)%seats), 1
-	if seats > 2 {
-		m.stride += int(Mix(hash, 2) % (seats - 1))
-		for gcd(m.stride, len(r.occupants)) > 1 { // else its order would not come to all seats
-			m.stride = m.stride%(len(r.occupants)-1) + 1
+	m.priority, m.choice, m.assigned = hash, 0, true
+	m.firstBin, m.stride = int(Mix(hash, 1)%bins), 1
+	if bins > 2 {
+		m.stride += int(Mix(hash, 2) % (bins - 1))
+		for gcd(m.stride, len(r.contents)) > 1 { // otherwise the order would not reach all bins
+			m.stride = m.stride%(len(r.contents)-1) + 1
 		}
 	}
 	r.resize(r.size + 1)
-	r.findSeat(m)
+	r.assign(m)
 }
 
-// Remove takes a member out. One that is not in a round stays out.
+// Remove removes a member. It does nothing if the member is not in a round.
 func (r *Round[T]) Remove(m *Member[T]) {
-	if !m.seated {
+	if !m.assigned {
 		return
 	}
 	for choice := range m.choice {
-		r.withdraw(m, choice)
+		r.removeDisplaced(m, choice)
 	}
-	m.seated = false
-	r.leave(m)
-	r.refill(m.seat)
+	m.assigned = false
+	r.removeFromBin(m)
+	r.refill(m.bin)
 	r.resize(r.size - 1)
 }
 
-// resize sets the number of members, and makes what each seat may hold follow it.
+// resize sets the number of members and adjusts the capacity of the bins to it.
 func (r *Round[T]) resize(size int) {
 	r.size = size
-	capacity := int(math.Ceil(float64(size) * (1 + r.slack) / float64(len(r.occupants))))
+	capacity := int(math.Ceil(float64(size) * (1 + r.slack) / float64(len(r.contents))))
 	for r.capacity < capacity {
 		r.capacity++
-		for seat := range r.occupants {
-			r.refill(seat)
+		for bin := range r.contents {
+			r.refill(bin)
 		}
 	}
 	for r.capacity > capacity {
 		r.capacity--
-		for seat := range r.occupants {
-			if len(r.occupants[seat]) > r.capacity {
-				weakest := r.occupants[seat][lowestPriority(r.occupants[seat])].member
-				r.leave(weakest)
-				r.displace(weakest, seat)
-				r.findSeat(weakest)
+		for bin := range r.contents {
+			if len(r.contents[bin]) > r.capacity {
+				lowest := r.contents[bin][lowestPriority(r.contents[bin])].member
+				r.removeFromBin(lowest)
+				r.displace(lowest, bin)
+				r.assign(lowest)
 			}
 		}
 	}
 }
 
-// findSeat finds a seat for a member that has none, from its present choice on, and for each that it
-// displaces.
-func (r *Round[T]) findSeat(m *Member[T]) {
+// assign assigns a member that is in no bin to one, trying bins from its current choice on. It does the same
+// for each member that is displaced in the process.
+func (r *Round[T]) assign(m *Member[T]) {
 	for {
-		seat := r.seatAt(m, m.choice)
-		if len(r.occupants[seat]) < r.capacity {
-			r.join(m, seat)
+		bin := r.binAt(m, m.choice)
+		if len(r.contents[bin]) < r.capacity {
+			r.putInBin(m, bin)
 			return
 		}
-		if i := lowestPriority(r.occupants[seat]); r.occupants[seat][i].priority < m.priority {
-			weaker := r.occupants[seat][i].member
-			r.leave(weaker)
-			r.join(m, seat)
-			m = weaker
+		if i := lowestPriority(r.contents[bin]); r.contents[bin][i].priority < m.priority {
+			lower := r.contents[bin][i].member
+			r.removeFromBin(lower)
+			r.putInBin(m, bin)
+			m = lower
 		}
-		r.displace(m, seat)
+		r.displace(m, bin)
 	}
 }
 
-// displace notes that a seat has no room for a member, which goes on to the next of its order.
-func (r *Round[T]) displace(m *Member[T], seat int) {
-	r.displaced[seat] = append(r.displaced[seat], place[T]{m.priority, m})
+// displace records that a bin has no room for a member, and advances the member to the next bin of its order.
+func (r *Round[T]) displace(m *Member[T], bin int) {
+	r.displaced[bin] = append(r.displaced[bin], entry[T]{m.priority, m})
 	m.choice++
 }
 
-// refill gives room on a seat to the member of highest priority of those that it displaced. That leaves room
-// where this one sat, which is filled in the same way, and so on.
-func (r *Round[T]) refill(seat int) {
-	for len(r.occupants[seat]) < r.capacity && len(r.displaced[seat]) > 0 {
-		m := r.displaced[seat][highestPriority(r.displaced[seat])].member
-		r.leave(m)
-		for r.seatAt(m, m.choice-1) != seat {
+// refill fills free capacity of a bin with the highest-priority member that it displaced. This frees capacity
+// in the bin that held that member, which is refilled in turn, and so on.
+func (r *Round[T]) refill(bin int) {
+	for len(r.contents[bin]) < r.capacity && len(r.displaced[bin]) > 0 {
+		m := r.displaced[bin][highestPriority(r.displaced[bin])].member
+		r.removeFromBin(m)
+		for r.binAt(m, m.choice-1) != bin {
 			m.choice--
-			r.withdraw(m, m.choice)
+			r.removeDisplaced(m, m.choice)
 		}
 		m.choice--
-		r.withdraw(m, m.choice)
-		left := m.seat
-		r.join(m, seat)
-		seat = left
+		r.removeDisplaced(m, m.choice)
+		vacated := m.bin
+		r.putInBin(m, bin)
+		bin = vacated
 	}
 }
 
-// seatAt is the seat at a place of a member's order.
-func (r *Round[T]) seatAt(m *Member[T], choice int) int {
-	return (m.firstSeat + choice*m.stride) % len(r.occupants)
+// binAt returns the bin at an index of a member's preference order.
+func (r *Round[T]) binAt(m *Member[T], choice int) int {
+	return (m.firstBin + choice*m.stride) % len(r.contents)
 }
 
-// withdraw takes a member out of those that the seat of an earlier choice has displaced.
-func (r *Round[T]) withdraw(m *Member[T], choice int) {
-	seat := r.seatAt(m, choice)
-	r.displaced[seat] = without(r.displaced[seat], m)
+// removeDisplaced removes a member from the list of those displaced by the bin of an earlier choice.
+func (r *Round[T]) removeDisplaced(m *Member[T], choice int) {
+	bin := r.binAt(m, choice)
+	r.displaced[bin] = without(r.displaced[bin], m)
 }
 
-func (r *Round[T]) join(m *Member[T], seat int) {
-	m.seat = seat
-	r.occupants[seat] = append(r.occupants[seat], place[T]{m.priority, m})
-	if seat == r.ownSeat {
-		r.moved(m.Value, true)
+func (r *Round[T]) putInBin(m *Member[T], bin int) {
+	m.bin = bin
+	r.contents[bin] = append(r.contents[bin], entry[T]{m.priority, m})
+	if bin == r.ownBin {
+		r.onChange(m.Value, true)
 	}
 }
 
-func (r *Round[T]) leave(m *Member[T]) {
-	r.occupants[m.seat] = without(r.occupants[m.seat], m)
-	if m.seat == r.ownSeat {
-		r.moved(m.Value, false)
+func (r *Round[T]) removeFromBin(m *Member[T]) {
+	r.contents[m.bin] = without(r.contents[m.bin], m)
+	if m.bin == r.ownBin {
+		r.onChange(m.Value, false)
 	}
 }
 
-// without takes a member out of places. It does not keep their order, which has no meaning.
-func without[T any](places []place[T], m *Member[T]) []place[T] {
-	for i := range places {
-		if places[i].member == m {
-			last := len(places) - 1
-			places[i], places[last] = places[last], place[T]{}
-			return places[:last]
+// without removes a member from entries. It does not preserve their order, which has no meaning.
+func without[T any](entries []entry[T], m *Member[T]) []entry[T] {
+	for i := range entries {
+		if entries[i].member == m {
+			last := len(entries) - 1
+			entries[i], entries[last] = entries[last], entry[T]{}
+			return entries[:last]
 		}
 	}
-	return places
+	return entries
 }
 
-// lowestPriority is the index of the lowest priority, the first of equals.
-func lowestPriority[T any](places []place[T]) int {
+// lowestPriority returns the index of the entry with the lowest priority, the first of equals.
+func lowestPriority[T any](entries []entry[T]) int {
 	lowest := 0
-	for i := range places {
-		if places[i].priority < places[lowest].priority {
+	for i := range entries {
+		if entries[i].priority < entries[lowest].priority {
 			lowest = i
 		}
 	}
 	return lowest
 }
 
-// highestPriority is the index of the highest priority, the first of equals.
-func highestPriority[T any](places []place[T]) int {
+// highestPriority returns the index of the entry with the highest priority, the first of equals.
+func highestPriority[T any](entries []entry[T]) int {
 	highest := 0
-	for i := range places {
-		if places[i].priority > places[highest].priority {
+	for i := range entries {
+		if entries[i].priority > entries[highest].priority {
 			highest = i
 		}
 	}
@@ -220,8 +230,8 @@
 	return a
 }
 
-// Mix makes another hash of a hash and a number (the finalizer of SplitMix64, G. Steele, D. Lea and C. Flood,
-// 2014).
+// Mix derives another hash from a hash and a number, using the finalizer of SplitMix64 (G. Steele, D. Lea and
+// C. Flood, 2014).
 func Mix(hash, number uint64) uint64 {
 	hash += (number + 1) * 0x9e3779b97f4a7c15
 	hash = (hash ^ hash>>30) * 0xbf58476d1ce4e5b9
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -7,19 +7,19 @@
 	"testing"
 )
 
-// testRound is a round whose every seat can be seen.
+// testRound is a Round that records which members it reported for its own bin.
 type testRound struct {
 	round   *Round[int]
 	members []Member[int]
-	own     map[int]bool // by member, what was told of the own seat
+	own     map[int]bool // by member: whether it is in the own bin, as last reported
 }
 
-func newTestRound(t *testing.T, members, seats, ownSeat int, slack float64) *testRound {
+func newTestRound(t *testing.T, members, bins, ownBin int, slack float64) *testRound {
 	t.Helper()
 	tr := &testRound{members: make([]Member[int], members), own: map[int]bool{}}
-	tr.round = New(7, seats, ownSeat, slack, func(member int, in bool) {
+	tr.round = New(7, bins, ownBin, slack, func(member int, in bool) {
 		if tr.own[member] == in {
-			t.Fatalf("member %d told twice in a row that it came: %v", member, in)
+			t.Fatalf("member %d was reported twice in a row as in the own bin: %v", member, in)
 		}
 		tr.own[member] = in
 	})
@@ -32,34 +32,34 @@
 func (tr *testRound) add(i int)    { tr.round.Add(&tr.members[i], fmt.Sprint("b", i)) }
 func (tr *testRound) remove(i int) { tr.round.Remove(&tr.members[i]) }
 
-// seats tells where each member sits; -1: nowhere.
-func (tr *testRound) seats() []int {
-	seats := make([]int, len(tr.members))
+// bins returns the bin of each member, -1 for one that is not assigned.
+func (tr *testRound) bins() []int {
+	bins := make([]int, len(tr.members))
 	for i := range tr.members {
-		if seats[i] = -1; tr.members[i].Seated() {
-			seats[i] = tr.members[i].seat
+		if bins[i] = -1; tr.members[i].Assigned() {
+			bins[i] = tr.members[i].bin
 		}
 	}
-	return seats
+	return bins
 }
 
-// However the members came and went, the same ones sit alike, no seat holds too many, and what was told of
-// the own seat is so.
-func TestSeatsFollowFromMembersAlone(t *testing.T) {
-	for _, seats := range []int{1, 2, 3, 10, 19, 51} {
+// Whatever the order of additions and removals, the same members get the same bins, no bin exceeds its
+// capacity, and the changes reported for the own bin match its contents.
+func TestAssignmentIsIndependentOfTheOrderOfChanges(t *testing.T) {
+	for _, bins := range []int{1, 2, 3, 10, 19, 51} {
 		for _, slack := range []float64{0.02, 0.125, 0.5} {
-			t.Run(fmt.Sprint(seats, " seats, slack ", slack), func(t *testing.T) { playComingAndGoing(t, seats, slack) })
+			t.Run(fmt.Sprint(bins, " bins, slack ", slack), func(t *testing.T) { testRandomChanges(t, bins, slack) })
 		}
 	}
 }
 
-// playComingAndGoing lets members come and go at random, and checks the seats now and then.
-func playComingAndGoing(t *testing.T, seats int, slack float64) {
+// testRandomChanges adds and removes members at random, and checks the assignment every 500 steps.
+func testRandomChanges(t *testing.T, bins int, slack float64) {
 	t.Helper()
 	const members = 300
-	rng := rand.New(rand.NewPCG(uint64(seats), 1))
-	ownSeat := seats / 2
-	tr := newTestRound(t, members, seats, ownSeat, slack)
+	rng := rand.New(rand.NewPCG(uint64(bins), 1))
+	ownBin := bins / 2
+	tr := newTestRound(t, members, bins, ownBin, slack)
 	in := map[int]bool{}
 	for step := range 3000 {
 		i := rng.IntN(members)
@@ -73,65 +73,65 @@
 		if step%500 != 499 {
 			continue
 		}
-		other := newTestRound(t, members, seats, 0, slack)
+		other := newTestRound(t, members, bins, 0, slack)
 		for _, i := range rng.Perm(members) {
 			if in[i] {
 				other.add(i)
 			}
 		}
-		if !slices.Equal(tr.seats(), other.seats()) {
-			t.Fatal("the order of coming matters")
+		if !slices.Equal(tr.bins(), other.bins()) {
+			t.Fatal("the assignment depends on the order of additions and removals")
 		}
-		for i, seat := range tr.seats() {
-			if tr.own[i] != (seat == ownSeat) {
-				t.Fatalf("member %d on seat %d, told %v", i, seat, tr.own[i])
+		for i, bin := range tr.bins() {
+			if tr.own[i] != (bin == ownBin) {
+				t.Fatalf("member %d is in bin %d, reported as in the own bin: %v", i, bin, tr.own[i])
 			}
 		}
-		most := int(float64(len(in))*(1+slack)/float64(seats)) + 1
-		for seat, occupants := range tr.round.occupants {
-			if len(occupants) > most {
-				t.Fatalf("seat %d of %d holds %d of %d", seat, seats, len(occupants), len(in))
+		most := int(float64(len(in))*(1+slack)/float64(bins)) + 1
+		for bin, contents := range tr.round.contents {
+			if len(contents) > most {
+				t.Fatalf("bin %d of %d holds %d of %d members", bin, bins, len(contents), len(in))
 			}
 		}
 	}
 }
 
-// One that goes moves few others.
-func TestFewMove(t *testing.T) {
-	const members, seats = 1100, 51
-	tr := newTestRound(t, members, seats, 0, 0.125)
+// Removing a member moves few others to another bin.
+func TestRemoveMovesFewOthers(t *testing.T) {
+	const members, bins = 1100, 51
+	tr := newTestRound(t, members, bins, 0, 0.125)
 	for i := range members {
 		tr.add(i)
 	}
 	moved := 0
 	for i := range 300 {
-		before := tr.seats()
+		before := tr.bins()
 		tr.remove(i)
-		for j, seat := range tr.seats() {
-			if j != i && seat != before[j] {
+		for j, bin := range tr.bins() {
+			if j != i && bin != before[j] {
 				moved++
 			}
 		}
 	}
 	if mean := float64(moved) / 300; mean > 2 {
-		t.Errorf("%.2f others move when one goes", mean)
+		t.Errorf("removing a member moves %.2f others on average", mean)
 	}
 }
 
-// Taking out one that is not there changes nothing.
-func TestRemoveOfNobody(t *testing.T) {
+// Removing a member that is not in the round changes nothing.
+func TestRemoveOfAnAbsentMemberDoesNothing(t *testing.T) {
 	tr := newTestRound(t, 3, 2, 0, 0.1)
 	tr.add(0)
 	tr.remove(1)
 	tr.remove(0)
 	tr.remove(0)
-	if tr.round.size != 0 || tr.round.Seats() != 2 {
-		t.Errorf("size %d", tr.round.size)
+	if tr.round.size != 0 || tr.round.Bins() != 2 {
+		t.Errorf("size %d, %d bins", tr.round.size, tr.round.Bins())
 	}
 }
 
-// BenchmarkComeAndGo tells what it takes to take one member out and in again.
-func BenchmarkComeAndGo(b *testing.B) {
+// BenchmarkRemoveAndAdd measures removing one member and adding it again.
+func BenchmarkRemoveAndAdd(b *testing.B) {
 	for _, size := range []int{200, 11000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			round := New(1, min(51, size/8), 0, 0.125, func(int, bool) {})
