--- a/internal/policy/backend.go
+++ b/internal/policy/backend.go
@@ -14,7 +14,7 @@
 // choose looks at stands first and together: in a large fleet, fetching this from memory costs more than the
 // arithmetic on it.
 type backend struct {
-	membership    // of the endpointRegistry
+	registryState // of the endpointRegistry
 	detector      outlier.Detector
 	limiter       concurrency.Limiter
 	latencyFactor latency.Factor
@@ -23,7 +23,7 @@
 	queue         requestQueue
 	inFlight      []*attempt // by request.addAttempt and attempt.finish
 	slowStart     slowstart.Budget
-	subsetPlace   // of the backendSubset
+	subsetState   // of the backendSubset
 	warmMark      throughput.Mark
 	inCheckList   bool // in Engine.toCheck
 	name          string
--- a/internal/policy/endpoints.go
+++ b/internal/policy/endpoints.go
@@ -87,7 +87,7 @@
 }
 
 // endpointRegistry holds the backends that the endpoint list has named and that are not yet gone. It owns
-// its backends' membership.
+// its backends' registryState.
 type endpointRegistry struct {
 	byName         map[string]*backend
 	all            []*backend // those of byName; written by findOrAdd and remove alone
@@ -97,8 +97,8 @@
 	updates        uint64
 }
 
-// membership is what the registry keeps with each backend.
-type membership struct {
+// registryState is what the registry keeps with each backend.
+type registryState struct {
 	inService bool   // in service, by the list
 	leaving   bool   // in endpointRegistry.leaving
 	namedIn   uint64 // the update that named it last
--- a/internal/policy/subset.go
+++ b/internal/policy/subset.go
@@ -1,6 +1,6 @@
 package policy
 
-// The subset: the backends that this gateway uses while it can.
+// The subset: the backends that this gateway normally sends to.
 
 import (
 	"math"
@@ -12,40 +12,43 @@
 )
 
 const (
-	// maxGatewaysPerBackend is how many gateways have one backend in their subsets on average: so many that
-	// their traffic to it is even in sum.
+	// maxGatewaysPerBackend is how many gateways have a given backend in their subsets on average. It is large
+	// enough that the sum of their traffic to the backend is even.
 	maxGatewaysPerBackend = 16.0
-	// minSubset is the least size of a subset, so that the loss of one backend is no great part of it.
+	// minSubset is the minimum size of a subset, so that losing one backend loses only a small part of it.
 	minSubset = 8
-	// mixedSubset is the size from which a subset, dealt at random, has enough backends outside any zone.
-	mixedSubset = 4 * minSubset
-	// subsetSlack is what a gateway may be dealt over the mean, as a share of it, so that few subsets change
-	// when a backend goes.
+	// zoneDiverseSubset is the size from which a subset, which is assigned by hash, has enough backends outside
+	// any one zone without a check.
+	zoneDiverseSubset = 4 * minSubset
+	// subsetSlack is by how much a gateway's part may exceed the mean, as a share of the mean, so that few
+	// subsets change when a backend is removed.
 	subsetSlack = 0.0625
-	// keepSeatsShare says how long the seats of a round are kept while the list shrinks: until they would have
-	// fewer than keepSeatsShare x minSubset backends each.
-	keepSeatsShare = 0.6
+	// keepBinsShare delays reducing the number of bins while the list shrinks: the bins of a round are kept
+	// until they would have fewer than keepBinsShare x minSubset backends each.
+	keepBinsShare = 0.6
 )
 
-// backendSubset is the subset of one gateway (the paper knows one balancer: were each of many gateways to
-// use all backends, a backend's connections and handshakes would grow with the gateways, and each gateway
-// would send to it too seldom to know it). The gateways of one round divide the whole list among them, so
-// every backend is in one subset of each round; the last round may have too few gateways to use all. They do
-// so by consistent hashing with bounded loads: a change of the list moves few.
+// backendSubset is the subset of the backends that one gateway uses. The paper has a single balancer, which
+// uses all backends. If each of many gateways did so, the connections and handshakes of a backend would grow
+// with the number of gateways, and each gateway would send to a backend too rarely to know its state.
+//
+// The gateways are grouped into rounds. Those of one round divide the whole list among them, so that every
+// backend is in one subset of each round; the last round may have too few gateways to use all backends. They
+// divide it by consistent hashing with bounded loads, so that a change of the list moves few backends.
 type backendSubset struct {
 	gateways           int
 	gatewayIndex       int
-	backends           []*backend // written by set alone
-	extra              []*backend // those by addExtras
+	backends           []*backend // modified by set only
+	extra              []*backend // those added by addExtras
 	round              *subset.Round[*backend]
-	gatewaysPerBackend float64 // that have one backend in their subsets, on average; 1 at least
+	gatewaysPerBackend float64 // gateways with a given backend in their subsets, on average; at least 1
 }
 
-// subsetPlace is what the subset keeps with each backend.
-type subsetPlace struct {
+// subsetState is the state that the subset keeps for each backend.
+type subsetState struct {
 	inSubset    bool
-	extra       bool // in the subset by addExtras
-	subsetIndex int  // in backendSubset.backends
+	extra       bool // added to the subset by addExtras
+	subsetIndex int  // index in backendSubset.backends
 	member      subset.Member[*backend]
 }
 
@@ -54,19 +57,20 @@
 		gatewaysPerBackend: float64(set.Gateways)}
 }
 
-// assign makes the subset follow the endpoint list, of which these backends have changed.
+// assign updates the subset from the endpoint list. The changed backends are those that have come into
+// service or left it since the last call.
 func (s *backendSubset) assign(endpoints *endpointRegistry, changed []*backend) {
-	seats := s.seats(endpoints.inServiceCount)
+	bins := s.bins(endpoints.inServiceCount)
 	inService := float64(endpoints.inServiceCount)
-	size := max(inService/float64(seats), float64(min(minSubset, endpoints.inServiceCount)))
+	size := max(inService/float64(bins), float64(min(minSubset, endpoints.inServiceCount)))
 	s.gatewaysPerBackend = max(1, float64(s.gateways)*size/max(1, inService))
 	for _, b := range changed {
 		if !b.inService && b.member.Assigned() {
 			s.round.Remove(&b.member)
 		}
 	}
-	if s.round == nil || s.round.Bins() != seats {
-		s.beginRound(endpoints, seats)
+	if s.round == nil || s.round.Bins() != bins {
+		s.beginRound(endpoints, bins)
 	}
 	for _, b := range changed {
 		if b.inService && !b.member.Assigned() {
@@ -76,27 +80,27 @@
 	s.addExtras(endpoints)
 }
 
-// seats is how many gateways share out the list: so many that each backend is in about maxGatewaysPerBackend
-// subsets, but not so many that these would have under minSubset backends. A list that shrinks a little
-// changes nothing.
-func (s *backendSubset) seats(inService int) int {
+// bins returns the number of bins in a round, which is also the number of gateways in it: the number with
+// which each backend is in about maxGatewaysPerBackend subsets, reduced if needed so that subsets have about
+// minSubset backends or more. It does not change when the list shrinks slightly (keepBinsShare).
+func (s *backendSubset) bins(inService int) int {
 	wanted := max(1, int(math.Round(float64(s.gateways)/maxGatewaysPerBackend)))
-	fitting := max(1, coarse((inService+minSubset/2)/minSubset))
-	if s.round != nil && float64(inService) >= keepSeatsShare*minSubset*float64(s.round.Bins()) {
+	fitting := max(1, keepThreeBits((inService+minSubset/2)/minSubset))
+	if s.round != nil && float64(inService) >= keepBinsShare*minSubset*float64(s.round.Bins()) {
 		fitting = max(fitting, s.round.Bins())
 	}
 	return min(wanted, fitting)
 }
 
-// coarse rounds a number of seats down to three binary digits, so that a list that grows changes it seldom:
-// each change deals all backends out anew.
-func coarse(seats int) int {
-	drop := max(0, bits.Len(uint(seats))-3)
-	return seats >> drop << drop
+// keepThreeBits rounds a number of bins down to its three most significant bits. As the list grows, the
+// number of bins then changes rarely; each change reassigns all backends.
+func keepThreeBits(bins int) int {
+	drop := max(0, bits.Len(uint(bins))-3)
+	return bins >> drop << drop
 }
 
-// beginRound deals all backends out anew over so many seats.
-func (s *backendSubset) beginRound(endpoints *endpointRegistry, seats int) {
+// beginRound reassigns all backends to the given number of bins.
+func (s *backendSubset) beginRound(endpoints *endpointRegistry, bins int) {
 	for _, b := range endpoints.all {
 		if b.member.Assigned() {
 			b.member = subset.Member[*backend]{Value: b}
@@ -105,7 +109,7 @@
 			}
 		}
 	}
-	s.round = subset.New(uint64(s.gatewayIndex/seats), seats, s.gatewayIndex%seats, subsetSlack, s.moved)
+	s.round = subset.New(uint64(s.gatewayIndex/bins), bins, s.gatewayIndex%bins, subsetSlack, s.roundChanged)
 	for _, b := range endpoints.all {
 		if b.inService {
 			s.round.Add(&b.member, b.name)
@@ -113,16 +117,16 @@
 	}
 }
 
-// moved notes that a backend has come to this gateway's seat in the round or left it. One that was an extra
-// is in the subset already, and from now on belongs to the round.
-func (s *backendSubset) moved(b *backend, in bool) {
+// roundChanged is called by the round when a backend enters or leaves this gateway's bin. A backend that was
+// an extra is in the subset already, and from now on belongs to the round.
+func (s *backendSubset) roundChanged(b *backend, in bool) {
 	if !b.extra {
 		s.set(b, in)
 	}
 	b.extra = false
 }
 
-// set puts a backend into the subset or takes it out.
+// set adds a backend to the subset or removes it.
 func (s *backendSubset) set(b *backend, in bool) {
 	if b.inSubset == in {
 		return
@@ -138,8 +142,9 @@
 	s.backends = s.backends[:last]
 }
 
-// addExtras replaces the extra backends. It gives a gateway that was dealt too few backends some more, in its
-// own order: too few in all, or too few outside some zone, as that zone may be lost.
+// addExtras replaces the extra backends. If the round gave this gateway too few backends, it adds more in the
+// gateway's own hash order. Too few means too few in total, or too few outside some zone, which may fail as a
+// whole.
 func (s *backendSubset) addExtras(endpoints *endpointRegistry) {
 	for _, b := range s.extra {
 		if b.extra {
@@ -150,7 +155,7 @@
 	s.extra = s.extra[:0]
 	inService := endpoints.inServiceCount
 	for zone, short := s.shortage(inService); short; zone, short = s.shortage(inService) {
-		b := s.firstOutside(endpoints, zone)
+		b := s.firstOutsideZone(endpoints, zone)
 		if b == nil { // all are in the subset
 			return
 		}
@@ -160,27 +165,27 @@
 	}
 }
 
-// noZone is the zone of no backend.
+// noZone is a value that is not the zone of any backend.
 const noZone = -1
 
-// shortage says whether the subset has too few backends: outside of a zone, or in all (noZone).
+// shortage reports whether the subset has too few backends: outside the returned zone, or in total (noZone).
 func (s *backendSubset) shortage(inService int) (zone int, short bool) {
 	if len(s.backends) < min(minSubset, inService) {
 		return noZone, true
 	}
-	if len(s.backends) >= mixedSubset {
+	if len(s.backends) >= zoneDiverseSubset {
 		return noZone, false
 	}
 	for _, b := range s.backends {
-		if s.sizeOutside(b.zone) < minSubset/2 {
+		if s.sizeOutsideZone(b.zone) < minSubset/2 {
 			return b.zone, true
 		}
 	}
 	return noZone, false
 }
 
-// sizeOutside is how many backends of the subset are outside a zone.
-func (s *backendSubset) sizeOutside(zone int) int {
+// sizeOutsideZone returns the number of backends of the subset that are not in a zone.
+func (s *backendSubset) sizeOutsideZone(zone int) int {
 	outside := 0
 	for _, b := range s.backends {
 		if b.zone != zone {
@@ -190,23 +195,23 @@
 	return outside
 }
 
-// firstOutside is the first backend in this gateway's order that is not in the subset and outside a zone;
-// nil if there is none.
-func (s *backendSubset) firstOutside(endpoints *endpointRegistry, zone int) *backend {
+// firstOutsideZone returns the first backend in this gateway's hash order that is in service, not in the
+// subset and not in the zone; nil if there is none.
+func (s *backendSubset) firstOutsideZone(endpoints *endpointRegistry, zone int) *backend {
 	var first *backend
-	firstPlace := uint64(math.MaxUint64)
+	firstHash := uint64(math.MaxUint64)
 	for _, b := range endpoints.all {
 		if !b.inService || b.inSubset || b.zone == zone {
 			continue
 		}
-		if place := s.ownOrder(b); first == nil || place < firstPlace {
-			first, firstPlace = b, place
+		if hash := s.ownHash(b); first == nil || hash < firstHash {
+			first, firstHash = b, hash
 		}
 	}
 	return first
 }
 
-// ownOrder is a backend's place in this gateway's own order.
-func (s *backendSubset) ownOrder(b *backend) uint64 {
+// ownHash returns a backend's hash in this gateway's own order, which differs between gateways.
+func (s *backendSubset) ownHash(b *backend) uint64 {
 	return subset.Mix(xxhash.Sum64String(b.name), uint64(s.gatewayIndex)<<32)
 }
--- a/internal/policy/subset_test.go
+++ b/internal/policy/subset_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// loadOfBackends gives by backend the traffic that it gets from all gateways, in units of one gateway's, were each
-// to share its traffic out evenly.
+// loadOfBackends returns the traffic that each backend would get from all gateways if each gateway divided its
+// traffic evenly over its subset. The unit is the traffic of one gateway.
 func loadOfBackends(gateways []*Engine) map[string]float64 {
 	load := map[string]float64{}
 	for _, engine := range gateways {
@@ -18,8 +18,8 @@
 	return load
 }
 
-// smallestWithout is the size of the smallest subset when a zone is lost.
-func smallestWithout(zone int, gateways []*Engine) int {
+// smallestWithoutZone returns the size of the smallest subset after the loss of a zone.
+func smallestWithoutZone(zone int, gateways []*Engine) int {
 	smallest := 1 << 30
 	for _, engine := range gateways {
 		left := 0
@@ -33,8 +33,8 @@
 	return smallest
 }
 
-// busiest is the load of the busiest backend over the mean, for largeGateways.
-func busiest(load map[string]float64, backends int) float64 {
+// peakToMeanLoad returns the highest load of a backend divided by the mean load, for largeGateways gateways.
+func peakToMeanLoad(load map[string]float64, backends int) float64 {
 	highest := 0.0
 	for _, share := range load {
 		highest = max(highest, share)
@@ -42,11 +42,11 @@
 	return highest * float64(backends) / largeGateways
 }
 
-// lostZone is one of the zones of largeEndpointList.
+// lostZone is the zone of largeEndpointList whose loss is tested.
 const lostZone = 3
 
-// largeFleet has largeGateways engines with their subsets of a list.
-func largeFleet(t *testing.T, list []Backend) []*Engine {
+// newLargeFleet creates largeGateways engines that have received the list.
+func newLargeFleet(t *testing.T, list []Backend) []*Engine {
 	t.Helper()
 	gateways := make([]*Engine, largeGateways)
 	for i := range gateways {
@@ -57,44 +57,44 @@
 	return gateways
 }
 
-// checkShares holds the subsets to using every backend, and none far more than the mean.
-func checkShares(t *testing.T, when string, load map[string]float64, backends int) {
+// checkLoad checks that the subsets use every backend, and that none gets more than 1.25 times the mean load.
+func checkLoad(t *testing.T, when string, load map[string]float64, backends int) {
 	t.Helper()
-	if highest := busiest(load, backends); len(load) != backends || highest > 1.25 {
-		t.Errorf("%s: %d in use, the busiest gets %.2f of the mean", when, len(load), highest)
+	if highest := peakToMeanLoad(load, backends); len(load) != backends || highest > 1.25 {
+		t.Errorf("%s: %d of %d backends in use, the peak load is %.2f times the mean", when, len(load), backends, highest)
 	}
 }
 
-// All gateways together use every backend, none far more than the mean, also when some have gone and some have come;
-// each has some left when a zone is lost, and a change of one backend changes the subsets of few.
-func TestSubsetsOfManyGateways(t *testing.T) {
+// Many gateways together use every backend and load none far above the mean, also after backends were removed and
+// added. Each gateway keeps some backends when a zone is lost, and a change of one backend changes few subsets.
+func TestSubsetsOfManyGatewaysAreEvenAndStable(t *testing.T) {
 	for _, backends := range []int{200, 600} {
 		t.Run(fmt.Sprint(backends, " backends"), func(t *testing.T) {
 			list := largeEndpointList(backends)
-			gateways := largeFleet(t, list)
-			load, smallest := loadOfBackends(gateways), smallestWithout(lostZone, gateways)
-			checkShares(t, "at first", load, backends)
+			gateways := newLargeFleet(t, list)
+			load, smallest := loadOfBackends(gateways), smallestWithoutZone(lostZone, gateways)
+			checkLoad(t, "initially", load, backends)
 			if smallest < minSubset/2 {
-				t.Errorf("a gateway has %d backends left when a zone is lost", smallest)
+				t.Errorf("a gateway has only %d backends left when zone %d is lost", smallest, lostZone)
 			}
 			changed := 0
 			for step := range 10 {
 				changed += removeOrAdd(gateways, list[step], step)
 			}
 			if mean := float64(changed) / 10; mean > 0.12*largeGateways {
-				t.Errorf("%.0f of %d gateways change their subset when one backend comes or goes", mean, largeGateways)
+				t.Errorf("%.0f of %d gateways change their subset when one backend is added or removed", mean, largeGateways)
 			} else {
-				t.Logf("%.0f gateways change, busiest %.2f, smallest without a zone %d", mean, busiest(load, backends),
-					smallest)
+				t.Logf("%.0f subsets change, peak load %.2f times the mean, smallest subset without a zone %d",
+					mean, peakToMeanLoad(load, backends), smallest)
 			}
 			load = loadOfBackends(gateways)
-			checkShares(t, "after changes", load, backends)
+			checkLoad(t, "after the changes", load, backends)
 		})
 	}
 }
 
-// removeOrAdd tells all gateways that a backend has terminated or, in odd steps, that a new one has come, and
-// returns how many change their subsets.
+// removeOrAdd reports to all gateways that a backend has terminated or, in odd steps, that a new one has been added.
+// It returns how many gateways change their subsets.
 func removeOrAdd(gateways []*Engine, b Backend, step int) (changed int) {
 	if step%2 == 0 {
 		b.State = Terminated
@@ -118,8 +118,8 @@
 	return changed
 }
 
-// The subset follows from the list alone, not from how it came to be.
-func TestSubsetFollowsFromTheListAlone(t *testing.T) {
+// The subset depends only on the current list, not on the updates that led to it.
+func TestSubsetIsIndependentOfTheOrderOfUpdates(t *testing.T) {
 	list := largeEndpointList(600)
 	settings := manyGateways(100)
 	settings.GatewayIndex = 42
@@ -135,30 +135,30 @@
 	fresh := newTestEngine(t, settings, list[100:]...)
 	oldSubset, freshSubset := old.subset.backends, fresh.subset.backends
 	if len(oldSubset) != len(freshSubset) || len(old.endpoints.all) != 500 || old.endpoints.inServiceCount != 500 {
-		t.Fatalf("subsets of %d and %d, %d known", len(oldSubset), len(freshSubset), len(old.endpoints.all))
+		t.Fatalf("subsets of %d and %d backends, %d backends known", len(oldSubset), len(freshSubset), len(old.endpoints.all))
 	}
 	for _, b := range freshSubset {
 		if !old.endpoints.byName[b.name].inSubset {
-			t.Errorf("%s is in a fresh gateway's subset only", b.name)
+			t.Errorf("%s is only in the subset of the gateway that received the final list at once", b.name)
 		}
 	}
 }
 
-// Where every backend of the subset is ejected, requests go to others, in a list of any length.
-func TestOthersServeWhereNoneOfTheSubsetCan(t *testing.T) {
+// When every backend of the subset is ejected, requests go to backends outside it, however long the list is.
+func TestRequestLeavesTheSubsetWhenAllOfItIsEjected(t *testing.T) {
 	engine := newTestEngine(t, manyGateways(largeGateways), largeEndpointList(2000)...)
 	for _, b := range append([]*backend(nil), engine.subset.backends...) {
 		engine.eject(b)
 	}
 	actions := engine.Step(10*ms, []Event{testRequest(1, idempotentClass, noQuotaPlan)}) // before any probe is due
 	if sends := sendsOf(actions); len(sends) != 1 || engine.endpoints.byName[sends[0].Backend].inSubset {
-		t.Errorf("actions: %v", actions)
+		t.Errorf("want one attempt at a backend outside the subset, got %v", actions)
 	}
 }
 
-// BenchmarkSubsets tells how evenly all 810 gateways share out the fleet, by their subsets alone: the busiest
-// backend over the mean, the fewest and the most gateways that have one backend, the gateways whose subset
-// one departure changes, and what is left of the smallest subset when a zone is lost.
+// BenchmarkSubsets reports how evenly the subsets of 810 gateways divide the fleet: the peak load over the mean, the
+// fewest and the most gateways with a given backend in their subsets, the number of subsets that change when one
+// backend is removed, and the size of the smallest subset after the loss of a zone.
 func BenchmarkSubsets(b *testing.B) {
 	for _, backends := range []int{200, 1000, 3000, 11000} {
 		b.Run(fmt.Sprint(backends), func(b *testing.B) {
@@ -174,12 +174,12 @@
 	removed := list[backends/2]
 	removed.State = Terminated
 	load, users, changed, smallest := map[string]float64{}, map[string]float64{}, 0, 1<<30
-	for i := range largeGateways { // one by one: not all fit
+	for i := range largeGateways { // one at a time: they would not all fit into memory
 		settings := manyGateways(largeGateways)
 		settings.GatewayIndex = i
 		engine := newTestEngine(b, settings, list...)
 		own := loadOfBackends([]*Engine{engine})
-		smallest = min(smallest, smallestWithout(lostZone, []*Engine{engine}))
+		smallest = min(smallest, smallestWithoutZone(lostZone, []*Engine{engine}))
 		for name, share := range own {
 			load[name] += share
 			users[name]++
@@ -200,14 +200,14 @@
 	if len(users) < backends {
 		fewest = 0
 	}
-	b.ReportMetric(busiest(load, backends), "busiest/mean")
+	b.ReportMetric(peakToMeanLoad(load, backends), "busiest/mean")
 	b.ReportMetric(fewest, "gateways-min")
 	b.ReportMetric(most, "gateways-max")
 	b.ReportMetric(float64(changed), "changed/departure")
 	b.ReportMetric(float64(smallest), "left-without-a-zone")
 }
 
-// backendsUsed plays 200 requests through each gateway and returns, by gateway, the backends that got them.
+// backendsUsed sends 200 requests through each gateway and returns, for each gateway, the backends that got them.
 func backendsUsed(gateways []*Engine, from time.Duration) (used []map[string]bool) {
 	for _, engine := range gateways {
 		names := map[string]bool{}
@@ -224,8 +224,8 @@
 	return used
 }
 
-// gatewaysOf counts by backend the gateways that use it.
-func gatewaysOf(used []map[string]bool) map[string]int {
+// gatewaysPerBackend counts the gateways that use each backend.
+func gatewaysPerBackend(used []map[string]bool) map[string]int {
 	count := map[string]int{}
 	for _, names := range used {
 		for name := range names {
@@ -235,9 +235,9 @@
 	return count
 }
 
-// Each of many gateways uses a few backends, each backend serves as many gateways, and one that goes moves
-// few of them.
-func TestManyGatewaysShareOutTheBackends(t *testing.T) {
+// Each of many gateways uses a few of the backends, each backend serves between 8 and 24 of 80 gateways, and removing
+// a backend gives the gateways few new ones.
+func TestRequestsOfManyGatewaysUseEvenSubsets(t *testing.T) {
 	const gateways, backends = 80, 60
 	set := manyGateways(gateways)
 	set.SharedCounter = false
@@ -248,9 +248,9 @@
 		all[i] = newTestEngine(t, set, list...)
 	}
 	before := backendsUsed(all, ms)
-	for name, n := range gatewaysOf(before) {
+	for name, n := range gatewaysPerBackend(before) {
 		if n < 8 || n > 24 {
-			t.Errorf("%s serves %d of the gateways", name, n)
+			t.Errorf("%s serves %d gateways, want 8 to 24", name, n)
 		}
 	}
 
@@ -260,13 +260,13 @@
 		engine.Step(50*time.Second, []Event{EndpointUpdate{Kind: Delta, Backends: []Backend{gone}}})
 	}
 	after := backendsUsed(all, 60*time.Second)
-	if count := gatewaysOf(after); len(count) != backends-1 || count[gone.Name] != 0 {
-		t.Errorf("%d backends in use after one of %d has gone", len(count), backends)
+	if count := gatewaysPerBackend(after); len(count) != backends-1 || count[gone.Name] != 0 {
+		t.Errorf("%d backends in use after one of %d was removed", len(count), backends)
 	}
 	moved := 0
 	for i, names := range after {
 		if len(names) > 20 {
-			t.Errorf("gateway %d uses %d backends", i, len(names))
+			t.Errorf("gateway %d uses %d backends, want 20 at most", i, len(names))
 		}
 		for name := range names {
 			if !before[i][name] {
@@ -275,6 +275,6 @@
 		}
 	}
 	if moved > 3*gateways {
-		t.Errorf("%d new pairs of gateway and backend after one has gone", moved)
+		t.Errorf("%d new pairs of gateway and backend after one backend was removed", moved)
 	}
 }
