--- a/internal/policy/backend.go
+++ b/internal/policy/backend.go
@@ -24,7 +24,7 @@
 	inFlight      []*attempt // by request.addAttempt and attempt.finish
 	slowStart     slowstart.Budget
 	subsetState   // of the backendSubset
-	warmMark      throughput.Mark
+	throughputEntry      throughput.Entry
 	inCheckList   bool // in Engine.toCheck
 	name          string
 	started       time.Duration // by the endpoint list; neverStarted before its first entry
--- a/internal/policy/endpoints.go
+++ b/internal/policy/endpoints.go
@@ -50,7 +50,7 @@
 	} else {
 		e.retire(b)
 	}
-	e.countWarm(b)
+	e.updateWarm(b)
 }
 
 // retire takes a backend out of service: it gets nothing new, and what waits for it goes elsewhere. Its
@@ -58,7 +58,7 @@
 func (e *Engine) retire(b *backend) {
 	if b.inService {
 		e.endpoints.takeOutOfService(b)
-		e.countWarm(b)
+		e.updateWarm(b)
 		e.moveQueue(b)
 	}
 	e.endpoints.addLeaving(b)
@@ -81,7 +81,7 @@
 	for _, b := range changed {
 		if !b.limiter.Ready() {
 			b.limiter.Start(e.subset.gatewaysPerBackend)
-			e.countWarm(b)
+			e.updateWarm(b)
 		}
 	}
 }
@@ -222,9 +222,9 @@
 // retried notes that the pause is over.
 func (p *endpointPolling) retried() { p.retryPending = false }
 
-// takeDue says whether the list is to be asked for: it is older than half the interval. If so it notes that
+// pollIfDue says whether the list is to be asked for: it is older than half the interval. If so it notes that
 // the caller asks for it now.
-func (p *endpointPolling) takeDue(now, interval time.Duration) bool {
+func (p *endpointPolling) pollIfDue(now, interval time.Duration) bool {
 	if interval <= 0 || now-p.lastPoll <= interval/2 {
 		return false
 	}
--- a/internal/policy/endpoints_test.go
+++ b/internal/policy/endpoints_test.go
@@ -47,7 +47,7 @@
 	}
 	engine.Step(time.Second, []Event{EndpointUpdate{Backends: list[:20]}})
 	subset, known := len(engine.subset.backends), len(engine.endpoints.all)
-	inService, warm := engine.endpoints.inServiceCount, engine.throughput.Warm()
+	inService, warm := engine.endpoints.inServiceCount, engine.throughput.WarmBackends()
 	if subset+known+inService+warm != 0 {
 		t.Fatalf("%d in the subset, %d known, %d in service, %d warm", subset, known, inService, warm)
 	}
@@ -138,8 +138,8 @@
 		}
 	}
 	subset, inService := len(engine.subset.backends), engine.endpoints.inServiceCount
-	if inSubset != subset || warm != engine.throughput.Warm() || listed != inService {
+	if inSubset != subset || warm != engine.throughput.WarmBackends() || listed != inService {
 		t.Fatalf("%s: subset of %d, %d, %d warm of %d, %d in service of %d", when, subset, inSubset,
-			engine.throughput.Warm(), warm, inService, listed)
+			engine.throughput.WarmBackends(), warm, inService, listed)
 	}
 }
--- a/internal/policy/outlier.go
+++ b/internal/policy/outlier.go
@@ -85,7 +85,7 @@
 // Fail once its cancelled attempt has ended.
 func (e *Engine) eject(b *backend) {
 	b.detector.Eject(e.now, e.subset.gatewaysPerBackend, e.rng)
-	e.countWarm(b)
+	e.updateWarm(b)
 	e.toCheck.add(b)
 	e.emit(Log{"no longer used: " + b.name})
 	e.moveQueue(b)
@@ -125,10 +125,10 @@
 		b.limiter.Restart()
 		e.beginSlowStart(b, e.now)
 	}
-	e.countWarm(b)
+	e.updateWarm(b)
 }
 
-// restore takes a backend into use again. The caller must call countWarm.
+// restore takes a backend into use again. The caller must call updateWarm.
 func (e *Engine) restore(b *backend) {
 	b.detector.Reset(e.now)
 	e.emit(Log{"used again: " + b.name})
--- a/internal/policy/periodic.go
+++ b/internal/policy/periodic.go
@@ -22,7 +22,7 @@
 	e.sendAllQueued()
 	e.serveWaitingTenants()
 	e.tenants.evictIdle(e.now)
-	if e.settings.PollEndpoints && e.polling.takeDue(e.now, e.settings.PollInterval) {
+	if e.settings.PollEndpoints && e.polling.pollIfDue(e.now, e.settings.PollInterval) {
 		e.emit(FetchEndpoints{})
 	}
 }
--- a/internal/policy/result.go
+++ b/internal/policy/result.go
@@ -86,14 +86,14 @@
 	b.detector.RecordResponse(e.now, response)
 	if b.detector.Ejected() {
 		e.restore(b)
-		e.countWarm(b)
+		e.updateWarm(b)
 	}
 }
 
 // learnAnswer notes the latency of an answer: for the class's latency, the backend's concurrency limit, and
 // if the backend is in use and warm for the throughput of the warm ones.
 func (e *Engine) learnAnswer(b *backend, r *request, took float64) {
-	if b.warmMark.Warm() {
+	if b.throughputEntry.Warm() {
 		e.throughput.RecordAnswer(e.now)
 	}
 	e.latencies.RecordAnswer(r.class, took)
--- a/internal/policy/slowstart.go
+++ b/internal/policy/slowstart.go
@@ -39,7 +39,7 @@
 func (e *Engine) beginSlowStart(b *backend, since time.Duration) {
 	b.slowStart.Begin(since)
 	e.slowStarts.add(b)
-	e.countWarm(b)
+	e.updateWarm(b)
 }
 
 // endSlowStarts counts as warm those whose time to warm up is over, in the order of their adding, up to the
@@ -55,7 +55,7 @@
 func (e *Engine) capacityShare(b *backend) float64 {
 	share := b.slowStart.CapacityShare(e.now, &e.slowStarts.settings)
 	if !b.slowStart.Warming() {
-		e.countWarm(b)
+		e.updateWarm(b)
 	}
 	return share
 }
--- a/internal/policy/throughput.go
+++ b/internal/policy/throughput.go
@@ -6,10 +6,10 @@
 // date.
 const currentRate = 1.0
 
-// countWarm counts a backend among the warm ones if it is usable and not warming up, and else takes it out.
+// updateWarm counts a backend among the warm ones if it is usable and not warming up, and else takes it out.
 // It must be called after each change of one of these, or of its weight.
-func (e *Engine) countWarm(b *backend) {
-	e.throughput.Count(&b.warmMark, b.usable() && !b.slowStart.Warming(), b.weight)
+func (e *Engine) updateWarm(b *backend) {
+	e.throughput.Update(&b.throughputEntry, b.usable() && !b.slowStart.Warming(), b.weight)
 }
 
 // observedRate is the answers a second that a warm backend gives to all gateways, divided by those that
--- a/internal/policy/throughput/throughput.go
+++ b/internal/policy/throughput/throughput.go
@@ -1,7 +1,7 @@
 // Package throughput measures what a warm backend carries: the answers a second that this gateway gets from
 // one backend, on average over all that are usable and not warming up.
 //
-// A [Meter] belongs to one engine, a [Mark] to one of its backends. Neither is safe for concurrent use.
+// A [Meter] belongs to one engine, a [Entry] to one of its backends. Neither is safe for concurrent use.
 // Times are on the engine's clock.
 package throughput
 
@@ -22,20 +22,20 @@
 	rateAt     time.Duration
 }
 
-// Mark says how a Meter counts one backend. Its zero value is not counted.
-type Mark struct {
+// Entry says how a Meter counts one backend. Its zero value is not counted.
+type Entry struct {
 	warm   bool
 	weight float64 // with which it was counted
 }
 
 // Warm says whether the backend is counted as warm.
-func (m *Mark) Warm() bool { return m.warm }
+func (m *Entry) Warm() bool { return m.warm }
 
 // Start begins the measurement.
 func (m *Meter) Start(now time.Duration) { m.rateAt = now }
 
-// Count counts a backend as warm with its weight, or as not warm, in place of how it was counted before.
-func (m *Meter) Count(mark *Mark, warm bool, weight float64) {
+// Update counts a backend as warm with its weight, or as not warm, in place of how it was counted before.
+func (m *Meter) Update(mark *Entry, warm bool, weight float64) {
 	if mark.warm {
 		m.warm--
 		m.warmWeight -= mark.weight
@@ -50,8 +50,8 @@
 	}
 }
 
-// Warm is the number of warm backends.
-func (m *Meter) Warm() int { return m.warm }
+// WarmBackends is the number of warm backends.
+func (m *Meter) WarmBackends() int { return m.warm }
 
 // MeanWeight is the mean weight of the warm backends at the last answer; 0 before the first.
 func (m *Meter) MeanWeight() float64 { return m.meanWeight }
--- a/internal/policy/throughput/throughput_test.go
+++ b/internal/policy/throughput/throughput_test.go
@@ -17,9 +17,9 @@
 
 func TestRateOfOneWarmBackend(t *testing.T) {
 	var m Meter
-	var marks [4]Mark
+	var marks [4]Entry
 	for i := range marks {
-		m.Count(&marks[i], true, 1)
+		m.Update(&marks[i], true, 1)
 	}
 	now := answers(&m, 0, 100, 30*time.Second)
 	if got := m.PerBackend(now); math.Abs(got-25) > 0.5 {
@@ -32,11 +32,11 @@
 
 func TestLastRateStandsWhileNoneIsWarm(t *testing.T) {
 	var m Meter
-	var mark Mark
-	m.Count(&mark, true, 1)
+	var mark Entry
+	m.Update(&mark, true, 1)
 	now := answers(&m, 0, 50, 30*time.Second)
 	before := m.PerBackend(now)
-	m.Count(&mark, false, 1)
+	m.Update(&mark, false, 1)
 	if got := m.PerBackend(now); got != before {
 		t.Errorf("when the last became cold: %v, before %v", got, before)
 	}
@@ -47,23 +47,23 @@
 
 func TestWarmBackendsAndTheirWeights(t *testing.T) {
 	var m Meter
-	var a, b Mark
-	m.Count(&a, true, 1)
-	m.Count(&b, true, 3)
+	var a, b Entry
+	m.Update(&a, true, 1)
+	m.Update(&b, true, 3)
 	m.RecordAnswer(time.Second)
-	if m.Warm() != 2 || m.MeanWeight() != 2 || !a.Warm() || !b.Warm() {
-		t.Errorf("of weights 1 and 3: %d warm, mean %v", m.Warm(), m.MeanWeight())
+	if m.WarmBackends() != 2 || m.MeanWeight() != 2 || !a.Warm() || !b.Warm() {
+		t.Errorf("of weights 1 and 3: %d warm, mean %v", m.WarmBackends(), m.MeanWeight())
 	}
-	m.Count(&b, true, 5)
+	m.Update(&b, true, 5)
 	m.RecordAnswer(time.Second)
-	if m.Warm() != 2 || m.MeanWeight() != 3 {
-		t.Errorf("of weights 1 and 5: %d warm, mean %v", m.Warm(), m.MeanWeight())
+	if m.WarmBackends() != 2 || m.MeanWeight() != 3 {
+		t.Errorf("of weights 1 and 5: %d warm, mean %v", m.WarmBackends(), m.MeanWeight())
 	}
-	m.Count(&a, false, 1)
-	m.Count(&a, false, 1)
-	m.Count(&b, false, 5)
+	m.Update(&a, false, 1)
+	m.Update(&a, false, 1)
+	m.Update(&b, false, 5)
 	m.RecordAnswer(time.Second)
-	if m.Warm() != 0 || m.MeanWeight() != 3 || a.Warm() || b.Warm() {
-		t.Errorf("of none: %d warm, mean %v; the last mean stands", m.Warm(), m.MeanWeight())
+	if m.WarmBackends() != 0 || m.MeanWeight() != 3 || a.Warm() || b.Warm() {
+		t.Errorf("of none: %d warm, mean %v; the last mean stands", m.WarmBackends(), m.MeanWeight())
 	}
 }
