--- a/internal/policy/backend.go
+++ b/internal/policy/backend.go
@@ -10,24 +10,25 @@
 	"bellwood/internal/policy/throughput"
 )
 
-// backend is what the engine knows of one backend. Each part belongs to the type that it names. What
-// choose looks at stands first and together: in a large fleet, fetching this from memory costs more than the
-// arithmetic on it.
+// backend is the engine's state of one backend. Each part is owned by the type named beside it.
+//
+// The fields that choose reads come first and together: in a large fleet, fetching them from memory costs
+// more than the arithmetic on them.
 type backend struct {
-	registryState // of the endpointRegistry
-	detector      outlier.Detector
-	limiter       concurrency.Limiter
-	latencyFactor latency.Factor
-	weight        float64 // by the endpoint list; over 0
-	zone, cell    int     // by the endpoint list
-	queue         requestQueue
-	inFlight      []*attempt // by request.addAttempt and attempt.finish
-	slowStart     slowstart.Budget
-	subsetState   // of the backendSubset
-	throughputEntry      throughput.Entry
-	inCheckList   bool // in Engine.toCheck
-	name          string
-	started       time.Duration // by the endpoint list; neverStarted before its first entry
+	registryState   // owned by endpointRegistry
+	detector        outlier.Detector
+	limiter         concurrency.Limiter
+	latencyFactor   latency.Factor
+	weight          float64 // from the endpoint list; over 0
+	zone, cell      int     // from the endpoint list
+	queue           requestQueue
+	inFlight        []*attempt // modified by request.addAttempt and attempt.finish
+	slowStart       slowstart.Budget
+	subsetState     // owned by backendSubset
+	throughputEntry throughput.Entry
+	inCheckList     bool // in Engine.toCheck
+	name            string
+	started         time.Duration // from the endpoint list; neverStarted before its first entry
 }
 
 // neverStarted is a start time that no entry of the endpoint list has.
@@ -39,23 +40,23 @@
 	return b
 }
 
-// usable says whether work other than probes may go to a backend. One that is new in the list has no
-// concurrency limit yet.
+// usable reports whether requests other than probes may be sent to a backend. A backend that is new in the
+// list is not usable until it has a concurrency limit.
 func (b *backend) usable() bool { return b.inService && !b.detector.Ejected() && b.limiter.Ready() }
 
-// hasFreeSlot says whether a backend's concurrency limit allows one more attempt.
+// hasFreeSlot reports whether a backend's concurrency limit allows another attempt.
 func (b *backend) hasFreeSlot(now time.Duration) bool { return b.limiter.HasFree(now, len(b.inFlight)) }
 
-// answeredAfter is how many seconds after its arrival a request would be answered if it were sent now and the
-// answer took so many seconds.
+// answeredAfter returns the seconds between a request's arrival and its answer if it were sent now and the
+// answer took the given latency, in seconds.
 func (e *Engine) answeredAfter(r *request, latency float64) float64 {
 	return (e.now - r.arrivedAt).Seconds() + latency
 }
 
-// expectedLatency is how many seconds an answer to a request takes.
+// expectedLatency returns the expected latency of a request over all backends, in seconds.
 func (e *Engine) expectedLatency(r *request) float64 { return e.latencies.Mean(r.class) }
 
-// expectedLatencyAt is how many seconds it takes at a backend.
+// expectedLatencyAt returns the expected latency of a request at one backend, in seconds.
 func (e *Engine) expectedLatencyAt(r *request, b *backend) float64 {
 	return e.latencies.Mean(r.class) * b.latencyFactor.Value()
 }
--- a/internal/policy/queue_test.go
+++ b/internal/policy/queue_test.go
@@ -144,7 +144,7 @@
 	if reason, overloaded := engine.overload(overQuota, b); overloaded {
 		t.Errorf("rejected as %q where a slot is free", reason)
 	}
-	requestsInFlight(b, 2)
+	addInFlight(b, 2)
 	if reason, overloaded := engine.overload(overQuota, b); !overloaded || reason != QueueTooLong {
 		t.Errorf("without a free slot: rejected %v, as %q", overloaded, reason)
 	}
--- a/internal/policy/selection.go
+++ b/internal/policy/selection.go
@@ -5,27 +5,29 @@
 import "math"
 
 const (
-	// maxCompared is how many backends of the subset are compared for a request: more would hardly find a better
-	// one. A smaller subset is compared whole.
+	// maxCompared is the maximum number of backends of the subset that are compared for a request; comparing
+	// more would hardly find a better one. All backends of a smaller subset are compared.
 	maxCompared = 32
-	// maxSeenOutside is how many backends are looked at if none of the subset can serve.
-	maxSeenOutside = 256
+	// maxScannedOutside is the maximum number of backends that are examined if no backend of the subset can
+	// serve the request.
+	maxScannedOutside = 256
 
-	// A backend's load cost is about the attempts there over its weight and speed. These are added to it. Each
-	// is usually more than the rest of the cost and the ones before together:
-	costNoFreeSlot  = 1e3 // it has no free slot
-	costOutside     = 1e4 // it is outside the subset
-	costBudgetSpent = 1e6 // its slow-start budget is spent
-	// costOtherZone is a factor for a backend of another zone than the gateway's.
+	// The load cost of a backend is roughly its number of attempts divided by its weight and speed. The
+	// following penalties are added to it. Each is usually larger than the rest of the cost and the preceding
+	// penalties together.
+	costNoFreeSlot    = 1e3 // the backend has no free slot
+	costOutsideSubset = 1e4 // the backend is outside the subset
+	costBudgetSpent   = 1e6 // the backend's slow-start budget is spent
+	// costOtherZone is a cost factor for a backend that is not in the gateway's zone.
 	costOtherZone = 1.05
-	// costBusyFactor is a factor for one without a free slot.
-	costBusyFactor = 10
-	// costTie is by how much a cost must be less than another to count as less, so that rounding decides
-	// nothing.
-	costTie = 1e-9
+	// costNoFreeSlotFactor is a cost factor for a backend without a free slot.
+	costNoFreeSlotFactor = 10
+	// costTolerance is the difference up to which two costs count as equal, so that rounding errors do not
+	// affect the selection.
+	costTolerance = 1e-9
 )
 
-// candidate is a backend that a request may be queued at; nil: none is found.
+// candidate is a backend that a request may be queued at, and its cost. The backend is nil if none was found.
 type candidate struct {
 	backend *backend
 	cost    float64
@@ -33,31 +35,33 @@
 
 var noCandidate = candidate{cost: math.Inf(1)}
 
-// cheaper returns the cheaper of two candidates, the first of equals.
+// cheaper returns the cheaper of two candidates, or the receiver if their costs are equal.
 func (c candidate) cheaper(other candidate) candidate {
-	if other.cost < c.cost-costTie {
+	if other.cost < c.cost-costTolerance {
 		return other
 	}
 	return c
 }
 
-// choose picks the backend with the least cost for a request, or nil if none may have it: what is in doubt
-// goes only where mayRepeat allows. The round robin breaks ties, and gives the backends to begin with: a
-// bounded part of the fleet is looked at, however large that is.
+// choose returns the backend with the lowest cost for a request, or nil if no backend may get it. A request
+// that may already have run goes only to the backends that mayRepeat allows.
+//
+// The round-robin position determines which backend is examined first, and thereby breaks ties. The number of
+// backends examined is bounded, however large the fleet is.
 func (e *Engine) choose(r *request) *backend {
 	e.roundRobin++
-	best := e.cheapestInside(r)
-	if best.cost >= costOutside {
-		if outside := e.cheapestOutside(r); outside.cost < best.cost {
+	best := e.cheapestInSubset(r)
+	if best.cost >= costOutsideSubset {
+		if outside := e.cheapestOutsideSubset(r); outside.cost < best.cost {
 			best = outside
 		}
 	}
 	return best.backend
 }
 
-// cheapestInside looks through the backends of the subset from this turn's on, until it has compared
-// maxCompared and found one with a free slot, or has seen all.
-func (e *Engine) cheapestInside(r *request) candidate {
+// cheapestInSubset examines the backends of the subset from the round-robin position on. It stops when it has
+// compared maxCompared of them and found one with a free slot, or has examined all.
+func (e *Engine) cheapestInSubset(r *request) candidate {
 	best, compared := noCandidate, 0
 	randomPart := e.sparseness()
 	backends := e.subset.backends
@@ -79,13 +83,14 @@
 	return best
 }
 
-// cheapestOutside looks through a part of all backends from this turn's on, for one that is outside the
-// subset and warm: a backend's slow-start budget is divided by the gateways that have it in their subsets.
-func (e *Engine) cheapestOutside(r *request) candidate {
+// cheapestOutsideSubset examines up to maxScannedOutside of all backends from the round-robin position on,
+// and considers those that are outside the subset and warm. Warming backends are skipped because their
+// slow-start budget is divided among the gateways that have them in their subsets.
+func (e *Engine) cheapestOutsideSubset(r *request) candidate {
 	best := noCandidate
 	randomPart := e.sparseness()
 	backends := e.endpoints.all
-	for i := range min(maxSeenOutside, len(backends)) {
+	for i := range min(maxScannedOutside, len(backends)) {
 		b := backends[(e.roundRobin+i)%len(backends)]
 		if b.inSubset || !b.usable() || !e.mayRepeat(r, b) {
 			continue
@@ -94,16 +99,19 @@
 		if share < 1 {
 			continue
 		}
-		best = best.cheaper(candidate{b, e.loadCost(b, share, randomPart) + costOutside})
+		best = best.cheaper(candidate{b, e.loadCost(b, share, randomPart) + costOutsideSubset})
 	}
 	return best
 }
 
-// loadCost compares a backend with others: the attempts and requests there and one more, times its latency
-// factor, over its weight and the share of its capacity that it has (capacityShare). Where a gateway sends to
-// each so rarely that what it knows is old or luck, randomPart of the cost, from 0 to 1, is random, and a
-// number is drawn if it is over 0 (a departure: then all gateways together send to each backend by its weight
-// and speed, instead of all to the same one).
+// loadCost returns the cost by which backends are compared: the number of attempts in flight and queued
+// requests plus one, times the latency factor, divided by the weight and by the present share of the
+// backend's capacity (capacityShare).
+//
+// A fraction randomPart of the cost, from 0 to 1, is random; a random number is drawn only if it is over 0.
+// This is for a gateway that sends to each backend so rarely that what it knows of them is outdated or due to
+// chance (a departure: all gateways together then distribute requests by weight and speed, instead of all
+// sending to the same backend).
 func (e *Engine) loadCost(b *backend, capacityShare, randomPart float64) float64 {
 	cost := (float64(len(b.inFlight)+b.queue.length) + 1) * b.latencyFactor.Value() / (b.weight * capacityShare)
 	if b.zone != e.settings.Zone {
@@ -113,7 +121,7 @@
 		cost *= 1 - randomPart + randomPart*e.rng.ExpFloat64()
 	}
 	if !b.hasFreeSlot(e.now) {
-		cost = cost*costBusyFactor/min(1, b.limiter.Limit()) + costNoFreeSlot
+		cost = cost*costNoFreeSlotFactor/min(1, b.limiter.Limit()) + costNoFreeSlot
 	}
 	return cost
 }
--- a/internal/policy/selection_test.go
+++ b/internal/policy/selection_test.go
@@ -5,14 +5,14 @@
 	"testing"
 )
 
-// requestsInFlight puts attempts of so many new requests in flight at a backend.
-func requestsInFlight(b *backend, n int) {
+// addInFlight adds n attempts, each of a new request, to those in flight at a backend.
+func addInFlight(b *backend, n int) {
 	for i := range n {
 		(&request{id: uint64(1000 + i)}).addAttempt(b, ordinary, 0)
 	}
 }
 
-// loadCostCases are one backend each, with two slots at first, that a prepare changes.
+// loadCostCases each have one backend, with a concurrency limit of two, whose state prepare changes.
 var loadCostCases = []struct {
 	name          string
 	entry         Backend
@@ -22,31 +22,31 @@
 }{
 	{name: "idle", want: 1},
 	{name: "twice the weight", entry: Backend{Weight: 2}, want: 0.5},
-	{name: "a quarter of its capacity", capacityShare: 0.25, want: 4},
+	{name: "a quarter of the capacity", capacityShare: 0.25, want: 4},
 	{name: "twice as slow", want: 2, prepare: func(_ *Engine, b *backend) {
-		b.latencyFactor.RecordTimeout(1 + 1/0.15) // its weight in the factor is 0.15
+		b.latencyFactor.RecordTimeout(1 + 1/0.15) // a latency has the weight 0.15 in the factor
 	}},
 	{name: "another zone", entry: Backend{Zone: 1}, want: 1.05},
-	{name: "one attempt in flight", want: 2, prepare: func(_ *Engine, b *backend) { requestsInFlight(b, 1) }},
-	{name: "one request in its queue", want: 2, prepare: func(e *Engine, b *backend) {
+	{name: "one attempt in flight", want: 2, prepare: func(_ *Engine, b *backend) { addInFlight(b, 1) }},
+	{name: "one request queued", want: 2, prepare: func(e *Engine, b *backend) {
 		e.queues.push(&request{}, b)
 	}},
-	{name: "no free slot", want: 3*10 + 1000, prepare: func(_ *Engine, b *backend) { requestsInFlight(b, 2) }},
-	{name: "no free slot as it pauses", want: 10/0.7 + 1000, prepare: func(e *Engine, b *backend) {
+	{name: "no free slot", want: 3*10 + 1000, prepare: func(_ *Engine, b *backend) { addInFlight(b, 2) }},
+	{name: "no free slot because of a pause", want: 10/0.7 + 1000, prepare: func(e *Engine, b *backend) {
 		b.limiter.RecordRejection()
 		b.limiter.Pause(e.now, 0.05)
 	}},
 }
 
-// A backend's load cost: what it has to do over its weight, its speed and its share of its capacity.
-func TestLoadCost(t *testing.T) {
+// The load cost is a backend's load divided by its weight, its speed and the present share of its capacity.
+func TestLoadCostReflectsLoadWeightAndSpeed(t *testing.T) {
 	for _, c := range loadCostCases {
 		t.Run(c.name, func(t *testing.T) {
 			c.entry.Name = "b0"
 			engine := newTestEngine(t, testSettings(), c.entry)
 			b := engine.endpoints.byName["b0"]
 			if limit := b.limiter.Limit(); limit != 2 {
-				t.Fatalf("the concurrency limit is %v, not 2", limit)
+				t.Fatalf("the concurrency limit is %v, want 2", limit)
 			}
 			if c.prepare != nil {
 				c.prepare(engine, b)
@@ -61,8 +61,9 @@
 	}
 }
 
-// A random part of the cost spreads it, and leaves its mean as it is. Without one no random number is drawn.
-func TestLoadCostWithARandomPart(t *testing.T) {
+// A random part of the cost makes it vary and does not change its mean. Without a random part, no random number is
+// drawn.
+func TestRandomPartOfLoadCostKeepsTheMean(t *testing.T) {
 	const draws = 20000
 	for _, randomPart := range []float64{0, 0.5, 1} {
 		engine, untouched := newTestEngine(t, testSettings(), testBackends(1)...), newTestEngine(t, testSettings())
@@ -76,7 +77,7 @@
 			t.Errorf("random part %v: the mean cost is %v, want 1", randomPart, mean)
 		}
 		if fixed := 1 - randomPart; least < fixed || least > fixed+0.01 {
-			t.Errorf("random part %v: the least cost is %v, want %v", randomPart, least, fixed)
+			t.Errorf("random part %v: the lowest cost is %v, want %v", randomPart, least, fixed)
 		}
 		if drew := engine.rng.Uint64() != untouched.rng.Uint64(); drew != (randomPart > 0) {
 			t.Errorf("random part %v: random numbers were drawn: %v", randomPart, drew)
--- a/internal/policy/throughput/throughput.go
+++ b/internal/policy/throughput/throughput.go
@@ -1,7 +1,7 @@
-// Package throughput measures what a warm backend carries: the answers a second that this gateway gets from
-// one backend, on average over all that are usable and not warming up.
+// Package throughput measures the throughput of a warm backend: the answers per second that this gateway gets
+// from one backend, averaged over all backends that are usable and not warming up.
 //
-// A [Meter] belongs to one engine, a [Entry] to one of its backends. Neither is safe for concurrent use.
+// A [Meter] belongs to one engine, an [Entry] to one of its backends. Neither is safe for concurrent use.
 // Times are on the engine's clock.
 package throughput
 
@@ -10,69 +10,70 @@
 	"time"
 )
 
-// averagedSeconds is the time over which answers are averaged.
-const averagedSeconds = 3.0
+// timeConstant is the time constant of the exponential average, in seconds.
+const timeConstant = 3.0
 
-// Meter keeps the rate of answers of a warm backend, and how many are warm.
+// Meter measures the rate of answers per warm backend, and counts the warm backends.
 type Meter struct {
-	warm       int     // warm backends
-	warmWeight float64 // the sum of their weights
-	meanWeight float64 // of the warm backends, at the last answer
-	rate       float64 // answers a second of a warm backend
+	warm       int     // number of warm backends
+	warmWeight float64 // sum of their weights
+	meanWeight float64 // mean weight of the warm backends at the last answer
+	rate       float64 // answers per second of a warm backend, at rateAt
 	rateAt     time.Duration
 }
 
-// Entry says how a Meter counts one backend. Its zero value is not counted.
+// Entry records how a Meter counts one backend. The zero value is not counted.
 type Entry struct {
 	warm   bool
-	weight float64 // with which it was counted
+	weight float64 // the weight with which it was counted
 }
 
-// Warm says whether the backend is counted as warm.
-func (m *Entry) Warm() bool { return m.warm }
+// Warm reports whether the backend is counted as warm.
+func (e *Entry) Warm() bool { return e.warm }
 
-// Start begins the measurement.
+// Start starts the measurement.
 func (m *Meter) Start(now time.Duration) { m.rateAt = now }
 
-// Update counts a backend as warm with its weight, or as not warm, in place of how it was counted before.
-func (m *Meter) Update(mark *Entry, warm bool, weight float64) {
-	if mark.warm {
+// Update counts a backend as warm with the given weight, or as not warm. It replaces how the backend was
+// counted before.
+func (m *Meter) Update(entry *Entry, warm bool, weight float64) {
+	if entry.warm {
 		m.warm--
-		m.warmWeight -= mark.weight
+		m.warmWeight -= entry.weight
 	}
-	if mark.warm = warm; warm {
+	if entry.warm = warm; warm {
 		m.warm++
-		mark.weight = weight
+		entry.weight = weight
 		m.warmWeight += weight
 	}
 	if m.warm == 0 {
-		m.warmWeight = 0 // sums and differences leave a remainder
+		m.warmWeight = 0 // discards the rounding error of the additions and subtractions
 	}
 }
 
-// WarmBackends is the number of warm backends.
+// WarmBackends returns the number of warm backends.
 func (m *Meter) WarmBackends() int { return m.warm }
 
-// MeanWeight is the mean weight of the warm backends at the last answer; 0 before the first.
+// MeanWeight returns the mean weight of the warm backends at the last answer, or 0 before the first answer.
 func (m *Meter) MeanWeight() float64 { return m.meanWeight }
 
-// RecordAnswer notes an answer of a warm backend. Answers count and not what is sent: under overload more is
-// sent than is carried.
+// RecordAnswer records an answer of a warm backend. The rate is that of answers rather than of attempts,
+// because under overload a backend is sent more than it can serve.
 func (m *Meter) RecordAnswer(now time.Duration) {
 	if m.warm > 0 {
 		m.meanWeight = m.warmWeight / float64(m.warm)
 	}
-	gap := (now - m.rateAt).Seconds() / averagedSeconds
-	m.rate = m.rate*math.Exp(-gap) + 1/(averagedSeconds*float64(max(1, m.warm)))
+	elapsed := (now - m.rateAt).Seconds() / timeConstant
+	m.rate = m.rate*math.Exp(-elapsed) + 1/(timeConstant*float64(max(1, m.warm)))
 	m.rateAt = now
 }
 
-// PerBackend is the answers a second that this gateway gets from one warm backend. While none is warm the
-// last figure stands.
+// PerBackend returns the answers per second that this gateway gets from one warm backend. While no backend is
+// warm, the last rate is kept and does not decay.
 func (m *Meter) PerBackend(now time.Duration) float64 {
 	if m.warm == 0 {
 		m.rateAt = now
 	}
-	gap := (now - m.rateAt).Seconds() / averagedSeconds
-	return m.rate * math.Exp(-gap)
+	elapsed := (now - m.rateAt).Seconds() / timeConstant
+	return m.rate * math.Exp(-elapsed)
 }
--- a/internal/policy/throughput/throughput_test.go
+++ b/internal/policy/throughput/throughput_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// answers records so many a second for a time, and returns when the last came.
-func answers(m *Meter, from time.Duration, perSecond int, span time.Duration) (last time.Duration) {
+// recordAnswers records answers at a constant rate for a time, and returns the time of the last one.
+func recordAnswers(m *Meter, from time.Duration, perSecond int, span time.Duration) (last time.Duration) {
 	for now := from; now < from+span; now += time.Second / time.Duration(perSecond) {
 		m.RecordAnswer(now)
 		last = now
@@ -15,55 +15,55 @@
 	return last
 }
 
-func TestRateOfOneWarmBackend(t *testing.T) {
+func TestPerBackendIsTheRateOfOneWarmBackend(t *testing.T) {
 	var m Meter
-	var marks [4]Entry
-	for i := range marks {
-		m.Update(&marks[i], true, 1)
+	var entries [4]Entry
+	for i := range entries {
+		m.Update(&entries[i], true, 1)
 	}
-	now := answers(&m, 0, 100, 30*time.Second)
+	now := recordAnswers(&m, 0, 100, 30*time.Second)
 	if got := m.PerBackend(now); math.Abs(got-25) > 0.5 {
-		t.Errorf("100 answers a second of four backends: %v of each", got)
+		t.Errorf("100 answers per second from four backends: rate %v per backend, want 25", got)
 	}
 	if got := m.PerBackend(now + 30*time.Second); got > 0.01 {
-		t.Errorf("after 30 s without an answer: %v", got)
+		t.Errorf("rate %v after 30 s without an answer, want about 0", got)
 	}
 }
 
-func TestLastRateStandsWhileNoneIsWarm(t *testing.T) {
+func TestRateIsKeptWhileNoBackendIsWarm(t *testing.T) {
 	var m Meter
-	var mark Entry
-	m.Update(&mark, true, 1)
-	now := answers(&m, 0, 50, 30*time.Second)
+	var entry Entry
+	m.Update(&entry, true, 1)
+	now := recordAnswers(&m, 0, 50, 30*time.Second)
 	before := m.PerBackend(now)
-	m.Update(&mark, false, 1)
+	m.Update(&entry, false, 1)
 	if got := m.PerBackend(now); got != before {
-		t.Errorf("when the last became cold: %v, before %v", got, before)
+		t.Errorf("rate %v when the last backend is no longer warm, want %v as before", got, before)
 	}
 	if got := m.PerBackend(now + time.Minute); got != before {
-		t.Errorf("a minute after: %v, before %v", got, before)
+		t.Errorf("rate %v a minute later, want %v as before", got, before)
 	}
 }
 
-func TestWarmBackendsAndTheirWeights(t *testing.T) {
+func TestUpdateTracksWarmBackendsAndTheirMeanWeight(t *testing.T) {
 	var m Meter
 	var a, b Entry
 	m.Update(&a, true, 1)
 	m.Update(&b, true, 3)
 	m.RecordAnswer(time.Second)
 	if m.WarmBackends() != 2 || m.MeanWeight() != 2 || !a.Warm() || !b.Warm() {
-		t.Errorf("of weights 1 and 3: %d warm, mean %v", m.WarmBackends(), m.MeanWeight())
+		t.Errorf("weights 1 and 3: %d warm, mean weight %v, want 2 and 2", m.WarmBackends(), m.MeanWeight())
 	}
 	m.Update(&b, true, 5)
 	m.RecordAnswer(time.Second)
 	if m.WarmBackends() != 2 || m.MeanWeight() != 3 {
-		t.Errorf("of weights 1 and 5: %d warm, mean %v", m.WarmBackends(), m.MeanWeight())
+		t.Errorf("weights 1 and 5: %d warm, mean weight %v, want 2 and 3", m.WarmBackends(), m.MeanWeight())
 	}
 	m.Update(&a, false, 1)
 	m.Update(&a, false, 1)
 	m.Update(&b, false, 5)
 	m.RecordAnswer(time.Second)
 	if m.WarmBackends() != 0 || m.MeanWeight() != 3 || a.Warm() || b.Warm() {
-		t.Errorf("of none: %d warm, mean %v; the last mean stands", m.WarmBackends(), m.MeanWeight())
+		t.Errorf("no warm backend: %d warm, mean weight %v, want 0 and the last mean, 3", m.WarmBackends(), m.MeanWeight())
 	}
 }
