--- a/internal/policy/attempt.go
+++ b/internal/policy/attempt.go
@@ -24,7 +24,7 @@
 		timeout = min(timeout, e.probeTimeLimit(r))
 	}
 	if len(b.inFlight) == 0 {
-		b.detector.RecordWork(e.now)
+		b.detector.RecordBusy(e.now)
 	}
 	r.addAttempt(b, kind, e.now)
 	e.toCheck.add(b)
--- a/internal/policy/outlier.go
+++ b/internal/policy/outlier.go
@@ -1,7 +1,7 @@
 package policy
 
-// Outlier ejection: silent and broken backends are left out, probed, and taken back. See package outlier
-// for when a backend counts as one.
+// Outlier ejection: backends that are silent or whose connections break are taken out of use, probed, and
+// restored. Package outlier decides when a backend is an outlier.
 
 import (
 	"iter"
@@ -9,51 +9,52 @@
 )
 
 const (
-	// minProbeBudget is the deadline budget that a request must have to serve as a probe of an ejected
-	// backend, in mean latencies of its class.
+	// minProbeBudget is the minimum deadline budget of a request that serves as a probe of an ejected
+	// backend, as a multiple of the mean latency of its class.
 	minProbeBudget = 7.0
-	// probeTimeout is what the probe may take, in mean latencies of its class. The rest of the budget is for
-	// another attempt.
+	// probeTimeout is the time-out of that probe, as a multiple of the mean latency of its class. The rest of
+	// the budget is left for another attempt.
 	probeTimeout = 4.0
 )
 
-// checkList holds the backends whose health the periodic check looks at: all with attempts in flight, all
-// that are ejected, and some others until prune drops them.
+// checkList holds the backends whose health the periodic check examines: all that have attempts in flight and
+// all that are ejected. Others may be in it until prune removes them.
 type checkList []*backend
 
-// add makes the periodic check look at a backend.
-func (w *checkList) add(b *backend) {
+// add adds a backend unless it is in the list already.
+func (l *checkList) add(b *backend) {
 	if !b.inCheckList {
 		b.inCheckList = true
-		*w = append(*w, b)
+		*l = append(*l, b)
 	}
 }
 
-// prune drops those with no attempt in flight that are not ejected or no longer in service.
-func (w *checkList) prune() {
-	kept := (*w)[:0]
-	for _, b := range *w {
+// prune removes the backends that have no attempt in flight, unless they are ejected and in service.
+func (l *checkList) prune() {
+	kept := (*l)[:0]
+	for _, b := range *l {
 		if b.inCheckList = len(b.inFlight) > 0 || b.detector.Ejected() && b.inService; b.inCheckList {
 			kept = append(kept, b)
 		}
 	}
-	clear((*w)[len(kept):])
-	*w = kept
+	clear((*l)[len(kept):])
+	*l = kept
 }
 
-// checkHealth ejects a backend that has fallen silent, and checks an ejected one when that is due.
+// checkHealth ejects a backend that has become silent, and sends a health check to an ejected one when it is
+// due.
 func (e *Engine) checkHealth(b *backend) {
 	switch {
 	case b.detector.Ejected():
 		e.sendHealthCheck(b)
-	case b.detector.Silent(e.now, e.waits(b)) && e.othersRespond(b):
+	case b.detector.Silent(e.now, e.inFlightAttempts(b)) && e.othersRespond(b):
 		e.eject(b)
 	}
 }
 
-// waits yields the attempts in flight at a backend: when each was sent, and how many seconds an answer
-// takes.
-func (e *Engine) waits(b *backend) iter.Seq2[time.Duration, float64] {
+// inFlightAttempts yields the attempts in flight at a backend: the time at which each was sent, and the
+// expected latency of its answer in seconds.
+func (e *Engine) inFlightAttempts(b *backend) iter.Seq2[time.Duration, float64] {
 	return func(yield func(time.Duration, float64) bool) {
 		for _, a := range b.inFlight {
 			if !yield(a.sentAt, e.expectedLatencyAt(a.request, b)) {
@@ -63,8 +64,8 @@
 	}
 }
 
-// othersRespond says whether enough other backends respond while one is silent: as many as a quarter of the
-// subset, and one at least. Else the fault is not that backend's.
+// othersRespond reports whether enough other backends respond while one is silent: at least one, and at least
+// a quarter as many as the subset has. Otherwise the silence is not attributed to that backend.
 func (e *Engine) othersRespond(silent *backend) bool {
 	responding := 0
 	for _, b := range e.subset.backends {
@@ -80,9 +81,9 @@
 	return 4*responding >= len(e.subset.backends) && responding > 0
 }
 
-// eject stops new work to a backend, moves its queue on and cancels those attempts in flight that leave time
-// for another. Whether another is allowed is not asked: a request that is not idempotent is given up with
-// Fail once its cancelled attempt has ended.
+// eject takes a backend out of use, dispatches its queue to other backends, and cancels those of its attempts
+// in flight that leave time for another attempt. It does not check whether another attempt is allowed: a
+// request that is not idempotent ends with Fail once its cancelled attempt has ended.
 func (e *Engine) eject(b *backend) {
 	b.detector.Eject(e.now, e.subset.gatewaysPerBackend, e.rng)
 	e.updateWarm(b)
@@ -99,7 +100,7 @@
 	}
 }
 
-// sendHealthCheck checks an ejected backend, if the settings allow it and it is due.
+// sendHealthCheck sends a health check to an ejected backend if one is due and the settings allow it.
 func (e *Engine) sendHealthCheck(b *backend) {
 	if b.inService && e.settings.AllowHealthChecks && b.detector.ProbeDue(e.now) {
 		b.detector.StartProbe()
@@ -107,8 +108,8 @@
 	}
 }
 
-// healthChecked handles the result of a health check. A backend that comes back from a long silence may have
-// started anew: it starts slowly.
+// healthChecked handles the result of a health check. A backend that responds after a long silence may have
+// been restarted, so it begins a slow start.
 func (e *Engine) healthChecked(ev HealthCheckResult) {
 	b := e.endpoints.find(ev.Backend)
 	if b == nil || !b.detector.Ejected() {
@@ -128,14 +129,14 @@
 	e.updateWarm(b)
 }
 
-// restore takes a backend into use again. The caller must call updateWarm.
+// restore takes an ejected backend into use again. The caller must call updateWarm afterwards.
 func (e *Engine) restore(b *backend) {
 	b.detector.Reset(e.now)
 	e.emit(Log{"used again: " + b.name})
 }
 
-// backendToProbe finds an ejected backend that is due to be probed, and that a request can probe: without
-// health checks, each probe is an idempotent request on its first attempt with time for another.
+// backendToProbe returns an ejected backend that is due to be probed and that the request can probe, or nil.
+// Requests serve as probes only if health checks are not allowed; see mayProbe for which requests do.
 func (e *Engine) backendToProbe(r *request) *backend {
 	if e.settings.AllowHealthChecks || !e.mayProbe(r) {
 		return nil
@@ -148,14 +149,14 @@
 	return nil
 }
 
-// mayProbe says whether a request can serve as a probe: if its first attempt brings no answer it may have
-// another, and time is left for it.
+// mayProbe reports whether a request can serve as a probe: it is idempotent and on its first attempt, and if
+// that brings no answer, another attempt is allowed and there is time for it.
 func (e *Engine) mayProbe(r *request) bool {
 	return e.settings.Classes[r.class].Idempotency == Idempotent && len(r.attempts) == 0 &&
 		e.settings.MaxAttempts >= 2 && r.deadlineBudget.Seconds() >= minProbeBudget*e.expectedLatency(r)
 }
 
-// probeTimeLimit is how long a probe request may take.
+// probeTimeLimit returns the time-out of a request that serves as a probe.
 func (e *Engine) probeTimeLimit(r *request) time.Duration {
 	return time.Duration(probeTimeout * e.expectedLatency(r) * float64(time.Second))
 }
--- a/internal/policy/outlier_test.go
+++ b/internal/policy/outlier_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// silentFleet plays requests over four backends of which b0 answers nothing and the others answer within 40 ms.
+// silentFleet simulates four backends, of which b0 answers nothing and the others answer within 40 ms.
 type silentFleet struct {
 	engine       *Engine
 	now          time.Duration
 	lastID       uint64
 	answering    []sentAttempt // in flight at the other backends
 	unanswered   []sentAttempt // in flight at b0
-	ejected      bool          // the engine says that it no longer uses b0
-	sentToSilent int           // after that
+	ejected      bool          // whether the engine has ejected b0
+	sentToSilent int           // attempts sent to b0 after its ejection
 }
 
 type sentAttempt struct {
@@ -21,7 +21,7 @@
 	sentAt time.Duration
 }
 
-// step lets 5 ms pass, in which one request arrives and what is due ends.
+// step advances the time by 5 ms, delivers the results that are due and lets one request arrive.
 func (f *silentFleet) step() {
 	f.now += 5 * ms
 	f.lastID++
@@ -40,11 +40,11 @@
 		f.ejected = f.ejected || line.Text == "no longer used: b0"
 	}
 	for _, s := range sendsOf(actions) {
-		f.noteSend(s)
+		f.recordSend(s)
 	}
 }
 
-func (f *silentFleet) noteSend(s SendAttempt) {
+func (f *silentFleet) recordSend(s SendAttempt) {
 	if s.Backend != "b0" {
 		f.answering = append(f.answering, sentAttempt{s, f.now})
 		return
@@ -55,20 +55,20 @@
 	}
 }
 
-func TestSilentBackendIsEjected(t *testing.T) {
+func TestSilentBackendIsEjectedAndOnlyProbed(t *testing.T) {
 	fleet := silentFleet{engine: newTestEngine(t, testSettings(), testBackends(4)...), now: ms}
 	for range 400 {
 		fleet.step()
 	}
 	if !fleet.ejected || fleet.sentToSilent > 2 {
-		t.Errorf("ejected: %v; %d requests sent to a silent backend after that, want the probe requests only",
+		t.Errorf("ejected: %v; %d attempts sent to the silent backend after that, want probes only, 2 at most",
 			fleet.ejected, fleet.sentToSilent)
 	}
 }
 
-// A broken connection now and then, at any backend alike, must not eject backends: each time their queues and attempts
-// would be moved. Several in a row must, and an answer between them counts.
-func TestBrokenConnectionsInARowEject(t *testing.T) {
+// Occasional broken connections, which occur at any backend, must not eject it, because each ejection moves its queue
+// and attempts. Three consecutive ones must eject it; an answer in between restarts the count.
+func TestConsecutiveBrokenConnectionsEjectABackend(t *testing.T) {
 	settings := withoutCounter()
 	settings.MaxAttempts = 1
 	engine := newTestEngine(t, settings, testBackends(1)...)
@@ -77,12 +77,12 @@
 		now := time.Duration(i) * 100 * ms
 		sends := sendsOf(engine.Step(now, []Event{testRequest(uint64(i+1), idempotentClass, noQuotaPlan)}))
 		if len(sends) != 1 || b.detector.Ejected() {
-			t.Fatalf("before result %d: sent %v, ejected %v", i, sends, b.detector.Ejected())
+			t.Fatalf("before result %d: attempts sent: %v, ejected: %v", i, sends, b.detector.Ejected())
 		}
 		engine.Step(now+10*ms, []Event{AttemptResult{ID: sends[0].ID, Backend: "b0", Status: status, Latency: 10 * ms,
 			RequestClosed: status == OK}})
 	}
 	if !b.detector.Ejected() {
-		t.Error("three in a row, and it is still used")
+		t.Error("not ejected after three consecutive broken connections")
 	}
 }
