--- a/internal/policy/endpoints.go
+++ b/internal/policy/endpoints.go
@@ -1,6 +1,6 @@
 package policy
 
-// The endpoint list: which backends there are, and what follows from a change of it.
+// The endpoint list: which backends exist, and how the engine reacts to a change of the list.
 
 import (
 	"cmp"
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// endpointsUpdated handles a change of the endpoint list, or the failure of a call for it.
+// endpointsUpdated handles an update of the endpoint list, or the failure of a call for the list.
 func (e *Engine) endpointsUpdated(update EndpointUpdate) {
 	if update.Kind == UpdateFailed {
 		if retry, pause := e.polling.failed(e.rng); retry {
@@ -29,7 +29,7 @@
 	e.sendAllQueued()
 }
 
-// applyEntry applies what the list says of one backend. One that was started lately begins a slow start.
+// applyEntry applies one entry of the list. A backend that was started recently begins a slow start.
 func (e *Engine) applyEntry(entry *Backend) {
 	b := e.endpoints.findOrAdd(entry)
 	if b == nil {
@@ -53,8 +53,8 @@
 	e.updateWarm(b)
 }
 
-// retire takes a backend out of service: it gets nothing new, and what waits for it goes elsewhere. Its
-// attempts in flight go on.
+// retire takes a backend out of service: it gets no new attempts, and the requests in its queue are
+// dispatched to other backends. Its attempts in flight continue.
 func (e *Engine) retire(b *backend) {
 	if b.inService {
 		e.endpoints.takeOutOfService(b)
@@ -64,7 +64,7 @@
 	e.endpoints.addLeaving(b)
 }
 
-// retireMissing retires the backends that a snapshot leaves out.
+// retireMissing retires the backends that a snapshot does not contain.
 func (e *Engine) retireMissing() {
 	for _, b := range e.endpoints.all {
 		if e.endpoints.isMissing(b) {
@@ -73,8 +73,8 @@
 	}
 }
 
-// assignSubset makes the subset follow the changes of the list, and gives backends that are new their first
-// concurrency limit. It deals all out anew only when the number of seats changes (beginRound).
+// assignSubset updates the subset after a change of the list, and gives new backends their first concurrency
+// limit. All backends are reassigned only when the number of bins changes (beginRound).
 func (e *Engine) assignSubset() {
 	changed := e.endpoints.takeChanged()
 	e.subset.assign(&e.endpoints, changed)
@@ -86,23 +86,23 @@
 	}
 }
 
-// endpointRegistry holds the backends that the endpoint list has named and that are not yet gone. It owns
-// its backends' registryState.
+// endpointRegistry holds the backends that are in service, and those out of service that had attempts in
+// flight at the last update. It owns the registryState of its backends.
 type endpointRegistry struct {
 	byName         map[string]*backend
-	all            []*backend // those of byName; written by findOrAdd and remove alone
-	leaving        []*backend // out of service; some with attempts in flight
-	changed        []*backend // came into service or left it since takeChanged
+	all            []*backend // the values of byName; modified by findOrAdd and remove only
+	leaving        []*backend // out of service; removed by an update once no attempt is in flight
+	changed        []*backend // have come into service or left it since the last takeChanged
 	inServiceCount int
 	updates        uint64
 }
 
-// registryState is what the registry keeps with each backend.
+// registryState is the state that the registry keeps for each backend.
 type registryState struct {
-	inService bool   // in service, by the list
-	leaving   bool   // in endpointRegistry.leaving
-	namedIn   uint64 // the update that named it last
-	index     int    // in endpointRegistry.all
+	inService  bool   // in service, according to the list
+	leaving    bool   // in endpointRegistry.leaving
+	lastUpdate uint64 // number of the last update that contained it
+	index      int    // index in endpointRegistry.all
 }
 
 func newEndpointRegistry() endpointRegistry {
@@ -111,7 +111,7 @@
 
 func (r *endpointRegistry) beginUpdate() { r.updates++ }
 
-// find returns the backend of a name, or nil if it is unknown.
+// find returns the backend with a name, or nil if it is unknown.
 func (r *endpointRegistry) find(name string) *backend { return r.byName[name] }
 
 // findOrAdd returns the backend of an entry, or nil if it is unknown and not in service.
@@ -126,14 +126,14 @@
 		b.index = len(r.all)
 		r.all = append(r.all, b)
 	}
-	b.namedIn = r.updates
+	b.lastUpdate = r.updates
 	return b
 }
 
-// isMissing says whether the present update has not named a backend.
-func (r *endpointRegistry) isMissing(b *backend) bool { return b.namedIn != r.updates }
+// isMissing reports whether the current update did not contain a backend.
+func (r *endpointRegistry) isMissing(b *backend) bool { return b.lastUpdate != r.updates }
 
-// putInService takes a backend into service.
+// putInService puts a backend into service.
 func (r *endpointRegistry) putInService(b *backend) {
 	if !b.inService {
 		b.inService = true
@@ -156,7 +156,7 @@
 	}
 }
 
-// takeChanged returns the backends that came into service or left it since the last call. The slice is
+// takeChanged returns the backends that have come into service or left it since the last call. The slice is
 // valid until the next change.
 func (r *endpointRegistry) takeChanged() []*backend {
 	changed := r.changed
@@ -164,12 +164,12 @@
 	return changed
 }
 
-// removeGone forgets the backends that are out of service and have no attempt in flight.
+// removeGone removes the backends that are out of service and have no attempt in flight.
 func (r *endpointRegistry) removeGone() {
 	kept := r.leaving[:0]
 	for _, b := range r.leaving {
 		switch {
-		case b.inService: // it is back
+		case b.inService: // back in service
 			b.leaving = false
 		case len(b.inFlight) > 0:
 			kept = append(kept, b)
@@ -190,26 +190,26 @@
 }
 
 const (
-	// firstPollBackoff is the longest pause after the first call for the list that failed. Of each pause one
-	// half is fixed and the other random, as gateways fail together.
+	// firstPollBackoff is the maximum pause after the first failed call for the list. One half of each pause is
+	// fixed and the other random, because the calls of all gateways fail together.
 	firstPollBackoff = 250 * time.Millisecond
-	// maxPollBackoff is the longest pause of all. A change counts as known after 6 s: two calls that fail after
-	// 2 s each, and their pauses, leave time for a third.
+	// maxPollBackoff is the upper limit of the maximum pause. A change must be known within 6 s: two calls that
+	// fail after 2 s each, and the pauses after them, leave time for a third call.
 	maxPollBackoff = 750 * time.Millisecond
 )
 
-// endpointPolling says when to ask for the endpoint list.
+// endpointPolling schedules the calls for the endpoint list.
 type endpointPolling struct {
-	lastPoll     time.Duration // when the list was asked for, or when an update came
-	backoff      time.Duration // the longest that the last pause could be; 0: the last call brought the list
-	retryPending bool          // a pause is under way
+	lastPoll     time.Duration // time of the last scheduled call or update
+	backoff      time.Duration // maximum of the last pause; 0 after an update
+	retryPending bool          // a pause after a failed call is running
 }
 
-// succeeded notes that an update has come.
+// succeeded records that an update was received.
 func (p *endpointPolling) succeeded(now time.Duration) { p.lastPoll, p.backoff = now, 0 }
 
-// failed notes that a call for the list has failed, and returns the pause after which to ask again, unless
-// one is under way already. It draws a random number for the pause.
+// failed records that a call for the list has failed, and returns the pause after which to retry it. If a
+// pause is running already, retry is false; otherwise a random number is drawn for the pause.
 func (p *endpointPolling) failed(rng *rand.Rand) (retry bool, pause time.Duration) {
 	if p.retryPending {
 		return false, 0
@@ -219,11 +219,11 @@
 	return true, p.backoff/2 + time.Duration(rng.Int64N(int64(p.backoff/2)+1))
 }
 
-// retried notes that the pause is over.
+// retried records that the pause is over.
 func (p *endpointPolling) retried() { p.retryPending = false }
 
-// pollIfDue says whether the list is to be asked for: it is older than half the interval. If so it notes that
-// the caller asks for it now.
+// pollIfDue reports whether the list is older than half the interval. If so, the caller must call for the
+// list now, and pollIfDue records this.
 func (p *endpointPolling) pollIfDue(now, interval time.Duration) bool {
 	if interval <= 0 || now-p.lastPoll <= interval/2 {
 		return false
--- a/internal/policy/endpoints_test.go
+++ b/internal/policy/endpoints_test.go
@@ -6,20 +6,20 @@
 	"time"
 )
 
-func TestNothingIsSentToADrainingBackend(t *testing.T) {
+func TestDrainingBackendGetsNoAttempts(t *testing.T) {
 	engine := newTestEngine(t, testSettings(), testBackends(2)...)
 	engine.Step(ms, []Event{EndpointUpdate{Kind: Delta, Backends: []Backend{{Name: "b0", State: Draining}}}})
 	for i := range 20 {
 		actions := engine.Step(time.Duration(i+2)*ms, []Event{testRequest(uint64(i), idempotentClass, noQuotaPlan)})
 		for _, s := range sendsOf(actions) {
 			if s.Backend == "b0" {
-				t.Fatal("sent to a draining backend")
+				t.Fatal("an attempt was sent to a draining backend")
 			}
 		}
 	}
 }
 
-func TestWarmingBackendGetsLess(t *testing.T) {
+func TestWarmingBackendGetsFewerAttemptsThanAWarmOne(t *testing.T) {
 	list := testBackends(4)
 	list[0].Started = 99 * time.Second
 	engine, _ := New(testSettings(), 7)
@@ -34,12 +34,12 @@
 		}
 	}
 	if sent["b0"]*2 > sent["b1"] {
-		t.Errorf("the warming backend got %d, a warm one %d", sent["b0"], sent["b1"])
+		t.Errorf("the warming backend got %d attempts, a warm one %d; want half as many at most", sent["b0"], sent["b1"])
 	}
 }
 
-// A gateway that loses every backend and gets others works on.
-func TestEndpointListEmptiesAndFills(t *testing.T) {
+// After all backends have terminated and others were added, requests go to the new ones.
+func TestGatewayWorksAfterTheEndpointListWasEmpty(t *testing.T) {
 	list := largeEndpointList(40)
 	engine := newTestEngine(t, manyGateways(100), list[:20]...)
 	for i := range list[:20] {
@@ -49,19 +49,19 @@
 	subset, known := len(engine.subset.backends), len(engine.endpoints.all)
 	inService, warm := engine.endpoints.inServiceCount, engine.throughput.WarmBackends()
 	if subset+known+inService+warm != 0 {
-		t.Fatalf("%d in the subset, %d known, %d in service, %d warm", subset, known, inService, warm)
+		t.Fatalf("after all have terminated: %d in the subset, %d known, %d in service, %d warm", subset, known, inService, warm)
 	}
 	engine.Step(2*time.Second, []Event{EndpointUpdate{Backends: list[20:]}})
 	actions := engine.Step(3*time.Second, []Event{testRequest(1, idempotentClass, noQuotaPlan), Timer{checkCookie}})
 	if sends := sendsOf(actions); len(sends) != 1 {
-		t.Errorf("%d sends", len(sends))
+		t.Errorf("%d attempts sent to the new backends, want 1", len(sends))
 	}
 }
 
-// A list that could not be had is polled again so soon that two polls which come to nothing, each after 2 s
-// at most, and their pauses leave time for a third within the 6 s after which a change counts as told; also
-// after a long outage.
-func TestFailedListIsPolledAgainSoon(t *testing.T) {
+// A failed call for the list is retried after 750 ms at most, also after a long outage. Two calls that fail after 2 s
+// at most, and the pauses after them, then leave time for a third call within 6 s, the time in which a change of the
+// list must become known.
+func TestFailedCallForTheListIsRetriedSoon(t *testing.T) {
 	const maxPause = 750 * time.Millisecond
 	settings := testSettings()
 	settings.PollEndpoints = true
@@ -75,18 +75,18 @@
 			}
 		}
 		if at == 0 || at > now+maxPause {
-			t.Fatalf("after failure %d it is polled again after %v", i+1, at-now)
+			t.Fatalf("after failure %d the call is retried after %v", i+1, at-now)
 		}
 		now = at + 2*time.Second
 		if actions := engine.Step(at, []Event{Timer{pollCookie}}); len(actionsOf[WatchEndpoints](actions)) != 1 {
-			t.Fatalf("after failure %d it is not polled: %v", i+1, actions)
+			t.Fatalf("after failure %d the call is not retried: %v", i+1, actions)
 		}
 	}
 }
 
-// What is counted along the way stays what a count of all would give: here over updates, restarts, ejections
-// and requests of all kinds.
-func TestCountsStayWhatACountOfAllGives(t *testing.T) {
+// The counters that the engine updates incrementally stay equal to a full count, over updates of the list, restarts,
+// ejections and requests.
+func TestIncrementalCountersMatchAFullCount(t *testing.T) {
 	list := largeEndpointList(60)
 	engine := newTestEngine(t, manyGateways(30), list...)
 	now := time.Second
@@ -115,31 +115,31 @@
 				engine.Step(now+20*ms, []Event{servedResult(s, 0, 20*ms)})
 			}
 		}
-		checkCounts(t, engine, fmt.Sprint("step ", step))
+		checkCounters(t, engine, fmt.Sprint("step ", step))
 	}
 }
 
-// checkCounts compares what the engine counts of its backends with a count of all.
-func checkCounts(t *testing.T, engine *Engine, when string) {
+// checkCounters compares the counters and indices that the engine keeps of its backends with a full count.
+func checkCounters(t *testing.T, engine *Engine, when string) {
 	t.Helper()
-	inSubset, warm, listed := 0, 0, 0
+	inSubset, warm, inService := 0, 0, 0
 	for i, b := range engine.endpoints.all {
 		if b.index != i || b.inSubset && engine.subset.backends[b.subsetIndex] != b {
-			t.Fatalf("%s: %s is not at its place", when, b.name)
+			t.Fatalf("%s: the index of %s is wrong", when, b.name)
 		}
 		if b.inSubset {
 			inSubset++
 		}
 		if b.inService {
-			listed++
+			inService++
 		}
 		if b.usable() && !b.slowStart.Warming() {
 			warm++
 		}
 	}
-	subset, inService := len(engine.subset.backends), engine.endpoints.inServiceCount
-	if inSubset != subset || warm != engine.throughput.WarmBackends() || listed != inService {
-		t.Fatalf("%s: subset of %d, %d, %d warm of %d, %d in service of %d", when, subset, inSubset,
-			engine.throughput.WarmBackends(), warm, inService, listed)
+	subset, inServiceCount := len(engine.subset.backends), engine.endpoints.inServiceCount
+	if inSubset != subset || warm != engine.throughput.WarmBackends() || inService != inServiceCount {
+		t.Fatalf("%s: the engine counts %d in the subset, %d warm, %d in service; a full count gives %d, %d, %d", when,
+			subset, engine.throughput.WarmBackends(), inServiceCount, inSubset, warm, inService)
 	}
 }
