--- a/internal/policy/slowstart.go
+++ b/internal/policy/slowstart.go
@@ -1,6 +1,6 @@
 package policy
 
-// Slow start: what a backend that was started lately may get. See package slowstart for the budget.
+// Slow start: limits what a backend that was started recently gets. Package slowstart has the budget.
 
 import (
 	"time"
@@ -8,10 +8,10 @@
 	"bellwood/internal/policy/slowstart"
 )
 
-// slowStarts knows how backends warm up, and which do.
+// slowStarts holds the settings of slow starts and the backends in one.
 type slowStarts struct {
 	settings slowstart.Settings
-	warming  []*backend // in the order of add, not of their starts; some may be warm
+	warming  []*backend // in the order of add, not of their start times; some may be warm
 }
 
 func newSlowStarts(set *Settings) slowStarts {
@@ -25,7 +25,7 @@
 
 func (s *slowStarts) add(b *backend) { s.warming = append(s.warming, b) }
 
-// first is the backend that was added first; nil if there is none.
+// first returns the backend that was added first, or nil if there is none.
 func (s *slowStarts) first() *backend {
 	if len(s.warming) == 0 {
 		return nil
@@ -35,23 +35,23 @@
 
 func (s *slowStarts) dropFirst() { s.warming = s.warming[1:] }
 
-// beginSlowStart counts a backend as warming up since the time at which it started.
+// beginSlowStart begins a slow start of a backend that was started at the given time.
 func (e *Engine) beginSlowStart(b *backend, since time.Duration) {
 	b.slowStart.Begin(since)
 	e.slowStarts.add(b)
 	e.updateWarm(b)
 }
 
-// endSlowStarts counts as warm those whose time to warm up is over, in the order of their adding, up to the
-// first that is still warming up. A later one that is warm already is counted when capacityShare is asked.
+// endSlowStarts ends the slow starts whose duration is over, in the order in which they were added, up to the
+// first backend that is still warming up. Later ones that are over are ended when capacityShare is called.
 func (e *Engine) endSlowStarts() {
 	for b := e.slowStarts.first(); b != nil && e.capacityShare(b) >= 1; b = e.slowStarts.first() {
 		e.slowStarts.dropFirst()
 	}
 }
 
-// capacityShare is the share of its capacity that a backend has at least; 1 if it is warm. It also ends a
-// slow start whose time is over, and then counts the backend among the warm ones.
+// capacityShare returns the minimum share of its capacity that a backend has now, 1 if it is warm. It also
+// ends a slow start whose duration is over, and then counts the backend as warm.
 func (e *Engine) capacityShare(b *backend) float64 {
 	share := b.slowStart.CapacityShare(e.now, &e.slowStarts.settings)
 	if !b.slowStart.Warming() {
@@ -60,13 +60,13 @@
 	return share
 }
 
-// slowStartSpent says whether a backend is warming up and has had its budget.
+// slowStartSpent reports whether a backend is warming up and has used up its budget.
 func (e *Engine) slowStartSpent(b *backend) bool {
 	share := e.capacityShare(b)
 	if share >= 1 {
 		return false
 	}
-	return b.slowStart.Spent(e.now, &e.slowStarts.settings, slowstart.Load{
+	return b.slowStart.Spent(e.now, &e.slowStarts.settings, slowstart.CapacityEstimate{
 		Share:      share,
 		PerBackend: e.observedRate(),
 		Weight:     b.weight,
--- a/internal/policy/slowstart/slowstart.go
+++ b/internal/policy/slowstart/slowstart.go
@@ -1,6 +1,8 @@
-// Package slowstart bounds what one gateway sends to a backend that was started lately and is warming up.
-// Such a backend has a part of its capacity at first, and fails when it gets a multiple of that for some
-// time; so all gateways together must stay under it, though none knows what the others send.
+// Package slowstart limits what one gateway sends to a backend that was started recently and is warming up.
+//
+// Such a backend initially has a part of its capacity, and fails if it is sent a multiple of that for some
+// time. All gateways together must therefore stay below that multiple, although none of them knows what the
+// others send.
 //
 // A [Budget] belongs to one backend of one engine and is not safe for concurrent use. Times are on the
 // engine's clock.
@@ -14,39 +16,40 @@
 )
 
 const (
-	// usedShare is the share of what the backend can bear that is used: the cost of requests differs from their
+	// usedShare is the part of the tolerable load that is used, because the cost of requests varies around its
 	// mean.
 	usedShare = 0.5
-	// minWindowAttempts is how many attempts in one window all gateways together may send, even if what they
-	// have measured allows fewer: so that each gateway gets its turn.
+	// minWindowAttempts is the number of attempts per window that all gateways together may always send, even
+	// if their measurements allow fewer, so that each gateway gets to send.
 	minWindowAttempts = 3.0
 )
 
-// Settings say how a started backend warms up, and how much makes it fail.
+// Settings describe how a started backend warms up, and which load makes it fail.
 type Settings struct {
-	MinShare         float64       // of its capacity, that a backend has at its start
-	Duration         time.Duration // until it has all of it
-	OverloadMultiple float64       // of its present capacity: a backend that gets so much for a window fails
-	OverloadWindow   time.Duration // the length of that window
+	MinShare         float64       // share of its capacity that a backend has at its start
+	Duration         time.Duration // time from its start until it has its full capacity
+	OverloadMultiple float64       // of the present capacity; a backend that is sent so much for a window fails
+	OverloadWindow   time.Duration // length of that window
 }
 
-// Budget is what one backend may get while it warms up. The zero value is warm.
+// Budget limits the attempts that one backend gets while it warms up. The zero value is that of a warm
+// backend.
 type Budget struct {
 	warming   bool
-	since     time.Duration   // when it started
-	sent      []time.Duration // while warming, within the last window
-	notBefore time.Duration   // no attempt before this; 0: not drawn yet
+	since     time.Duration   // time of its start
+	sent      []time.Duration // times of the attempts sent while warming, within the last window
+	notBefore time.Duration   // no attempt is allowed before this time; 0 if not drawn yet
 }
 
-// Begin notes that the backend started at a time.
+// Begin begins a slow start of a backend that was started at the given time.
 func (b *Budget) Begin(since time.Duration) { b.warming, b.since = true, since }
 
-// Warming says whether the backend counts as warming up. It does until CapacityShare finds that it no
-// longer is.
+// Warming reports whether the backend counts as warming up. It does so until a call of CapacityShare finds
+// that the slow start is over.
 func (b *Budget) Warming() bool { return b.warming }
 
-// CapacityShare is the share of its capacity that the backend has at least: MinShare at its start, all after
-// Duration, and in between on a line. When Duration is over it also ends the warming up.
+// CapacityShare returns the minimum share of its capacity that the backend has now. It rises linearly from
+// MinShare at the start to 1 after Duration. Once Duration is over, CapacityShare also ends the slow start.
 func (b *Budget) CapacityShare(now time.Duration, set *Settings) float64 {
 	age := float64(now - b.since)
 	if !b.warming || age >= float64(set.Duration) {
@@ -56,48 +59,54 @@
 	return set.MinShare + (1-set.MinShare)*max(0, age)/float64(set.Duration)
 }
 
-// RecordAttempt notes an attempt that is sent to the backend.
+// RecordAttempt records that an attempt is sent to the backend.
 func (b *Budget) RecordAttempt(now time.Duration) {
 	if b.warming {
 		b.sent = append(b.sent, now)
 	}
 }
 
-// Load is what a gateway knows of the backend and of the warm ones.
-type Load struct {
-	Share      float64 // of its capacity that the backend has: see CapacityShare
-	PerBackend float64 // answers a second that this gateway's part of a warm backend's capacity gives
-	Weight     float64 // of the backend
-	MeanWeight float64 // of the warm backends; 0: not known
-	Gateways   float64 // that use the backend
+// CapacityEstimate is what a gateway knows of the capacity of the backend and of the warm backends.
+type CapacityEstimate struct {
+	Share      float64 // present share of the backend's capacity, from CapacityShare
+	PerBackend float64 // this gateway's part of a warm backend's throughput, in answers per second
+	Weight     float64 // weight of the backend
+	MeanWeight float64 // mean weight of the warm backends; 0 if not known
+	Gateways   float64 // number of gateways that use the backend
 }
 
-// Spent says whether the backend has had its budget, which is in attempts for each OverloadWindow
+// Spent reports whether the backend has used up its budget, which in attempts per OverloadWindow is
 //
 //	usedShare x OverloadMultiple x Share x PerBackend x OverloadWindow x Weight / MeanWeight
 //
-// Share x PerBackend is this gateway's part of the backend's present capacity, taken for no more than a warm
-// backend of its weight is seen to carry. The budget is used in whole attempts: floor(budget), in a window as
-// much shorter. Under one attempt a window, as with many gateways, it is one attempt in a time that is longer
-// by 1/budget, but at most Duration or, if that is longer, OverloadWindow x Gateways / minWindowAttempts. The
-// first then comes at a random moment of that time, as all gateways learn of a start together; this can leave
-// a backend that only this gateway knows idle for a while. One random number is drawn when the budget first
-// is under one attempt. A backend that starts again while it warms up keeps that moment and its recent
-// attempts.
-func (b *Budget) Spent(now time.Duration, set *Settings, load Load, rng *rand.Rand) bool {
-	span := set.OverloadWindow.Seconds()
-	budget := usedShare * set.OverloadMultiple * load.Share * load.PerBackend * span *
-		load.Weight / cmp.Or(load.MeanWeight, load.Weight)
-	// Whole attempts, in a time as much longer or shorter: else all gateways would round the same way.
+// Share x PerBackend, scaled by weight, is this gateway's part of the backend's present capacity. The backend
+// is assumed to carry no more than a warm backend of its weight is observed to carry.
+//
+// The budget is used in whole attempts: floor(budget) attempts in a window that is shorter in proportion. A
+// budget of less than one attempt per window, as with many gateways, becomes one attempt in a window that is
+// longer by 1/budget, but at most Duration or, if that is longer, OverloadWindow x Gateways /
+// minWindowAttempts. The first attempt then comes at a random time within that window, because all gateways
+// learn of a start at the same time. A backend that only this gateway knows can therefore stay idle for a
+// while.
+//
+// One random number is drawn when the budget is first less than one attempt. A backend that is started again
+// while it warms up keeps that random time and its recent attempts.
+func (b *Budget) Spent(now time.Duration, set *Settings, estimate CapacityEstimate, rng *rand.Rand) bool {
+	window := set.OverloadWindow.Seconds()
+	budget := usedShare * set.OverloadMultiple * estimate.Share * estimate.PerBackend * window *
+		estimate.Weight / cmp.Or(estimate.MeanWeight, estimate.Weight)
+	// The window changes in proportion when the budget becomes a whole number of attempts. Otherwise
+	// all gateways would round in the same direction, and their errors would add up.
 	whole := max(1, math.Floor(budget))
-	span *= whole / budget
+	window *= whole / budget
 	if budget < 1 {
-		span = min(span, max(set.Duration.Seconds(), set.OverloadWindow.Seconds()*load.Gateways/minWindowAttempts))
+		window = min(window, max(set.Duration.Seconds(),
+			set.OverloadWindow.Seconds()*estimate.Gateways/minWindowAttempts))
 		if b.notBefore == 0 {
-			b.notBefore = now + time.Duration(rng.Float64()*span*float64(time.Second))
+			b.notBefore = now + time.Duration(rng.Float64()*window*float64(time.Second))
 		}
 	}
-	for len(b.sent) > 0 && (now-b.sent[0]).Seconds() >= span {
+	for len(b.sent) > 0 && (now-b.sent[0]).Seconds() >= window {
 		b.sent = b.sent[1:]
 	}
 	return float64(len(b.sent)) >= whole || now < b.notBefore
