--- a/internal/policy/simulatedfleet_test.go
+++ b/internal/policy/simulatedfleet_test.go
@@ -8,42 +8,42 @@
 	"time"
 )
 
-// simulatedFleet plays many gateways over backends that work requests off, and notes what reaches the warming ones.
-// Time goes on in steps.
+// simulatedFleet simulates many gateways and the backends that serve their requests, in time steps. It records the
+// attempts that reach warming backends.
 type simulatedFleet struct {
 	settings        Settings
 	rng             *rand.Rand
 	gateways        []*Engine
-	trafficShares   []float64 // by gateway, compared with others'
-	uneven          bool      // the shares change
-	rate            float64   // requests a second to all gateways
-	backends        []Backend // as discovery tells of them
+	trafficWeights  []float64 // by gateway: its traffic relative to that of the others
+	uneven          bool      // whether the weights differ and change
+	rate            float64   // requests per second to all gateways
+	backends        []Backend // the endpoint list
 	machines        []simulatedMachine
-	due             [][]dueResult // by step, in a ring of resultsAhead
+	pending         [][]pendingResult // by time step, as a ring buffer of maxPendingSteps
 	step            int
 	lastID          uint64
-	offered, served int // requests
+	offered, served int // number of requests
 }
 
-// simulatedMachine is how a backend fares in truth.
+// simulatedMachine is the machine of a backend, with its actual state.
 type simulatedMachine struct {
-	capacity   float64                         // requests a second, when warm
-	workerFree [workersOfMachine]time.Duration // when each worker is
-	started    time.Duration                   // 0: long ago
+	capacity   float64                          // requests per second when warm
+	workerFree [workersPerMachine]time.Duration // the time at which each worker becomes free
+	started    time.Duration                    // 0: long ago
 	silent     bool
-	attempts   []time.Duration // when it got them, while warming
+	attempts   []time.Duration // times of the attempts received while warming
 }
 
-type dueResult struct {
+type pendingResult struct {
 	gateway int
 	result  AttemptResult
 }
 
 const (
-	simulationStep   = 20 * ms
-	workersOfMachine = 4
-	resultsAhead     = 400      // steps that a result may lie ahead
-	maxMachineWait   = 400 * ms // for a worker; a machine rejects what would wait longer
+	simulationStep    = 20 * ms
+	workersPerMachine = 4
+	maxPendingSteps   = 400      // the number of steps in which a pending result must be due
+	maxMachineWait    = 400 * ms // a machine rejects an attempt that would wait longer for a worker
 )
 
 func newSimulatedFleet(gateways, backends int, seed uint64) *simulatedFleet {
@@ -53,14 +53,14 @@
 	set.OverloadMultiple, set.OverloadWindow = 3, 3*time.Second
 	set.SlowStartMinShare, set.SlowStartDuration = 0.18, 18*time.Second
 	f := &simulatedFleet{settings: set, rng: rand.New(rand.NewPCG(seed, 9)), backends: testBackends(backends),
-		machines: make([]simulatedMachine, backends), trafficShares: make([]float64, gateways),
-		due: make([][]dueResult, resultsAhead)}
+		machines: make([]simulatedMachine, backends), trafficWeights: make([]float64, gateways),
+		pending: make([][]pendingResult, maxPendingSteps)}
 	for i := range f.machines {
 		f.machines[i].capacity = 30
 	}
 	for i := range gateways {
 		f.gateways = append(f.gateways, f.newGateway(i))
-		f.trafficShares[i] = 1
+		f.trafficWeights[i] = 1
 	}
 	return f
 }
@@ -73,7 +73,7 @@
 
 func (f *simulatedFleet) now() time.Duration { return time.Duration(f.step) * simulationStep }
 
-// capacityShare is the share of its capacity that a machine has at a time: the least that the settings allow.
+// capacityShare returns the share of its capacity that a machine has at a time: the minimum that the settings allow.
 func (f *simulatedFleet) capacityShare(m *simulatedMachine, now time.Duration) float64 {
 	set := &f.settings
 	if age := now - m.started; m.started > 0 && age < set.SlowStartDuration {
@@ -82,41 +82,41 @@
 	return 1
 }
 
-// restart lets the backends from one number up to another start now, and tells all gateways at once.
+// restart restarts the backends with indices from..to-1 and updates all gateways at once.
 func (f *simulatedFleet) restart(from, to int) {
 	for i := from; i < to; i++ {
 		f.backends[i].Started = f.now()
 		f.machines[i] = simulatedMachine{capacity: f.machines[i].capacity, started: f.now()}
 	}
 	for i := range f.gateways {
-		f.take(i, EndpointUpdate{Kind: Delta, Backends: slices.Clone(f.backends[from:to])})
+		f.deliver(i, EndpointUpdate{Kind: Delta, Backends: slices.Clone(f.backends[from:to])})
 	}
 }
 
-// replaceGateway lets a gateway start anew, which knows only the list as it was last kept.
+// replaceGateway replaces a gateway by a new one, which knows nothing but the cached endpoint list.
 func (f *simulatedFleet) replaceGateway(index int) {
 	f.gateways[index] = f.newGateway(index)
-	for step := range f.due {
-		f.due[step] = slices.DeleteFunc(f.due[step], func(r dueResult) bool { return r.gateway == index })
+	for step := range f.pending {
+		f.pending[step] = slices.DeleteFunc(f.pending[step], func(r pendingResult) bool { return r.gateway == index })
 	}
-	f.take(index, EndpointUpdate{Kind: CachedSnapshot, Backends: slices.Clone(f.backends)})
+	f.deliver(index, EndpointUpdate{Kind: CachedSnapshot, Backends: slices.Clone(f.backends)})
 }
 
-// take hands an event to a gateway and works off what it sends.
-func (f *simulatedFleet) take(gateway int, ev Event) {
+// deliver delivers an event to a gateway and lets the machines serve the attempts that it sends.
+func (f *simulatedFleet) deliver(gateway int, ev Event) {
 	now := f.now()
 	engine := f.gateways[gateway]
 	for _, sent := range sendsOf(engine.Step(now, []Event{ev})) {
 		index, _ := strconv.Atoi(sent.Backend[1:])
-		result := f.work(&f.machines[index], now, sent)
+		result := f.serve(&f.machines[index], now, sent)
 		result.Attempt = len(engine.requests[sent.ID].attempts) - 1
-		at := (f.step + 1 + int(result.Latency/simulationStep)) % resultsAhead
-		f.due[at] = append(f.due[at], dueResult{gateway, result})
+		at := (f.step + 1 + int(result.Latency/simulationStep)) % maxPendingSteps
+		f.pending[at] = append(f.pending[at], pendingResult{gateway, result})
 	}
 }
 
-// work has a machine do what an attempt asks for, and returns the result.
-func (f *simulatedFleet) work(m *simulatedMachine, now time.Duration, sent SendAttempt) AttemptResult {
+// serve lets a machine serve an attempt, and returns the result.
+func (f *simulatedFleet) serve(m *simulatedMachine, now time.Duration, sent SendAttempt) AttemptResult {
 	share := f.capacityShare(m, now)
 	if share < 1 {
 		m.attempts = append(m.attempts, now)
@@ -134,7 +134,7 @@
 	case wait > maxMachineWait:
 		result.Status, result.Latency = Rejected, 2*ms
 	default:
-		seconds := (0.5 + 0.5*f.rng.ExpFloat64()) * workersOfMachine / (m.capacity * share)
+		seconds := (0.5 + 0.5*f.rng.ExpFloat64()) * workersPerMachine / (m.capacity * share)
 		took := wait + time.Duration(seconds*float64(time.Second))
 		m.workerFree[worker] = now + took
 		if took < sent.Timeout {
@@ -145,7 +145,7 @@
 	return result
 }
 
-// run plays on for a time.
+// run continues the simulation for a time.
 func (f *simulatedFleet) run(span time.Duration) {
 	for until := f.now() + span; f.now() < until; {
 		f.step++
@@ -157,56 +157,56 @@
 }
 
 func (f *simulatedFleet) deliverResults() {
-	slot := f.step % resultsAhead
-	for _, r := range f.due[slot] {
-		f.take(r.gateway, r.result)
+	slot := f.step % maxPendingSteps
+	for _, r := range f.pending[slot] {
+		f.deliver(r.gateway, r.result)
 	}
-	f.due[slot] = nil
+	f.pending[slot] = nil
 }
 
-// shiftTraffic gives some gateways several times the mean, where traffic is uneven, and a tenth of the gateways other
-// traffic each second.
+// shiftTraffic draws the traffic weights if traffic is uneven: some gateways get several times the mean. About a tenth
+// of the gateways gets a new weight each second.
 func (f *simulatedFleet) shiftTraffic() {
-	for i := range f.trafficShares {
+	for i := range f.trafficWeights {
 		if f.uneven && (f.step == 1 || f.rng.IntN(500) == 0) {
-			f.trafficShares[i] = math.Exp(f.rng.NormFloat64())
+			f.trafficWeights[i] = math.Exp(f.rng.NormFloat64())
 		}
 	}
 }
 
-// sendRequests sends the requests of a step, by chance as many as the rate says in the mean.
+// sendRequests sends the requests of a step. Their number is random, with the mean given by the rate.
 func (f *simulatedFleet) sendRequests() {
 	for left := f.rate*simulationStep.Seconds() - f.rng.ExpFloat64(); left > 0; left -= f.rng.ExpFloat64() {
 		gateway := f.rng.IntN(len(f.gateways))
-		for f.rng.Float64()*8 > f.trafficShares[gateway] { // in proportion to the shares, of which 8 is the most that counts
+		for f.rng.Float64()*8 > f.trafficWeights[gateway] { // in proportion to the weights, limited to 8
 			gateway = f.rng.IntN(len(f.gateways))
 		}
 		f.lastID++
 		f.offered++
 		r := testRequest(f.lastID, idempotentClass, noQuotaPlan)
 		r.TimeLeft = 5 * time.Second
-		f.take(gateway, r)
+		f.deliver(gateway, r)
 	}
 }
 
-// checkPeriodically has gateways check where something waits, and else now and then; where there are 100 or more, not
-// else, as that would take too long to play.
+// checkPeriodically runs the periodic check of each gateway in which requests wait. With fewer than 100 gateways it
+// runs the others' too, every fourth step; with more, that would make the simulation too slow.
 func (f *simulatedFleet) checkPeriodically() {
 	for i, engine := range f.gateways {
 		if engine.queues.length > 0 || len(engine.queues.unplaced) > 0 || f.step%4 == 0 && len(f.gateways) < 100 {
-			f.take(i, Timer{checkCookie})
+			f.deliver(i, Timer{checkCookie})
 		}
 	}
 }
 
-// windowLoad is what a warming backend got within a window.
+// windowLoad is the load of a warming backend within one window.
 type windowLoad struct {
 	attempts int
-	budget   float64 // N: of all gateways together
-	bound    float64 // the budget and what chance may add to it
+	budget   float64 // in attempts, of all gateways together
+	bound    float64 // the budget and an allowance for random variation
 }
 
-// worstWindow finds the window in which a warming backend got the most for what it may get.
+// worstWindow returns the window in which a warming backend received the most attempts relative to its bound.
 func (f *simulatedFleet) worstWindow() windowLoad {
 	worst := windowLoad{bound: 1}
 	for i := range f.machines {
