--- a/internal/policy/endpoints.go
+++ b/internal/policy/endpoints.go
@@ -24,7 +24,7 @@
 	if update.Kind != Delta {
 		e.retireMissing()
 	}
-	e.endpoints.removeGone()
+	e.endpoints.removeRetired()
 	e.assignSubset()
 	e.sendAllQueued()
 }
@@ -54,14 +54,14 @@
 }
 
 // retire takes a backend out of service: it gets no new attempts, and the requests in its queue are
-// dispatched to other backends. Its attempts in flight continue.
+// dispatched again. Its attempts in flight continue.
 func (e *Engine) retire(b *backend) {
 	if b.inService {
 		e.endpoints.takeOutOfService(b)
 		e.updateWarm(b)
 		e.moveQueue(b)
 	}
-	e.endpoints.addLeaving(b)
+	e.endpoints.addRetired(b)
 }
 
 // retireMissing retires the backends that a snapshot does not contain.
@@ -91,7 +91,7 @@
 type endpointRegistry struct {
 	byName         map[string]*backend
 	all            []*backend // the values of byName; modified by findOrAdd and remove only
-	leaving        []*backend // out of service; removed by an update once no attempt is in flight
+	retired        []*backend // out of service; removed by an update once no attempt is in flight
 	changed        []*backend // have come into service or left it since the last takeChanged
 	inServiceCount int
 	updates        uint64
@@ -100,7 +100,7 @@
 // registryState is the state that the registry keeps for each backend.
 type registryState struct {
 	inService  bool   // in service, according to the list
-	leaving    bool   // in endpointRegistry.leaving
+	retired    bool   // in endpointRegistry.retired
 	lastUpdate uint64 // number of the last update that contained it
 	index      int    // index in endpointRegistry.all
 }
@@ -149,10 +149,10 @@
 	r.changed = append(r.changed, b)
 }
 
-func (r *endpointRegistry) addLeaving(b *backend) {
-	if !b.leaving {
-		b.leaving = true
-		r.leaving = append(r.leaving, b)
+func (r *endpointRegistry) addRetired(b *backend) {
+	if !b.retired {
+		b.retired = true
+		r.retired = append(r.retired, b)
 	}
 }
 
@@ -164,21 +164,22 @@
 	return changed
 }
 
-// removeGone removes the backends that are out of service and have no attempt in flight.
-func (r *endpointRegistry) removeGone() {
-	kept := r.leaving[:0]
-	for _, b := range r.leaving {
+// removeRetired removes the retired backends that have no attempt in flight, unless they are in service
+// again.
+func (r *endpointRegistry) removeRetired() {
+	kept := r.retired[:0]
+	for _, b := range r.retired {
 		switch {
 		case b.inService: // back in service
-			b.leaving = false
+			b.retired = false
 		case len(b.inFlight) > 0:
 			kept = append(kept, b)
 		default:
 			r.remove(b)
 		}
 	}
-	clear(r.leaving[len(kept):])
-	r.leaving = kept
+	clear(r.retired[len(kept):])
+	r.retired = kept
 }
 
 func (r *endpointRegistry) remove(b *backend) {
@@ -222,8 +223,8 @@
 // retried records that the pause is over.
 func (p *endpointPolling) retried() { p.retryPending = false }
 
-// pollIfDue reports whether the list is older than half the interval. If so, the caller must call for the
-// list now, and pollIfDue records this.
+// pollIfDue reports whether it is time to call for the list again: it is older than half the interval. If so,
+// pollIfDue records that the caller makes the call now.
 func (p *endpointPolling) pollIfDue(now, interval time.Duration) bool {
 	if interval <= 0 || now-p.lastPoll <= interval/2 {
 		return false
--- a/internal/policy/latency/latency.go
+++ b/internal/policy/latency/latency.go
@@ -96,9 +96,9 @@
 	c.mean += max(minAnswerWeight, 1/float64(c.answers)) * (latency - c.mean)
 }
 
-// RecordIdle updates the idle latency of a class. It follows the mean of the class down at once, and up only
-// slowly and only if few requests wait: when backends are allowed so few attempts that waiting can't be the
-// cause of the latency. This distinguishes a general slowdown from overload.
+// RecordIdle updates the idle latency of a class. It follows the mean of the class down at once. It follows
+// it up only slowly, and only if few requests wait: when a backend is allowed so few attempts at once that
+// waiting can't be the cause of the latency. This distinguishes a general slowdown from overload.
 func (e *Estimator) RecordIdle(class int, fewWait bool) {
 	c := &e.classes[class]
 	if c.mean < c.idle || c.idle == 0 {
--- a/internal/policy/outlier.go
+++ b/internal/policy/outlier.go
@@ -81,9 +81,9 @@
 	return 4*responding >= len(e.subset.backends) && responding > 0
 }
 
-// eject takes a backend out of use, dispatches its queue to other backends, and cancels those of its attempts
-// in flight that leave time for another attempt. It does not check whether another attempt is allowed: a
-// request that is not idempotent ends with Fail once its cancelled attempt has ended.
+// eject takes a backend out of use, dispatches the requests in its queue again, and cancels those of its
+// attempts in flight that leave time for another attempt. It does not check whether another attempt is
+// allowed: a request that is not idempotent ends with Fail once its cancelled attempt has ended.
 func (e *Engine) eject(b *backend) {
 	b.detector.Eject(e.now, e.subset.gatewaysPerBackend, e.rng)
 	e.updateWarm(b)
--- a/internal/policy/outlier/outlier.go
+++ b/internal/policy/outlier/outlier.go
@@ -81,10 +81,10 @@
 func (d *Detector) LastRejected() bool { return d.rejected }
 
 // RecordBusy records that the backend, which had no attempt in flight, is sent one. Until now it had no
-// reason to respond, so that it is not quiet for longer than this.
+// reason to respond, so its quiet time starts now.
 func (d *Detector) RecordBusy(now time.Duration) { d.quietSince = max(d.quietSince, now) }
 
-// Response is a kind of response of a backend.
+// Response is the kind of a backend's response.
 type Response int
 
 // The kinds of response.
--- a/internal/policy/simulatedfleet_test.go
+++ b/internal/policy/simulatedfleet_test.go
@@ -25,7 +25,7 @@
 	offered, served int // number of requests
 }
 
-// simulatedMachine is the machine of a backend, with its actual state.
+// simulatedMachine simulates the machine that runs a backend.
 type simulatedMachine struct {
 	capacity   float64                          // requests per second when warm
 	workerFree [workersPerMachine]time.Duration // the time at which each worker becomes free
@@ -82,7 +82,7 @@
 	return 1
 }
 
-// restart restarts the backends with indices from..to-1 and updates all gateways at once.
+// restart restarts the backends with indices in [from, to) and updates the lists of all gateways at once.
 func (f *simulatedFleet) restart(from, to int) {
 	for i := from; i < to; i++ {
 		f.backends[i].Started = f.now()
--- a/internal/policy/slowstart_test.go
+++ b/internal/policy/slowstart_test.go
@@ -81,7 +81,7 @@
 }
 
 // When all backends restart at once, the gateways still know the throughput of a warm backend and use the slow-start
-// budgets: at least 0.2 of the requests are served, and no budget is exceeded.
+// budgets: at least 0.2 of the requests are served, and no backend exceeds its bound.
 func TestSlowStartBudgetsAreUsedWhenAllBackendsRestart(t *testing.T) {
 	i := slices.IndexFunc(warmUpScenarios, func(scenario warmUpScenario) bool { return scenario.name == "all restarted" })
 	for _, gateways := range []int{3, 30} {
@@ -90,8 +90,7 @@
 		worst := f.worstWindow()
 		share := float64(f.served) / float64(f.offered)
 		message := fmt.Sprintf("%d gateways: share of requests served in 8 s: %.2f; at most %d attempts at one backend "+
-			"within a window, budget %.0f",
-			gateways, share, worst.attempts, worst.budget)
+			"within a window, budget %.0f", gateways, share, worst.attempts, worst.budget)
 		if t.Log(message); share < 0.2 || float64(worst.attempts) > worst.bound {
 			t.Error(message)
 		}
