--- a/internal/policy/outlier/outlier_test.go
+++ b/internal/policy/outlier/outlier_test.go
@@ -157,7 +157,7 @@
 	d.Eject(time.Second, 1, random())
 	d.StartProbe()
 	if d.MayHaveRestarted(restartSilence) || !d.MayHaveRestarted(restartSilence+1) {
-		t.Error("a restart must be assumed possible only after more than restartSilence")
+		t.Error("MayHaveRestarted must hold only after more than restartSilence")
 	}
 	d.Reset(5 * time.Second)
 	if d.State() != Serving || d.MayHaveRestarted(5*time.Second) || d.RecordBrokenConnection() != 1 ||
--- a/internal/policy/slowstart_test.go
+++ b/internal/policy/slowstart_test.go
@@ -120,9 +120,9 @@
 	}
 }
 
-// startSimulation simulates gateways while one backend starts. Two seconds after its start, all other backends begin to
+// singleStartFleet simulates gateways while one backend starts. Two seconds after its start, all other backends begin to
 // drain.
-type startSimulation struct {
+type singleStartFleet struct {
 	engines       []*Engine
 	settings      Settings
 	list          []Backend // the last one is the backend that starts
@@ -131,8 +131,8 @@
 	warmingSentAt []time.Duration // times of the attempts sent to the starting backend
 }
 
-func newStartSimulation(gateways, warm int, start time.Duration) *startSimulation {
-	s := &startSimulation{settings: manyGateways(gateways), list: testBackends(warm + 1), start: start}
+func newSingleStartFleet(gateways, warm int, start time.Duration) *singleStartFleet {
+	s := &singleStartFleet{settings: manyGateways(gateways), list: testBackends(warm + 1), start: start}
 	s.settings.SharedCounter = false
 	for i := range gateways {
 		set := s.settings
@@ -145,7 +145,7 @@
 }
 
 // updates returns the updates of the endpoint list that each gateway receives at a time.
-func (s *startSimulation) updates(now time.Duration) []Event {
+func (s *singleStartFleet) updates(now time.Duration) []Event {
 	warm := len(s.list) - 1
 	switch now {
 	case s.start:
@@ -161,7 +161,7 @@
 }
 
 // request lets a request arrive at a gateway, and records the backend that it is sent to.
-func (s *startSimulation) request(gateway int, id uint64, now time.Duration) {
+func (s *singleStartFleet) request(gateway int, id uint64, now time.Duration) {
 	engine := s.engines[gateway]
 	events := append(s.updates(now), testRequest(id, idempotentClass, noQuotaPlan), Timer{checkCookie})
 	for _, sent := range sendsOf(engine.Step(now, events)) {
@@ -179,7 +179,7 @@
 // when it is the only backend left.
 func TestManyGatewaysStayWithinTheBudgetOfTheOnlyBackendLeft(t *testing.T) {
 	const gateways, warm, start = 100, 9, 60 * time.Second
-	s := newStartSimulation(gateways, warm, start)
+	s := newSingleStartFleet(gateways, warm, start)
 	for tick := range 220 { // each gateway gets two requests per second
 		for i := range gateways {
 			s.request(i, uint64(tick*gateways+i), time.Duration(tick)*500*ms)
--- a/internal/policy/subset.go
+++ b/internal/policy/subset.go
@@ -80,9 +80,9 @@
 	s.addExtras(endpoints)
 }
 
-// bins returns the number of bins in a round, which is also the number of gateways in it: the number with
-// which each backend is in about maxGatewaysPerBackend subsets, reduced if needed so that subsets have about
-// minSubset backends or more. It does not change when the list shrinks slightly (keepBinsShare).
+// bins returns the number of bins, and thus of gateways, in a round. It is chosen so that each backend is in
+// about maxGatewaysPerBackend subsets, and is reduced if subsets would otherwise have fewer than about
+// minSubset backends. It does not change when the list shrinks slightly (keepBinsShare).
 func (s *backendSubset) bins(inService int) int {
 	wanted := max(1, int(math.Round(float64(s.gateways)/maxGatewaysPerBackend)))
 	fitting := max(1, keepThreeBits((inService+minSubset/2)/minSubset))
