--- a/internal/policy/queue_test.go
+++ b/internal/policy/queue_test.go
@@ -149,7 +149,7 @@
 	if reason, overloaded := engine.checkOverload(overQuota, b); overloaded {
 		t.Errorf("rejected as %q though a slot is free", reason)
 	}
-	requestsInFlight(b, 2)
+	addInFlight(b, 2)
 	if reason, overloaded := engine.checkOverload(overQuota, b); !overloaded || reason != QueueTooLong {
 		t.Errorf("without a free slot: rejected %v as %q, want QueueTooLong", overloaded, reason)
 	}
--- a/internal/policy/result.go
+++ b/internal/policy/result.go
@@ -88,7 +88,7 @@
 	b.detector.RecordResponse(e.now, response)
 	if b.detector.Ejected() {
 		e.restore(b)
-		e.countWarm(b)
+		e.updateWarm(b)
 	}
 }
 
@@ -96,7 +96,7 @@
 // concurrency limit. If the backend is usable and warm, the answer also counts towards the throughput of
 // warm backends.
 func (e *Engine) recordAnswer(b *backend, r *request, took float64) {
-	if b.warmMark.Warm() {
+	if b.throughputEntry.Warm() {
 		e.throughput.RecordAnswer(e.now)
 	}
 	e.latencies.RecordAnswer(r.class, took)
