--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -33,7 +33,7 @@
 }
 
 // command returns the command for the backend if it is written now. It tells the backend what is left of the deadline
-// at that time, also where the connection has come up late (TestLateConnectionIsToldTheTimeLeft).
+// at that time, also where the connection has come up late (TestSlowDialShortensTheForwardedTimeLeft).
 func (attempt *backendAttempt) command(now time.Duration) []byte {
 	return attempt.request.received.Forward(attempt.deadline - now)
 }
--- a/internal/gateway/clientclose.go
+++ b/internal/gateway/clientclose.go
@@ -7,13 +7,14 @@
 )
 
 const (
-	lingerTimeout     = 1500 * time.Millisecond // for the rest of what a client sends behind input that can't be read
-	maxDiscardedBytes = 64 << 20                // that are read and thrown away on one connection, lingering or rejected
-	maxLingering      = 16                      // connections that linger at once
+	lingerTimeout     = 1500 * time.Millisecond // for discarding what a client sends after invalid input
+	maxDiscardedBytes = 64 << 20                // input discarded on one lingering or rejected connection
+	maxLingering      = 16                      // limit on lingering connections
 )
 
-// startLinger closes the sending side, as all is answered, and lets what still comes be read for lingerTimeout: see
-// failAndDiscard. Where maxLingering connections do so already, it closes the connection. The caller holds mu.
+// startLinger begins a lingering close once all replies are written: it closes the write side of the socket, and input is
+// discarded for lingerTimeout (see failAndDiscard). If maxLingering connections are lingering already, it closes the
+// connection at once. The caller holds mu.
 func (conn *clientConn) startLinger() {
 	half, ok := conn.socket.(halfCloser)
 	if conn.lingering = true; !conn.downstream.tryLinger() || !ok || half.CloseWrite() != nil {
@@ -24,32 +25,33 @@
 	conn.replyCapacityOrClosed.Broadcast()
 }
 
-// closeIfClientLeft says whether the connection has ended. The client may have ended it without the reader knowing yet,
-// which may wait for room, or have more to read before the end. It is then closed here too, and all its requests end.
+// closeIfClientLeft reports whether the connection has ended. It also checks the socket, because the reader may not have
+// detected a disconnect yet: it may wait for reply capacity, or have more input to read first. If the client has
+// disconnected, the connection is closed, and all its requests end.
 func (conn *clientConn) closeIfClientLeft() bool {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
-	if !conn.closed && rawsocket.PeerEnded(conn.socket) {
+	if !conn.closed && rawsocket.PeerClosed(conn.socket) {
 		conn.closeLocked()
 	}
 	return conn.closed
 }
 
-// isFinishing says whether no further request of the connection is forwarded.
+// isFinishing reports whether further requests on the connection are rejected.
 func (conn *clientConn) isFinishing() bool {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	return conn.finishing
 }
 
-// markFinishing makes what comes from now on be rejected.
+// markFinishing makes the connection reject further requests.
 func (conn *clientConn) markFinishing() {
 	conn.mu.Lock()
 	conn.finishing = true
 	conn.mu.Unlock()
 }
 
-// finish does what markFinishing does, and makes the connection end once no reply is owed on it.
+// finish makes the connection reject further requests, and close once no reply is outstanding.
 func (conn *clientConn) finish() {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
@@ -57,10 +59,11 @@
 	conn.closeIfDone()
 }
 
-// closeIfDone closes a connection that is to end when no reply is owed on it. The caller holds mu.
+// closeIfDone closes a finishing connection, or starts the lingering close of a discarding one, if no reply is
+// outstanding. The caller holds mu.
 func (conn *clientConn) closeIfDone() {
 	switch {
-	case conn.closed || conn.replies.owed():
+	case conn.closed || conn.replies.hasOutstanding():
 	case conn.discarding && !conn.lingering:
 		conn.startLinger()
 	case conn.finishing && !conn.discarding && conn.betweenRequests():
@@ -68,27 +71,28 @@
 	}
 }
 
-// closeIfBetweenRequests closes a connection that stands between two requests, and says whether it has ended.
+// closeIfBetweenRequests closes the connection if no request is in progress on it, and reports whether the connection is
+// closed.
 func (conn *clientConn) closeIfBetweenRequests() bool {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
-	if !conn.closed && !conn.discarding && !conn.replies.owed() && conn.betweenRequests() {
+	if !conn.closed && !conn.discarding && !conn.replies.hasOutstanding() && conn.betweenRequests() {
 		conn.closeLocked()
 	}
 	return conn.closed
 }
 
-// betweenRequests says whether no part of a command has come. The caller holds mu.
+// betweenRequests reports whether no part of a further command has arrived. The caller holds mu.
 //
-// Failure: the connection is closed over a request that is half read, or unread in the socket. How it shows: the
-// request is lost, and what lies unread makes the kernel reset the connection, which can lose replies on their
-// way. Why this holds: the reader takes bytes only under mu (receive), so they are either in the socket, where Quiet
-// sees them, or noted in commandBegun. TestUnreadRequestKeepsTheConnection.
+// Closing a connection with a request that is partly read, or unread in the socket, would lose the request. Unread bytes
+// would also make the kernel reset the connection, which can lose replies that are still in flight. The check is reliable
+// because the reader takes bytes from the socket only under mu (receive): they are either still in the socket, where
+// rawsocket.Quiet sees them, or recorded in partialCommand. TestUnreadRequestKeepsTheConnection covers this.
 func (conn *clientConn) betweenRequests() bool {
-	return !conn.commandBegun && rawsocket.Quiet(conn.socket)
+	return !conn.partialCommand && rawsocket.Quiet(conn.socket)
 }
 
-// closeLocked ends the connection, once. The caller holds mu.
+// closeLocked closes the connection if it is still open. The caller holds mu.
 func (conn *clientConn) closeLocked() {
 	if !conn.closed {
 		conn.closed = true
@@ -97,10 +101,10 @@
 	}
 }
 
-// evictionRank orders the connections that may be closed to make room, the lowest first: those that have been idle for
-// long, then those on which nothing was ever asked, and last, where no room is left at all, those that may be asked
-// again soon. It says whether the connection may be closed.
-func (conn *clientConn) evictionRank(now time.Duration, left connCapacity) (rank time.Duration, ok bool) {
+// evictionRank returns the connection's place in the order of eviction, lowest first, and reports whether the connection
+// may be evicted at all. The order is: connections that have been idle for long, then connections that have never sent a
+// command, and last, only without any capacity left, connections that may be used again soon.
+func (conn *clientConn) evictionRank(now time.Duration, capacity connCapacity) (rank time.Duration, ok bool) {
 	since := time.Duration(conn.idleSince.Load())
 	if since == notEvictable {
 		return 0, false
@@ -108,9 +112,9 @@
 	switch idle := now - since; {
 	case idle >= minIdle:
 		return since, true
-	case idle >= minIdleWithoutCommand && !conn.commandSeen.Load():
+	case idle >= minIdleWithoutCommand && !conn.commandReceived.Load():
 		return since + minIdle, true
-	case left == noCapacity && idle >= minIdleWhenFull:
+	case capacity == noCapacity && idle >= minIdleWhenFull:
 		return since + 2*minIdle, true
 	}
 	return 0, false
--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -17,49 +17,50 @@
 )
 
 const (
-	firstCommandTimeout = 2500 * time.Millisecond // from connecting, for the first command
-	commandTimeout      = 2500 * time.Millisecond // from its first bytes, for any later one
+	firstCommandTimeout = 2500 * time.Millisecond // for receiving the first command, from accepting the connection
+	commandTimeout      = 2500 * time.Millisecond // for receiving any later command, from its first bytes
 
-	requestOverheadBytes = 1 << 10 // memory of a request beside its text
+	requestOverheadBytes = 1 << 10 // memory charged for a request in addition to its text
 
-	unusablePause    = 50 * time.Millisecond // after an unusable command, from the second in a row on
-	maxUnusableInRow = 16                    // at so many the connection is closed
+	invalidCommandDelay   = 50 * time.Millisecond // after an invalid command, from the second in a row on
+	maxConsecutiveInvalid = 16                    // the connection is closed at this many in a row
 )
 
-// notEvictable is the value of clientConn.idleSince while a reply is pending, and on a connection that was chosen to make
-// room, so that it is not chosen again before it has given its next reply.
+// notEvictable is the value of clientConn.idleSince while a reply is pending. It is also set on a connection that was
+// selected for eviction, so that the connection is not selected again before it has sent its next reply.
 const notEvictable = 0
 
-// clientConn is one connection of a client.
+// clientConn is one client connection.
 //
-// Its reader, the goroutine of serve, owns it: it takes commands until the connection ends and then cleans up. The
-// loop, and any goroutine that evicts connections, answer on it and close it under mu. A further goroutine writes what
-// the socket does not take at once (writeRest), until all is written or the connection is closed.
+// Its reader, the goroutine that runs serve, owns it: the reader processes commands until the connection ends, and then
+// cleans up. The event loop sends replies on the connection, and the loop or a goroutine that evicts connections may
+// close it; both hold mu for that. If the socket does not accept a reply at once, another goroutine writes the remainder
+// (writeRemaining), until everything is written or the connection is closed.
 type clientConn struct {
 	downstream *downstream
 	socket     net.Conn
-	rawSocket  syscall.RawConn // nil where the connection has none
+	rawSocket  syscall.RawConn // nil if the connection does not provide one
 
-	// The reader's alone.
-	commands        *resp.Reader
-	commandDeadline time.Time // of the command that is being read; zero: none has begun
-	readingAhead    bool      // no further command may be taken, but it is read on to see the connection's end
-	deadlineSet     bool      // a read deadline is set
-	unusableInRow   int       // commands in a row that were answered with an error
+	// Used by the reader only.
+	commands           *resp.Reader
+	commandDeadline    time.Time // for receiving the current or the first command; zero: no command has begun to arrive
+	readingAhead       bool      // input is buffered without processing commands, to detect a disconnect
+	deadlineSet        bool      // the socket has a read deadline
+	consecutiveInvalid int       // commands in a row that were answered with an error
 
-	commandSeen atomic.Bool  // a command has come on it
-	idleSince   atomic.Int64 // since when no reply is pending, on the loop's clock; or notEvictable
+	commandReceived atomic.Bool  // at least one command has arrived
+	idleSince       atomic.Int64 // event loop time from which no reply is pending, or notEvictable
 
-	// mu guards the fields below, and the closing of the socket. Whoever closes holds it; see receive for what that
-	// means to the reader.
+	// mu guards the fields below and the closing of the socket: a goroutine that closes it must hold mu. See receive for
+	// what that means for the reader.
 	mu                    sync.Mutex
-	replyCapacityOrClosed *sync.Cond // the queue has capacity for a further reply, or the connection has ended
+	replyCapacityOrClosed *sync.Cond // signalled when the queue has capacity for a reply or the connection ends
 	replies               replyQueue
-	commandBegun          bool // bytes were read that are not yet a command
-	readerParked          bool // the reader reads ahead until the queue has capacity
-	finishing             bool // to be closed once all is answered: nothing more is forwarded
-	discarding            bool // what still comes is thrown away
-	lingering             bool // all is answered, and the rest of what is thrown away is awaited
+	partialCommand        bool // part of a command has been read
+	awaitingReplyCapacity bool // the reader reads ahead until the queue has capacity
+	finishing             bool // no more requests are forwarded, and the connection closes after the last reply
+	discarding            bool // all further input is discarded
+	lingering             bool // all replies are written, and the remaining input is being discarded
 	closed                bool
 }
 
@@ -77,7 +78,7 @@
 	return conn
 }
 
-// serve takes commands until the connection ends. It is the connection's own goroutine.
+// serve processes commands until the connection ends. It runs in the connection's own goroutine.
 func (conn *clientConn) serve() {
 	defer conn.cleanUp()
 	for {
@@ -95,9 +96,9 @@
 	}
 }
 
-// handleReadError answers a command that could not be read, unless no part of it has come: the client would take the line
-// for the reply to its next command. It says whether to read on, which is only where the first command comes just at its
-// deadline.
+// handleReadError sends an error reply for a command that could not be read. It sends none if no part of the command has
+// arrived, because the client would take it for the reply to its next command. It reports whether to continue reading,
+// which is the case only if the first command begins to arrive just at its deadline.
 func (conn *clientConn) handleReadError(err error) bool {
 	switch {
 	case errors.Is(err, resp.ErrMalformed):
@@ -106,21 +107,21 @@
 		conn.failAndDiscard(protocol.NoMemory)
 	case errors.Is(err, os.ErrDeadlineExceeded) && conn.commands.Partial():
 		conn.failAndDiscard(protocol.CommandIncomplete)
-	case errors.Is(err, os.ErrDeadlineExceeded) && !conn.closeIfBetweenRequests(): // its first command has come just now
+	case errors.Is(err, os.ErrDeadlineExceeded) && !conn.closeIfBetweenRequests(): // its first command is just arriving
 		conn.commandDeadline = time.Now().Add(commandTimeout)
 		return true
 	}
 	return false
 }
 
-// handleCommand handles one command and says whether to go on.
+// handleCommand handles one command and reports whether to continue reading.
 func (conn *clientConn) handleCommand(message redcon.RESP) bool {
 	args, ok := protocol.Arguments(message)
 	if !ok {
 		conn.failAndDiscard(protocol.NotBulkStrings)
 		return false
 	}
-	conn.commandSeen.Store(true)
+	conn.commandReceived.Store(true)
 	name := strings.ToUpper(string(args[0]))
 	switch name {
 	case protocol.CommandPing:
@@ -128,20 +129,21 @@
 	case protocol.CommandAsk, protocol.CommandDo:
 		return conn.takeRequest(name, args, len(message.Raw))
 	}
-	return conn.answerUnusable(protocol.UnknownCommand(args[0]))
+	return conn.replyInvalid(protocol.UnknownCommand(args[0]))
 }
 
-// takeRequest hands a request to the loop, or answers it if it can't be read, the connection is finishing, or there is no
-// memory for it. size is that of the command in bytes. It says whether to go on.
+// takeRequest passes a request to the event loop. It replies to the request itself if it is invalid, the connection is
+// finishing, or no memory is left for it. size is the length of the command in bytes. It reports whether to continue
+// reading.
 func (conn *clientConn) takeRequest(command string, args [][]byte, size int) bool {
 	down := conn.downstream
 	arrivedAt := down.loop.now()
 	parsed, err := down.parser.Parse(command, args)
 	if err != nil {
-		return conn.answerUnusable(protocol.Error(err))
+		return conn.replyInvalid(protocol.Error(err))
 	}
-	conn.unusableInRow = 0
-	if conn.isFinishing() { // the client can turn to another gateway
+	conn.consecutiveInvalid = 0
+	if conn.isFinishing() { // the client can try another gateway
 		return conn.replyNow(string(protocol.Busy(0)))
 	}
 	memory := int64(size) + requestOverheadBytes
@@ -156,33 +158,34 @@
 	return true
 }
 
-// answerUnusable answers a command that can't be used with an error, and says whether to go on. From the second in a row
-// on the next command is read after a pause: a client that sends the same again and again must not take up the core.
-func (conn *clientConn) answerUnusable(line string) bool {
-	if conn.unusableInRow++; conn.unusableInRow >= maxUnusableInRow {
+// replyInvalid sends an error reply for an invalid command, and reports whether to continue reading. From the second
+// invalid command in a row on, it pauses before the next command is read, so that a client that keeps sending invalid
+// commands does not use up the CPU.
+func (conn *clientConn) replyInvalid(line string) bool {
+	if conn.consecutiveInvalid++; conn.consecutiveInvalid >= maxConsecutiveInvalid {
 		conn.failAndDiscard(line)
 		return false
 	}
 	ok := conn.replyNow(line)
-	if conn.unusableInRow > 1 && ok {
-		ok = conn.pause(unusablePause)
+	if conn.consecutiveInvalid > 1 && ok {
+		ok = conn.pause(invalidCommandDelay)
 	}
 	return ok
 }
 
-// cleanUp closes the connection, gives back what it holds, and tells the loop of the requests whose client has left.
+// cleanUp closes the connection, releases its resources, and tells the event loop which requests have lost their client.
 func (conn *clientConn) cleanUp() {
 	down := conn.downstream
 	conn.mu.Lock()
 	conn.closeLocked()
-	left := conn.replies.drop() // under the lock, as the loop may be answering
+	unanswered := conn.replies.releaseAll() // under the lock, as the event loop may be sending a reply
 	if conn.lingering {
-		down.lingerEnded()
+		down.endLinger()
 	}
 	conn.mu.Unlock()
 	conn.commands.Release()
 	down.remove(conn)
-	for _, request := range left {
+	for _, request := range unanswered {
 		down.loop.post(func() { down.requests.clientGone(request) })
 	}
 }
--- a/internal/gateway/clientgone_test.go
+++ b/internal/gateway/clientdisconnect_test.go
@@ -15,7 +15,7 @@
 
 // With as many commands open on a connection as may be, and as much read ahead, the reader waits and reads no further:
 // it does not see that the client leaves. The end behind all that is seen when one of the requests is to be forwarded.
-func TestEndBehindReadAheadStopsTheSend(t *testing.T) {
+func TestDisconnectBehindReadAheadPreventsForwarding(t *testing.T) {
 	many := ""
 	for i := range maxPipelined {
 		many += requestCommand(fmt.Sprint("r", i))
@@ -53,16 +53,16 @@
 // A client leaves while its request waits, wherever in the gateway that is. A request forwarded then would cost a
 // backend work that nobody waits for, and counts against the gateway. So what is forwarded next must be what another
 // client asks afterwards.
-func TestNothingIsForwardedForAClientThatHasLeft(t *testing.T) {
-	for name, leaveWaiting := range map[string]func(*leavingClient){
-		"posted to the loop":       (*leavingClient).leaveWhilePosted,
-		"in a queue":               (*leavingClient).leaveWhileQueued,
-		"before a retry":           (*leavingClient).leaveBeforeRetry,
-		"as its connection breaks": (*leavingClient).leaveAsConnectionBreaks,
+func TestWaitingRequestOfADisconnectedClientIsNotForwarded(t *testing.T) {
+	for name, leaveWaiting := range map[string]func(*disconnectTest){
+		"posted to the loop":       (*disconnectTest).leaveWhilePosted,
+		"in a queue":               (*disconnectTest).leaveWhileQueued,
+		"before a retry":           (*disconnectTest).leaveBeforeRetry,
+		"as its connection breaks": (*disconnectTest).leaveAsConnectionBreaks,
 	} {
 		t.Run(name, func(t *testing.T) {
 			gateway, ln := startWithBackend(t, withoutSettleTime)
-			test := newLeavingClient(t, gateway, emulateBackend(t, ln))
+			test := newDisconnectTest(t, gateway, emulateBackend(t, ln))
 			leaveWaiting(test)
 			gateway.until(func() bool { return len(gateway.server.requests.byID) == 0 })
 			test.wantOnlyLaterRequest()
@@ -71,7 +71,7 @@
 	t.Run("no backend", func(t *testing.T) {
 		ln := listen(t)
 		gateway := startGateway(t, nil)
-		test := newLeavingClient(t, gateway, emulateBackend(t, ln))
+		test := newDisconnectTest(t, gateway, emulateBackend(t, ln))
 		test.sendRequest()
 		test.leave()
 		gateway.listUpdates <- endpointList(2, ln.Addr().String())
@@ -80,41 +80,41 @@
 	})
 }
 
-// leavingClient is a client that leaves while its request waits, and another one that stays.
-type leavingClient struct {
+// disconnectTest is a client that leaves while its request waits, and another one that stays.
+type disconnectTest struct {
 	t                *testing.T
 	gateway          *testGateway
 	received         <-chan receivedCommand // by the backend
 	leaving, staying *peer
 }
 
-func newLeavingClient(t *testing.T, gateway *testGateway, received <-chan receivedCommand) *leavingClient {
+func newDisconnectTest(t *testing.T, gateway *testGateway, received <-chan receivedCommand) *disconnectTest {
 	t.Helper()
-	return &leavingClient{t: t, gateway: gateway, received: received, leaving: gateway.dial(), staying: gateway.dial()}
+	return &disconnectTest{t: t, gateway: gateway, received: received, leaving: gateway.dial(), staying: gateway.dial()}
 }
 
 // sendRequest lets the client that leaves send its request, and waits until the loop has it.
-func (test *leavingClient) sendRequest() {
+func (test *disconnectTest) sendRequest() {
 	test.t.Helper()
 	test.leaving.sendRequest("victim")
 	test.gateway.until(func() bool { return test.gateway.server.requests.clientIDInUse["victim"] })
 }
 
 // leave lets the client leave, and waits until the loop knows.
-func (test *leavingClient) leave() {
+func (test *disconnectTest) leave() {
 	test.t.Helper()
 	test.leaving.socket.Close()
 	test.gateway.until(func() bool { return !test.gateway.server.requests.clientIDInUse["victim"] })
 }
 
 // wantOnlyLaterRequest fails unless the next command that the backend gets is a request sent from now on.
-func (test *leavingClient) wantOnlyLaterRequest() {
+func (test *disconnectTest) wantOnlyLaterRequest() {
 	test.t.Helper()
 	test.staying.sendRequest("marker")
 	wantNextCommand(test.t, test.received, "marker")
 }
 
-func (test *leavingClient) leaveWhilePosted() {
+func (test *disconnectTest) leaveWhilePosted() {
 	release := test.gateway.holdLoop()
 	test.leaving.sendRequest("victim")
 	test.leaving.socket.Close()
@@ -122,7 +122,7 @@
 	release()
 }
 
-func (test *leavingClient) leaveWhileQueued() {
+func (test *disconnectTest) leaveWhileQueued() {
 	inFlight := test.fillConcurrencyLimit()
 	test.sendRequest()
 	test.leave()
@@ -138,7 +138,7 @@
 
 // fillConcurrencyLimit sends requests until one waits for the backend's concurrency limit, and returns what the backend
 // has got.
-func (test *leavingClient) fillConcurrencyLimit() (inFlight []receivedCommand) {
+func (test *disconnectTest) fillConcurrencyLimit() (inFlight []receivedCommand) {
 	test.t.Helper()
 	for i := 0; ; i++ {
 		id := fmt.Sprint("filler", i)
@@ -151,7 +151,7 @@
 	}
 }
 
-func (test *leavingClient) attemptsOfOpenRequests() (attempts int) {
+func (test *disconnectTest) attemptsOfOpenRequests() (attempts int) {
 	test.t.Helper()
 	test.gateway.until(func() bool {
 		attempts = 0
@@ -163,7 +163,7 @@
 	return attempts
 }
 
-func (test *leavingClient) leaveBeforeRetry() {
+func (test *disconnectTest) leaveBeforeRetry() {
 	test.leaving.sendRequest("victim")
 	first := nextCommand(test.t, test.received)
 	test.staying.sendRequest("filler")
@@ -178,7 +178,7 @@
 	test.staying.wants("value")
 }
 
-func (test *leavingClient) leaveAsConnectionBreaks() {
+func (test *disconnectTest) leaveAsConnectionBreaks() {
 	test.leaving.sendRequest("victim")
 	first := nextCommand(test.t, test.received)
 	release := test.gateway.holdLoop()
@@ -191,7 +191,7 @@
 
 // A backend does not read, so only a part of a command is written to it when the client leaves. The rest is never
 // written, and the backend never gets the command whole.
-func TestHalfWrittenCommandStaysHalf(t *testing.T) {
+func TestPartiallyWrittenCommandIsNotCompletedAfterDisconnect(t *testing.T) {
 	small := newReservedPort(t)
 	if err := syscall.SetsockoptInt(int(small.file.Fd()), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 2048); err != nil {
 		t.Fatal(err)
@@ -234,7 +234,7 @@
 
 // A client leaves while the connection for its request comes up a second late. The dial is given up, and what the
 // backend gets next is another client's request.
-func TestClientLeavesBeforeALateConnectionIsUp(t *testing.T) {
+func TestDisconnectDuringASlowDialCancelsTheDial(t *testing.T) {
 	l := newLateListener(t)
 	gateway := startGateway(t, []string{l.listener.Addr().String()})
 	victim, other := gateway.dial(), gateway.dial()
@@ -250,7 +250,7 @@
 
 // The connection of an attempt comes up a second late. The attempt tells its backend what is left to the client then,
 // the first one and a retry.
-func TestLateConnectionIsToldTheTimeLeft(t *testing.T) {
+func TestSlowDialShortensTheForwardedTimeLeft(t *testing.T) {
 	const most, wait = 8 * time.Second, 300 * time.Millisecond
 	l := newLateListener(t)
 	gateway := startGateway(t, []string{l.listener.Addr().String()})
@@ -280,7 +280,7 @@
 // A client leaves while its request is open. Its end is seen wherever the reader stands: where it waits for the next
 // command or is within it, where more commands are open than may be, and behind one that could not be read. Where the end
 // is not seen, all that the client has asked is forwarded.
-func TestLeavingClientIsSeen(t *testing.T) {
+func TestDisconnectIsDetectedInEveryReaderState(t *testing.T) {
 	request := func(i int) string { return requestCommand(fmt.Sprint("r", i)) }
 	many := ""
 	for i := range maxPipelined + 100 {
@@ -315,7 +315,7 @@
 
 // A client leaves during the pause after an unusable command. The pause ends with the connection, and keeps what it
 // read.
-func TestPauseEndsWithTheConnection(t *testing.T) {
+func TestPauseEndsOnDisconnect(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
 	conn, client := newClientPair(t, server)
 	client.write("*1\r\n$4\r\nPI") // is kept
@@ -330,7 +330,7 @@
 }
 
 // What was read ahead while too many commands were open is taken when replies make room.
-func TestReadAheadIsTaken(t *testing.T) {
+func TestReadAheadIsProcessedOnceRepliesFreeCapacity(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
 	server.ready.Store(true)
 	conn, client := newClientPair(t, server)
@@ -341,7 +341,7 @@
 	}
 	client.write(respCommand("PI")) // it is answered last
 	runTasksUntil(t, server, func() bool { return len(server.requests.byID) == 1 })
-	waitForParkedReader(t, conn)
+	waitForReaderAwaitingCapacity(t, conn)
 	for _, request := range server.requests.byID {
 		server.requests.answer(request, []byte("-BUSY\r\n"))
 	}
@@ -352,12 +352,12 @@
 	client.wants("-ERR unknown command 'PI'")
 }
 
-// waitForParkedReader waits until the reader of a connection reads ahead for want of room.
-func waitForParkedReader(t *testing.T, conn *clientConn) {
+// waitForReaderAwaitingCapacity waits until the reader of a connection reads ahead for want of room.
+func waitForReaderAwaitingCapacity(t *testing.T, conn *clientConn) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		conn.mu.Lock()
-		parked := conn.readerParked
+		parked := conn.awaitingReplyCapacity
 		conn.mu.Unlock()
 		if parked {
 			break
@@ -368,7 +368,7 @@
 }
 
 // A client leaves while a counter call for its request is in flight. The request is not forwarded when the result comes.
-func TestClientLeavesDuringACounterCall(t *testing.T) {
+func TestDisconnectDuringACounterCallPreventsForwarding(t *testing.T) {
 	ln, counter := listen(t), listen(t)
 	gateway := startGateway(t, []string{ln.Addr().String()}, func(cfg *Config, t *testing.T) {
 		cfg.Counter = counter.Addr().String()
--- a/internal/gateway/clientreader.go
+++ b/internal/gateway/clientreader.go
@@ -10,11 +10,11 @@
 	"bellwood/internal/resp"
 )
 
-// discardBufferBytes is the size of the buffer into which input is read that is thrown away.
+// discardBufferBytes is the size of the buffer for reading input that is discarded.
 const discardBufferBytes = 32 << 10
 
-// Read reads from the socket for the reader of commands. A command has one deadline, however its bytes drip in, and so
-// has a new client's first. The connection's reader calls it.
+// Read implements io.Reader for the resp.Reader that parses commands. One deadline applies to each whole command,
+// however slowly its bytes arrive, and to the first command of a new client. Only the connection's reader calls Read.
 func (conn *clientConn) Read(buffer []byte) (int, error) {
 	if conn.readingAhead {
 		return conn.receive(buffer)
@@ -30,20 +30,20 @@
 		conn.deadlineSet = false
 	}
 	conn.mu.Lock()
-	conn.commandBegun = conn.commands.Partial()
+	conn.partialCommand = conn.commands.Partial()
 	conn.closeIfDone()
 	conn.mu.Unlock()
 	return conn.receive(buffer)
 }
 
-// receive reads what has come. It takes the bytes and notes them under the lock, so that nobody who holds it takes the
-// connection for one that stands between two requests.
+// receive waits for input and reads it. It reads the bytes and sets partialCommand under the lock, so that no goroutine
+// that holds the lock considers the connection to be between two requests.
 //
-// Failure: a close of a socket waits until nobody is within a read of it, and whoever closes holds the lock: a reader
-// that waits for the lock within a read and the one who closes wait for each other. How it shows: the loop, or the
-// goroutine that accepts connections, is stuck for good. Why this holds: within a read the lock is only tried for
-// (readLocked); it is waited for outside, where a close does not wait for the reader. TestCloseCrossingServe,
-// TestCloseCrossingARead, TestReadWaitsForTheLock.
+// Closing a socket waits until no goroutine is inside a read of it, and the goroutine that closes holds the lock. A
+// reader that waited for the lock inside a read would deadlock with it, and the event loop, or the goroutine that accepts
+// connections, would be stuck for good. So inside a read receive only tries to take the lock; it waits for the lock
+// outside the read, where a close does not wait for the reader. TestCloseDoesNotDeadlockWithServe,
+// TestCloseDoesNotDeadlockWithARead and TestReadContinuesOnceTheLockIsFree cover this.
 func (conn *clientConn) receive(buffer []byte) (int, error) {
 	if conn.rawSocket == nil {
 		return conn.socket.Read(buffer)
@@ -64,7 +64,7 @@
 			return 0, err
 		case lockBusy:
 			conn.mu.Lock()
-			conn.mu.Unlock() // the goroutine that held it is done
+			conn.mu.Unlock() // the lock has been released: try the read again
 		case failure != nil:
 			return 0, failure
 		case n == 0:
@@ -75,18 +75,18 @@
 	}
 }
 
-// readLocked reads from the socket without waiting and notes that bytes have come. The caller holds mu.
+// readLocked reads from the socket without waiting, and sets partialCommand if bytes were read. The caller holds mu.
 func (conn *clientConn) readLocked(fd int, buffer []byte) (n int, err error) {
 	n, err = syscall.Read(fd, buffer)
 	for err == syscall.EINTR {
 		n, err = syscall.Read(fd, buffer)
 	}
-	conn.commandBegun = conn.commandBegun || n > 0
+	conn.partialCommand = conn.partialCommand || n > 0
 	return n, err
 }
 
-// pause waits, and says whether the connection is still open. It reads on meanwhile, as far as that takes no memory, so
-// that a client that leaves is seen (TestPauseEndsWithTheConnection).
+// pause waits for the duration, and reports whether the connection is still open. It continues reading meanwhile, as far
+// as that allocates no memory, so that a disconnect is detected (TestPauseEndsOnDisconnect).
 func (conn *clientConn) pause(duration time.Duration) bool {
 	end := time.Now().Add(duration)
 	conn.socket.SetReadDeadline(end)
@@ -101,24 +101,25 @@
 	return true
 }
 
-// waitForReplyCapacity waits until the queue has capacity for a further reply. The caller holds mu, which is released
-// meanwhile.
+// waitForReplyCapacity waits until the queue may have capacity for another reply. The caller holds mu, which is released
+// during the wait.
 //
-// Failure: the client leaves while its reader waits. How it shows: all that it has asked is forwarded though nobody
-// waits for it. Why this holds: as far as the buffer may grow it reads on, and so sees the end; what a client sends
-// beyond that hides its end from the reader, and upstream asks the socket (endIfClientLeft). TestLeavingClientIsSeen,
-// TestReadAheadIsTaken.
+// The client may disconnect while the reader waits, and its requests would still be forwarded although nobody waits for
+// the replies. So the reader continues to read as far as its buffer may grow, and thereby detects the disconnect. If the
+// client has sent more than that before it disconnects, the reader cannot detect it; upstream therefore also checks the
+// socket before forwarding (endIfClientLeft). TestDisconnectIsDetectedInEveryReaderState and
+// TestReadAheadIsProcessedOnceRepliesFreeCapacity cover this.
 func (conn *clientConn) waitForReplyCapacity() {
 	if conn.commands.ReadAheadLeft() <= 0 {
 		conn.replyCapacityOrClosed.Wait()
 		return
 	}
-	conn.socket.SetReadDeadline(time.Time{}) // under mu: signalReplyCapacity sets another
-	conn.readerParked, conn.readingAhead, conn.deadlineSet = true, true, true
+	conn.socket.SetReadDeadline(time.Time{}) // under mu, as signalReplyCapacity sets another deadline
+	conn.awaitingReplyCapacity, conn.readingAhead, conn.deadlineSet = true, true, true
 	conn.mu.Unlock()
 	err := conn.commands.Fill()
 	conn.mu.Lock()
-	conn.readerParked, conn.readingAhead = false, false
+	conn.awaitingReplyCapacity, conn.readingAhead = false, false
 	switch {
 	case errors.Is(err, resp.ErrNoMemory):
 		conn.replyCapacityOrClosed.Wait()
@@ -127,21 +128,21 @@
 	}
 }
 
-// signalReplyCapacity wakes the reader if it waits for capacity in the queue. The caller holds mu.
+// signalReplyCapacity wakes the reader if it waits for capacity in the reply queue. The caller holds mu.
 func (conn *clientConn) signalReplyCapacity() {
 	conn.replyCapacityOrClosed.Broadcast()
-	if conn.readerParked {
-		conn.socket.SetReadDeadline(time.Unix(1, 0)) // in the past: its read ends at once
+	if conn.awaitingReplyCapacity {
+		conn.socket.SetReadDeadline(time.Unix(1, 0)) // in the past, so that its read returns at once
 	}
 }
 
-// failAndDiscard answers input that can't be read with an error line, and throws the rest away until the connection
+// failAndDiscard sends an error reply for input that cannot be parsed, and discards further input until the connection
 // ends.
 //
-// Failure: the connection is closed while the client still sends, so the kernel resets it. How it shows: the client
-// loses the error line, and replies before it. Why this holds: what comes is read for a while behind the line; and from
-// the start, so that a client that leaves is seen even while replies before this one are still owed.
-// TestErrorLineOutlivesTheRest, TestLeavingClientIsSeen.
+// If the connection were closed while the client is still sending, the kernel would reset it, and the client would lose
+// the error reply and earlier replies. So input is read for some time after the error reply. Reading starts at once, so
+// that a disconnect is detected even while earlier replies are still outstanding. TestErrorReplySurvivesTrailingInput and
+// TestDisconnectIsDetectedInEveryReaderState cover this.
 func (conn *clientConn) failAndDiscard(line string) {
 	conn.socket.SetReadDeadline(time.Time{})
 	conn.mu.Lock()
--- a/internal/gateway/clientreply.go
+++ b/internal/gateway/clientreply.go
@@ -9,48 +9,48 @@
 )
 
 const (
-	maxPipelined        = 256             // commands of one connection that may wait for their replies
-	pauseUnwrittenBytes = 256 << 10       // of replies that the client has not taken, above which no command is read
-	maxUnwrittenBytes   = 1 << 20         // of replies that the client has not taken, above which it is given up
-	writeTimeout        = 5 * time.Second // a client that takes nothing for so long has gone
+	maxPipelined        = 256             // limit on commands of one connection that wait for their replies
+	pauseUnwrittenBytes = 256 << 10       // above this many unwritten reply bytes, no command is read
+	maxUnwrittenBytes   = 1 << 20         // above this many unwritten reply bytes, the connection is closed
+	writeTimeout        = 5 * time.Second // for one write of replies; then the connection is closed
 )
 
-// pendingReply keeps the place of a command's reply among those of its connection. The connection's lock guards it.
+// pendingReply is a command's entry in the reply queue of its connection. The connection's lock guards it.
 type pendingReply struct {
 	text    []byte
 	ready   bool
-	request *clientRequest // nil: the reply is to a command that is no request, or it is given
-	memory  int64          // bytes taken from the budget until it is answered
+	request *clientRequest // nil if the command is not a request, or once the reply is ready
+	memory  int64          // bytes of the budget reserved for the request until it is answered
 }
 
-// replyQueue keeps the replies of a connection in the order of its commands, first those that are still to be given and
-// then the bytes of those that are still to be written. The connection's lock guards it.
+// replyQueue holds the replies of a connection in the order of its commands. A reply is pending until it and all earlier
+// ones are ready; its bytes are then unwritten until the socket accepts them. The connection's lock guards the queue.
 type replyQueue struct {
-	memory    *budget.Bytes // of all clients
+	memory    *budget.Bytes // shared by all clients
 	pending   []*pendingReply
 	unwritten []byte
-	writing   bool // a goroutine writes
+	writing   bool // writeRemaining is running
 }
 
-// full says whether too many replies are pending, or too many bytes of those before are not taken by the client.
+// full reports whether too many replies are pending, or too many bytes of earlier replies are unwritten.
 func (queue *replyQueue) full() bool {
 	return len(queue.pending) >= maxPipelined || len(queue.unwritten) > pauseUnwrittenBytes
 }
 
-// owed says whether a reply is still to be given or written.
-func (queue *replyQueue) owed() bool {
+// hasOutstanding reports whether a reply is pending or not completely written.
+func (queue *replyQueue) hasOutstanding() bool {
 	return len(queue.pending) > 0 || len(queue.unwritten) > 0 || queue.writing
 }
 
-// add keeps a place for the next reply.
+// add appends an entry for the next reply.
 func (queue *replyQueue) add(request *clientRequest, memory int64) *pendingReply {
 	reply := &pendingReply{request: request, memory: memory}
 	queue.pending = append(queue.pending, reply)
 	return reply
 }
 
-// moveReady moves the replies that are ready, up to the first that is not, to those to be written, and says whether
-// there were any.
+// moveReady moves all replies before the first that is not ready from pending to unwritten. It reports whether there were
+// any.
 func (queue *replyQueue) moveReady() (moved bool) {
 	for len(queue.pending) > 0 && queue.pending[0].ready {
 		first := queue.pending[0]
@@ -63,29 +63,29 @@
 	return moved
 }
 
-// tooMuchUnwritten says whether the client is given up for the replies that it does not take.
-func (queue *replyQueue) tooMuchUnwritten() bool {
+// exceedsUnwrittenLimit reports whether the connection is to be closed because its client reads replies too slowly.
+func (queue *replyQueue) exceedsUnwrittenLimit() bool {
 	unwritten := len(queue.unwritten)
 	return unwritten > maxUnwrittenBytes || unwritten > resp.MaxValueBytes && queue.memory.Exceeded()
 }
 
-// wrote takes off the first n bytes, which are written.
-func (queue *replyQueue) wrote(n int) {
+// removeWritten removes the first n unwritten bytes after they have been written.
+func (queue *replyQueue) removeWritten(n int) {
 	queue.memory.Release(int64(n))
 	if queue.unwritten = queue.unwritten[n:]; len(queue.unwritten) == 0 {
 		queue.unwritten = nil
 	}
 }
 
-// takeUnwritten takes off all that is to be written. Its memory is given back when it is written.
+// takeUnwritten removes and returns all unwritten bytes. The caller releases their memory once they are written.
 func (queue *replyQueue) takeUnwritten() []byte {
 	unwritten := queue.unwritten
 	queue.unwritten = nil
 	return unwritten
 }
 
-// drop gives back the memory of all that is not answered or not written, and returns the requests that have no reply.
-func (queue *replyQueue) drop() (unanswered []*clientRequest) {
+// releaseAll empties the queue, releases the memory of its replies, and returns the requests that were not answered.
+func (queue *replyQueue) releaseAll() (unanswered []*clientRequest) {
 	for _, reply := range queue.pending {
 		if reply.request != nil {
 			unanswered = append(unanswered, reply.request)
@@ -97,15 +97,16 @@
 	return unanswered
 }
 
-// replyNow answers a command at once, in its order among the others, and says whether the connection is still open.
+// replyNow queues a reply that is known already, and reports whether the connection is still open. The reply is written
+// after those to earlier commands.
 func (conn *clientConn) replyNow(line string) bool {
 	reply := conn.reserveReply(nil, 0)
 	conn.answer(reply, []byte(line))
 	return reply != nil
 }
 
-// reserveReply keeps a place for the next reply. It waits while the queue is full; nil: the connection ended. The caller
-// has taken the memory from the budget.
+// reserveReply adds an entry for the next reply. It waits while the queue is full, and returns nil if the connection has
+// ended. The caller has reserved the memory from the budget; it is released if the result is nil.
 func (conn *clientConn) reserveReply(request *clientRequest, memory int64) *pendingReply {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
@@ -119,15 +120,16 @@
 	return conn.appendReply(request, memory)
 }
 
-// appendReply keeps a place. The caller holds mu.
+// appendReply adds an entry for the next reply without checking for capacity. The caller holds mu.
 func (conn *clientConn) appendReply(request *clientRequest, memory int64) *pendingReply {
 	reply := conn.replies.add(request, memory)
 	conn.idleSince.Store(notEvictable)
 	return reply
 }
 
-// answer fills a place, once; nil is passed over. The replies that are then ready are written as far as the socket takes
-// them, and the rest by a goroutine of its own: a slow client must not hold up the caller, which may be the loop.
+// answer sets the text of a reply. It does nothing if the reply is nil or has a text already. It then writes the replies
+// that are ready, as far as the socket accepts them without waiting. A separate goroutine writes the remainder, because a
+// slow client must not block the caller, which may be the event loop.
 func (conn *clientConn) answer(reply *pendingReply, text []byte) {
 	if reply == nil {
 		return
@@ -144,30 +146,31 @@
 	if len(conn.replies.pending) == 0 {
 		conn.idleSince.Store(int64(conn.downstream.loop.now()))
 	}
-	if conn.replies.tooMuchUnwritten() {
+	if conn.replies.exceedsUnwrittenLimit() {
 		conn.closeLocked()
 	} else if len(conn.replies.unwritten) > 0 && !conn.replies.writing && !conn.closed {
-		conn.writeSome()
+		conn.writeAvailable()
 	}
 }
 
-// writeSome writes what the socket takes at once. The caller holds mu.
-func (conn *clientConn) writeSome() {
+// writeAvailable writes what the socket accepts without waiting, and starts writeRemaining for the remainder. The caller
+// holds mu.
+func (conn *clientConn) writeAvailable() {
 	n, err := rawsocket.WriteAvailable(conn.socket, conn.replies.unwritten)
-	conn.replies.wrote(n)
+	conn.replies.removeWritten(n)
 	switch {
 	case err != nil:
 		conn.closeLocked()
 	case conn.replies.unwritten != nil:
 		conn.replies.writing = true
-		go conn.writeRest() // until all is written or the connection ends
+		go conn.writeRemaining() // returns once everything is written or the connection ends
 	default:
 		conn.closeIfDone()
 	}
 }
 
-// writeRest writes replies until none is unwritten or the connection ends. It is a goroutine of its own.
-func (conn *clientConn) writeRest() {
+// writeRemaining writes replies until none is unwritten or the connection ends. It runs in its own goroutine.
+func (conn *clientConn) writeRemaining() {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	for len(conn.replies.unwritten) > 0 && !conn.closed {
--- a/internal/gateway/clientrequest.go
+++ b/internal/gateway/clientrequest.go
@@ -6,14 +6,14 @@
 	"bellwood/internal/gateway/protocol"
 )
 
-// clientRequest is a client's request as its connection read it.
+// clientRequest is a request that was read from a client connection.
 type clientRequest struct {
 	*protocol.Request
 	conn      *clientConn
-	reply     *pendingReply // the place of its reply among those of the connection
-	id        uint64        // that requestTable gave it; 0: it was not taken in. The client's is ClientID
-	arrivedAt time.Duration // when its last byte was read, on the loop's clock
+	reply     *pendingReply // its entry in the connection's reply queue
+	id        uint64        // assigned by requestTable, 0 if it was not accepted; the client's own id is ClientID
+	arrivedAt time.Duration // event loop time at which its last byte was read
 }
 
-// answer gives the request its reply, once; a further one is passed over. It does not wait for the client.
+// answer sends the reply to the request without waiting for the client. Only the first call has an effect.
 func (request *clientRequest) answer(text []byte) { request.conn.answer(request.reply, text) }
--- a/internal/gateway/closedeadlock_test.go
+++ b/internal/gateway/closedeadlock_test.go
@@ -29,7 +29,7 @@
 // Closing a connection waits until nobody is within a read of its socket. Bytes, or a reset, may come in that very
 // moment, and the reader then wants the lock that the closing goroutine holds. If each waited for the other, the
 // loop, or the goroutine that accepts connections, would be stuck for good.
-func TestCloseCrossingServe(t *testing.T) {
+func TestCloseDoesNotDeadlockWithServe(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
 	server.ready.Store(true)
 	conn, client := newClientPair(t, server)
@@ -60,7 +60,7 @@
 }
 
 // What comes while somebody else holds the lock is read once it is free.
-func TestReadWaitsForTheLock(t *testing.T) {
+func TestReadContinuesOnceTheLockIsFree(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
 	server.ready.Store(true)
 	conn, client := newClientPair(t, server)
@@ -76,7 +76,7 @@
 }
 
 // The same, with a reader that is about to read: closing waits for it, and it must not wait for who closes.
-func TestCloseCrossingARead(t *testing.T) {
+func TestCloseDoesNotDeadlockWithARead(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
 	conn, client := newClientPair(t, server)
 	conn.mu.Lock()
--- a/internal/gateway/descriptorlimit_test.go
+++ b/internal/gateway/descriptorlimit_test.go
@@ -16,28 +16,28 @@
 // and again. If the shares added up to more than the limit, there would be no descriptor for discovery and the
 // counter when they come back. The watch is opened, the counter answers, and backends get as many connections as their
 // share holds, also when all is moved by a new configuration; and no call ever fails for want of a descriptor.
-func TestCrowdLeavesDescriptorsToTheOthers(t *testing.T) {
+func TestIdleClientsLeaveDescriptorsForDiscoveryAndCounter(t *testing.T) {
 	const descriptors = 256
 	const backends, backendShare = 24, 71 // 28%
 	counters := [2]net.Listener{listen(t), listen(t)}
 	called := [2]chan struct{}{serveCounter(counters[0]), serveCounter(counters[1])}
 	discovery := newReservedPort(t)
-	gateway := startCrowdedGateway(t, descriptors, backends, discovery.addr, counters[0].Addr().String())
+	gateway := startGatewayProcess(t, descriptors, backends, discovery.addr, counters[0].Addr().String())
 	defer gateway.stop()
 
-	crowd := startCrowd(gateway.addr, 2*descriptors)
+	crowd := startIdleClients(gateway.addr, 2*descriptors)
 	defer crowd.stop()
-	crowd.waitForResting(t, descriptors/2)
+	crowd.waitForIdle(t, descriptors/2)
 	await(t, "discovery is back, and no watch is opened", gateway.serveDiscovery(discovery.open(t, 16), 1))
 
-	client := gateway.findRoom()
-	reached := client.fillBackends(backendShare)
-	client.callCounter(called[0])
+	client := gateway.connectActiveClient()
+	reached := client.openBackendConns(backendShare)
+	client.triggerCounterCall(called[0])
 	second := listen(t)
 	watched := gateway.serveDiscovery(second, 2)
 	gateway.move(second.Addr(), counters[1].Addr())
 	await(t, "the second watch is not opened", watched)
-	client.callCounter(called[1])
+	client.triggerCounterCall(called[1])
 	for _, backend := range reached {
 		backend.socket.Close()
 	}
@@ -81,7 +81,7 @@
 // A crowd stands in the listener's backlog while the clients' share is full. If each of it were held until a
 // goroutine came to reject it, the others would have no descriptors. So a connection for which there is no capacity is
 // closed before the next is accepted, but for the few whose request is read.
-func TestCrowdInTheBacklogTakesNoDescriptors(t *testing.T) {
+func TestBacklogRejectionsHoldFewDescriptors(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
 	server.downstream.maxConns = 2 * budget.ConnsPerRejected
 	ln := &countingListener{Listener: listen(t)}
@@ -105,7 +105,7 @@
 }
 
 // A connection that is evicted makes room for one other, also while its reader has not ended yet.
-func TestEvictedConnectionMakesRoomOnce(t *testing.T) {
+func TestEvictedConnectionIsNotEvictedAgain(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
 	conn, p := newClientPair(t, server) // nobody reads
 	conn.idleSince.Store(int64(server.now() - time.Hour))
@@ -120,7 +120,7 @@
 
 // What clients, backends, discovery and the counter may hold at once stays within the limit, from the smallest one
 // on: 256.
-func TestSharesOfTheDescriptorsFitTheLimit(t *testing.T) {
+func TestDescriptorSharesFitTheLimit(t *testing.T) {
 	for sockets := 256; sockets <= 1024; sockets += 3 {
 		cfg := config(t, true, 5_000_000)
 		cfg.Sockets = sockets
--- a/internal/gateway/downstream.go
+++ b/internal/gateway/downstream.go
@@ -10,43 +10,44 @@
 	"bellwood/internal/gateway/protocol"
 )
 
-// firstRequestGrace is how long a shutdown leaves a new connection open for its first request, which its client is about
-// to send (TestNewConnectionHasTimeForItsRequest).
+// firstRequestGrace is how long a shutdown keeps a new connection open, because its client is probably about to send the
+// first request (TestNewConnectionHasTimeForItsRequest).
 const firstRequestGrace = 100 * time.Millisecond
 
-// requestHandler is what downstream needs of the open requests. Both methods are called on the loop.
+// requestHandler receives requests and disconnects from the client connections. Both methods are called on the event
+// loop.
 type requestHandler interface {
-	// requestArrived takes in a request that was read.
+	// requestArrived accepts a request that a connection has read.
 	requestArrived(received *clientRequest)
-	// clientGone ends the request of a client that has left.
+	// clientGone cancels a request whose client has disconnected.
 	clientGone(received *clientRequest)
 }
 
-// serviceState is what downstream needs to answer a PING, from any goroutine.
+// serviceState provides the reply to PING. It may be called from any goroutine.
 type serviceState interface{ pingReply() string }
 
-// downstreamConfig is what the connections of clients share. All but requests is safe for concurrent use; the methods of
-// requests are called on the loop.
+// downstreamConfig holds what all client connections share. Everything but requests is safe for concurrent use; the
+// methods of requests are called on the event loop.
 type downstreamConfig struct {
 	parser   *protocol.Parser
 	requests requestHandler
 	service  serviceState
 	log      *slog.Logger
-	maxConns int64         // connections of clients that may be open
-	memory   *budget.Bytes // what all clients together make the gateway hold
+	maxConns int64         // limit on open client connections
+	memory   *budget.Bytes // memory used on behalf of all clients
 }
 
-// downstream accepts the connections of clients and keeps them. Its methods may be called from any goroutine; accept
-// runs on the listener's own (listener.go).
+// downstream accepts client connections and keeps track of them. Its methods may be called from any goroutine; accept
+// runs on the listener's goroutine (listener.go).
 type downstream struct {
 	downstreamConfig
 	loop        taskLoop
 	connCount   atomic.Int64
-	lingering   atomic.Int64  // connections that linger behind input that could not be read (startLinger)
-	rejected    atomic.Int64  // connections for which there was no capacity and that are not closed yet (rejectConn)
-	acceptEnded chan struct{} // closed once no more connections are taken
+	lingering   atomic.Int64  // connections in a lingering close after invalid input (startLinger)
+	rejected    atomic.Int64  // connections rejected for lack of capacity and not closed yet (rejectConn)
+	acceptEnded chan struct{} // closed once no more connections are accepted
 
-	mu    sync.Mutex // guards conns; never taken under a connection's lock
+	mu    sync.Mutex // guards conns; never locked while a connection's lock is held
 	conns map[*clientConn]bool
 }
 
@@ -55,7 +56,7 @@
 		acceptEnded: make(chan struct{})}
 }
 
-// add keeps a connection.
+// add registers an open connection.
 func (down *downstream) add(conn *clientConn) {
 	down.connCount.Add(1)
 	down.mu.Lock()
@@ -63,7 +64,7 @@
 	down.mu.Unlock()
 }
 
-// remove forgets a connection that has ended.
+// remove unregisters a connection that has ended.
 func (down *downstream) remove(conn *clientConn) {
 	down.mu.Lock()
 	delete(down.conns, conn)
@@ -71,17 +72,20 @@
 	down.connCount.Add(-1)
 }
 
-// tryLinger says whether one more connection may linger (startLinger). It counts as lingering in either case, until
-// lingerEnded.
+// tryLinger counts one more lingering connection and reports whether maxLingering allows it. The caller must call
+// endLinger later in either case.
 func (down *downstream) tryLinger() bool { return down.lingering.Add(1) <= maxLingering }
 
-func (down *downstream) lingerEnded() { down.lingering.Add(-1) }
+// endLinger undoes the count of tryLinger.
+func (down *downstream) endLinger() { down.lingering.Add(-1) }
 
-// drain closes the connections that stand between two requests, and makes the others end with their last reply. It says
-// whether none is left. The loop calls it again and again during a shutdown.
+// drain closes the connections that have no request in progress, and lets the others close after their last reply. It
+// reports whether all connections are closed and no more are accepted. The event loop calls it repeatedly during a
+// shutdown.
 func (down *downstream) drain() bool {
 	conns, open := down.drainable()
-	for _, conn := range conns { // all first, so that no client finds one closed and turns to another
+	// Mark all of them before closing any, so that a client that sees one connection closed cannot use another one.
+	for _, conn := range conns {
 		conn.markFinishing()
 	}
 	for _, conn := range conns {
@@ -95,14 +99,14 @@
 	}
 }
 
-// drainable returns the connections that may be closed, which is all but those that are new and have asked nothing yet,
-// and how many are open.
+// drainable returns the connections that may be closed, and the number of open connections. A connection may be closed
+// once it has received a command, or has been open for firstRequestGrace.
 func (down *downstream) drainable() (conns []*clientConn, open int) {
 	now := down.loop.now()
 	down.mu.Lock()
 	defer down.mu.Unlock()
 	for conn := range down.conns {
-		if conn.commandSeen.Load() || now-time.Duration(conn.idleSince.Load()) >= firstRequestGrace {
+		if conn.commandReceived.Load() || now-time.Duration(conn.idleSince.Load()) >= firstRequestGrace {
 			conns = append(conns, conn)
 		}
 	}
--- a/internal/gateway/downstream_test.go
+++ b/internal/gateway/downstream_test.go
@@ -14,7 +14,7 @@
 
 // A value goes to the client alone and whole, a command to the backend unchanged but for d, and a warm connection
 // is used again.
-func TestForwardsCommandAndValue(t *testing.T) {
+func TestCommandAndValueAreForwardedUnchanged(t *testing.T) {
 	gateway, ln := startWithBackend(t, withoutSettleTime)
 	client := gateway.dial()
 	client.command("PING")
@@ -118,7 +118,7 @@
 }
 
 // A client that leaves takes its request along: the backend's connection is closed and nothing more goes out.
-func TestClientGone(t *testing.T) {
+func TestClientDisconnectClosesTheBackendConnection(t *testing.T) {
 	gateway, ln := startWithBackend(t)
 	client := gateway.dial()
 	client.sendRequest("1")
@@ -171,7 +171,7 @@
 }
 
 // A client that sends nothing, or a command byte by byte, must not hold a connection: one deadline holds for all of it.
-func TestSlowCommandsEnd(t *testing.T) {
+func TestSlowCommandsTimeOut(t *testing.T) {
 	gateway := startGateway(t, nil)
 	silent, dripping, later := gateway.dial(), gateway.dial(), gateway.dial()
 	later.command("PING")
@@ -196,7 +196,7 @@
 
 // A client that is rejected while it still sends must be able to read why: closing the connection at once would reset
 // it.
-func TestErrorReachesAClientThatStillSends(t *testing.T) {
+func TestErrorReplyReachesAClientThatIsStillSending(t *testing.T) {
 	gateway := startGateway(t, nil)
 	client := gateway.dial()
 	client.write("*2\r\n$4\r\nPING\r\n$60000000\r\n")
@@ -292,7 +292,7 @@
 
 // A client for which there is no capacity has already sent its request. Closing its connection with bytes unread would
 // reset it, and the client would lose the rejection.
-func TestRejectedConnectionIsTold(t *testing.T) {
+func TestRejectedConnectionReceivesBusy(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
 	server.downstream.maxConns = budget.ConnsPerRejected
 	conn, client := newClientPair(t, server)
@@ -305,7 +305,7 @@
 
 // A client goes on sending behind a command that can't be read. Neither the error line nor the reply before it is lost
 // to a reset.
-func TestErrorLineOutlivesTheRest(t *testing.T) {
+func TestErrorReplySurvivesTrailingInput(t *testing.T) {
 	gateway, ln := startWithBackend(t)
 	client := gateway.dial()
 	client.sendRequest("1")
--- a/internal/gateway/crowdedgateway_test.go
+++ b/internal/gateway/gatewayprocess_test.go
@@ -20,12 +20,12 @@
 	"time"
 )
 
-// asCrowdedGateway stands in the environment of a process that is to be a gateway and not the tests.
-const asCrowdedGateway = "GATEWAY_CROWDED"
+// gatewayProcessEnv stands in the environment of a process that is to be a gateway and not the tests.
+const gatewayProcessEnv = "GATEWAY_CROWDED"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asCrowdedGateway) != "" {
-		if err := serveCrowd(); err != nil {
+	if os.Getenv(gatewayProcessEnv) != "" {
+		if err := runGatewayProcess(); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -34,9 +34,9 @@
 	os.Exit(m.Run())
 }
 
-// serveCrowd runs a gateway that may hold no more descriptors than its configuration says, until its standard input
+// runGatewayProcess runs a gateway that may hold no more descriptors than its configuration says, until its standard input
 // ends. It takes the configuration, then addresses of discovery and the counter to move to.
-func serveCrowd() error {
+func runGatewayProcess() error {
 	in := bufio.NewReader(os.Stdin)
 	line, err := in.ReadString('\n')
 	if err != nil {
@@ -80,8 +80,8 @@
 	}
 }
 
-// crowdedGateway is a gateway in a process of its own, with few descriptors, and what stands round it.
-type crowdedGateway struct {
+// gatewayProcess is a gateway in a process of its own, with few descriptors, and what stands round it.
+type gatewayProcess struct {
 	t         *testing.T
 	addr      string
 	in        io.Writer // to its standard input
@@ -91,11 +91,11 @@
 	process   *exec.Cmd
 }
 
-// startCrowdedGateway runs a gateway that may hold so many descriptors. Its discovery and counter may not be there yet.
+// startGatewayProcess runs a gateway that may hold so many descriptors. Its discovery and counter may not be there yet.
 // The caller stops it.
-func startCrowdedGateway(t *testing.T, descriptors, backends int, discovery, counter string) *crowdedGateway {
+func startGatewayProcess(t *testing.T, descriptors, backends int, discovery, counter string) *gatewayProcess {
 	t.Helper()
-	gateway := &crowdedGateway{t: t, reached: make(chan *peer, 1024)}
+	gateway := &gatewayProcess{t: t, reached: make(chan *peer, 1024)}
 	for i := range backends {
 		ln := listen(t)
 		gateway.endpoints = append(gateway.endpoints, map[string]any{"name": fmt.Sprint("s-", i),
@@ -103,12 +103,12 @@
 			"since_ms": 0})
 		go gateway.acceptBackendConns(ln)
 	}
-	gateway.startProcess(crowdedConfig(descriptors, discovery, counter))
+	gateway.startProcess(gatewayProcessConfig(descriptors, discovery, counter))
 	return gateway
 }
 
-// crowdedConfig is a configuration with a quota of which little is used at once, so that the counter is called.
-func crowdedConfig(descriptors int, discovery, counter string) string {
+// gatewayProcessConfig is a configuration with a quota of which little is used at once, so that the counter is called.
+func gatewayProcessConfig(descriptors int, discovery, counter string) string {
 	settings := fmt.Sprintf(settingsJSON, 5_000_000, true)
 	settings = strings.Replace(settings, `"most-at-once":10`, `"most-at-once":1`, 1)
 	settings = strings.Replace(settings, `"counter-timeout-us":50000`, `"counter-timeout-us":2000000`, 1)
@@ -118,7 +118,7 @@
 }
 
 // acceptBackendConns takes the connections to a backend, which answers nothing.
-func (gateway *crowdedGateway) acceptBackendConns(ln net.Listener) {
+func (gateway *gatewayProcess) acceptBackendConns(ln net.Listener) {
 	for {
 		conn, err := ln.Accept()
 		if err != nil {
@@ -129,11 +129,11 @@
 }
 
 // startProcess starts the gateway and reads its address.
-func (gateway *crowdedGateway) startProcess(config string) {
+func (gateway *gatewayProcess) startProcess(config string) {
 	t := gateway.t
 	t.Helper()
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), asCrowdedGateway+"=1")
+	cmd.Env = append(os.Environ(), gatewayProcessEnv+"=1")
 	cmd.Stderr = &gateway.log
 	in, err := cmd.StdinPipe()
 	if err != nil {
@@ -156,18 +156,18 @@
 	gateway.addr = strings.TrimSpace(addr)
 }
 
-func (gateway *crowdedGateway) stop() {
+func (gateway *gatewayProcess) stop() {
 	gateway.process.Process.Kill()
 	gateway.process.Wait()
 }
 
 // move lets the gateway read other addresses of discovery and the counter.
-func (gateway *crowdedGateway) move(discovery, counter net.Addr) {
+func (gateway *gatewayProcess) move(discovery, counter net.Addr) {
 	fmt.Fprintln(gateway.in, discovery, counter)
 }
 
 // serveDiscovery starts a discovery agent at a listener, and returns what is closed with the first watch.
-func (gateway *crowdedGateway) serveDiscovery(ln net.Listener, index int) (watched chan struct{}) {
+func (gateway *gatewayProcess) serveDiscovery(ln net.Listener, index int) (watched chan struct{}) {
 	watched = make(chan struct{})
 	var once sync.Once
 	agent := &http.Server{Handler: http.HandlerFunc(func(rw http.ResponseWriter, r *http.Request) {
@@ -182,28 +182,28 @@
 }
 
 // crowd is clients of a gateway that connect, ask once, and rest until they are closed; then they come again.
-type crowd struct {
+type idleClients struct {
 	addr    string
-	resting atomic.Int64 // connections that rest
+	idle    atomic.Int64 // connections that rest
 	leave   context.CancelFunc
-	clients sync.WaitGroup
+	running sync.WaitGroup
 }
 
-func startCrowd(addr string, size int) *crowd {
+func startIdleClients(addr string, size int) *idleClients {
 	ctx, leave := context.WithCancel(context.Background())
-	all := &crowd{addr: addr, leave: leave}
+	clients := &idleClients{addr: addr, leave: leave}
 	for range size {
-		all.clients.Go(func() {
-			for ctx.Err() == nil && all.visit(ctx) {
+		clients.running.Go(func() {
+			for ctx.Err() == nil && clients.connectAndIdle(ctx) {
 			}
 		})
 	}
-	return all
+	return clients
 }
 
-// visit connects and rests once, and says whether a connection was made.
-func (all *crowd) visit(ctx context.Context) bool {
-	conn, err := net.Dial("tcp", all.addr)
+// connectAndIdle connects and rests once, and says whether a connection was made.
+func (clients *idleClients) connectAndIdle(ctx context.Context) bool {
+	conn, err := net.Dial("tcp", clients.addr)
 	if err != nil {
 		return false
 	}
@@ -211,9 +211,9 @@
 	conn.Write([]byte(respCommand("PING")))
 	in := bufio.NewReader(conn)
 	if line, _ := in.ReadString('\n'); strings.HasPrefix(line, "+") || strings.HasPrefix(line, "-LOADING") {
-		all.resting.Add(1)
+		clients.idle.Add(1)
 		io.Copy(io.Discard, in)
-		all.resting.Add(-1)
+		clients.idle.Add(-1)
 	}
 	stop()
 	conn.Close()
@@ -224,31 +224,31 @@
 	return true
 }
 
-// waitForResting waits until so many of the crowd's connections rest.
-func (all *crowd) waitForResting(t *testing.T, want int64) {
+// waitForIdle waits until so many of the crowd's connections rest.
+func (clients *idleClients) waitForIdle(t *testing.T, want int64) {
 	t.Helper()
-	for end := time.Now().Add(testTimeout); all.resting.Load() < want; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); clients.idle.Load() < want; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("only %d rest", all.resting.Load())
+			t.Fatalf("only %d rest", clients.idle.Load())
 		}
 	}
 }
 
 // stop lets the crowd leave, and waits for its end.
-func (all *crowd) stop() {
-	all.leave()
-	all.clients.Wait()
+func (clients *idleClients) stop() {
+	clients.leave()
+	clients.running.Wait()
 }
 
-// usualClient is one client of a crowded gateway that does not rest.
-type usualClient struct {
+// activeClient is one client of a crowded gateway that does not rest.
+type activeClient struct {
 	*peer
-	gateway  *crowdedGateway
+	gateway  *gatewayProcess
 	requests int // sent so far
 }
 
-// findRoom connects a client until it finds a place.
-func (gateway *crowdedGateway) findRoom() *usualClient {
+// connectActiveClient connects a client until it finds a place.
+func (gateway *gatewayProcess) connectActiveClient() *activeClient {
 	t := gateway.t
 	t.Helper()
 	for end := time.Now().Add(testTimeout); ; {
@@ -262,20 +262,20 @@
 		client := newPeer(t, conn)
 		client.command("PING")
 		if message, err := client.tryMessage(); err == nil && message[0] == "+PONG" {
-			return &usualClient{peer: client, gateway: gateway}
+			return &activeClient{peer: client, gateway: gateway}
 		}
 	}
 }
 
-func (client *usualClient) sendRequestOfPlan(plan string) {
+func (client *activeClient) sendRequestOfPlan(plan string) {
 	client.t.Helper()
 	client.requests++
 	client.command("Q.ASK", tenantID, fmt.Sprint(client.requests),
 		strings.Replace(idempotentFields, "t=open", "t="+plan, 1))
 }
 
-// fillBackends sends requests until backends have so many connections.
-func (client *usualClient) fillBackends(want int) (reached []*peer) {
+// openBackendConns sends requests until backends have so many connections.
+func (client *activeClient) openBackendConns(want int) (reached []*peer) {
 	client.t.Helper()
 	for end := time.After(testTimeout); len(reached) < want; {
 		client.sendRequestOfPlan("open")
@@ -293,8 +293,8 @@
 	return reached
 }
 
-// callCounter sends requests of a small quota until the counter is called: beyond a burst of 1 some have to ask it.
-func (client *usualClient) callCounter(called <-chan struct{}) {
+// triggerCounterCall sends requests of a small quota until the counter is called: beyond a burst of 1 some have to ask it.
+func (client *activeClient) triggerCounterCall(called <-chan struct{}) {
 	client.t.Helper()
 	for range 60 {
 		client.sendRequestOfPlan("starter")
--- a/internal/gateway/idleserver_test.go
+++ b/internal/gateway/idleserver_test.go
@@ -101,7 +101,7 @@
 // waitForEnd waits until the end of a connection has come to this side, whatever lies before it.
 func waitForEnd(t *testing.T, conn *clientConn) {
 	t.Helper()
-	for end := time.Now().Add(testTimeout); !rawsocket.PeerEnded(conn.socket); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); !rawsocket.PeerClosed(conn.socket); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("the end has not come")
 		}
--- a/internal/gateway/manyrequests_test.go
+++ b/internal/gateway/largefleet_test.go
@@ -8,7 +8,7 @@
 
 // A gateway among 1,024 with a list of 1,200 backends serves, also requests of a tenant that is spread over all
 // gateways.
-func TestServesAmongManyGatewaysAndBackends(t *testing.T) {
+func TestServesInALargeFleet(t *testing.T) {
 	const gateways, backends = 1024, 1200
 	ln := listen(t)
 	var addrs []string
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -15,36 +15,37 @@
 )
 
 const (
-	acceptRetryPause = 10 * time.Millisecond // after accept failed, as for want of descriptors
-
-	// Connections are closed to make room from nearlyFull of the allowed number on: those that have been idle for minIdle
-	// first, then those without any command yet for minIdleWithoutCommand. Only where no room is left at all, any that has
-	// been idle for minIdleWhenFull: the new connection most likely brings a request.
-	nearlyFull            = 0.9
+	acceptRetryDelay = 10 * time.Millisecond // after a failed accept, for example when no descriptors are left
+
+	// Idle connections are evicted once the number of open ones reaches evictionThreshold of the limit, in this order:
+	//   - connections that have been idle for minIdle;
+	//   - connections that have been open for minIdleWithoutCommand without sending a command;
+	//   - only at the limit, any connection that has been idle for minIdleWhenFull, because the new connection most
+	//     likely brings a request.
+	evictionThreshold     = 0.9
 	minIdle               = 2 * time.Second
 	minIdleWithoutCommand = 500 * time.Millisecond
 	minIdleWhenFull       = 250 * time.Millisecond
 
-	busyRetryAfter   = 100 * time.Millisecond // Retry-After of a rejection for want of capacity or memory
-	rejectedReadTime = 250 * time.Millisecond // how long is read what comes on a rejected connection
+	busyRetryAfter      = 100 * time.Millisecond // retry delay sent to clients rejected for lack of capacity or memory
+	rejectedReadTimeout = 250 * time.Millisecond // how long input of a rejected connection is read and discarded
 
-	backlogPollTime = 5 * time.Millisecond   // when no connection came for this long, the backlog is empty
-	maxBacklogTime  = 100 * time.Millisecond // connections are accepted from the backlog for this long at most
+	backlogPollInterval = 5 * time.Millisecond   // the backlog counts as empty after this long without a new connection
+	maxBacklogDrainTime = 100 * time.Millisecond // limit on emptying the backlog after stopAccepting
 )
 
-// deadlineListener is a listener whose Accept can be given a deadline, as that of TCP.
+// deadlineListener is a listener that supports a deadline for Accept, such as net.TCPListener.
 type deadlineListener interface{ SetDeadline(time.Time) error }
 
-// halfCloser is a connection whose sending side can be closed, as that of TCP.
+// halfCloser is a connection whose write side can be closed on its own, such as net.TCPConn.
 type halfCloser interface{ CloseWrite() error }
 
-// accept takes connections until the listener is closed or, behind stopAccepting, until its backlog is empty, for
-// maxBacklogTime at most. It is the listener's own goroutine, which Server.Run starts; each connection gets one of its
-// own.
+// accept accepts connections until the listener is closed. After stopAccepting it first empties the backlog, for at most
+// maxBacklogDrainTime. Server.Run runs it in a goroutine; each connection is served in a goroutine of its own.
 func (down *downstream) accept(ln net.Listener) {
 	defer close(down.acceptEnded)
 	defer ln.Close()
-	var backlog backlogState
+	var backlog backlogDrain
 	for {
 		socket, err := ln.Accept()
 		if errors.Is(err, net.ErrClosed) {
@@ -52,16 +53,16 @@
 		}
 		if errors.Is(err, os.ErrDeadlineExceeded) {
 			now := time.Now()
-			if backlog.ended(now) {
+			if backlog.finished(now) {
 				return
 			}
-			ln.(deadlineListener).SetDeadline(now.Add(backlogPollTime))
+			ln.(deadlineListener).SetDeadline(now.Add(backlogPollInterval))
 			continue
 		}
-		backlog.emptied = false
-		if err != nil { // as for want of descriptors: the open connections go on meanwhile
+		backlog.emptySinceLastPoll = false
+		if err != nil { // for example when no descriptors are left; open connections are served meanwhile
 			down.log.Warn("accepting a client connection failed", slog.Any("error", err))
-			time.Sleep(acceptRetryPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
 		if !down.ensureCapacity() {
@@ -74,95 +75,95 @@
 	}
 }
 
-// stopAccepting makes accept end: by a deadline if the listener takes one, so that its backlog is still accepted.
+// stopAccepting makes accept return. If the listener supports deadlines, accept empties the backlog first.
 func stopAccepting(ln net.Listener) {
 	if listener, ok := ln.(deadlineListener); !ok || listener.SetDeadline(time.Now()) != nil {
 		ln.Close()
 	}
 }
 
-// backlogState follows whether connections are left in the backlog of a listener that is to end.
+// backlogDrain tracks whether the backlog of a listener that is shutting down is empty.
 //
-// Failure: closing a listener resets the connections in its backlog. How it shows: their clients take them for
-// open, have sent their requests, and get a reset during a shutdown. Why this holds: they are accepted until none came for
-// backlogPollTime; and under a load that never ends, for maxBacklogTime. TestShutdownAcceptsTheBacklog,
-// TestAcceptEndsUnderLoad.
-type backlogState struct {
-	until   time.Time // connections are accepted until then; zero: the listener has not been told to end
-	emptied bool      // none has come since the last poll
+// Closing a listener resets the connections in its backlog. Their clients consider them open and may already have sent
+// requests, so they would get a reset during a shutdown. Connections are therefore accepted until none has arrived for
+// backlogPollInterval, but for at most maxBacklogDrainTime, as new connections may keep arriving under load.
+// TestShutdownAcceptsTheBacklog and TestAcceptEndsUnderLoad cover this.
+type backlogDrain struct {
+	deadline           time.Time // accept stops at this time at the latest; zero before stopAccepting
+	emptySinceLastPoll bool      // no connection has arrived since the last poll
 }
 
-// ended notes that Accept has come to its deadline, and says whether no more connections are accepted.
-func (backlog *backlogState) ended(now time.Time) bool {
-	if backlog.until.IsZero() {
-		backlog.until = now.Add(maxBacklogTime)
-	} else if backlog.emptied || now.After(backlog.until) {
+// finished records that Accept has reached its deadline, and reports whether accept is to return.
+func (backlog *backlogDrain) finished(now time.Time) bool {
+	if backlog.deadline.IsZero() {
+		backlog.deadline = now.Add(maxBacklogDrainTime)
+	} else if backlog.emptySinceLastPoll || now.After(backlog.deadline) {
 		return true
 	}
-	backlog.emptied = true
+	backlog.emptySinceLastPoll = true
 	return false
 }
 
-// connCapacity says how many connections of clients may still be opened.
+// connCapacity classifies how many more client connections may be opened.
 type connCapacity int
 
 const (
-	capacityForMany connCapacity = iota
-	capacityForFew               // idle connections are closed
-	noCapacity                   // so are those that were used a moment ago
+	ampleCapacity connCapacity = iota
+	lowCapacity                // idle connections are evicted
+	noCapacity                 // recently used connections are evicted too
 )
 
-// capacity says how many more connections of clients may be opened now.
+// capacity returns the current capacity for client connections.
 func (down *downstream) capacity() connCapacity {
 	switch open := down.connCount.Load(); {
 	case open >= down.maxConns:
 		return noCapacity
-	case float64(open) >= nearlyFull*float64(down.maxConns):
-		return capacityForFew
+	case float64(open) >= evictionThreshold*float64(down.maxConns):
+		return lowCapacity
 	}
-	return capacityForMany
+	return ampleCapacity
 }
 
-// ensureCapacity says whether one more connection may be opened, and closes an idle one where little room is left.
+// ensureCapacity reports whether one more connection may be opened. It evicts an idle connection when capacity is low.
 func (down *downstream) ensureCapacity() bool {
-	left := down.capacity()
-	if left == capacityForMany {
+	capacity := down.capacity()
+	if capacity == ampleCapacity {
 		return true
 	}
-	return down.closeLongestIdle(left) || left != noCapacity
+	return down.closeLongestIdle(capacity) || capacity != noCapacity
 }
 
-// closeLongestIdle closes the connection that has been idle longest, if one may be closed, and says whether it did.
-// Without this, clients that send one request, or none, and keep their connections would use up the clients' share of
-// descriptors, and all others would be rejected.
+// closeLongestIdle evicts the connection that comes first by evictionRank, and reports whether it evicted one. Without
+// eviction, clients that send one request or none and keep their connections open would use up the clients' share of
+// descriptors, and all other clients would be rejected.
 //
-// Failure: a request comes on the very connection that is being closed. How it shows: the client gets a reset for a
-// request that it sent in time. Why this holds: a connection is closed only where neither its buffer nor its socket
-// holds a part of a command, and reading and that test exclude each other; else another one is chosen.
-// TestUnreadRequestKeepsTheConnection.
-func (down *downstream) closeLongestIdle(left connCapacity) bool {
-	longest := down.longestIdle(left)
+// A request may arrive on the connection that is being evicted, and its client would get a reset for a request that it
+// sent in time. A connection is therefore closed only if neither its buffer nor its socket holds part of a command, and
+// reading and that check exclude each other. Otherwise another connection is chosen.
+// TestUnreadRequestKeepsTheConnection covers this.
+func (down *downstream) closeLongestIdle(capacity connCapacity) bool {
+	longest := down.longestIdle(capacity)
 	if longest == nil {
 		return false
 	}
 	ended := longest.closeIfBetweenRequests()
 	longest.idleSince.Store(notEvictable)
-	if !ended { // a request has come on it just now
-		return down.closeLongestIdle(left)
+	if !ended { // a request has just arrived on it
+		return down.closeLongestIdle(capacity)
 	}
-	runtime.Gosched() // its reader gives the descriptor back
+	runtime.Gosched() // lets the connection's reader release the descriptor
 	return true
 }
 
-// longestIdle returns the connection that is closed first; nil: none may be.
-func (down *downstream) longestIdle(left connCapacity) *clientConn {
+// longestIdle returns the connection to evict first, or nil if none may be evicted.
+func (down *downstream) longestIdle(capacity connCapacity) *clientConn {
 	now := down.loop.now()
 	var first *clientConn
 	var firstRank time.Duration
 	down.mu.Lock()
 	defer down.mu.Unlock()
 	for conn := range down.conns {
-		rank, ok := conn.evictionRank(now, left)
+		rank, ok := conn.evictionRank(now, capacity)
 		if ok && (first == nil || rank < firstRank) {
 			first, firstRank = conn, rank
 		}
@@ -172,13 +173,16 @@
 
 // rejectConn rejects a connection for which there is no capacity.
 //
-// Failures: closing a connection whose request lies unread resets it, and the client loses the rejection; and a crowd
-// in the listener's backlog, each of it held until its request was read, takes the descriptors that backends, discovery
-// and the counter need. Why this holds: what the client has sent is read for a moment, but only few connections are
-// held for that; the others are closed before the next one is accepted. TestRejectedConnectionIsTold,
-// TestCrowdInTheBacklogTakesNoDescriptors.
+// Two failures are avoided here:
+//   - Closing a connection with an unread request resets it, and the client loses the rejection. So the client's input is
+//     read for rejectedReadTimeout.
+//   - If many connections from the listener's backlog were held open for that, they would take the descriptors that
+//     backends, discovery and the counter need. So at most budget.RejectedConns are held; any other is closed before the
+//     next one is accepted.
+//
+// TestRejectedConnectionReceivesBusy and TestBacklogRejectionsHoldFewDescriptors cover this.
 func (down *downstream) rejectConn(socket net.Conn) {
-	rawsocket.WriteAvailable(socket, protocol.Busy(busyRetryAfter)) // nothing is taken, so nothing has run
+	rawsocket.WriteAvailable(socket, protocol.Busy(busyRetryAfter)) // safe to retry, as no command has been read
 	half, ok := socket.(halfCloser)
 	if down.rejected.Add(1) > budget.RejectedConns(down.maxConns) || !ok || half.CloseWrite() != nil {
 		socket.Close()
@@ -188,10 +192,10 @@
 	go down.readRejected(socket)
 }
 
-// readRejected reads what comes on a rejected connection for a moment, and closes it.
+// readRejected discards input of a rejected connection for rejectedReadTimeout, and closes it.
 func (down *downstream) readRejected(socket net.Conn) {
 	defer down.rejected.Add(-1)
 	defer socket.Close()
-	socket.SetReadDeadline(time.Now().Add(rejectedReadTime))
+	socket.SetReadDeadline(time.Now().Add(rejectedReadTimeout))
 	io.Copy(io.Discard, io.LimitReader(socket, maxDiscardedBytes))
 }
--- a/internal/gateway/protocol/parser.go
+++ b/internal/gateway/protocol/parser.go
@@ -28,14 +28,14 @@
 const (
 	timeLeftTolerance     = time.Second // by which a client may say it waits longer than its class's time
 	defaultMaxRequestCost = 1e9         // units of a request, where the settings do not say
-	usualFields           = 16          // names of so many fields are kept without an allocation
+	typicalFieldCount     = 16          // names of so many fields are kept without an allocation
 	tenantDigits          = 16          // hex digits of a tenant's name
-	maxTenant             = 1 << 33     // names of tenants, as numbers, are below this
+	tenantLimit           = 1 << 33     // names of tenants, as numbers, are below this
 )
 
 // What is wrong with a request; clients get these texts behind -ERR.
 var (
-	errTenant       = errors.New("the customer is not 16 hex digits") // or they are not below maxTenant
+	errTenant       = errors.New("the customer is not 16 hex digits") // or they are not below tenantLimit
 	errEmptyID      = errors.New("the id is empty")
 	errFieldMissing = errors.New("one of c, t, d, units, spread and first is missing")
 	errKeyMissing   = errors.New("k is missing")
@@ -73,8 +73,8 @@
 	Transport *simprotocol.Transport
 }
 
-// givenFields says which fields of a request were given, beside those that a Request keeps.
-type givenFields struct {
+// seenFields says which fields of a request were given, beside those that a Request keeps.
+type seenFields struct {
 	names            []string
 	hasKey, hasFirst bool
 }
@@ -86,7 +86,7 @@
 		return nil, argumentCountError{command}
 	}
 	tenant, err := strconv.ParseUint(string(args[argumentTenant]), 16, 64)
-	if err != nil || len(args[argumentTenant]) != tenantDigits || tenant >= maxTenant {
+	if err != nil || len(args[argumentTenant]) != tenantDigits || tenant >= tenantLimit {
 		return nil, errTenant
 	}
 	if len(args[argumentID]) == 0 {
@@ -94,31 +94,31 @@
 	}
 	request := &Request{args: args, Class: -1, Plan: -1,
 		Tenant: strings.ToLower(string(args[argumentTenant]))}
-	var names [usualFields]string
-	given := givenFields{names: names[:0]}
-	if err := parser.parseFields(request, &given, string(args[argumentFields])); err != nil {
+	var names [typicalFieldCount]string
+	seen := seenFields{names: names[:0]}
+	if err := parser.parseFields(request, &seen, string(args[argumentFields])); err != nil {
 		return nil, err
 	}
-	if err := parser.check(request, given, command); err != nil {
+	if err := parser.validate(request, seen, command); err != nil {
 		return nil, err
 	}
 	return request, nil
 }
 
 // parseFields reads the list of fields. One that is given twice is an error, as a backend may read the other one.
-func (parser *Parser) parseFields(request *Request, given *givenFields, list string) error {
+func (parser *Parser) parseFields(request *Request, seen *seenFields, list string) error {
 	for at := 0; at <= len(list); {
 		item, _, _ := strings.Cut(list[at:], ",")
 		name, value, _ := strings.Cut(item, "=")
-		if slices.Contains(given.names, name) {
+		if slices.Contains(seen.names, name) {
 			return duplicateFieldError{name}
 		}
-		given.names = append(given.names, name)
-		if !parser.parseField(request, given, name, value) {
+		seen.names = append(seen.names, name)
+		if !parser.parseField(request, seen, name, value) {
 			return malformedFieldError{name}
 		}
 		if name == fieldTimeLeft {
-			request.timeLeftFrom, request.timeLeftTo = at+len(fieldTimeLeft+"="), at+len(item)
+			request.timeLeftStart, request.timeLeftEnd = at+len(fieldTimeLeft+"="), at+len(item)
 		}
 		at += len(item) + 1
 	}
@@ -126,7 +126,7 @@
 }
 
 // parseField reads one field and says whether its value can be used.
-func (parser *Parser) parseField(request *Request, given *givenFields, name, value string) (ok bool) {
+func (parser *Parser) parseField(request *Request, seen *seenFields, name, value string) (ok bool) {
 	switch name {
 	case fieldClass:
 		request.Class = slices.Index(parser.Transport.Classes, value)
@@ -139,7 +139,7 @@
 		request.TimeLeft = time.Duration(ms) * time.Millisecond
 		return err == nil && ms > 0
 	case fieldKey:
-		given.hasKey = true
+		seen.hasKey = true
 		return value != ""
 	case fieldRetry:
 		request.ClientRetry = value == "1"
@@ -152,16 +152,16 @@
 		request.Gateways = int(gateways)
 		return err == nil && gateways > 0 && int(gateways) <= parser.Settings.Gateways
 	case fieldFirstGateway:
-		given.hasFirst = true
+		seen.hasFirst = true
 		first, err := strconv.ParseUint(value, 10, 31)
 		return err == nil && int(first) < parser.Settings.Gateways
 	}
 	return true
 }
 
-// check says what is wrong with a request whose fields can all be read.
-func (parser *Parser) check(request *Request, given givenFields, command string) error {
-	if request.lacksField() || !given.hasFirst {
+// validate says what is wrong with a request whose fields can all be read.
+func (parser *Parser) validate(request *Request, seen seenFields, command string) error {
+	if request.missesRequiredField() || !seen.hasFirst {
 		return errFieldMissing
 	}
 	// A request and its timers are kept for as long as the client says that it waits.
@@ -172,7 +172,7 @@
 	switch idempotency := class.Idempotency; {
 	case (idempotency == policy.Idempotent) != (command == CommandAsk):
 		return wrongCommandError{command}
-	case idempotency == policy.IdempotentWithKey && !given.hasKey:
+	case idempotency == policy.IdempotentWithKey && !seen.hasKey:
 		return errKeyMissing
 	}
 	return nil
--- a/internal/gateway/protocol/reply.go
+++ b/internal/gateway/protocol/reply.go
@@ -10,10 +10,10 @@
 	"bellwood/internal/policy"
 )
 
-// Names of the figures that a backend reports with a reply, in a list such as used=37,cost=4.
+// Names of the metrics that a backend reports with a reply, in a list such as used=37,cost=4.
 const (
-	figureQuotaUsage = "used=" // percent of the tenant's quota
-	figureCost       = "cost=" // of the request, where it is settled on the response
+	metricQuotaUsage = "used=" // percent of the tenant's quota
+	metricCost       = "cost=" // of the request, where it is settled on the response
 )
 
 // maxQuotaUsage, in percent, is the bound from which on a reported usage is not believed.
@@ -30,7 +30,7 @@
 	TrailingBytes bool    // more bytes came behind it
 }
 
-// ReadReply reads a reply: an array of the value, the figures and the load report, or an error line with the figures
+// ReadReply reads a reply: an array of the value, the metrics and the load report, or an error line with the metrics
 // behind its first word.
 func ReadReply(message redcon.RESP) Reply {
 	switch message.Type {
@@ -71,7 +71,7 @@
 			reply.Status, reply.Unexpected, reply.Value = policy.OK, false, bytes.Clone(item.Raw)
 		} else if i == 1 && item.Type == redcon.Bulk {
 			reply.QuotaUsage = quotaUsage(item.Data)
-			reply.Cost, _ = findFigure(item.Data, figureCost)
+			reply.Cost, _ = findMetric(item.Data, metricCost)
 		}
 		i++
 		return true
@@ -79,20 +79,20 @@
 	return reply
 }
 
-// quotaUsage finds the usage in a list of figures, as the engine wants it: 1 more than the percent; 0: there is none.
-func quotaUsage(figures []byte) int {
-	if percent, ok := findFigure(figures, figureQuotaUsage); ok && percent < maxQuotaUsage {
+// quotaUsage finds the usage in a list of metrics, as the engine wants it: 1 more than the percent; 0: there is none.
+func quotaUsage(metrics []byte) int {
+	if percent, ok := findMetric(metrics, metricQuotaUsage); ok && percent < maxQuotaUsage {
 		return int(percent) + 1
 	}
 	return 0
 }
 
-// findFigure finds the first number of a name in a list of figures.
-func findFigure(figures []byte, name string) (float64, bool) {
-	for item := range bytes.SplitSeq(figures, []byte{','}) {
+// findMetric finds the first number of a name in a list of metrics.
+func findMetric(metrics []byte, name string) (float64, bool) {
+	for item := range bytes.SplitSeq(metrics, []byte{','}) {
 		if text, ok := bytes.CutPrefix(item, []byte(name)); ok {
-			if figure, ok := parseDecimal(string(text)); ok {
-				return figure, true
+			if value, ok := parseDecimal(string(text)); ok {
+				return value, true
 			}
 		}
 	}
--- a/internal/gateway/protocol/request.go
+++ b/internal/gateway/protocol/request.go
@@ -26,8 +26,8 @@
 	Gateways    int           // over how many gateways the tenant's requests are spread
 	ClientRetry bool          // the client sends it again
 
-	args                     [][]byte // the command as it came
-	timeLeftFrom, timeLeftTo int      // where the value of d begins and ends in the list of fields
+	args                       [][]byte // the command as it came
+	timeLeftStart, timeLeftEnd int      // where the value of d begins and ends in the list of fields
 }
 
 // ClientID is the id that the client gave the request. It must not be changed.
@@ -44,16 +44,16 @@
 	command := redcon.AppendArray(nil, len(request.args))
 	for i, argument := range request.args {
 		if i == argumentFields {
-			list := append([]byte(nil), argument[:request.timeLeftFrom]...)
+			list := append([]byte(nil), argument[:request.timeLeftStart]...)
 			list = strconv.AppendInt(list, max(1, wait.Milliseconds()), 10)
-			argument = append(list, argument[request.timeLeftTo:]...)
+			argument = append(list, argument[request.timeLeftEnd:]...)
 		}
 		command = redcon.AppendBulk(command, argument)
 	}
 	return command
 }
 
-// lacksField says whether a field that every request needs was not given.
-func (request *Request) lacksField() bool {
+// missesRequiredField says whether a field that every request needs was not given.
+func (request *Request) missesRequiredField() bool {
 	return request.Class < 0 || request.Plan < 0 || request.TimeLeft == 0 || request.Cost == 0 || request.Gateways == 0
 }
--- a/internal/gateway/rawsocket/rawsocket.go
+++ b/internal/gateway/rawsocket/rawsocket.go
@@ -57,9 +57,9 @@
 	tcpCloseWait = 8 // the other side has ended it
 )
 
-// PeerEnded says whether the other side has ended the connection, also where what it sent before lies unread. Where the
+// PeerClosed says whether the other side has ended the connection, also where what it sent before lies unread. Where the
 // system does not tell, the connection counts as open; one that is closed on this side counts as ended.
-func PeerEnded(conn net.Conn) bool {
+func PeerClosed(conn net.Conn) bool {
 	ended := false
 	known, err := peek(conn, func(fd, n int, err error) {
 		switch {
--- a/internal/gateway/rawsocket/rawsocket_test.go
+++ b/internal/gateway/rawsocket/rawsocket_test.go
@@ -10,7 +10,7 @@
 const testTimeout = 20 * time.Second
 
 // Bytes have come on an idle connection, and its reader has not run since. The socket itself knows.
-func TestQuiet(t *testing.T) {
+func TestQuietSeesUnreadBytes(t *testing.T) {
 	conn, peer := newPair(t)
 	if !Quiet(conn) {
 		t.Error("nothing has come, and it is not quiet")
--- a/internal/gateway/unreadend_test.go
+++ b/internal/gateway/unreadclose_test.go
@@ -13,13 +13,13 @@
 // end. Nobody waits for what the loop has of that client, so none of it may be forwarded, first attempts or retries. A
 // client counts as one that has left when the end has come to the socket: no attempt begins for it, whatever its way to
 // a backend, and all its requests end.
-func TestUnreadEndStopsTheSend(t *testing.T) {
-	ways := map[string]func(*unreadEnd) (backend *peer){
-		"new connection":      (*unreadEnd).beforeANewConnection,
-		"idle connection":     (*unreadEnd).beforeAnIdleConnection,
-		"pending dial":        (*unreadEnd).duringADial,
-		"retry":               (*unreadEnd).beforeARetry,
-		"retry after a reset": (*unreadEnd).beforeARetryAfterAReset,
+func TestUnreadCloseOfAClientPreventsForwarding(t *testing.T) {
+	ways := map[string]func(*unreadCloseTest) (backend *peer){
+		"new connection":      (*unreadCloseTest).beforeANewConnection,
+		"idle connection":     (*unreadCloseTest).beforeAnIdleConnection,
+		"pending dial":        (*unreadCloseTest).duringADial,
+		"retry":               (*unreadCloseTest).beforeARetry,
+		"retry after a reset": (*unreadCloseTest).beforeARetryAfterAReset,
 	}
 	unread := map[string]string{"nothing": "", "a command": respCommand("PING"),
 		"much": respCommand("Q.DO", tenantID, "9", keyedFields, strings.Repeat("b", 30<<10))}
@@ -27,7 +27,7 @@
 		for behind, text := range unread {
 			for how, end := range clientEnds {
 				t.Run(wayName+", "+how+" behind "+behind, func(t *testing.T) {
-					test := newUnreadEnd(t, text, end)
+					test := newUnreadCloseTest(t, text, end)
 					backend := way(test)
 					test.wantNotSent()
 					switch {
@@ -45,8 +45,8 @@
 	}
 }
 
-// unreadEnd is a client with two requests that have been taken and whose reader reads no further.
-type unreadEnd struct {
+// unreadCloseTest is a client with two requests that have been taken and whose reader reads no further.
+type unreadCloseTest struct {
 	t              *testing.T
 	server         *Server
 	ln             net.Listener // of the backend
@@ -55,14 +55,14 @@
 	leave          func() // lets the client leave, and waits until the end has come
 }
 
-func newUnreadEnd(t *testing.T, unread string, end func(*peer)) *unreadEnd {
+func newUnreadCloseTest(t *testing.T, unread string, end func(*peer)) *unreadCloseTest {
 	t.Helper()
 	ln := listen(t)
 	server := newIdleServer(t, ln.Addr().String())
 	server.upstream.settleTime = 0
 	conn, client := newClientPair(t, server)
-	test := &unreadEnd{t: t, server: server, ln: ln, conn: conn}
-	test.request, test.other = takeRequest(client, server, conn, "2"), takeRequest(client, server, conn, "3")
+	test := &unreadCloseTest{t: t, server: server, ln: ln, conn: conn}
+	test.request, test.other = receiveRequest(client, server, conn, "2"), receiveRequest(client, server, conn, "3")
 	test.leave = func() {
 		client.write(unread)
 		end(client)
@@ -71,8 +71,8 @@
 	return test
 }
 
-// takeRequest makes a client send a request and takes it as its reader would, which then reads no further.
-func takeRequest(client *peer, server *Server, conn *clientConn, id string) *openRequest {
+// receiveRequest makes a client send a request and takes it as its reader would, which then reads no further.
+func receiveRequest(client *peer, server *Server, conn *clientConn, id string) *openRequest {
 	client.t.Helper()
 	client.sendRequest(id)
 	message, err := conn.commands.Next()
@@ -95,12 +95,12 @@
 }
 
 // send sends an attempt of the first request.
-func (test *unreadEnd) send() {
+func (test *unreadCloseTest) send() {
 	test.server.requests.addAttempt(test.request, policy.SendAttempt{ID: test.request.id, Backend: "s-0"})
 }
 
 // acceptWritten takes the connection of an attempt to the backend, and waits until the command is written.
-func (test *unreadEnd) acceptWritten(attempt *backendAttempt) *peer {
+func (test *unreadCloseTest) acceptWritten(attempt *backendAttempt) *peer {
 	test.t.Helper()
 	backend := accept(test.t, test.ln)
 	runTasksUntil(test.t, test.server, func() bool { return attempt.conn.writeState.Load() == commandWritten })
@@ -108,13 +108,13 @@
 	return backend
 }
 
-func (test *unreadEnd) beforeANewConnection() *peer {
+func (test *unreadCloseTest) beforeANewConnection() *peer {
 	test.leave()
 	test.send()
 	return nil
 }
 
-func (test *unreadEnd) beforeAnIdleConnection() *peer {
+func (test *unreadCloseTest) beforeAnIdleConnection() *peer {
 	first := newAttempt(test.t, test.server)
 	backend := test.acceptWritten(first)
 	backend.write("*1\r\n$1\r\nx\r\n")
@@ -125,14 +125,14 @@
 	return backend
 }
 
-func (test *unreadEnd) duringADial() *peer {
+func (test *unreadCloseTest) duringADial() *peer {
 	test.send()
 	backend := accept(test.t, test.ln) // but the loop has not heard of it
 	test.leave()
 	return backend
 }
 
-func (test *unreadEnd) beforeARetry() *peer {
+func (test *unreadCloseTest) beforeARetry() *peer {
 	test.send()
 	backend := test.acceptWritten(test.request.attempts[0])
 	backend.write("-ERR failed\r\n")
@@ -142,7 +142,7 @@
 	return backend
 }
 
-func (test *unreadEnd) beforeARetryAfterAReset() *peer {
+func (test *unreadCloseTest) beforeARetryAfterAReset() *peer {
 	test.send()
 	backend := test.acceptWritten(test.request.attempts[0])
 	backend.reset()
@@ -153,7 +153,7 @@
 }
 
 // wantNotSent fails unless the last attempt ends unsent, with its request.
-func (test *unreadEnd) wantNotSent() {
+func (test *unreadCloseTest) wantNotSent() {
 	test.t.Helper()
 	last := test.request.attempts[len(test.request.attempts)-1]
 	runTasksUntil(test.t, test.server, func() bool {
@@ -169,7 +169,7 @@
 }
 
 // wantAllEnded fails unless all that the client has asked ends once its reader reads on.
-func (test *unreadEnd) wantAllEnded() {
+func (test *unreadCloseTest) wantAllEnded() {
 	test.t.Helper()
 	go test.conn.serve()
 	runTasksUntil(test.t, test.server, func() bool {
--- a/internal/gateway/upstream.go
+++ b/internal/gateway/upstream.go
@@ -115,7 +115,7 @@
 // reader waits for room. How it shows: a backend works on a request that nobody waits for, counted as one forwarded
 // after its client had left. Why this holds: the socket itself is asked, whatever lies unread in it, before an attempt
 // takes a connection and again when a dialed one has come up; wherever the request has waited until then, nothing is
-// written in between. TestUnreadEndStopsTheSend, TestEndBehindReadAheadStopsTheSend.
+// written in between. TestUnreadCloseOfAClientPreventsForwarding, TestDisconnectBehindReadAheadPreventsForwarding.
 func (up *upstream) endIfClientLeft(attempt *backendAttempt) bool {
 	left := attempt.clientLeft()
 	if left {
