--- a/internal/gateway/budget/budget.go
+++ b/internal/gateway/budget/budget.go
@@ -1,29 +1,33 @@
 // Package budget divides a gateway's descriptors and memory (limits.sockets and limits.memory_mb of its configuration)
-// among clients, backends and all else, so that a crowd of clients never takes what backends, discovery and the counter
-// need.
+// among clients, backends and everything else, so that many clients cannot use up what backends, discovery and the
+// counter need.
 package budget
 
 const (
 	backendShare   = 0.28 // of the descriptors, for connections to backends
-	clientShare    = 0.62 // of the descriptors, for clients at most
-	minClientShare = 0.5  // of the descriptors, for clients at least
+	clientShare    = 0.62 // of the descriptors, upper bound for clients
+	minClientShare = 0.5  // of the descriptors, lower bound for clients
 
-	// reserved descriptors belong to neither clients nor backends: 8 for the listener, the poller, the log and the
-	// runtime, 4 each for discovery and the counter and as many at their addresses before, one for the connection that
-	// is being accepted and one for the configuration; some are left for what the system loads with the program.
+	// reserved is the number of descriptors that neither clients nor backends may use:
+	//   - 8 for the listener, the poller, the log and the runtime;
+	//   - 4 each for discovery and the counter, and as many for their previous addresses after a reload;
+	//   - 1 for the connection that is being accepted;
+	//   - 1 for the configuration;
+	//   - the rest for what the system opens when it loads the program.
 	reserved = 32
 
-	// ConnsPerRejected is for how many connections of clients one more may be held that was rejected for want of room, and
-	// on which the rest of what the client sent is read.
+	// ConnsPerRejected is the ratio of client connections to rejected connections that may be held open. A connection that
+	// was rejected for lack of capacity is held open while the client's remaining input is read.
 	ConnsPerRejected = 32
 
-	defaultConns = 400 // for clients and for backends each, where the configuration sets no limit
+	defaultConns = 400 // for clients and for backends each, if the configuration sets no limit
 
-	clientMemoryShare   = 0.25     // of the memory limit, for what clients make the gateway hold (Bytes)
-	defaultClientMemory = 32 << 20 // bytes, where the configuration sets no limit
+	clientMemoryShare   = 0.25     // of the memory limit, for memory used on behalf of clients (Bytes)
+	defaultClientMemory = 32 << 20 // bytes, if the configuration sets no limit
 )
 
-// BackendConns returns how many connections to backends may be open with so many descriptors; 0: no limit is set.
+// BackendConns returns the limit on open connections to backends, given the limit on descriptors. 0 descriptors means that
+// the configuration sets no limit.
 func BackendConns(descriptors int) int {
 	if descriptors == 0 {
 		return defaultConns
@@ -31,11 +35,13 @@
 	return max(1, int(float64(descriptors)*backendShare))
 }
 
-// ClientConns returns how many connections of clients may be open, so that with those that are being rejected and the
-// backends' share the others always find descriptors. Descriptors 0: no limit is set.
+// ClientConns returns the limit on open client connections. Together with the rejected connections that are held open and
+// the backends' share it always leaves the reserved descriptors free. 0 descriptors means that the configuration sets no
+// limit.
 //
-// At the smallest limits (256 to some 300 descriptors) the plain shares and all else would add up to more than the
-// limit: idle clients would keep discovery and the counter from coming back ("too many open files").
+// At the smallest limits (256 to about 300 descriptors) the client and backend shares plus the reserved descriptors would
+// exceed the limit, and idle clients would keep the gateway from reconnecting to discovery and the counter ("too many
+// open files"). The clients' share is therefore reduced there.
 func ClientConns(descriptors, backendConns int) int64 {
 	if descriptors <= 0 {
 		return defaultConns
@@ -47,10 +53,11 @@
 	return max(1, int64(share))
 }
 
-// RejectedConns returns how many rejected connections may be held beside so many connections of clients.
+// RejectedConns returns the limit on rejected connections held open, given the limit on client connections.
 func RejectedConns(clientConns int64) int64 { return clientConns / ConnsPerRejected }
 
-// ClientMemory returns how many bytes clients may make the gateway hold, with a memory limit in MB; 0: no limit is set.
+// ClientMemory returns the limit in bytes on memory used on behalf of clients, given the memory limit in MB. 0 MB means
+// that the configuration sets no limit.
 func ClientMemory(memoryMB int) int64 {
 	memory := float64(memoryMB<<20) * clientMemoryShare
 	if memory <= 0 {
--- a/internal/gateway/budget/bytes.go
+++ b/internal/gateway/budget/bytes.go
@@ -2,17 +2,17 @@
 
 import "sync/atomic"
 
-// Bytes bounds the memory that all clients together make the gateway hold: the buffers of long commands, the requests
-// that are not answered and the replies that are not written. It is safe for concurrent use.
+// Bytes limits the memory used on behalf of all clients together: the buffers of long commands, unanswered requests and
+// unwritten replies. It is safe for concurrent use.
 type Bytes struct {
 	limit int64
 	held  atomic.Int64
 }
 
-// NewBytes returns a budget of so many bytes.
+// NewBytes returns a budget with the given limit in bytes.
 func NewBytes(limit int64) *Bytes { return &Bytes{limit: limit} }
 
-// Reserve holds n more bytes if that stays within the limit, and says whether it did.
+// Reserve reserves n bytes and returns true, or reserves nothing and returns false if that would exceed the limit.
 func (budget *Bytes) Reserve(n int64) bool {
 	if budget.held.Add(n) > budget.limit {
 		budget.held.Add(-n)
@@ -21,14 +21,14 @@
 	return true
 }
 
-// Adjust holds n more bytes, or fewer where n is negative, whatever the limit.
+// Adjust adds n, which may be negative, to the reserved bytes without checking the limit.
 func (budget *Bytes) Adjust(n int64) { budget.held.Add(n) }
 
-// Release gives n bytes back.
+// Release releases n reserved bytes.
 func (budget *Bytes) Release(n int64) { budget.held.Add(-n) }
 
-// Exceeded says whether more than the limit is held, which only Adjust can bring about.
+// Exceeded reports whether more than the limit is reserved, which only Adjust can cause.
 func (budget *Bytes) Exceeded() bool { return budget.held.Load() > budget.limit }
 
-// Held returns how many bytes are held.
+// Held returns the number of reserved bytes.
 func (budget *Bytes) Held() int64 { return budget.held.Load() }
--- a/internal/gateway/protocol/answer.go
+++ b/internal/gateway/protocol/answer.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// Replies to clients, beside the values of backends.
+// Replies to clients that the gateway itself gives. Values of backends are passed on as they are.
 const (
 	Pong              = "+PONG\r\n"
-	NoBackendKnown    = "-LOADING no backend is known yet\r\n" // to a PING: requests would wait
-	OutOfService      = "-LOADING out of service\r\n"          // to a PING: the audit has suspended the gateway
-	Failed            = "-ERR failed\r\n"                      // it may have run, and must not run again
-	NoAnswerInTime    = "-ERR no answer in time\r\n"           // the gateway gave it up; it may have run
+	NoBackendKnown    = "-LOADING no backend is known yet\r\n" // to PING: requests would have to wait
+	OutOfService      = "-LOADING out of service\r\n"          // to PING: the audit has taken the gateway out of service
+	Failed            = "-ERR failed\r\n"                      // the request may have run, and must not be retried
+	NoAnswerInTime    = "-ERR no answer in time\r\n"           // the gateway has timed out; the request may have run
 	IDInUse           = "-ERR the id is that of an open request\r\n"
 	ProtocolError     = "-ERR Protocol error\r\n"
 	NotBulkStrings    = "-ERR Protocol error: expected an array of bulk strings\r\n"
@@ -20,15 +20,16 @@
 	CommandIncomplete = "-ERR the command has not come in time\r\n"
 )
 
-// Error answers a request that Parse could not read.
+// Error returns the reply to a request for which Parse returned the error.
 func Error(err error) string { return "-ERR " + err.Error() + "\r\n" }
 
-// UnknownCommand answers a command of this name, as it came.
+// UnknownCommand returns the reply to an unknown command. name is the command's name as received.
 func UnknownCommand(name []byte) string {
 	return fmt.Sprintf("-ERR unknown command '%.40s'\r\n", printable(name))
 }
 
-// Busy is a rejection, with the time to stay away in whole milliseconds; 0: none is told.
+// Busy returns a rejection. It tells the client to wait for retryAfter, rounded up to whole milliseconds, before it sends
+// another request; at 0 the rejection states no delay.
 func Busy(retryAfter time.Duration) []byte {
 	if retryAfter <= 0 {
 		return []byte("-BUSY\r\n")
--- a/internal/gateway/protocol/command.go
+++ b/internal/gateway/protocol/command.go
@@ -7,18 +7,19 @@
 	"github.com/tidwall/redcon"
 )
 
-// Commands of the clients, in upper case.
+// Commands that clients send, in upper case.
 const (
 	CommandPing = "PING"
 	CommandAsk  = "Q.ASK" // for classes whose requests are idempotent
-	CommandDo   = "Q.DO"  // for the other classes
+	CommandDo   = "Q.DO"  // for all other classes
 )
 
-// HealthCheck is the command that asks a backend whether it answers.
+// HealthCheck is the command that the gateway sends to check whether a backend responds.
 const HealthCheck = "*1\r\n$4\r\nPING\r\n"
 
-// Arguments returns a copy of the bulk strings of a command, and whether it is an array of these.
-func Arguments(message redcon.RESP) ([][]byte, bool) {
+// Arguments returns a copy of the bulk strings of a command. ok is false if the command is not a non-empty array of bulk
+// strings.
+func Arguments(message redcon.RESP) (arguments [][]byte, ok bool) {
 	if message.Type != redcon.Array || message.Count < 1 {
 		return nil, false
 	}
@@ -35,7 +36,8 @@
 	return args, true
 }
 
-// printable makes what a client sent fit for an error line or the log.
+// printable replaces every character outside printable ASCII by '?', so that a client's text can be put into an error
+// reply or the log.
 func printable(text []byte) string {
 	return strings.Map(func(char rune) rune {
 		if char < ' ' || char > '~' {
--- a/internal/gateway/protocol/doc.go
+++ b/internal/gateway/protocol/doc.go
@@ -1,5 +1,6 @@
-// Package protocol reads and writes what clients, the gateway and backends send each other: the commands of clients, the
-// replies to them, and the replies of backends. The operators' page PROTOCOL-bellwood, which is not in this repository,
-// describes it. The protocol's own words (spread, units, d and the like) stand here and nowhere else in the gateway. The
-// package has no state; all is safe for concurrent use.
+// Package protocol parses and formats the messages between clients, the gateway and backends: commands of clients,
+// replies to clients, and replies of backends. The operators' page PROTOCOL-bellwood, which is not in this repository,
+// specifies the protocol. The names that the protocol uses on the wire (spread, units, d and so on) appear only in this
+// package; the rest of the gateway uses the Go names defined here. The package has no state, and everything in it is safe
+// for concurrent use.
 package protocol
--- a/internal/gateway/protocol/parser.go
+++ b/internal/gateway/protocol/parser.go
@@ -13,74 +13,76 @@
 	"bellwood/internal/simprotocol"
 )
 
-// Names of a request's fields on the wire. Others are passed on to the backend.
+// Names of request fields on the wire. Any other field is passed on to the backend unchanged.
 const (
 	fieldClass        = "c"
 	fieldPlan         = "t"
-	fieldTimeLeft     = "d" // how long the client waits, in ms
+	fieldTimeLeft     = "d" // how long the client will wait, in ms
 	fieldKey          = "k" // the idempotency key
-	fieldRetry        = "r" // 1: the client sends the request again
+	fieldRetry        = "r" // 1 if the client has sent the request before
 	fieldCost         = "units"
-	fieldGateways     = "spread" // over how many gateways the tenant's requests are spread
-	fieldFirstGateway = "first"  // the index of the first of these
+	fieldGateways     = "spread" // number of gateways among which the tenant's requests are distributed
+	fieldFirstGateway = "first"  // index of the first of these gateways
 )
 
 const (
-	timeLeftTolerance     = time.Second // by which a client may say it waits longer than its class's time
-	defaultMaxRequestCost = 1e9         // units of a request, where the settings do not say
-	typicalFieldCount     = 16          // names of so many fields are kept without an allocation
-	tenantDigits          = 16          // hex digits of a tenant's name
-	tenantLimit           = 1 << 33     // names of tenants, as numbers, are below this
+	timeLeftTolerance     = time.Second // a client's d may exceed the timeout of its class by this much
+	defaultMaxRequestCost = 1e9         // in units, if the settings give no limit
+	typicalFieldCount     = 16          // field names up to this number need no allocation
+	tenantDigits          = 16          // hex digits in a tenant's name
+	tenantLimit           = 1 << 33     // upper bound, exclusive, of a tenant's name as a number
 )
 
-// What is wrong with a request; clients get these texts behind -ERR.
+// Errors of Parse. Clients receive these texts after -ERR.
 var (
-	errTenant       = errors.New("the customer is not 16 hex digits") // or they are not below tenantLimit
+	errTenant       = errors.New("the customer is not 16 hex digits") // or the number is not below tenantLimit
 	errEmptyID      = errors.New("the id is empty")
 	errFieldMissing = errors.New("one of c, t, d, units, spread and first is missing")
 	errKeyMissing   = errors.New("k is missing")
 )
 
-// argumentCountError says that a command has too few or too many arguments.
+// argumentCountError reports that a command has too few or too many arguments.
 type argumentCountError struct{ command string }
 
 func (err argumentCountError) Error() string {
 	return fmt.Sprintf("wrong number of arguments for '%s'", err.command)
 }
 
-// duplicateFieldError says that a field is given twice.
+// duplicateFieldError reports that a field is given twice.
 type duplicateFieldError struct{ field string }
 
 func (err duplicateFieldError) Error() string {
 	return printable([]byte(err.field)) + " is given twice"
 }
 
-// malformedFieldError says that a field's value can't be read, or is outside its limits.
+// malformedFieldError reports that a field's value is malformed or out of range.
 type malformedFieldError struct{ field string }
 
 func (err malformedFieldError) Error() string {
 	return "ill-formed or unknown " + printable([]byte(err.field))
 }
 
-// wrongCommandError says that a request of its class does not come by this command.
+// wrongCommandError reports that requests of this class must use the other command.
 type wrongCommandError struct{ command string }
 
 func (err wrongCommandError) Error() string { return "class not served by " + err.command }
 
-// Parser reads requests by the settings' names and limits. It is safe for concurrent use: it only reads them.
+// Parser parses requests with the names and limits of the settings. It only reads its fields, so it is safe for
+// concurrent use.
 type Parser struct {
 	Settings  *policy.Settings
 	Transport *simprotocol.Transport
 }
 
-// seenFields says which fields of a request were given, beside those that a Request keeps.
+// seenFields records which fields a request contains, as far as the Request itself does not show it.
 type seenFields struct {
 	names            []string
 	hasKey, hasFirst bool
 }
 
-// Parse reads a request that came by a command, whose name is given in upper case, with its arguments, the name among
-// them. The request keeps the arguments. The error's text is fit for the client. A request that can't be read is not forwarded.
+// Parse parses a request. command is the command's name in upper case; args are all its arguments, beginning with the
+// name as received. The Request keeps args. The text of the error can be sent to the client; the request must then not be
+// forwarded.
 func (parser *Parser) Parse(command string, args [][]byte) (*Request, error) {
 	if len(args) != 4 && len(args) != 5 {
 		return nil, argumentCountError{command}
@@ -105,7 +107,7 @@
 	return request, nil
 }
 
-// parseFields reads the list of fields. One that is given twice is an error, as a backend may read the other one.
+// parseFields parses the list of fields. A duplicate field is an error, because a backend might use the other value.
 func (parser *Parser) parseFields(request *Request, seen *seenFields, list string) error {
 	for at := 0; at <= len(list); {
 		item, _, _ := strings.Cut(list[at:], ",")
@@ -125,7 +127,7 @@
 	return nil
 }
 
-// parseField reads one field and says whether its value can be used.
+// parseField parses one field, and reports whether its value is valid. It accepts any value of an unknown field.
 func (parser *Parser) parseField(request *Request, seen *seenFields, name, value string) (ok bool) {
 	switch name {
 	case fieldClass:
@@ -159,12 +161,13 @@
 	return true
 }
 
-// validate says what is wrong with a request whose fields can all be read.
+// validate checks a request whose fields are all valid by themselves. It requires the mandatory fields, and checks the
+// time left, the command and the idempotency key against the request's class.
 func (parser *Parser) validate(request *Request, seen seenFields, command string) error {
-	if request.missesRequiredField() || !seen.hasFirst {
+	if request.lacksRequiredField() || !seen.hasFirst {
 		return errFieldMissing
 	}
-	// A request and its timers are kept for as long as the client says that it waits.
+	// Limits the time left, because the request and its timers are kept for that long.
 	class := &parser.Settings.Classes[request.Class]
 	if class.ClientTimeout > 0 && request.TimeLeft > class.ClientTimeout+timeLeftTolerance {
 		return malformedFieldError{fieldTimeLeft}
--- a/internal/gateway/protocol/protocol_test.go
+++ b/internal/gateway/protocol/protocol_test.go
@@ -11,8 +11,8 @@
 	"bellwood/internal/policy"
 )
 
-// A reply is read whatever a backend makes of it; what is none to a request is marked.
-func TestReadReply(t *testing.T) {
+// ReadReply accepts any message of a backend, and marks those that are not valid replies to a request as Unexpected.
+func TestReadReplyAcceptsAnyMessage(t *testing.T) {
 	for text, want := range map[string]Reply{
 		"*3\r\n$2\r\nhi\r\n$14\r\nused=37,cost=4\r\n$-1\r\n": {Status: policy.OK, Value: []byte("$2\r\nhi\r\n"), QuotaUsage: 38, Cost: 4},
 		"*3\r\n$0\r\n\r\n$-1\r\n$-1\r\n":                     {Status: policy.OK, Value: []byte("$0\r\n\r\n")},
@@ -29,21 +29,23 @@
 	} {
 		n, m := redcon.ReadNextRESP([]byte(text))
 		if got := ReadReply(m); n != len(text) || fmt.Sprint(got) != fmt.Sprint(want) {
-			t.Errorf("%q: got %+v, want %+v", text, got, want)
+			t.Errorf("ReadReply(%q): got %+v, want %+v", text, got, want)
 		}
 	}
 }
 
-// A rejection tells whole milliseconds, rounded up; none where no pause is wanted.
-func TestBusyReply(t *testing.T) {
-	for pause, want := range map[time.Duration]string{0: "-BUSY\r\n", 1: "-BUSY 1\r\n", 250 * time.Millisecond: "-BUSY 250\r\n"} {
-		if got := string(Busy(pause)); got != want {
-			t.Errorf("%v: %q", pause, got)
+// A rejection states the delay in whole milliseconds, rounded up, or no delay for 0.
+func TestBusyRoundsTheDelayUpToMilliseconds(t *testing.T) {
+	for retryAfter, want := range map[time.Duration]string{
+		0: "-BUSY\r\n", 1: "-BUSY 1\r\n", 250 * time.Millisecond: "-BUSY 250\r\n",
+	} {
+		if got := string(Busy(retryAfter)); got != want {
+			t.Errorf("Busy(%v): got %q, want %q", retryAfter, got, want)
 		}
 	}
 }
 
-// A client may give any bytes as an id. What the log shows of it is bounded, and harms no terminal.
+// A client may send any bytes as an id. The logged form has a limited length and contains no control characters.
 func TestLoggedIDIsPrintableAndBounded(t *testing.T) {
 	for id, want := range map[string]string{
 		"9b1f03aa5c7e2d41":          "9b1f03aa5c7e2d41",
@@ -52,7 +54,7 @@
 	} {
 		request := Request{args: [][]byte{argumentID: []byte(id)}}
 		if got := request.PrintableID(); got != want {
-			t.Errorf("%.20q: %q", id, got)
+			t.Errorf("PrintableID of id %.20q: got %q, want %q", id, got, want)
 		}
 	}
 }
--- a/internal/gateway/protocol/reply.go
+++ b/internal/gateway/protocol/reply.go
@@ -16,22 +16,22 @@
 	metricCost       = "cost=" // of the request, where it is settled on the response
 )
 
-// maxQuotaUsage, in percent, is the bound from which on a reported usage is not believed.
+// maxQuotaUsage, in percent, is the upper bound of plausible usage; a report at or above it is ignored.
 const maxQuotaUsage = 1e6
 
-// Reply is what a backend sent for one command.
+// Reply is a backend's reply to one command.
 type Reply struct {
 	Status        policy.Status
-	Value         []byte  // as a bulk string, to be passed on
-	QuotaUsage    int     // 1 + percent of the quota used; 0: not reported
-	Cost          float64 // in units; 0: not reported
-	Unexpected    bool    // it is no reply to a request
-	SimpleString  bool    // it is a simple string; any is taken for the reply to a health check
-	TrailingBytes bool    // more bytes came behind it
+	Value         []byte  // an encoded bulk string, passed on to the client as it is
+	QuotaUsage    int     // 1 + percentage of the tenant's quota in use; 0 if not reported
+	Cost          float64 // in units; 0 if not reported
+	Unexpected    bool    // it is not a valid reply to a request
+	SimpleString  bool    // it is a simple string; any simple string counts as the reply to a health check
+	TrailingBytes bool    // more bytes followed it
 }
 
-// ReadReply reads a reply: an array of the value, the metrics and the load report, or an error line with the metrics
-// behind its first word.
+// ReadReply interprets a message of a backend as a reply. A reply is either an array of the value, the metrics and the
+// load report, or an error line whose first word may be followed by metrics.
 func ReadReply(message redcon.RESP) Reply {
 	switch message.Type {
 	case redcon.Error:
@@ -44,7 +44,7 @@
 	return Reply{Status: policy.Failed, Unexpected: true}
 }
 
-// readErrorReply reads the line of an error.
+// readErrorReply interprets an error line.
 func readErrorReply(line []byte) Reply {
 	reply := Reply{Status: policy.Failed}
 	switch word, _, _ := bytes.Cut(line, []byte{' '}); string(word) {
@@ -62,7 +62,7 @@
 	return reply
 }
 
-// readValueReply reads an array. The load report, the third item, is not used.
+// readValueReply interprets an array. Its third item, the load report, is ignored.
 func readValueReply(message redcon.RESP) Reply {
 	reply := Reply{Status: policy.Failed, Unexpected: true}
 	i := 0
@@ -79,7 +79,8 @@
 	return reply
 }
 
-// quotaUsage finds the usage in a list of metrics, as the engine wants it: 1 more than the percent; 0: there is none.
+// quotaUsage returns the quota usage from a list of metrics in the form that policy expects: the percentage plus 1, or 0
+// if it is not reported.
 func quotaUsage(metrics []byte) int {
 	if percent, ok := findMetric(metrics, metricQuotaUsage); ok && percent < maxQuotaUsage {
 		return int(percent) + 1
@@ -87,7 +88,7 @@
 	return 0
 }
 
-// findMetric finds the first number of a name in a list of metrics.
+// findMetric returns the first valid number with the given name, including its "=", in a list of metrics.
 func findMetric(metrics []byte, name string) (float64, bool) {
 	for item := range bytes.SplitSeq(metrics, []byte{','}) {
 		if text, ok := bytes.CutPrefix(item, []byte(name)); ok {
@@ -99,8 +100,8 @@
 	return 0, false
 }
 
-// parseDecimal reads a number in plain digits. What the standard library takes besides, such as signs, exponents and
-// hex, a backend may read otherwise.
+// parseDecimal parses a number in plain decimal notation. It rejects the other notations that strconv accepts, such as
+// signs, exponents and hexadecimal, because a backend may interpret them differently.
 func parseDecimal(text string) (float64, bool) {
 	if strings.Trim(text, "0123456789.") != "" {
 		return 0, false
--- a/internal/gateway/rawsocket/rawsocket.go
+++ b/internal/gateway/rawsocket/rawsocket.go
@@ -1,5 +1,5 @@
-// Package rawsocket asks and writes a TCP socket directly, without waiting and beside a goroutine that reads from the
-// same connection. Connections that have no socket of the operating system (those of tests) are taken as open and
+// Package rawsocket inspects and writes to TCP sockets directly, without blocking, while another goroutine may be reading
+// from the same connection. Connections without an operating system socket, as some tests use, are treated as open and
 // quiet, and WriteAvailable writes nothing to them.
 package rawsocket
 
@@ -8,8 +8,8 @@
 	"syscall"
 )
 
-// WriteAvailable writes what the socket takes at once, without waiting, and returns how many bytes that was. It spares
-// a goroutine for each short message. Nothing else may be writing to the connection.
+// WriteAvailable writes as much as the socket accepts without waiting, and returns the number of bytes written. It avoids
+// a goroutine for each short message. No other goroutine may be writing to the connection.
 func WriteAvailable(conn net.Conn, data []byte) (int, error) {
 	sysConn, ok := conn.(syscall.Conn)
 	if !ok {
@@ -23,7 +23,7 @@
 	var writeErr error
 	err = rawConn.Write(func(fd uintptr) bool {
 		written, writeErr = writeUntilFull(int(fd), data)
-		return true // never wait
+		return true // do not wait until the socket is writable
 	})
 	if err != nil {
 		return written, err
@@ -31,7 +31,7 @@
 	return written, writeErr
 }
 
-// writeUntilFull writes until all is written, the socket takes no more, or it fails.
+// writeUntilFull writes until all data is written, the socket's send buffer is full, or an error occurs.
 func writeUntilFull(fd int, data []byte) (written int, failure error) {
 	for written < len(data) {
 		n, err := syscall.Write(fd, data[written:])
@@ -51,31 +51,32 @@
 	return written, failure
 }
 
-// States of a TCP connection as getsockopt's TCP_INFO gives them in its first byte (linux/tcp.h).
+// States of a TCP connection, from the first byte of getsockopt's TCP_INFO (linux/tcp.h).
 const (
-	tcpClose     = 7 // reset
-	tcpCloseWait = 8 // the other side has ended it
+	tcpClose     = 7 // the connection was reset
+	tcpCloseWait = 8 // the peer has closed the connection
 )
 
-// PeerClosed says whether the other side has ended the connection, also where what it sent before lies unread. Where the
-// system does not tell, the connection counts as open; one that is closed on this side counts as ended.
+// PeerClosed reports whether the peer has closed or reset the connection, even if data that it sent before is still
+// unread. If the system does not provide the state, the connection counts as open. A connection that is closed on this
+// side counts as closed.
 func PeerClosed(conn net.Conn) bool {
-	ended := false
+	closed := false
 	known, err := peek(conn, func(fd, n int, err error) {
 		switch {
 		case err == syscall.EAGAIN || err == syscall.EINTR:
 		case err != nil || n == 0:
-			ended = true
-		default: // the end, if there is one, stands behind these bytes
+			closed = true
+		default: // unread data precedes the end of the stream, so ask for the TCP state
 			info, err := syscall.GetsockoptInt(fd, syscall.IPPROTO_TCP, syscall.TCP_INFO)
 			state := info & 0xff
-			ended = err == nil && (state == tcpClose || state == tcpCloseWait)
+			closed = err == nil && (state == tcpClose || state == tcpCloseWait)
 		}
 	})
-	return known && (ended || err != nil)
+	return known && (closed || err != nil)
 }
 
-// Quiet says whether the other side has neither sent anything that lies unread nor ended the connection.
+// Quiet reports whether the socket holds no unread data and the peer has not closed the connection.
 func Quiet(conn net.Conn) bool {
 	quiet := false
 	known, err := peek(conn, func(_, _ int, err error) {
@@ -84,9 +85,10 @@
 	return !known || err == nil && quiet
 }
 
-// peek looks at the first byte that lies unread in a socket, without waiting, and hands on how many there were and the
-// socket's error. It says whether the connection has a socket that can be looked at, and errs on one that is closed.
-func peek(conn net.Conn, seen func(fd, n int, err error)) (known bool, err error) {
+// peek tries to read one byte from the socket without removing it and without waiting, and passes the number of bytes and
+// the error to result. known is false if the connection has no operating system socket; err is set if the connection is
+// closed on this side.
+func peek(conn net.Conn, result func(fd, n int, err error)) (known bool, err error) {
 	sysConn, ok := conn.(syscall.Conn)
 	if !ok {
 		return false, nil
@@ -98,6 +100,6 @@
 	return true, rawConn.Control(func(fd uintptr) {
 		var first [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), first[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		seen(int(fd), n, err)
+		result(int(fd), n, err)
 	})
 }
--- a/internal/gateway/rawsocket/rawsocket_test.go
+++ b/internal/gateway/rawsocket/rawsocket_test.go
@@ -6,26 +6,26 @@
 	"time"
 )
 
-// testTimeout bounds every wait; none is expected to take a noticeable part of it.
+// testTimeout limits every wait. No wait is expected to come close to it.
 const testTimeout = 20 * time.Second
 
-// Bytes have come on an idle connection, and its reader has not run since. The socket itself knows.
+// Quiet detects unread bytes in the socket although no reader has run since they arrived.
 func TestQuietSeesUnreadBytes(t *testing.T) {
 	conn, peer := newPair(t)
 	if !Quiet(conn) {
-		t.Error("nothing has come, and it is not quiet")
+		t.Error("Quiet is false before anything was sent")
 	}
 	if _, err := peer.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
 	for end := time.Now().Add(testTimeout); Quiet(conn); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("what has come is not seen")
+			t.Fatal("Quiet stays true after a byte was sent")
 		}
 	}
 }
 
-// newPair returns both ends of a TCP connection.
+// newPair returns the two ends of a TCP connection.
 func newPair(t *testing.T) (conn, peer net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
