--- a/internal/gateway/clientdisconnect_test.go
+++ b/internal/gateway/clientdisconnect_test.go
@@ -13,15 +13,15 @@
 	"bellwood/internal/resp"
 )
 
-// With as many commands open on a connection as may be, and as much read ahead, the reader waits and reads no further:
-// it does not see that the client leaves. The end behind all that is seen when one of the requests is to be forwarded.
+// When maxPipelined commands are open on a connection and the read-ahead buffer is full, the reader stops reading and
+// cannot detect a disconnect. The disconnect is then detected when one of the requests is about to be forwarded.
 func TestDisconnectBehindReadAheadPreventsForwarding(t *testing.T) {
-	many := ""
+	commands := ""
 	for i := range maxPipelined {
-		many += requestCommand(fmt.Sprint("r", i))
+		commands += requestCommand(fmt.Sprint("r", i))
 	}
-	for len(many) < maxPipelined*len(requestCommand("r"))+resp.MaxMessageBytes+(32<<10) {
-		many += requestCommand(fmt.Sprint("s", len(many)))
+	for len(commands) < maxPipelined*len(requestCommand("r"))+resp.MaxMessageBytes+(32<<10) {
+		commands += requestCommand(fmt.Sprint("s", len(commands)))
 	}
 	for how, end := range clientEnds {
 		t.Run(how, func(t *testing.T) {
@@ -29,7 +29,7 @@
 			server := newIdleServer(t, ln.Addr().String())
 			conn, client := newClientPair(t, server)
 			go conn.serve()
-			client.write(many)
+			client.write(commands)
 			runTasksUntil(t, server, func() bool { return len(server.requests.byID) == maxPipelined })
 			end(client)
 			waitForEnd(t, conn)
@@ -39,31 +39,31 @@
 				break
 			}
 			if len(attemptResults(server)) == 0 {
-				t.Fatal("it is forwarded")
+				t.Fatal("the request was forwarded")
 			}
 			wantResult(t, server, policy.NotSent)
 			runTasksUntil(t, server, func() bool { return len(server.requests.byID) == 0 && len(server.downstream.conns) == 0 })
 			if held := server.downstream.memory.Held(); held != 0 || server.upstream.connCount != 0 {
-				t.Errorf("%d bytes and %d connections are kept", held, server.upstream.connCount)
+				t.Errorf("%d bytes and %d backend connections remain, want none", held, server.upstream.connCount)
 			}
 		})
 	}
 }
 
-// A client leaves while its request waits, wherever in the gateway that is. A request forwarded then would cost a
-// backend work that nobody waits for, and counts against the gateway. So what is forwarded next must be what another
-// client asks afterwards.
+// A client disconnects while its request waits, at each place in the gateway where a request can wait. Forwarding it
+// would make a backend do work that nobody waits for, and would count against the gateway. So the next command that a
+// backend receives must be a request that another client sends afterwards.
 func TestWaitingRequestOfADisconnectedClientIsNotForwarded(t *testing.T) {
-	for name, leaveWaiting := range map[string]func(*disconnectTest){
-		"posted to the loop":       (*disconnectTest).leaveWhilePosted,
-		"in a queue":               (*disconnectTest).leaveWhileQueued,
-		"before a retry":           (*disconnectTest).leaveBeforeRetry,
-		"as its connection breaks": (*disconnectTest).leaveAsConnectionBreaks,
+	for name, disconnectWhileWaiting := range map[string]func(*disconnectTest){
+		"posted to the loop":                 (*disconnectTest).disconnectWhilePosted,
+		"in a queue":                         (*disconnectTest).disconnectWhileQueued,
+		"before a retry":                     (*disconnectTest).disconnectBeforeRetry,
+		"while its backend connection fails": (*disconnectTest).disconnectDuringBackendReset,
 	} {
 		t.Run(name, func(t *testing.T) {
 			gateway, ln := startWithBackend(t, withoutSettleTime)
 			test := newDisconnectTest(t, gateway, emulateBackend(t, ln))
-			leaveWaiting(test)
+			disconnectWhileWaiting(test)
 			gateway.until(func() bool { return len(gateway.server.requests.byID) == 0 })
 			test.wantOnlyLaterRequest()
 		})
@@ -73,76 +73,79 @@
 		gateway := startGateway(t, nil)
 		test := newDisconnectTest(t, gateway, emulateBackend(t, ln))
 		test.sendRequest()
-		test.leave()
+		test.disconnect()
 		gateway.listUpdates <- endpointList(2, ln.Addr().String())
 		gateway.until(func() bool { return len(gateway.server.upstream.pools) == 1 })
 		test.wantOnlyLaterRequest()
 	})
 }
 
-// disconnectTest is a client that leaves while its request waits, and another one that stays.
+// disconnectTest is a client that disconnects while its request waits, and another client that stays connected.
 type disconnectTest struct {
-	t                *testing.T
-	gateway          *testGateway
-	received         <-chan receivedCommand // by the backend
-	leaving, staying *peer
+	t             *testing.T
+	gateway       *testGateway
+	received      <-chan receivedCommand // by the backend
+	disconnecting *peer
+	connected     *peer
 }
 
 func newDisconnectTest(t *testing.T, gateway *testGateway, received <-chan receivedCommand) *disconnectTest {
 	t.Helper()
-	return &disconnectTest{t: t, gateway: gateway, received: received, leaving: gateway.dial(), staying: gateway.dial()}
+	return &disconnectTest{t: t, gateway: gateway, received: received, disconnecting: gateway.dial(),
+		connected: gateway.dial()}
 }
 
-// sendRequest lets the client that leaves send its request, and waits until the loop has it.
+// sendRequest sends the request of the disconnecting client, and waits until the event loop has received it.
 func (test *disconnectTest) sendRequest() {
 	test.t.Helper()
-	test.leaving.sendRequest("victim")
-	test.gateway.until(func() bool { return test.gateway.server.requests.clientIDInUse["victim"] })
+	test.disconnecting.sendRequest("disconnected")
+	test.gateway.until(func() bool { return test.gateway.server.requests.clientIDInUse["disconnected"] })
 }
 
-// leave lets the client leave, and waits until the loop knows.
-func (test *disconnectTest) leave() {
+// disconnect closes the client's connection, and waits until the event loop has been notified.
+func (test *disconnectTest) disconnect() {
 	test.t.Helper()
-	test.leaving.socket.Close()
-	test.gateway.until(func() bool { return !test.gateway.server.requests.clientIDInUse["victim"] })
+	test.disconnecting.socket.Close()
+	test.gateway.until(func() bool { return !test.gateway.server.requests.clientIDInUse["disconnected"] })
 }
 
-// wantOnlyLaterRequest fails unless the next command that the backend gets is a request sent from now on.
+// wantOnlyLaterRequest fails unless the next command that the backend receives is a request that the other client sends
+// now.
 func (test *disconnectTest) wantOnlyLaterRequest() {
 	test.t.Helper()
-	test.staying.sendRequest("marker")
-	wantNextCommand(test.t, test.received, "marker")
+	test.connected.sendRequest("later")
+	wantNextCommand(test.t, test.received, "later")
 }
 
-func (test *disconnectTest) leaveWhilePosted() {
+func (test *disconnectTest) disconnectWhilePosted() {
 	release := test.gateway.holdLoop()
-	test.leaving.sendRequest("victim")
-	test.leaving.socket.Close()
-	test.gateway.waitForTasks(2) // it has come, and gone
+	test.disconnecting.sendRequest("disconnected")
+	test.disconnecting.socket.Close()
+	test.gateway.waitForTasks(2) // the arrival of the request and the disconnect
 	release()
 }
 
-func (test *disconnectTest) leaveWhileQueued() {
+func (test *disconnectTest) disconnectWhileQueued() {
 	inFlight := test.fillConcurrencyLimit()
 	test.sendRequest()
-	test.leave()
+	test.disconnect()
 	for _, command := range inFlight {
 		command.replyWithValue()
 	}
 	for range inFlight {
-		test.staying.wants("value")
+		test.connected.wants("value")
 	}
-	nextCommand(test.t, test.received).replyWithValue() // the filler that waited
-	test.staying.wants("value")
+	nextCommand(test.t, test.received).replyWithValue() // the filler request that was queued
+	test.connected.wants("value")
 }
 
-// fillConcurrencyLimit sends requests until one waits for the backend's concurrency limit, and returns what the backend
-// has got.
+// fillConcurrencyLimit sends requests until one is queued because of the backend's concurrency limit. It returns the
+// commands that the backend has received.
 func (test *disconnectTest) fillConcurrencyLimit() (inFlight []receivedCommand) {
 	test.t.Helper()
 	for i := 0; ; i++ {
 		id := fmt.Sprint("filler", i)
-		test.staying.sendRequest(id)
+		test.connected.sendRequest(id)
 		test.gateway.until(func() bool { return test.gateway.server.requests.clientIDInUse[id] })
 		if test.attemptsOfOpenRequests() == i {
 			return inFlight
@@ -151,6 +154,7 @@
 	}
 }
 
+// attemptsOfOpenRequests returns the number of attempts that all open requests have made together.
 func (test *disconnectTest) attemptsOfOpenRequests() (attempts int) {
 	test.t.Helper()
 	test.gateway.until(func() bool {
@@ -163,40 +167,40 @@
 	return attempts
 }
 
-func (test *disconnectTest) leaveBeforeRetry() {
-	test.leaving.sendRequest("victim")
+func (test *disconnectTest) disconnectBeforeRetry() {
+	test.disconnecting.sendRequest("disconnected")
 	first := nextCommand(test.t, test.received)
-	test.staying.sendRequest("filler")
+	test.connected.sendRequest("filler")
 	other := nextCommand(test.t, test.received)
-	first.from.write("-BUSY\r\n") // which leaves a limit below one attempt, and the other one holds it
+	first.from.write("-BUSY\r\n") // reduces the limit so that the other attempt alone uses it up
 	test.gateway.until(func() bool {
-		request := openRequestByID(test.gateway.server, "victim")
+		request := openRequestByID(test.gateway.server, "disconnected")
 		return request != nil && len(request.attempts) == 1 && request.openAttempts == 0
 	})
-	test.leave()
+	test.disconnect()
 	other.replyWithValue()
-	test.staying.wants("value")
+	test.connected.wants("value")
 }
 
-func (test *disconnectTest) leaveAsConnectionBreaks() {
-	test.leaving.sendRequest("victim")
+func (test *disconnectTest) disconnectDuringBackendReset() {
+	test.disconnecting.sendRequest("disconnected")
 	first := nextCommand(test.t, test.received)
 	release := test.gateway.holdLoop()
 	first.from.reset()
 	test.gateway.waitForTasks(1)
-	test.leaving.socket.Close()
+	test.disconnecting.socket.Close()
 	test.gateway.waitForTasks(2)
 	release()
 }
 
-// A backend does not read, so only a part of a command is written to it when the client leaves. The rest is never
-// written, and the backend never gets the command whole.
+// The backend does not read, so only part of a command has been written to it when the client disconnects. The remainder
+// is not written, so the backend never receives the complete command.
 func TestPartiallyWrittenCommandIsNotCompletedAfterDisconnect(t *testing.T) {
-	small := newReservedPort(t)
-	if err := syscall.SetsockoptInt(int(small.file.Fd()), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 2048); err != nil {
+	port := newReservedPort(t)
+	if err := syscall.SetsockoptInt(int(port.file.Fd()), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 2048); err != nil {
 		t.Fatal(err)
 	}
-	ln := small.open(t, 16)
+	ln := port.open(t, 16)
 	server := newIdleServer(t, ln.Addr().String())
 	socket, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
@@ -205,7 +209,7 @@
 	socket.(*net.TCPConn).SetWriteBuffer(4096)
 	pool := server.upstream.pools["s-0"]
 	pooledConn := &backendConn{upstream: server.upstream, pool: pool, generation: pool.generation, socket: socket,
-		cancelDial: func() {}} // it has served before
+		cancelDial: func() {}} // an idle connection that has been used before
 	server.upstream.connCount++
 	pool.conns[pooledConn], pool.idle = true, append(pool.idle, pooledConn)
 	conn, client := newClientPair(t, server)
@@ -217,83 +221,83 @@
 		server.requests.addAttempt(request, policy.SendAttempt{ID: request.id, Backend: "s-0"})
 	}
 	if pooledConn.attempt == nil || pooledConn.writeState.Load() != commandBeingWritten {
-		t.Fatal("the command is not half written")
+		t.Fatal("the command is not partly written")
 	}
 	client.socket.Close()
 	runTasksUntil(t, server, func() bool { return len(server.requests.byID) == 0 })
 	wantResult(t, server, policy.Cancelled)
 	if !pooledConn.closed || server.upstream.connCount != 0 {
-		t.Error("the connection stays open")
+		t.Error("the gateway's end of the connection is still open")
 	}
 	if m, err := accept(t, ln).tryMessage(); err == nil {
-		t.Errorf("the backend got %.40q whole", m)
+		t.Errorf("the backend received the complete command %.40q", m)
 	} else if ne, ok := err.(net.Error); ok && ne.Timeout() {
-		t.Error("the backend's connection does not end")
+		t.Error("the backend's end of the connection is still open")
 	}
 }
 
-// A client leaves while the connection for its request comes up a second late. The dial is given up, and what the
-// backend gets next is another client's request.
+// A client disconnects while the backend connection for its request takes a second to establish. The dial is cancelled,
+// and the next command that the backend receives is another client's request.
 func TestDisconnectDuringASlowDialCancelsTheDial(t *testing.T) {
 	l := newLateListener(t)
 	gateway := startGateway(t, []string{l.listener.Addr().String()})
-	victim, other := gateway.dial(), gateway.dial()
-	victim.sendRequest("victim")
+	disconnecting, other := gateway.dial(), gateway.dial()
+	disconnecting.sendRequest("disconnected")
 	gateway.waitForDial()
-	victim.socket.Close()
+	disconnecting.socket.Close()
 	gateway.until(func() bool { return len(gateway.server.requests.byID) == 0 && gateway.server.upstream.connCount == 0 })
 	l.open()
 	received := emulateBackend(t, l.listener)
-	other.sendRequest("marker")
-	wantNextCommand(t, received, "marker")
+	other.sendRequest("later")
+	wantNextCommand(t, received, "later")
 }
 
-// The connection of an attempt comes up a second late. The attempt tells its backend what is left to the client then,
-// the first one and a retry.
+// The backend connection of an attempt takes a second to establish. The attempt, whether the first one or a retry, tells
+// the backend how much time the client has left once the connection is established.
 func TestSlowDialShortensTheForwardedTimeLeft(t *testing.T) {
-	const most, wait = 8 * time.Second, 300 * time.Millisecond
+	const timeLeft, wait = 8 * time.Second, 300 * time.Millisecond
 	l := newLateListener(t)
 	gateway := startGateway(t, []string{l.listener.Addr().String()})
 	client := gateway.dial()
-	client.command(requestWith("d=20000", fmt.Sprint("d=", most.Milliseconds()))...)
+	client.command(requestWith("d=20000", fmt.Sprint("d=", timeLeft.Milliseconds()))...)
 	gateway.until(func() bool { return gateway.server.requests.clientIDInUse["1"] })
-	come := time.Now() // or before
-	for _, which := range []string{"first", "second"} {
+	arrived := time.Now() // upper bound of the request's arrival
+	for _, attempt := range []string{"first", "second"} {
 		gateway.waitForDial()
 		time.Sleep(wait)
-		up := time.Now() // or later
+		established := time.Now() // lower bound of the time at which the connection is established
 		l.open()
 		backend := accept(t, l.listener)
 		m := backend.message()
-		told := 0
+		forwarded := 0
 		for _, item := range strings.Split(m[3], ",") {
-			fmt.Sscanf(item, "d=%d", &told)
+			fmt.Sscanf(item, "d=%d", &forwarded)
 		}
-		if left := most - up.Sub(come); told < 1 || time.Duration(told)*time.Millisecond > left {
-			t.Errorf("the %s attempt tells %d ms, and %v is left", which, told, left)
+		if left := timeLeft - established.Sub(arrived); forwarded < 1 || time.Duration(forwarded)*time.Millisecond > left {
+			t.Errorf("the %s attempt forwarded d=%d ms, want at most %v", attempt, forwarded, left)
 		}
 		l.close()
 		backend.reset()
 	}
 }
 
-// A client leaves while its request is open. Its end is seen wherever the reader stands: where it waits for the next
-// command or is within it, where more commands are open than may be, and behind one that could not be read. Where the end
-// is not seen, all that the client has asked is forwarded.
+// A client disconnects while its request is open. The disconnect is detected whether the reader waits for the next
+// command, is in the middle of one, waits because too many commands are open, or discards input after an invalid command.
+// If it were not detected, all requests of the client would be forwarded.
 func TestDisconnectIsDetectedInEveryReaderState(t *testing.T) {
 	request := func(i int) string { return requestCommand(fmt.Sprint("r", i)) }
-	many := ""
+	tooMany := ""
 	for i := range maxPipelined + 100 {
-		many += request(i)
+		tooMany += request(i)
 	}
 	for name, sent := range map[string]struct {
 		text string
 		open int
 	}{
-		"idle reader":    {request(0), 1},
-		"too many":       {many, maxPipelined},
-		"unreadable":     {request(0) + "nonsense\r\n", 1},
-		"half a command": {request(0) + request(1)[:20], 1},
+		"waiting for a command": {request(0), 1},
+		"too many open":         {tooMany, maxPipelined},
+		"invalid command":       {request(0) + "nonsense\r\n", 1},
+		"partial command":       {request(0) + request(1)[:20], 1},
 	} {
 		for _, end := range clientEnds {
 			server := newIdleServer(t, freeAddr(t))
@@ -304,32 +308,32 @@
 			end(client)
 			runTasksUntil(t, server, func() bool { return len(server.requests.byID) == 0 })
 			if n := len(server.downstream.conns); n != 0 {
-				t.Errorf("%s: %d connections are kept", name, n)
+				t.Errorf("%s: %d connections remain", name, n)
 			}
 			if held := server.downstream.memory.Held(); held != 0 {
-				t.Errorf("%s: %d bytes are kept", name, held)
+				t.Errorf("%s: %d bytes remain reserved", name, held)
 			}
 		}
 	}
 }
 
-// A client leaves during the pause after an unusable command. The pause ends with the connection, and keeps what it
-// read.
+// A client disconnects during the pause after an invalid command. The pause ends at once, and keeps the input that was
+// read meanwhile.
 func TestPauseEndsOnDisconnect(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
 	conn, client := newClientPair(t, server)
-	client.write("*1\r\n$4\r\nPI") // is kept
+	client.write("*1\r\n$4\r\nPI") // stays in the buffer
 	waitForBytes(t, conn.socket)
 	client.socket.Close()
 	if conn.pause(time.Hour) {
-		t.Error("the end is not seen")
+		t.Error("the disconnect was not detected")
 	}
 	if got := string(conn.commands.Buffered()); got != "*1\r\n$4\r\nPI" {
-		t.Errorf("kept %q", got)
+		t.Errorf("the buffer holds %q", got)
 	}
 }
 
-// What was read ahead while too many commands were open is taken when replies make room.
+// Commands that were read ahead while too many commands were open are processed once replies free capacity.
 func TestReadAheadIsProcessedOnceRepliesFreeCapacity(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
 	server.ready.Store(true)
@@ -339,7 +343,7 @@
 	for range maxPipelined {
 		client.write(respCommand("PING"))
 	}
-	client.write(respCommand("PI")) // it is answered last
+	client.write(respCommand("PI")) // this command is answered last
 	runTasksUntil(t, server, func() bool { return len(server.requests.byID) == 1 })
 	waitForReaderAwaitingCapacity(t, conn)
 	for _, request := range server.requests.byID {
@@ -352,28 +356,29 @@
 	client.wants("-ERR unknown command 'PI'")
 }
 
-// waitForReaderAwaitingCapacity waits until the reader of a connection reads ahead for want of room.
+// waitForReaderAwaitingCapacity waits until the connection's reader reads ahead because the reply queue is full.
 func waitForReaderAwaitingCapacity(t *testing.T, conn *clientConn) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		conn.mu.Lock()
-		parked := conn.awaitingReplyCapacity
+		waiting := conn.awaitingReplyCapacity
 		conn.mu.Unlock()
-		if parked {
+		if waiting {
 			break
 		} else if time.Now().After(end) {
-			t.Fatal("the reader does not wait")
+			t.Fatal("the reader does not wait for reply capacity")
 		}
 	}
 }
 
-// A client leaves while a counter call for its request is in flight. The request is not forwarded when the result comes.
+// A client disconnects while a counter call for its request is in flight. The request is not forwarded when the result
+// arrives.
 func TestDisconnectDuringACounterCallPreventsForwarding(t *testing.T) {
 	ln, counter := listen(t), listen(t)
 	gateway := startGateway(t, []string{ln.Addr().String()}, func(cfg *Config, t *testing.T) {
 		cfg.Counter = counter.Addr().String()
 		cfg.Settings.SharedCounter, cfg.Settings.CounterTimeout = true, testTimeout
-		cfg.Settings.Plans[1].Burst = 1 // so the second request has to ask
+		cfg.Settings.Plans[1].Burst = 1 // so the second request requires a counter call
 	})
 	metered := strings.Replace(idempotentFields, "t=open", "t=starter", 1)
 	client := gateway.dial()
@@ -389,7 +394,7 @@
 	client.socket.Close()
 	gateway.until(func() bool { return len(gateway.server.requests.byID) == 0 })
 	called.write("ok 1\r\n")
-	go func() { // what is put right afterwards
+	go func() { // answers the calls that correct the count afterwards
 		for {
 			if _, err := called.tryMessage(); err != nil {
 				return
@@ -399,11 +404,11 @@
 	}()
 	gateway.until(func() bool { return gateway.server.counter.Undelivered() == 0 && len(gateway.server.events) == 0 })
 	if !rawsocket.Quiet(backend.socket) {
-		t.Error("it was forwarded")
+		t.Error("the request was forwarded")
 	}
 	ln.Close()
 	gateway.until(func() bool { return gateway.server.upstream.connCount <= 1 })
 	if len(gateway.server.requests.clientIDInUse) != 0 {
-		t.Error("its id is kept")
+		t.Error("the request's id is still in use")
 	}
 }
--- a/internal/gateway/closedeadlock_test.go
+++ b/internal/gateway/closedeadlock_test.go
@@ -8,27 +8,27 @@
 	"time"
 )
 
-// waitForReader waits until the reader of a connection waits so, by the words of a stack: "IO wait" for bytes,
-// "sync.Mutex.Lock" for the connection's lock.
-func waitForReader(t *testing.T, conn *clientConn, how string) {
+// waitForReader waits until the connection's reader is blocked in the given state, as it appears in the goroutine's stack
+// trace: "IO wait" while it waits for input, "sync.Mutex.Lock" while it waits for the connection's lock.
+func waitForReader(t *testing.T, conn *clientConn, state string) {
 	t.Helper()
 	stacks := make([]byte, 1<<20)
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		all := string(stacks[:runtime.Stack(stacks, true)])
-		for one := range strings.SplitSeq(all, "\n\n") {
-			if strings.Contains(one, fmt.Sprintf("(*clientConn).receive(%p", conn)) && strings.Contains(one, how) {
+		for stack := range strings.SplitSeq(all, "\n\n") {
+			if strings.Contains(stack, fmt.Sprintf("(*clientConn).receive(%p", conn)) && strings.Contains(stack, state) {
 				return
 			}
 		}
 		if time.Now().After(end) {
-			t.Fatalf("the reader does not come to %s", how)
+			t.Fatalf("the reader does not reach the state %q", state)
 		}
 	}
 }
 
-// Closing a connection waits until nobody is within a read of its socket. Bytes, or a reset, may come in that very
-// moment, and the reader then wants the lock that the closing goroutine holds. If each waited for the other, the
-// loop, or the goroutine that accepts connections, would be stuck for good.
+// Closing a connection waits until no goroutine is inside a read of its socket. If bytes or a reset arrive at that moment,
+// the reader needs the lock that the closing goroutine holds. If each waited for the other, the event loop, or the
+// goroutine that accepts connections, would be stuck for good.
 func TestCloseDoesNotDeadlockWithServe(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
 	server.ready.Store(true)
@@ -40,7 +40,7 @@
 	}()
 	client.write(respCommand("PING"))
 	client.wants("+PONG")
-	waitForReader(t, conn, "IO wait") // for the next command
+	waitForReader(t, conn, "IO wait") // it waits for the next command
 	conn.mu.Lock()
 	client.write(respCommand("PING")[:5])
 	waitForReader(t, conn, "sync.Mutex.Lock")
@@ -54,12 +54,12 @@
 		select {
 		case <-ch:
 		case <-time.After(testTimeout):
-			t.Fatal("the close and the reader wait for one another")
+			t.Fatal("deadlock between the close and the reader")
 		}
 	}
 }
 
-// What comes while somebody else holds the lock is read once it is free.
+// Input that arrives while another goroutine holds the lock is read once the lock is released.
 func TestReadContinuesOnceTheLockIsFree(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
 	server.ready.Store(true)
@@ -75,7 +75,8 @@
 	client.wants("+PONG")
 }
 
-// The same, with a reader that is about to read: closing waits for it, and it must not wait for who closes.
+// A reader that is just entering a read while another goroutine holds the lock and closes the connection must not wait
+// for that lock inside the read, because the close waits for the read.
 func TestCloseDoesNotDeadlockWithARead(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
 	conn, client := newClientPair(t, server)
@@ -85,7 +86,7 @@
 		_, err := conn.receive(make([]byte, 1))
 		read <- err
 	}()
-	time.Sleep(20 * time.Millisecond) // it gets as far as it can
+	time.Sleep(20 * time.Millisecond) // lets the reader run until it blocks
 	closed := make(chan struct{})
 	go func() {
 		conn.closeLocked()
@@ -95,10 +96,10 @@
 	select {
 	case <-closed:
 	case <-time.After(testTimeout):
-		t.Fatal("the closing and the reader wait for each other")
+		t.Fatal("deadlock between the close and the reader")
 	}
 	if err := <-read; err == nil {
-		t.Error("something was read")
+		t.Error("the read of a closed connection returned no error")
 	}
 	client.wantsEnd()
 }
--- a/internal/gateway/descriptorlimit_test.go
+++ b/internal/gateway/descriptorlimit_test.go
@@ -12,10 +12,10 @@
 	"bellwood/internal/gateway/discovery"
 )
 
-// While discovery is down, clients that idle fill a gateway's share of the descriptors, and hundreds more come again
-// and again. If the shares added up to more than the limit, there would be no descriptor for discovery and the
-// counter when they come back. The watch is opened, the counter answers, and backends get as many connections as their
-// share holds, also when all is moved by a new configuration; and no call ever fails for want of a descriptor.
+// While discovery is down, idle clients use up the clients' share of the descriptors, and hundreds of others keep
+// connecting. If the shares added up to more than the limit, no descriptor would be left for discovery and the counter
+// once they are available again. The gateway must open the watch, call the counter, and open as many backend connections
+// as their share allows, also after a reload has changed the addresses. Nothing may fail with "too many open files".
 func TestIdleClientsLeaveDescriptorsForDiscoveryAndCounter(t *testing.T) {
 	const descriptors = 256
 	const backends, backendShare = 24, 71 // 28%
@@ -25,37 +25,38 @@
 	gateway := startGatewayProcess(t, descriptors, backends, discovery.addr, counters[0].Addr().String())
 	defer gateway.stop()
 
-	crowd := startIdleClients(gateway.addr, 2*descriptors)
-	defer crowd.stop()
-	crowd.waitForIdle(t, descriptors/2)
-	await(t, "discovery is back, and no watch is opened", gateway.serveDiscovery(discovery.open(t, 16), 1))
+	idle := startIdleClients(gateway.addr, 2*descriptors)
+	defer idle.stop()
+	idle.waitForIdle(t, descriptors/2)
+	await(t, "no watch was opened after discovery became available", gateway.serveDiscovery(discovery.open(t, 16), 1))
 
 	client := gateway.connectActiveClient()
-	reached := client.openBackendConns(backendShare)
+	backendConns := client.openBackendConns(backendShare)
 	client.triggerCounterCall(called[0])
 	second := listen(t)
 	watched := gateway.serveDiscovery(second, 2)
-	gateway.move(second.Addr(), counters[1].Addr())
-	await(t, "the second watch is not opened", watched)
+	gateway.reload(second.Addr(), counters[1].Addr())
+	await(t, "no watch was opened at the new discovery address", watched)
 	client.triggerCounterCall(called[1])
-	for _, backend := range reached {
+	for _, backend := range backendConns {
 		backend.socket.Close()
 	}
 	if log := gateway.log.String(); strings.Contains(log, "too many open files") {
-		t.Errorf("descriptors are wanting:\n%s", log)
+		t.Errorf("the gateway ran out of descriptors:\n%s", log)
 	}
 }
 
-// countingListener counts the connections that were accepted and are not closed.
+// countingListener counts the connections that it accepts, and how many of them are open.
 type countingListener struct {
 	net.Listener
-	held, most, all atomic.Int64
+	open, maxOpen, accepted atomic.Int64
 }
 
+// countedConn decrements the listener's count of open connections when it is closed.
 type countedConn struct {
 	*net.TCPConn
-	from *countingListener
-	once atomic.Bool
+	listener *countingListener
+	closed   atomic.Bool
 }
 
 func (l *countingListener) Accept() (net.Conn, error) {
@@ -63,30 +64,30 @@
 	if err != nil {
 		return nil, err
 	}
-	l.all.Add(1)
-	if n := l.held.Add(1); n > l.most.Load() { // only one goroutine accepts
-		l.most.Store(n)
+	l.accepted.Add(1)
+	if n := l.open.Add(1); n > l.maxOpen.Load() { // no race, as only one goroutine accepts
+		l.maxOpen.Store(n)
 	}
-	return &countedConn{TCPConn: nc.(*net.TCPConn), from: l}, nil
+	return &countedConn{TCPConn: nc.(*net.TCPConn), listener: l}, nil
 }
 
 func (c *countedConn) Close() error {
 	err := c.TCPConn.Close()
-	if !c.once.Swap(true) {
-		c.from.held.Add(-1)
+	if !c.closed.Swap(true) {
+		c.listener.open.Add(-1)
 	}
 	return err
 }
 
-// A crowd stands in the listener's backlog while the clients' share is full. If each of it were held until a
-// goroutine came to reject it, the others would have no descriptors. So a connection for which there is no capacity is
-// closed before the next is accepted, but for the few whose request is read.
+// Many connections are in the listener's backlog while the clients' share of descriptors is used up. If each of them were
+// held open until a goroutine had rejected it, no descriptors would be left for anything else. So a connection without
+// capacity is closed before the next one is accepted, except for the few whose input is read first.
 func TestBacklogRejectionsHoldFewDescriptors(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
 	server.downstream.maxConns = 2 * budget.ConnsPerRejected
 	ln := &countingListener{Listener: listen(t)}
-	const crowd = 500
-	for range crowd {
+	const backlog = 500
+	for range backlog {
 		nc, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
 			t.Fatal(err)
@@ -94,32 +95,33 @@
 		t.Cleanup(func() { nc.Close() })
 	}
 	go server.downstream.accept(ln)
-	for end := time.Now().Add(testTimeout); ln.all.Load() < crowd; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ln.accepted.Load() < backlog; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%d of %d were accepted", ln.all.Load(), crowd)
+			t.Fatalf("%d of %d connections were accepted", ln.accepted.Load(), backlog)
 		}
 	}
-	if bound := server.downstream.maxConns + budget.RejectedConns(server.downstream.maxConns) + 1; ln.most.Load() > bound {
-		t.Errorf("%d connections were held at once, over %d", ln.most.Load(), bound)
+	limit := server.downstream.maxConns + budget.RejectedConns(server.downstream.maxConns) + 1
+	if open := ln.maxOpen.Load(); open > limit {
+		t.Errorf("%d connections were open at once, want at most %d", open, limit)
 	}
 }
 
-// A connection that is evicted makes room for one other, also while its reader has not ended yet.
+// An evicted connection makes room for one new connection only, even if its reader has not cleaned up yet.
 func TestEvictedConnectionIsNotEvictedAgain(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
-	conn, p := newClientPair(t, server) // nobody reads
+	conn, p := newClientPair(t, server) // no reader runs on it
 	conn.idleSince.Store(int64(server.now() - time.Hour))
 	if !server.downstream.closeLongestIdle(noCapacity) {
-		t.Fatal("it does not give way")
+		t.Fatal("the idle connection was not evicted")
 	}
 	p.wantsEnd()
 	if server.downstream.closeLongestIdle(noCapacity) {
-		t.Error("it makes room twice")
+		t.Error("the connection was evicted twice")
 	}
 }
 
-// What clients, backends, discovery and the counter may hold at once stays within the limit, from the smallest one
-// on: 256.
+// The descriptors that clients, backends, discovery and the counter may use together never exceed the limit, beginning
+// with the smallest supported limit, 256.
 func TestDescriptorSharesFitTheLimit(t *testing.T) {
 	for sockets := 256; sockets <= 1024; sockets += 3 {
 		cfg := config(t, true, 5_000_000)
@@ -128,16 +130,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		const accepting = 1 // one more is being accepted
+		const accepting = 1 // the connection that is being accepted
 		clients := server.downstream.maxConns + budget.RejectedConns(server.downstream.maxConns) + accepting
 		watch := 2 * int64(discovery.MaxConns)
 		const runtime, configuration = 8, 1 // standard files 3, poller 2, cgroup 2, listener
 		sum := clients + int64(server.upstream.maxConns) + watch + 2*counter.MaxConns + runtime + configuration
 		if sum > int64(sockets) {
-			t.Errorf("of %d descriptors %d may be taken", sockets, sum)
+			t.Errorf("limit of %d descriptors: up to %d may be used", sockets, sum)
 		}
 		if float64(server.downstream.maxConns) < float64(sockets)/2 {
-			t.Errorf("of %d descriptors only %d are for clients", sockets, server.downstream.maxConns)
+			t.Errorf("limit of %d descriptors: only %d are for clients, want at least half", sockets, server.downstream.maxConns)
 		}
 	}
 }
--- a/internal/gateway/downstream_test.go
+++ b/internal/gateway/downstream_test.go
@@ -12,8 +12,8 @@
 	"bellwood/internal/resp"
 )
 
-// A value goes to the client alone and whole, a command to the backend unchanged but for d, and a warm connection
-// is used again.
+// The client receives the backend's value complete and without the metrics, the backend receives the command unchanged
+// except for d, and the second request uses the same backend connection.
 func TestCommandAndValueAreForwardedUnchanged(t *testing.T) {
 	gateway, ln := startWithBackend(t, withoutSettleTime)
 	client := gateway.dial()
@@ -28,29 +28,29 @@
 		}
 		m := backend.message()
 		if len(m) != 5 || m[0] != "q.do" || m[1] != tenantID || m[2] != "9b1f03aa5c7e2d41" || m[4] != body {
-			t.Fatalf("the backend got %.100q", m)
+			t.Fatalf("the backend received %.100q", m)
 		}
 		d := 0
 		for i, item := range strings.Split(m[3], ",") {
-			if was := strings.Split(keyedFields, ",")[i]; strings.HasPrefix(item, "d=") {
+			if sent := strings.Split(keyedFields, ",")[i]; strings.HasPrefix(item, "d=") {
 				for _, r := range item[2:] {
 					d = 10*d + int(r-'0')
 				}
-			} else if item != was {
-				t.Errorf("%s went on as %s", was, item)
+			} else if item != sent {
+				t.Errorf("field %s was forwarded as %s", sent, item)
 			}
 		}
-		if d < 1 || d > 6000 { // the engine waits no longer than the latency objective
-			t.Errorf("d=%d", d)
+		if d < 1 || d > 6000 { // the gateway waits no longer than the class's latency objective
+			t.Errorf("d=%d was forwarded, want 1 to 6000", d)
 		}
 		backend.write("*3\r\n" + respBulk(value) + respBulk("used=37,cost=4") + "$-1\r\n")
 		if m := client.message(); len(m) != 1 || m[0] != value {
-			t.Fatalf("the client got %.60q", m)
+			t.Fatalf("the client received %.60q", m)
 		}
 	}
 }
 
-// Replies come in the order of the commands, whatever the order of the backends' replies.
+// Replies are sent in the order of the commands, regardless of the order in which backends reply.
 func TestRepliesInCommandOrder(t *testing.T) {
 	gateway, ln := startWithBackend(t)
 	client := gateway.dial()
@@ -58,7 +58,7 @@
 	first := acceptCommand(t, ln)
 	client.sendRequest("2")
 	client.command("PING")
-	second := accept(t, ln) // not queued behind the first
+	second := accept(t, ln) // the second request is forwarded without waiting for the first
 	second.message()
 	second.write(fullValueReply("two"))
 	first.write(fullValueReply("one"))
@@ -67,8 +67,7 @@
 	client.wants("+PONG")
 }
 
-// What can't be parsed is answered with an error and forwarded to nobody. The framing is intact, so the connection is
-// kept.
+// malformedRequests are answered with an error and not forwarded. Their framing is valid, so the connection stays open.
 var malformedRequests = [][]string{
 	{"GET", "x\r\ny"}, {""},
 	{"Q.ASK"}, {"Q.ASK", tenantID, "1"}, {"Q.ASK", tenantID, "1", idempotentFields, "body", "more"},
@@ -90,18 +89,18 @@
 	{"Q.DO", tenantID, "1", strings.Replace(keyedFields, "k=5c0f6e1a2b3d4c59,", "", 1), "body"},
 }
 
-// What can't be framed is answered with an error, and the connection is closed.
+// malformedFrames are answered with an error, and the connection is closed because the next command cannot be found.
 var malformedFrames = []string{"PING\r\n", "*1\r\n:1\r\n", "*1\r\n$-1\r\n", "*999999999\r\n", "*1\r\n$70000\r\n", "*x\r\n",
 	"*0\r\n", "*2\r\n$4\r\nPING\r\n*1\r\n$1\r\nx\r\n", "*1\r\n$4\r\nPINGxx"}
 
-// Malformed input is answered, and costs the connection only where it can't be framed.
+// Malformed input gets an error reply. The connection is closed only if the input's framing is invalid.
 func TestMalformedInputIsAnsweredWithAnError(t *testing.T) {
 	gateway, ln := startWithBackend(t)
 	for _, malformed := range malformedRequests {
 		client := gateway.dial()
 		client.command(malformed...)
 		client.wantsPrefix("-ERR ")
-		client.command("PING") // the connection is kept
+		client.command("PING") // the connection is still open
 		client.wants("+PONG")
 	}
 	for _, malformed := range malformedFrames {
@@ -113,11 +112,11 @@
 	ln.Close()
 	if conn, err := ln.Accept(); err == nil {
 		conn.Close()
-		t.Error("something was forwarded")
+		t.Error("a malformed request was forwarded")
 	}
 }
 
-// A client that leaves takes its request along: the backend's connection is closed and nothing more goes out.
+// When a client disconnects, its request is cancelled and the backend connection is closed.
 func TestClientDisconnectClosesTheBackendConnection(t *testing.T) {
 	gateway, ln := startWithBackend(t)
 	client := gateway.dial()
@@ -127,14 +126,14 @@
 	backend.wantsEnd()
 }
 
-// A client that takes no replies must not hold up the others.
+// A client that does not read its replies must not block other clients.
 func TestSlowClientDoesNotBlockOthers(t *testing.T) {
 	gateway, ln := startWithBackend(t)
 	slow := gateway.dial()
 	value := respBulk(strings.Repeat("v", resp.MaxValueBytes))
 	go func() {
 		nc, err := ln.Accept()
-		for err == nil { // a backend that serves all that comes
+		for err == nil { // a backend that answers every request
 			go func(nc net.Conn) {
 				in := resp.NewReader(nc, nil)
 				for {
@@ -153,24 +152,25 @@
 		slow.sendRequest("1")
 	}
 	client := gateway.dial()
-	for served := false; !served; { // the engine may reject some meanwhile
+	for served := false; !served; { // some requests may be rejected meanwhile
 		client.sendRequest("2")
 		served = len(client.message()[0]) == resp.MaxValueBytes
 	}
 }
 
-// No backend is known: the request is queued and rejected when its time is up, by the loop if the engine should forget
-// it.
+// While no backend is known, a request is queued. It is rejected when its deadline passes, by the event loop if the engine
+// does not do it.
 func TestOverdueRequestIsAnswered(t *testing.T) {
 	gateway := startGateway(t, nil)
 	client := gateway.dial()
 	client.command(requestWith("d=20000", "d=60")...)
 	if m := client.message(); !strings.HasPrefix(m[0], "-") {
-		t.Errorf("got %q", m)
+		t.Errorf("got %q, want an error", m)
 	}
 }
 
-// A client that sends nothing, or a command byte by byte, must not hold a connection: one deadline holds for all of it.
+// A client that sends nothing, or a command byte by byte, must not occupy a connection: one deadline applies to the whole
+// command.
 func TestSlowCommandsTimeOut(t *testing.T) {
 	gateway := startGateway(t, nil)
 	silent, dripping, later := gateway.dial(), gateway.dial(), gateway.dial()
@@ -194,8 +194,8 @@
 	later.wantsPrefix("-ERR ")
 }
 
-// A client that is rejected while it still sends must be able to read why: closing the connection at once would reset
-// it.
+// A client that receives an error while it is still sending must be able to read it. Closing the connection at once would
+// reset it.
 func TestErrorReplyReachesAClientThatIsStillSending(t *testing.T) {
 	gateway := startGateway(t, nil)
 	client := gateway.dial()
@@ -205,7 +205,7 @@
 	client.wantsEnd()
 }
 
-// The id of a request that is open belongs to that request: another one gets an error and not its value.
+// A request with the id of an open request gets an error, and not the reply to the open request.
 func TestOpenIDIsRejected(t *testing.T) {
 	gateway, ln := startWithBackend(t, withoutSettleTime)
 	client, other := gateway.dial(), gateway.dial()
@@ -215,83 +215,83 @@
 	other.wantsPrefix("-ERR ")
 	backend.write(valueReply("value"))
 	client.wants("value")
-	other.sendRequest("1") // it is over, so the id is free
+	other.sendRequest("1") // the first request has ended, so its id may be used again
 	backend.message()
 	backend.write(valueReply("again"))
 	other.wants("again")
 }
 
-// Clients connect and rest until no room is left for others. Their connections are closed for new clients, those that
-// are idle longest first.
+// When idle clients have used up the limit on connections, their connections are evicted for new clients, the one that
+// has been idle longest first.
 func TestIdleConnectionsAreEvicted(t *testing.T) {
+	const never = -time.Hour // an idle time that never allows eviction
 	gateway := startGateway(t, nil, func(cfg *Config, t *testing.T) { cfg.Sockets = 8 }) // 4 of them for clients
-	const never = -time.Hour                                                             // never long enough
-	var resting []*peer
+	var idle []*peer
 	for range 4 {
 		client := gateway.dial()
 		client.command("PING")
 		client.wantsPrefix("-LOADING")
-		resting = append(resting, client)
+		idle = append(idle, client)
 	}
-	gateway.setIdle(map[*peer]time.Duration{resting[0]: never, resting[1]: never, resting[2]: never, resting[3]: never})
+	gateway.setIdle(map[*peer]time.Duration{idle[0]: never, idle[1]: never, idle[2]: never, idle[3]: never})
 	rejected := gateway.dial()
 	rejected.wantsPrefix("-BUSY")
-	gateway.setIdle(map[*peer]time.Duration{resting[1]: minIdle, resting[2]: 2 * minIdle})
+	gateway.setIdle(map[*peer]time.Duration{idle[1]: minIdle, idle[2]: 2 * minIdle})
 	client := gateway.dial()
 	client.command("PING")
 	client.wantsPrefix("-LOADING")
-	resting[2].wantsEnd()
-	resting[2] = client
-	gateway.setIdle(map[*peer]time.Duration{resting[0]: minIdleWhenFull, resting[1]: never, resting[2]: never})
-	gateway.dial().command("PING") // with no room left the threshold is lower
-	resting[0].wantsEnd()
-	resting[1].command("PING")
-	resting[1].wantsPrefix("-LOADING")
+	idle[2].wantsEnd()
+	idle[2] = client
+	gateway.setIdle(map[*peer]time.Duration{idle[0]: minIdleWhenFull, idle[1]: never, idle[2]: never})
+	gateway.dial().command("PING") // at the limit, a shorter idle time is enough for eviction
+	idle[0].wantsEnd()
+	idle[1].command("PING")
+	idle[1].wantsPrefix("-LOADING")
 }
 
-// setIdle sets for how long clients' connections have been idle. Until its reader waits for the next command, a
-// connection stands within the one before.
-func (gateway *testGateway) setIdle(ages map[*peer]time.Duration) {
+// setIdle sets how long clients' connections have been idle. It first waits until the connection's reader waits for the
+// next command, as the connection counts as being within the previous command until then.
+func (gateway *testGateway) setIdle(idleTimes map[*peer]time.Duration) {
 	gateway.t.Helper()
 	found := map[*clientConn]time.Duration{}
 	gateway.server.downstream.mu.Lock()
 	for conn := range gateway.server.downstream.conns {
-		for client, age := range ages {
+		for client, idleTime := range idleTimes {
 			if conn.socket.RemoteAddr().String() == client.socket.LocalAddr().String() {
-				found[conn] = age
+				found[conn] = idleTime
 			}
 		}
 	}
 	gateway.server.downstream.mu.Unlock()
-	for conn, age := range found {
+	for conn, idleTime := range found {
 		waitForReader(gateway.t, conn, "IO wait")
-		conn.idleSince.Store(int64(gateway.server.now() - age))
+		conn.idleSince.Store(int64(gateway.server.now() - idleTime))
 	}
 }
 
-// All clients together can't make the gateway hold more than its share of memory.
+// The memory used on behalf of all clients together is limited.
 func TestClientMemoryIsBounded(t *testing.T) {
 	gateway := startGateway(t, nil, func(cfg *Config, t *testing.T) { cfg.MemoryMB = 1 })
 	body := strings.Repeat("b", resp.MaxValueBytes)
 	var last *peer
-	for i := range 8 { // none of these requests ends soon, as no backend is known
+	for i := range 8 { // these requests stay open, as no backend is known
 		last = gateway.dial()
 		last.command("Q.DO", tenantID, fmt.Sprint(i), keyedFields, body)
 		client := gateway.dial()
-		client.command("PING") // it is read meanwhile
+		client.command("PING") // other clients are still served
 		client.wantsPrefix("-LOADING")
 	}
 	busy := strings.TrimSpace(string(protocol.Busy(busyRetryAfter)))
 	if m := last.message(); m[0] != busy && !strings.HasPrefix(m[0], "-ERR no memory") {
-		t.Errorf("got %q", m)
+		t.Errorf("got %q, want %q or an error for lack of memory", m, busy)
 	}
 	if held := gateway.server.downstream.memory.Held(); held > 1<<18 {
-		t.Errorf("%d bytes are held", held)
+		t.Errorf("%d bytes are reserved, want at most %d", held, 1<<18)
 	}
 }
 
-// A client for which there is no capacity has already sent its request. Closing its connection with bytes unread would
-// reset it, and the client would lose the rejection.
+// A client that is rejected for lack of capacity has already sent its request. Closing the connection with unread bytes
+// would reset it, and the client would lose the rejection.
 func TestRejectedConnectionReceivesBusy(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
 	server.downstream.maxConns = budget.ConnsPerRejected
@@ -303,8 +303,8 @@
 	client.wantsEnd()
 }
 
-// A client goes on sending behind a command that can't be read. Neither the error line nor the reply before it is lost
-// to a reset.
+// A client continues to send after input that cannot be parsed. Neither the error reply nor the reply before it may be
+// lost to a reset of the connection.
 func TestErrorReplySurvivesTrailingInput(t *testing.T) {
 	gateway, ln := startWithBackend(t)
 	client := gateway.dial()
--- a/internal/gateway/gatewayprocess_test.go
+++ b/internal/gateway/gatewayprocess_test.go
@@ -20,7 +20,7 @@
 	"time"
 )
 
-// gatewayProcessEnv stands in the environment of a process that is to be a gateway and not the tests.
+// gatewayProcessEnv is the environment variable that makes the test binary run a gateway instead of the tests.
 const gatewayProcessEnv = "GATEWAY_CROWDED"
 
 func TestMain(m *testing.M) {
@@ -34,8 +34,9 @@
 	os.Exit(m.Run())
 }
 
-// runGatewayProcess runs a gateway that may hold no more descriptors than its configuration says, until its standard input
-// ends. It takes the configuration, then addresses of discovery and the counter to move to.
+// runGatewayProcess runs a gateway until its standard input ends, and limits the process to the descriptors that its
+// configuration allows. The first line of the input is the configuration; each further line is the new addresses of
+// discovery and the counter.
 func runGatewayProcess() error {
 	in := bufio.NewReader(os.Stdin)
 	line, err := in.ReadString('\n')
@@ -69,7 +70,7 @@
 	return nil
 }
 
-// reloadFrom lets a gateway move to the addresses of discovery and the counter that come, until the input ends.
+// reloadFrom reloads the gateway with each pair of discovery and counter addresses it reads, until the input ends.
 func reloadFrom(in *bufio.Reader, server *Server) {
 	for {
 		var discovery, counter string
@@ -80,22 +81,22 @@
 	}
 }
 
-// gatewayProcess is a gateway in a process of its own, with few descriptors, and what stands round it.
+// gatewayProcess is a gateway in a process of its own, with few descriptors, and the backends it connects to.
 type gatewayProcess struct {
 	t         *testing.T
 	addr      string
-	in        io.Writer // to its standard input
+	in        io.Writer // its standard input
 	log       lockedBuffer
-	endpoints []map[string]any // as discovery gives them
-	reached   chan *peer       // connections that backends have got
+	endpoints []map[string]any // the list that discovery sends
+	accepted  chan *peer       // connections that the backends have accepted
 	process   *exec.Cmd
 }
 
-// startGatewayProcess runs a gateway that may hold so many descriptors. Its discovery and counter may not be there yet.
-// The caller stops it.
+// startGatewayProcess runs a gateway that is limited to the given number of descriptors. Discovery and the counter need
+// not be listening yet. The caller must call stop.
 func startGatewayProcess(t *testing.T, descriptors, backends int, discovery, counter string) *gatewayProcess {
 	t.Helper()
-	gateway := &gatewayProcess{t: t, reached: make(chan *peer, 1024)}
+	gateway := &gatewayProcess{t: t, accepted: make(chan *peer, 1024)}
 	for i := range backends {
 		ln := listen(t)
 		gateway.endpoints = append(gateway.endpoints, map[string]any{"name": fmt.Sprint("s-", i),
@@ -107,7 +108,7 @@
 	return gateway
 }
 
-// gatewayProcessConfig is a configuration with a quota of which little is used at once, so that the counter is called.
+// gatewayProcessConfig returns a configuration with a quota that allows only a small burst, so that the counter is called.
 func gatewayProcessConfig(descriptors int, discovery, counter string) string {
 	settings := fmt.Sprintf(settingsJSON, 5_000_000, true)
 	settings = strings.Replace(settings, `"most-at-once":10`, `"most-at-once":1`, 1)
@@ -117,18 +118,18 @@
 		strings.ReplaceAll(settings, "\n", ""))
 }
 
-// acceptBackendConns takes the connections to a backend, which answers nothing.
+// acceptBackendConns accepts the connections to a backend, which never replies.
 func (gateway *gatewayProcess) acceptBackendConns(ln net.Listener) {
 	for {
 		conn, err := ln.Accept()
 		if err != nil {
 			return
 		}
-		gateway.reached <- newPeerWithoutDeadline(gateway.t, conn)
+		gateway.accepted <- newPeerWithoutDeadline(gateway.t, conn)
 	}
 }
 
-// startProcess starts the gateway and reads its address.
+// startProcess starts the process and reads the gateway's address from its output.
 func (gateway *gatewayProcess) startProcess(config string) {
 	t := gateway.t
 	t.Helper()
@@ -161,12 +162,12 @@
 	gateway.process.Wait()
 }
 
-// move lets the gateway read other addresses of discovery and the counter.
-func (gateway *gatewayProcess) move(discovery, counter net.Addr) {
+// reload gives the gateway new addresses of discovery and the counter.
+func (gateway *gatewayProcess) reload(discovery, counter net.Addr) {
 	fmt.Fprintln(gateway.in, discovery, counter)
 }
 
-// serveDiscovery starts a discovery agent at a listener, and returns what is closed with the first watch.
+// serveDiscovery serves discovery on a listener, and returns a channel that is closed when the first watch is opened.
 func (gateway *gatewayProcess) serveDiscovery(ln net.Listener, index int) (watched chan struct{}) {
 	watched = make(chan struct{})
 	var once sync.Once
@@ -181,17 +182,18 @@
 	return watched
 }
 
-// crowd is clients of a gateway that connect, ask once, and rest until they are closed; then they come again.
+// idleClients are clients of a gateway that connect, send one PING, and stay idle until the gateway closes the
+// connection; then they connect again.
 type idleClients struct {
 	addr    string
-	idle    atomic.Int64 // connections that rest
-	leave   context.CancelFunc
+	idle    atomic.Int64 // connections that are idle now
+	cancel  context.CancelFunc
 	running sync.WaitGroup
 }
 
 func startIdleClients(addr string, size int) *idleClients {
-	ctx, leave := context.WithCancel(context.Background())
-	clients := &idleClients{addr: addr, leave: leave}
+	ctx, cancel := context.WithCancel(context.Background())
+	clients := &idleClients{addr: addr, cancel: cancel}
 	for range size {
 		clients.running.Go(func() {
 			for ctx.Err() == nil && clients.connectAndIdle(ctx) {
@@ -201,7 +203,7 @@
 	return clients
 }
 
-// connectAndIdle connects and rests once, and says whether a connection was made.
+// connectAndIdle makes one connection and keeps it idle until it ends. It reports whether connecting succeeded.
 func (clients *idleClients) connectAndIdle(ctx context.Context) bool {
 	conn, err := net.Dial("tcp", clients.addr)
 	if err != nil {
@@ -224,36 +226,36 @@
 	return true
 }
 
-// waitForIdle waits until so many of the crowd's connections rest.
+// waitForIdle waits until at least the wanted number of connections are idle.
 func (clients *idleClients) waitForIdle(t *testing.T, want int64) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); clients.idle.Load() < want; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("only %d rest", clients.idle.Load())
+			t.Fatalf("only %d connections are idle, want %d", clients.idle.Load(), want)
 		}
 	}
 }
 
-// stop lets the crowd leave, and waits for its end.
+// stop disconnects all clients and waits until they have ended.
 func (clients *idleClients) stop() {
-	clients.leave()
+	clients.cancel()
 	clients.running.Wait()
 }
 
-// activeClient is one client of a crowded gateway that does not rest.
+// activeClient is a client of the gateway that keeps sending requests.
 type activeClient struct {
 	*peer
 	gateway  *gatewayProcess
 	requests int // sent so far
 }
 
-// connectActiveClient connects a client until it finds a place.
+// connectActiveClient retries until the gateway accepts a new client and is ready for requests.
 func (gateway *gatewayProcess) connectActiveClient() *activeClient {
 	t := gateway.t
 	t.Helper()
 	for end := time.Now().Add(testTimeout); ; {
 		if time.Now().After(end) {
-			t.Fatal("no place is found")
+			t.Fatal("the gateway does not accept a new client")
 		}
 		conn, err := net.Dial("tcp", gateway.addr)
 		if err != nil {
@@ -267,6 +269,7 @@
 	}
 }
 
+// sendRequestOfPlan sends a request under the given plan. It does not read the reply.
 func (client *activeClient) sendRequestOfPlan(plan string) {
 	client.t.Helper()
 	client.requests++
@@ -274,26 +277,28 @@
 		strings.Replace(idempotentFields, "t=open", "t="+plan, 1))
 }
 
-// openBackendConns sends requests until backends have so many connections.
-func (client *activeClient) openBackendConns(want int) (reached []*peer) {
+// openBackendConns sends requests until the backends have accepted the wanted number of connections.
+func (client *activeClient) openBackendConns(want int) (accepted []*peer) {
 	client.t.Helper()
-	for end := time.After(testTimeout); len(reached) < want; {
+	for end := time.After(testTimeout); len(accepted) < want; {
 		client.sendRequestOfPlan("open")
-		for waited := false; !waited && len(reached) < want; {
+		for timedOut := false; !timedOut && len(accepted) < want; {
 			select {
-			case backend := <-client.gateway.reached:
-				reached = append(reached, backend)
+			case backend := <-client.gateway.accepted:
+				accepted = append(accepted, backend)
 			case <-time.After(20 * time.Millisecond):
-				waited = true
+				timedOut = true
 			case <-end:
-				client.t.Fatalf("backends have %d connections, not %d\n%s", len(reached), want, client.gateway.log.String())
+				client.t.Fatalf("the backends have %d connections, want %d\n%s", len(accepted), want,
+					client.gateway.log.String())
 			}
 		}
 	}
-	return reached
+	return accepted
 }
 
-// triggerCounterCall sends requests of a small quota until the counter is called: beyond a burst of 1 some have to ask it.
+// triggerCounterCall sends requests that are subject to a small quota until the counter is called. The quota allows a
+// burst of 1, so that admitting some of the further requests requires a counter call.
 func (client *activeClient) triggerCounterCall(called <-chan struct{}) {
 	client.t.Helper()
 	for range 60 {
@@ -304,10 +309,10 @@
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
-	await(client.t, "the counter is not called", called)
+	await(client.t, "the counter was not called", called)
 }
 
-// serveCounter answers every call that comes to a listener, and returns what is closed with the first.
+// serveCounter answers every counter call on a listener, and returns a channel that is closed at the first call.
 func serveCounter(ln net.Listener) (called chan struct{}) {
 	called = make(chan struct{})
 	var once sync.Once
@@ -328,7 +333,7 @@
 	return called
 }
 
-// await waits for an event.
+// await waits until event is closed, and fails the test with the given message otherwise.
 func await(t *testing.T, failure string, event <-chan struct{}) {
 	t.Helper()
 	select {
@@ -338,20 +343,20 @@
 	}
 }
 
-// lockedBuffer gathers a log.
+// lockedBuffer collects a log and is safe for concurrent use.
 type lockedBuffer struct {
-	mu  sync.Mutex // guards all
-	all strings.Builder
+	mu   sync.Mutex // guards text
+	text strings.Builder
 }
 
 func (buffer *lockedBuffer) Write(text []byte) (int, error) {
 	buffer.mu.Lock()
 	defer buffer.mu.Unlock()
-	return buffer.all.Write(text)
+	return buffer.text.Write(text)
 }
 
 func (buffer *lockedBuffer) String() string {
 	buffer.mu.Lock()
 	defer buffer.mu.Unlock()
-	return buffer.all.String()
+	return buffer.text.String()
 }
--- a/internal/gateway/largefleet_test.go
+++ b/internal/gateway/largefleet_test.go
@@ -6,14 +6,14 @@
 	"testing"
 )
 
-// A gateway among 1,024 with a list of 1,200 backends serves, also requests of a tenant that is spread over all
+// A gateway in a fleet of 1,024 gateways and 1,200 backends serves requests of a tenant that is distributed among all
 // gateways.
 func TestServesInALargeFleet(t *testing.T) {
 	const gateways, backends = 1024, 1200
 	ln := listen(t)
 	var addrs []string
 	for range backends {
-		addrs = append(addrs, ln.Addr().String()) // one listener is all of them
+		addrs = append(addrs, ln.Addr().String()) // one listener stands in for all backends
 	}
 	gateway := startGateway(t, addrs, func(cfg *Config, t *testing.T) {
 		cfg.Settings.Gateways, cfg.Settings.GatewayIndex = gateways, gateways-1
--- a/internal/gateway/unreadclose_test.go
+++ b/internal/gateway/unreadclose_test.go
@@ -9,12 +9,12 @@
 	"bellwood/internal/policy"
 )
 
-// A client has ended its connection, but its reader has not read so far: it is late, or more lies unread before the
-// end. Nobody waits for what the loop has of that client, so none of it may be forwarded, first attempts or retries. A
-// client counts as one that has left when the end has come to the socket: no attempt begins for it, whatever its way to
-// a backend, and all its requests end.
+// A client has disconnected, but its reader has not detected that yet, because it has not run or because other input
+// precedes the end of the stream. Nobody waits for the client's requests any more, so neither first attempts nor retries
+// may be forwarded. Once the disconnect has reached the socket, no attempt starts for the client, whichever connection
+// the attempt would use, and all its requests end.
 func TestUnreadCloseOfAClientPreventsForwarding(t *testing.T) {
-	ways := map[string]func(*unreadCloseTest) (backend *peer){
+	scenarios := map[string]func(*unreadCloseTest) (backend *peer){
 		"new connection":      (*unreadCloseTest).beforeANewConnection,
 		"idle connection":     (*unreadCloseTest).beforeAnIdleConnection,
 		"pending dial":        (*unreadCloseTest).duringADial,
@@ -22,21 +22,21 @@
 		"retry after a reset": (*unreadCloseTest).beforeARetryAfterAReset,
 	}
 	unread := map[string]string{"nothing": "", "a command": respCommand("PING"),
-		"much": respCommand("Q.DO", tenantID, "9", keyedFields, strings.Repeat("b", 30<<10))}
-	for wayName, way := range ways {
-		for behind, text := range unread {
+		"a long command": respCommand("Q.DO", tenantID, "9", keyedFields, strings.Repeat("b", 30<<10))}
+	for scenarioName, scenario := range scenarios {
+		for unreadName, text := range unread {
 			for how, end := range clientEnds {
-				t.Run(wayName+", "+how+" behind "+behind, func(t *testing.T) {
+				t.Run(scenarioName+", "+how+" after "+unreadName, func(t *testing.T) {
 					test := newUnreadCloseTest(t, text, end)
-					backend := way(test)
+					backend := scenario(test)
 					test.wantNotSent()
 					switch {
-					case wayName == "pending dial":
+					case scenarioName == "pending dial":
 						backend.wantsEnd()
 					case backend != nil && !rawsocket.Quiet(backend.socket):
-						t.Error("the backend got something")
+						t.Error("the backend received something")
 					case backend == nil && test.server.upstream.connCount != 0:
-						t.Error("a connection is made")
+						t.Error("a backend connection was opened")
 					}
 					test.wantAllEnded()
 				})
@@ -45,14 +45,14 @@
 	}
 }
 
-// unreadCloseTest is a client with two requests that have been taken and whose reader reads no further.
+// unreadCloseTest is a client with two open requests, whose reader has stopped reading after them.
 type unreadCloseTest struct {
 	t              *testing.T
 	server         *Server
 	ln             net.Listener // of the backend
 	conn           *clientConn
 	request, other *openRequest
-	leave          func() // lets the client leave, and waits until the end has come
+	disconnect     func() // disconnects the client, and waits until the gateway's socket has been notified
 }
 
 func newUnreadCloseTest(t *testing.T, unread string, end func(*peer)) *unreadCloseTest {
@@ -63,7 +63,7 @@
 	conn, client := newClientPair(t, server)
 	test := &unreadCloseTest{t: t, server: server, ln: ln, conn: conn}
 	test.request, test.other = receiveRequest(client, server, conn, "2"), receiveRequest(client, server, conn, "3")
-	test.leave = func() {
+	test.disconnect = func() {
 		client.write(unread)
 		end(client)
 		waitForEnd(t, conn)
@@ -71,20 +71,20 @@
 	return test
 }
 
-// receiveRequest makes a client send a request and takes it as its reader would, which then reads no further.
+// receiveRequest makes the client send a request, and handles it in place of the connection's reader, which does not run.
 func receiveRequest(client *peer, server *Server, conn *clientConn, id string) *openRequest {
 	client.t.Helper()
 	client.sendRequest(id)
 	message, err := conn.commands.Next()
 	if err != nil || !conn.handleCommand(message) {
-		client.t.Fatal("the request is not taken: ", err)
+		client.t.Fatal("the request was not accepted: ", err)
 	}
 	runTasksUntil(client.t, server, func() bool { return server.requests.clientIDInUse[id] })
 	server.events = nil
 	return openRequestByID(server, id)
 }
 
-// openRequestByID returns the open request of a client's id; nil: there is none.
+// openRequestByID returns the open request with the given client's id, or nil if there is none.
 func openRequestByID(server *Server, id string) *openRequest {
 	for _, request := range server.requests.byID {
 		if string(request.received.ClientID()) == id {
@@ -94,12 +94,12 @@
 	return nil
 }
 
-// send sends an attempt of the first request.
-func (test *unreadCloseTest) send() {
+// startAttempt starts an attempt for the first request.
+func (test *unreadCloseTest) startAttempt() {
 	test.server.requests.addAttempt(test.request, policy.SendAttempt{ID: test.request.id, Backend: "s-0"})
 }
 
-// acceptWritten takes the connection of an attempt to the backend, and waits until the command is written.
+// acceptWritten accepts an attempt's connection at the backend, and waits until the command has been written to it.
 func (test *unreadCloseTest) acceptWritten(attempt *backendAttempt) *peer {
 	test.t.Helper()
 	backend := accept(test.t, test.ln)
@@ -109,8 +109,8 @@
 }
 
 func (test *unreadCloseTest) beforeANewConnection() *peer {
-	test.leave()
-	test.send()
+	test.disconnect()
+	test.startAttempt()
 	return nil
 }
 
@@ -120,39 +120,39 @@
 	backend.write("*1\r\n$1\r\nx\r\n")
 	runTasksUntil(test.t, test.server, func() bool { return len(test.server.upstream.pools["s-0"].idle) == 1 })
 	test.server.requests.answer(first.request, nil)
-	test.leave()
-	test.send()
+	test.disconnect()
+	test.startAttempt()
 	return backend
 }
 
 func (test *unreadCloseTest) duringADial() *peer {
-	test.send()
-	backend := accept(test.t, test.ln) // but the loop has not heard of it
-	test.leave()
+	test.startAttempt()
+	backend := accept(test.t, test.ln) // the event loop does not know yet that the dial has succeeded
+	test.disconnect()
 	return backend
 }
 
 func (test *unreadCloseTest) beforeARetry() *peer {
-	test.send()
+	test.startAttempt()
 	backend := test.acceptWritten(test.request.attempts[0])
 	backend.write("-ERR failed\r\n")
 	runTasksUntil(test.t, test.server, func() bool { return test.request.openAttempts == 0 })
-	test.leave()
-	test.send()
+	test.disconnect()
+	test.startAttempt()
 	return backend
 }
 
 func (test *unreadCloseTest) beforeARetryAfterAReset() *peer {
-	test.send()
+	test.startAttempt()
 	backend := test.acceptWritten(test.request.attempts[0])
 	backend.reset()
 	runTasksUntil(test.t, test.server, func() bool { return test.request.openAttempts == 0 })
-	test.leave()
-	test.send()
+	test.disconnect()
+	test.startAttempt()
 	return nil
 }
 
-// wantNotSent fails unless the last attempt ends unsent, with its request.
+// wantNotSent fails unless the last attempt ends with NotSent and its request is closed.
 func (test *unreadCloseTest) wantNotSent() {
 	test.t.Helper()
 	last := test.request.attempts[len(test.request.attempts)-1]
@@ -160,15 +160,15 @@
 		return last.ended || last.conn != nil && last.conn.writeState.Load() != commandUnsent
 	})
 	if !last.ended {
-		test.t.Fatal("it is forwarded")
+		test.t.Fatal("the request was forwarded")
 	}
 	results := attemptResults(test.server)
 	if last := results[len(results)-1]; last.Status != policy.NotSent || !last.RequestClosed {
-		test.t.Errorf("results %+v", results)
+		test.t.Errorf("got results %+v, want the last one to be NotSent with its request closed", results)
 	}
 }
 
-// wantAllEnded fails unless all that the client has asked ends once its reader reads on.
+// wantAllEnded fails unless all requests of the client end once its reader runs.
 func (test *unreadCloseTest) wantAllEnded() {
 	test.t.Helper()
 	go test.conn.serve()
@@ -176,6 +176,6 @@
 		return len(test.server.requests.byID) == 0 && len(test.server.downstream.conns) == 0
 	})
 	if !test.other.ended || len(test.server.requests.clientIDInUse) != 0 {
-		test.t.Error("what else it asked goes on")
+		test.t.Error("another request of the client is still open")
 	}
 }
