--- a/internal/gateway/clientclose.go
+++ b/internal/gateway/clientclose.go
@@ -72,7 +72,7 @@
 }
 
 // closeIfBetweenRequests closes the connection if no request is in progress on it, and reports whether the connection is
-// closed.
+// closed afterwards.
 func (conn *clientConn) closeIfBetweenRequests() bool {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
--- a/internal/gateway/downstream_test.go
+++ b/internal/gateway/downstream_test.go
@@ -225,7 +225,9 @@
 // has been idle longest first.
 func TestIdleConnectionsAreEvicted(t *testing.T) {
 	const never = -time.Hour // an idle time that never allows eviction
-	gateway := startGateway(t, nil, func(cfg *Config, t *testing.T) { cfg.Sockets = 8 }) // 4 of them for clients
+
+	// Of these 8 descriptors, 4 are for clients.
+	gateway := startGateway(t, nil, func(cfg *Config, t *testing.T) { cfg.Sockets = 8 })
 	var idle []*peer
 	for range 4 {
 		client := gateway.dial()
