--- /dev/null
+++ b/internal/gateway/unreadclose_test.go
@@ -0,0 +1,181 @@
+package gateway
+
+import (
+	"net"
+	"strings"
+	"testing"
+
+	"bellwood/internal/gateway/rawsocket"
+	"bellwood/internal/policy"
+)
+
+// A client has disconnected, but its reader has not detected that yet, because it has not run or because other input
+// precedes the end of the stream. Nobody waits for the client's requests any more, so neither first attempts nor retries
+// may be forwarded. Once the disconnect has reached the socket, no attempt starts for the client, whichever connection
+// the attempt would use, and all its requests end.
+func TestUnreadCloseOfAClientPreventsForwarding(t *testing.T) {
+	scenarios := map[string]func(*unreadCloseTest) (backend *peer){
+		"new connection":      (*unreadCloseTest).beforeANewConnection,
+		"idle connection":     (*unreadCloseTest).beforeAnIdleConnection,
+		"pending dial":        (*unreadCloseTest).duringADial,
+		"retry":               (*unreadCloseTest).beforeARetry,
+		"retry after a reset": (*unreadCloseTest).beforeARetryAfterAReset,
+	}
+	unread := map[string]string{"nothing": "", "a command": respCommand("PING"),
+		"a long command": respCommand("Q.DO", tenantID, "9", keyedFields, strings.Repeat("b", 30<<10))}
+	for scenarioName, scenario := range scenarios {
+		for unreadName, text := range unread {
+			for how, end := range clientEnds {
+				t.Run(scenarioName+", "+how+" after "+unreadName, func(t *testing.T) {
+					test := newUnreadCloseTest(t, text, end)
+					backend := scenario(test)
+					test.wantNotSent()
+					switch {
+					case scenarioName == "pending dial":
+						backend.wantsEnd()
+					case backend != nil && !rawsocket.Quiet(backend.socket):
+						t.Error("the backend received something")
+					case backend == nil && test.server.upstream.connCount != 0:
+						t.Error("a backend connection was opened")
+					}
+					test.wantAllEnded()
+				})
+			}
+		}
+	}
+}
+
+// unreadCloseTest is a client with two open requests, whose reader has stopped reading after them.
+type unreadCloseTest struct {
+	t              *testing.T
+	server         *Server
+	ln             net.Listener // of the backend
+	conn           *clientConn
+	request, other *openRequest
+	disconnect     func() // disconnects the client, and waits until the gateway's socket has been notified
+}
+
+func newUnreadCloseTest(t *testing.T, unread string, end func(*peer)) *unreadCloseTest {
+	t.Helper()
+	ln := listen(t)
+	server := newIdleServer(t, ln.Addr().String())
+	server.upstream.settleTime = 0
+	conn, client := newClientPair(t, server)
+	test := &unreadCloseTest{t: t, server: server, ln: ln, conn: conn}
+	test.request, test.other = receiveRequest(client, server, conn, "2"), receiveRequest(client, server, conn, "3")
+	test.disconnect = func() {
+		client.write(unread)
+		end(client)
+		waitForEnd(t, conn)
+	}
+	return test
+}
+
+// receiveRequest makes the client send a request, and handles it in place of the connection's reader, which does not run.
+func receiveRequest(client *peer, server *Server, conn *clientConn, id string) *openRequest {
+	client.t.Helper()
+	client.sendRequest(id)
+	message, err := conn.commands.Next()
+	if err != nil || !conn.handleCommand(message) {
+		client.t.Fatal("the request was not accepted: ", err)
+	}
+	runTasksUntil(client.t, server, func() bool { return server.requests.clientIDInUse[id] })
+	server.events = nil
+	return openRequestByID(server, id)
+}
+
+// openRequestByID returns the open request with the given client's id, or nil if there is none.
+func openRequestByID(server *Server, id string) *openRequest {
+	for _, request := range server.requests.byID {
+		if string(request.received.ClientID()) == id {
+			return request
+		}
+	}
+	return nil
+}
+
+// startAttempt starts an attempt for the first request.
+func (test *unreadCloseTest) startAttempt() {
+	test.server.requests.addAttempt(test.request, policy.SendAttempt{ID: test.request.id, Backend: "s-0"})
+}
+
+// acceptWritten accepts an attempt's connection at the backend, and waits until the command has been written to it.
+func (test *unreadCloseTest) acceptWritten(attempt *backendAttempt) *peer {
+	test.t.Helper()
+	backend := accept(test.t, test.ln)
+	runTasksUntil(test.t, test.server, func() bool { return attempt.conn.writeState.Load() == commandWritten })
+	backend.message()
+	return backend
+}
+
+func (test *unreadCloseTest) beforeANewConnection() *peer {
+	test.disconnect()
+	test.startAttempt()
+	return nil
+}
+
+func (test *unreadCloseTest) beforeAnIdleConnection() *peer {
+	first := newAttempt(test.t, test.server)
+	backend := test.acceptWritten(first)
+	backend.write("*1\r\n$1\r\nx\r\n")
+	runTasksUntil(test.t, test.server, func() bool { return len(test.server.upstream.pools["s-0"].idle) == 1 })
+	test.server.requests.answer(first.request, nil)
+	test.disconnect()
+	test.startAttempt()
+	return backend
+}
+
+func (test *unreadCloseTest) duringADial() *peer {
+	test.startAttempt()
+	backend := accept(test.t, test.ln) // the event loop does not know yet that the dial has succeeded
+	test.disconnect()
+	return backend
+}
+
+func (test *unreadCloseTest) beforeARetry() *peer {
+	test.startAttempt()
+	backend := test.acceptWritten(test.request.attempts[0])
+	backend.write("-ERR failed\r\n")
+	runTasksUntil(test.t, test.server, func() bool { return test.request.openAttempts == 0 })
+	test.disconnect()
+	test.startAttempt()
+	return backend
+}
+
+func (test *unreadCloseTest) beforeARetryAfterAReset() *peer {
+	test.startAttempt()
+	backend := test.acceptWritten(test.request.attempts[0])
+	backend.reset()
+	runTasksUntil(test.t, test.server, func() bool { return test.request.openAttempts == 0 })
+	test.disconnect()
+	test.startAttempt()
+	return nil
+}
+
+// wantNotSent fails unless the last attempt ends with NotSent and its request is closed.
+func (test *unreadCloseTest) wantNotSent() {
+	test.t.Helper()
+	last := test.request.attempts[len(test.request.attempts)-1]
+	runTasksUntil(test.t, test.server, func() bool {
+		return last.ended || last.conn != nil && last.conn.writeState.Load() != commandUnsent
+	})
+	if !last.ended {
+		test.t.Fatal("the request was forwarded")
+	}
+	results := attemptResults(test.server)
+	if last := results[len(results)-1]; last.Status != policy.NotSent || !last.RequestClosed {
+		test.t.Errorf("got results %+v, want the last one to be NotSent with its request closed", results)
+	}
+}
+
+// wantAllEnded fails unless all requests of the client end once its reader runs.
+func (test *unreadCloseTest) wantAllEnded() {
+	test.t.Helper()
+	go test.conn.serve()
+	runTasksUntil(test.t, test.server, func() bool {
+		return len(test.server.requests.byID) == 0 && len(test.server.downstream.conns) == 0
+	})
+	if !test.other.ended || len(test.server.requests.clientIDInUse) != 0 {
+		test.t.Error("another request of the client is still open")
+	}
+}
