--- a/internal/gateway/audit.go
+++ b/internal/gateway/audit.go
@@ -13,43 +13,44 @@
 	"bellwood/internal/policy"
 )
 
-// auditedGateway is what the audit needs of its gateway. All methods are called on the event loop.
+// auditedGateway is the part of the gateway that the audit uses. All methods are called on the event loop.
 type auditedGateway interface {
-	// now is the loop's clock: Unix time that does not go back.
+	// now returns the time on the loop's clock, which is Unix time and monotonic.
 	now() time.Duration
-	// every runs a task again and again.
-	every(interval time.Duration, task func())
-	// emit keeps an event for the engine's next Step, and step runs that Step.
+	// runEvery runs a task periodically.
+	runEvery(interval time.Duration, task func())
+	// emit queues an event for the engine's next Step, and step runs that Step.
 	emit(policy.Event)
 	step()
-	// setOutOfService takes the gateway out of service or puts it back. Attempts that are written go on.
+	// setOutOfService takes the gateway out of service or returns it to service. Attempts already written continue.
 	setOutOfService(out bool)
-	// reopenWatch opens discovery's watch anew, from the version in force.
+	// reopenWatch reopens the watch at discovery, starting from the version in force.
 	reopenWatch()
-	// fetchSnapshot gets the whole list and, if it has another index than the one applied last, opens a watch from
-	// there. It calls ended once, at the end, with whether the list was applied.
-	fetchSnapshot(ended func(ok bool))
-	// addToCounter makes a counter call. It calls ended once, possibly before it returns.
-	addToCounter(name uint64, amount float64, ttl time.Duration, ended func(policy.Status, float64))
+	// fetchSnapshot fetches the whole endpoint list. If its index differs from the one applied last, it also opens a
+	// watch from that index. It calls done once, at the end, and reports whether the list was applied.
+	fetchSnapshot(done func(ok bool))
+	// addToCounter makes a counter call. It calls done once, possibly before it returns.
+	addToCounter(name uint64, amount float64, ttl time.Duration, done func(policy.Status, float64))
 }
 
-// auditor stands between the event loop and the audit of the fleet: it collects what happens at this gateway as events
-// of the audit's machine, and carries out the machine's actions. The loop owns it. nil is the audit turned off: the
-// methods that the gateway calls do nothing then.
+// auditor connects the event loop to the state machine of the fleet audit: it collects what happens at this gateway as
+// events for the machine and executes the machine's actions. The loop owns it. A nil *auditor means that the audit is
+// disabled; the methods that the gateway calls then do nothing.
 type auditor struct {
 	gateway auditedGateway
 	config  *Config
 	log     *slog.Logger
 	machine *audit.Machine
 	events  []audit.Event // for the machine's next Step
-	// Versions whose last part the loop has applied. They are in force once the engine's next Step has taken their events.
+	// Versions that the loop has applied completely. They are in force once the engine's next Step has processed their
+	// events.
 	appliedVersions []audit.VersionAdopted
-	// When the last pass of the loop began or ended. The engine's periodic check alone brings a pass every 20 ms, so a
-	// much longer time without one is a pause of the process.
-	lastPass time.Duration
+	// When the last iteration of the loop began or ended. The engine's periodic check alone causes an iteration every
+	// 20 ms, so a much longer gap means that the process was paused.
+	lastIteration time.Duration
 }
 
-// newAuditor returns nil if the configuration has no section audit. The error is a *SettingError.
+// newAuditor returns nil if the configuration has no audit section. The error is a *SettingError.
 func newAuditor(server *Server) (*auditor, error) {
 	if server.cfg.Audit == nil {
 		return nil, nil
@@ -61,137 +62,142 @@
 	return &auditor{gateway: auditedServer{server}, config: server.cfg, log: server.log, machine: machine}, nil
 }
 
-// start begins the audit, with the endpoint list of the configuration. It has to be called before the first pass.
+// start starts the audit with the endpoint list of the configuration. It must be called before the loop's first iteration.
 func (a *auditor) start() {
 	if a == nil {
 		return
 	}
-	a.lastPass = a.gateway.now()
-	a.configured(a.config.Discovery, a.config.Counter, a.config.Audit.Revision)
+	a.lastIteration = a.gateway.now()
+	a.configurationChanged(a.config.Discovery, a.config.Counter, a.config.Audit.Revision)
 	if known := a.config.Known.Index; known > 0 {
-		a.adopted(known, audit.FromConfiguration)
+		a.versionAdopted(known, audit.FromConfiguration)
 	}
-	a.log.Info("the audit is on", "window", a.machine.Window())
-	a.gateway.every(audit.TickInterval, a.step)
+	a.log.Info("fleet audit enabled", "window", a.machine.Window())
+	a.gateway.runEvery(audit.TickInterval, a.step)
 }
 
-// The methods from here on are called when something happens at the gateway.
+// The following methods report what happens at the gateway.
 
-// configured tells the audit the configuration in force: the addresses of discovery and the counter, and the name that
-// the operators gave the configuration.
-func (a *auditor) configured(discovery, counter, revision string) {
+// configurationChanged reports the configuration in force: the addresses of discovery and the counter, and the operators'
+// revision of the configuration.
+func (a *auditor) configurationChanged(discovery, counter, revision string) {
 	if a == nil {
 		return
 	}
-	fleetWide := fmt.Sprintf("%x %s", a.config.Audit.settingsDigest, revision)
-	own := fmt.Sprintf("%s %s %s", fleetWide, discovery, counter)
-	a.tell(audit.Configured{Revision: xxhash.Sum64String(fleetWide), Digest: xxhash.Sum64String(own)})
+	shared := fmt.Sprintf("%x %s", a.config.Audit.settingsDigest, revision)
+	full := fmt.Sprintf("%s %s %s", shared, discovery, counter)
+	a.addEvent(audit.Configured{Revision: xxhash.Sum64String(shared), Digest: xxhash.Sum64String(full)})
 }
 
-// adopted notes a version whose last part the loop has applied. The engine acts on it from its next Step on.
-func (a *auditor) adopted(index int64, source audit.Source) {
+// versionAdopted records a version that the loop has applied completely. The engine uses it from its next Step on.
+func (a *auditor) versionAdopted(index int64, source audit.Source) {
 	if a != nil {
 		version := audit.VersionAdopted{Index: index, Source: source, ReadAt: a.gateway.now(), Changes: 1}
 		a.appliedVersions = append(a.appliedVersions, version)
 	}
 }
 
-// inForce notes that the engine has had a Step, so it acts on what was adopted before.
-func (a *auditor) inForce() {
+// engineStepped records that the engine has run a Step, which puts the versions applied before it in force.
+func (a *auditor) engineStepped() {
 	if a == nil {
 		return
 	}
 	for _, version := range a.appliedVersions {
-		a.tell(version)
+		a.addEvent(version)
 	}
 	a.appliedVersions = a.appliedVersions[:0]
 }
 
-// decided notes that the engine is given a client's request. clientID is the id that the client gave it.
-func (a *auditor) decided(clientID []byte) {
+// requestDecided records that a client's request is passed to the engine. clientID is the id that the client gave it.
+func (a *auditor) requestDecided(clientID []byte) {
 	if a != nil {
-		a.tell(audit.RequestDecided{ClientID: string(clientID)})
+		a.addEvent(audit.RequestDecided{ClientID: string(clientID)})
 	}
 }
 
-// attempted notes that an attempt is started.
-func (a *auditor) attempted() {
+// attemptStarted records the start of an attempt.
+func (a *auditor) attemptStarted() {
 	if a != nil {
-		a.tell(audit.AttemptSent{})
+		a.addEvent(audit.AttemptSent{})
 	}
 }
 
-// quotaCallEnded notes how a counter call for a quota ended: after a failed one the audit makes no calls for a while.
+// quotaCallEnded records the result of a counter call for a quota. After a failed one the audit makes no counter calls for
+// a while.
 func (a *auditor) quotaCallEnded(status policy.Status) {
 	if a != nil && status != policy.OK {
-		a.tell(audit.QuotaCallFailed{})
+		a.addEvent(audit.QuotaCallFailed{})
 	}
 }
 
-func (a *auditor) tell(event audit.Event) { a.events = append(a.events, event) }
+// addEvent queues an event for the machine's next Step.
+func (a *auditor) addEvent(event audit.Event) { a.events = append(a.events, event) }
 
-// beginPass tells the audit, before anything else that has gathered, if the process was paused.
-func (a *auditor) beginPass() {
+// beginIteration checks whether the process was paused since the last iteration. If so, the audit processes the pause
+// before any pending work of the loop.
+func (a *auditor) beginIteration() {
 	if a == nil {
 		return
 	}
 	now := a.gateway.now()
 	pause := a.pauseAt(now)
-	a.lastPass = now
+	a.lastIteration = now
 	if pause > 0 {
-		a.tell(audit.ResumedAfterPause{Pause: pause})
+		a.addEvent(audit.ResumedAfterPause{Pause: pause})
 		a.step()
 	}
 }
 
-// endPass lets the audit act on what has happened in a pass. If the process was paused within the pass, the next
-// beginPass finds it.
-func (a *auditor) endPass() {
+// endIteration lets the audit process the events of an iteration. If the process was paused during the iteration,
+// lastIteration stays unchanged so that the next beginIteration detects the pause.
+func (a *auditor) endIteration() {
 	if a == nil {
 		return
 	}
-	if now := a.gateway.now(); now-a.lastPass < audit.MinPause {
-		a.lastPass = now
+	if now := a.gateway.now(); now-a.lastIteration < audit.MinPause {
+		a.lastIteration = now
 	}
 	if len(a.events) > 0 {
 		a.step()
-		a.gateway.step() // takes what the audit told the engine
+		a.gateway.step() // processes the events that the audit emitted to the engine
 	}
 }
 
-// pausedInPass says whether the process was paused in this pass, so that what was decided before is old.
-func (a *auditor) pausedInPass(now time.Duration) bool { return a.pauseAt(now) > 0 }
+// pausedInIteration reports whether the process was paused during this iteration of the loop, which makes the decisions
+// taken before the pause stale.
+func (a *auditor) pausedInIteration(now time.Duration) bool { return a.pauseAt(now) > 0 }
 
-// pauseAt is how long the process has been paused since lastPass; 0 if it was not, or for less than audit.MinPause.
+// pauseAt returns how long the process has been paused since lastIteration; 0 if not at all, or for less than
+// audit.MinPause.
 func (a *auditor) pauseAt(now time.Duration) time.Duration {
-	if a == nil || a.lastPass == 0 || now-a.lastPass < audit.MinPause {
+	if a == nil || a.lastIteration == 0 || now-a.lastIteration < audit.MinPause {
 		return 0
 	}
-	return now - a.lastPass
+	return now - a.lastIteration
 }
 
-// The methods from here on carry out what the audit wants.
+// The following methods execute the actions of the audit.
 
-// step runs the machine and carries out its actions, until no event is left: an action may end at once and bring an
-// event.
+// step runs the machine and executes its actions. It repeats this until no event is pending, because an action may
+// complete immediately and add an event.
 func (a *auditor) step() {
 	for first := true; first || len(a.events) > 0; first = false {
 		events := a.events
 		a.events = nil
 		for _, action := range a.machine.Step(a.gateway.now(), events) {
-			a.carryOut(action)
+			a.executeAction(action)
 		}
 	}
 }
 
-func (a *auditor) carryOut(action audit.Action) {
+func (a *auditor) executeAction(action audit.Action) {
 	switch action := action.(type) {
 	case audit.AddToCounter:
 		a.addToCounter(action)
 	case audit.ReopenWatch:
 		a.gateway.reopenWatch()
 	case audit.FetchSnapshot:
-		a.gateway.fetchSnapshot(func(ok bool) { a.tell(audit.SnapshotFetched{OK: ok}) })
+		a.gateway.fetchSnapshot(func(ok bool) { a.addEvent(audit.SnapshotFetched{OK: ok}) })
 	case audit.LeaveService:
 		a.gateway.setOutOfService(true)
 	case audit.ReturnToService:
@@ -204,11 +210,11 @@
 // addToCounter makes a counter call for the audit.
 func (a *auditor) addToCounter(call audit.AddToCounter) {
 	a.gateway.addToCounter(call.Name, call.Amount, call.TTL, func(status policy.Status, total float64) {
-		a.tell(audit.CounterResult{Call: call.Call, Status: auditCallStatus(status), Total: total})
+		a.addEvent(audit.CounterResult{Call: call.Call, Status: auditCallStatus(status), Total: total})
 	})
 }
 
-// auditCallStatus is how a counter call ended, in the audit's terms.
+// auditCallStatus converts the status of a counter call to the audit's terms.
 func auditCallStatus(status policy.Status) audit.CallStatus {
 	switch status {
 	case policy.OK:
@@ -219,8 +225,8 @@
 	return audit.MaybeAdded
 }
 
-// writeLog logs a record. Steps are warnings: they are logged only if the gateway is behind, was paused, or has another
-// configuration than the fleet.
+// writeLog logs a record. A StepRecord is a warning: there is one only if the gateway is behind, was paused, or has a
+// configuration that differs from the fleet's.
 func (a *auditor) writeLog(record audit.Record) {
 	level := slog.LevelInfo
 	if _, ok := record.(audit.StepRecord); ok {
@@ -229,7 +235,7 @@
 	a.log.LogAttrs(context.Background(), level, record.Message(), record.Attrs()...)
 }
 
-// auditedServer is the auditedGateway of a Server.
+// auditedServer implements auditedGateway for a Server.
 type auditedServer struct{ *Server }
 
 func (s auditedServer) setOutOfService(out bool) {
@@ -242,9 +248,9 @@
 
 func (s auditedServer) reopenWatch() { s.discovery.Follow(s.discovery.Address()) }
 
-func (s auditedServer) fetchSnapshot(ended func(ok bool)) { s.discovery.FetchAndFollow(ended) }
+func (s auditedServer) fetchSnapshot(done func(ok bool)) { s.discovery.FetchAndFollow(done) }
 
 func (s auditedServer) addToCounter(name uint64, amount float64, ttl time.Duration,
-	ended func(policy.Status, float64)) {
-	s.counter.Add(name, amount, ttl, func(result counter.Result) { ended(result.Status, result.Total) })
+	done func(policy.Status, float64)) {
+	s.counter.Add(name, amount, ttl, func(result counter.Result) { done(result.Status, result.Total) })
 }
--- a/internal/gateway/audit_test.go
+++ b/internal/gateway/audit_test.go
@@ -11,31 +11,31 @@
 	"bellwood/internal/policy"
 )
 
-// fakeAuditedGateway is a gateway whose clock stands until the test moves it, and that notes what the audit wants.
+// fakeAuditedGateway is an auditedGateway with a manual clock that records the calls of the audit.
 type fakeAuditedGateway struct {
 	clock time.Duration
-	did   []string // what it was to do, in order
+	calls []string // in order
 }
 
-func (g *fakeAuditedGateway) now() time.Duration          { return g.clock }
-func (g *fakeAuditedGateway) every(time.Duration, func()) {}
-func (g *fakeAuditedGateway) emit(policy.Event)           {}
-func (g *fakeAuditedGateway) step()                       {}
-func (g *fakeAuditedGateway) reopenWatch()                { g.did = append(g.did, "reopen the watch") }
-func (g *fakeAuditedGateway) fetchSnapshot(func(bool))    { g.did = append(g.did, "fetch the list") }
+func (g *fakeAuditedGateway) now() time.Duration             { return g.clock }
+func (g *fakeAuditedGateway) runEvery(time.Duration, func()) {}
+func (g *fakeAuditedGateway) emit(policy.Event)              {}
+func (g *fakeAuditedGateway) step()                          {}
+func (g *fakeAuditedGateway) reopenWatch()                   { g.calls = append(g.calls, "reopen the watch") }
+func (g *fakeAuditedGateway) fetchSnapshot(func(bool))       { g.calls = append(g.calls, "fetch the list") }
 
 func (g *fakeAuditedGateway) setOutOfService(out bool) {
 	if out {
-		g.did = append(g.did, "leave service")
+		g.calls = append(g.calls, "leave service")
 	} else {
-		g.did = append(g.did, "return to service")
+		g.calls = append(g.calls, "return to service")
 	}
 }
 
 func (g *fakeAuditedGateway) addToCounter(uint64, float64, time.Duration, func(policy.Status, float64)) {
 }
 
-// startAuditor starts the adapter of one of five gateways round a fake.
+// startAuditor starts the auditor of one of five gateways, with a fake gateway.
 func startAuditor(t *testing.T) (*auditor, *fakeAuditedGateway) {
 	t.Helper()
 	config, err := configureAudit("{}", 5, 0, true)
@@ -52,44 +52,45 @@
 	return a, gateway
 }
 
-// A version that the loop has taken counts as in force only once the engine has had its Step with it.
-func TestAuditHearsOfAVersionOnceTheEngineActsOnIt(t *testing.T) {
+// A version that the loop has applied counts as in force only after the engine's next Step has processed it.
+func TestAuditVersionIsInForceOnlyAfterEngineStep(t *testing.T) {
 	a, gateway := startAuditor(t)
-	endPassAndStep := func() { // steps the audit a second after the pass
-		a.endPass()
+	endIterationAndStep := func() { // steps the audit one second after the iteration
+		a.endIteration()
 		gateway.clock += time.Second
 		a.step()
 	}
-	a.adopted(2, audit.FromDelta)
-	endPassAndStep()
+	a.versionAdopted(2, audit.FromDelta)
+	endIterationAndStep()
 	if records := a.machine.Records(); len(records) != 0 {
-		t.Errorf("before the engine's Step: %+v", records)
+		t.Errorf("before the engine's Step: records %+v, want none", records)
 	}
-	a.inForce()
-	endPassAndStep()
+	a.engineStepped()
+	endIterationAndStep()
 	records := a.machine.Records()
 	if len(records) != 1 || records[0].(audit.VersionRecord).Version != 2 {
-		t.Errorf("after the engine's Step: %+v", records)
+		t.Errorf("after the engine's Step: records %+v, want one of version 2", records)
 	}
 }
 
-// A process that was paused between two passes leaves service, and calls discovery, before the pass does anything else.
-func TestAuditLeavesServiceAfterAPauseOfTheProcess(t *testing.T) {
+// After a pause of the process between two iterations of the loop, the gateway leaves service and contacts discovery before
+// the iteration does anything else.
+func TestAuditLeavesServiceAfterProcessPause(t *testing.T) {
 	a, gateway := startAuditor(t)
-	a.adopted(2, audit.FromDelta)
-	a.inForce()
-	a.endPass()
+	a.versionAdopted(2, audit.FromDelta)
+	a.engineStepped()
+	a.endIteration()
 	gateway.clock += audit.MinPause - time.Millisecond
-	if a.beginPass(); len(gateway.did) > 0 {
-		t.Errorf("after a shorter pause: %q", gateway.did)
+	if a.beginIteration(); len(gateway.calls) > 0 {
+		t.Errorf("after a shorter pause: calls %q, want none", gateway.calls)
 	}
-	a.endPass()
+	a.endIteration()
 	gateway.clock += audit.MinPause
-	if !a.pausedInPass(gateway.clock) {
-		t.Error("attempts of the pass are not held back")
+	if !a.pausedInIteration(gateway.clock) {
+		t.Error("attempts decided before the pause would still be sent")
 	}
-	a.beginPass()
-	if want := []string{"reopen the watch", "fetch the list", "leave service"}; !slices.Equal(gateway.did, want) {
-		t.Errorf("after a pause: %q, want %q", gateway.did, want)
+	a.beginIteration()
+	if want := []string{"reopen the watch", "fetch the list", "leave service"}; !slices.Equal(gateway.calls, want) {
+		t.Errorf("after a pause: calls %q, want %q", gateway.calls, want)
 	}
 }
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -32,7 +32,7 @@
 	if snapshot {
 		source = audit.FromSnapshot
 	}
-	l.server.audit.adopted(index, source)
+	l.server.audit.versionAdopted(index, source)
 }
 
 func (l discoveryLoop) Reachable() { l.server.ready.Store(true) }
--- a/internal/gateway/eventloop.go
+++ b/internal/gateway/eventloop.go
@@ -7,40 +7,40 @@
 	"bellwood/internal/timerqueue"
 )
 
-// maxWaitingTasks is how many tasks may wait for the loop before post blocks.
-const maxWaitingTasks = 1024
+// taskQueueSize is the capacity of the task queue. post blocks while the queue is full.
+const taskQueueSize = 1024
 
-// taskLoop is what the parts of a gateway need of its event loop. post and now may be called from any goroutine, the
-// others on the loop only.
+// taskLoop is the event loop as the components of a gateway use it. post and now may be called from any goroutine, the
+// other methods only on the loop.
 type taskLoop interface {
-	// now is the loop's clock: Unix time that never goes back.
+	// now returns the time on the loop's clock, which is Unix time and monotonic.
 	now() time.Duration
-	// post hands the loop a task. It waits while too many are there, and drops the task once the loop has ended.
+	// post queues a task for the loop. It blocks while the queue is full. Once the loop has ended, tasks are dropped.
 	post(task func())
-	// emit keeps an event for the engine's next Step.
+	// emit queues an event for the engine's next Step.
 	emit(event policy.Event)
-	// addTimer runs a task on the loop when its time has come.
+	// addTimer schedules a task to run on the loop at the given time.
 	addTimer(at time.Duration, task func()) *timerqueue.Timer
-	// stopTimer takes a timer back; nil or one that has run is passed over.
+	// stopTimer cancels a timer. It ignores nil and timers that have fired.
 	stopTimer(timer *timerqueue.Timer)
 }
 
-// eventLoop holds what waits for the loop goroutine: tasks from other goroutines, timers, and events for the engine.
-// Server runs it. All but the channels belongs to the loop goroutine.
+// eventLoop holds the pending work of the loop goroutine: tasks from other goroutines, timers, and events for the engine.
+// Server.Run processes it. Only the channels may be used by other goroutines.
 type eventLoop struct {
 	startedAt time.Time
 	tasks     chan func()
-	done      chan struct{} // closed when the loop has ended
-	events    []policy.Event
+	done      chan struct{}  // closed when the loop has ended
+	events    []policy.Event // for the engine's next Step
 	timers    timerqueue.Queue
 }
 
 func newEventLoop() *eventLoop {
-	return &eventLoop{startedAt: time.Now(), tasks: make(chan func(), maxWaitingTasks), done: make(chan struct{})}
+	return &eventLoop{startedAt: time.Now(), tasks: make(chan func(), taskQueueSize), done: make(chan struct{})}
 }
 
-// now is the Unix time at the start and what has passed since. All gateways must read about the same, as they name the
-// counter's numbers by it; and it must not go back.
+// now returns the Unix time of the start plus the monotonic time elapsed since. All gateways must read nearly the same
+// time because they derive the names of the shared counters from it, and it must never go backwards.
 func (loop *eventLoop) now() time.Duration {
 	return time.Duration(loop.startedAt.UnixNano()) + time.Since(loop.startedAt)
 }
@@ -60,17 +60,17 @@
 
 func (loop *eventLoop) stopTimer(timer *timerqueue.Timer) { loop.timers.Stop(timer) }
 
-// every runs a task again and again, with a pause between two runs.
-func (loop *eventLoop) every(pause time.Duration, task func()) {
-	loop.timers.Add(loop.now()+pause, func() {
+// runEvery runs a task periodically. The interval is measured from the end of one run to the start of the next.
+func (loop *eventLoop) runEvery(interval time.Duration, task func()) {
+	loop.timers.Add(loop.now()+interval, func() {
 		task()
-		loop.every(pause, task)
+		loop.runEvery(interval, task)
 	})
 }
 
-// runWaiting runs a task, where there is one, all others that wait behind it, and the timers that are due: what is
-// there together goes into one step of the engine.
-func (loop *eventLoop) runWaiting(task func()) {
+// runPending runs the given task unless it is nil, then all tasks in the queue and all due timers. Their events are
+// batched into one Step of the engine.
+func (loop *eventLoop) runPending(task func()) {
 	if task != nil {
 		task()
 	}
@@ -80,7 +80,7 @@
 	loop.timers.Run(loop.now())
 }
 
-// takeEvents returns the events kept so far, and keeps none of them.
+// takeEvents returns the pending events and clears them.
 func (loop *eventLoop) takeEvents() []policy.Event {
 	events := loop.events
 	loop.events = nil
--- a/internal/gateway/overduerequest_test.go
+++ b/internal/gateway/overduerequest_test.go
@@ -8,23 +8,24 @@
 	"time"
 )
 
-// A loop that is late finds the engine's timer and the client's deadline due together. The engine answers, as only it
-// knows whether the request may be rejected; the loop's own deadline is for what the engine has lost.
-func TestEngineAnswersThoughTheLoopIsLate(t *testing.T) {
-	const wait = 700 * time.Millisecond // under half a second the engine would reject it on its arrival
-	for name, late := range map[string]func(gateway *testGateway, ask func()){
-		"late at the deadline": func(gateway *testGateway, ask func()) {
-			ask()
+// When the loop runs late, the engine's timer and the loop's deadline timer of a request become due in the same iteration.
+// The engine must answer, because only it knows whether the request may be rejected; the loop's timer is the fallback for
+// requests that the engine has lost.
+func TestEngineAnswersFirstWhenLoopIsLate(t *testing.T) {
+	const clientTimeout = 700 * time.Millisecond // the engine rejects a request on arrival if it has less than half a second
+	for name, delayLoop := range map[string]func(gateway *testGateway, sendRequest func()){
+		"late at the deadline": func(gateway *testGateway, sendRequest func()) {
+			sendRequest()
 			gateway.until(func() bool { return len(gateway.server.requests.byID) == 1 })
 			release := gateway.holdLoop()
-			time.Sleep(wait + 50*time.Millisecond)
+			time.Sleep(clientTimeout + 50*time.Millisecond)
 			release()
 		},
-		"late between arrival and step": func(gateway *testGateway, ask func()) {
+		"late between arrival and step": func(gateway *testGateway, sendRequest func()) {
 			release := gateway.holdLoop()
-			ask()
+			sendRequest()
 			gateway.waitForTasks(1)
-			gateway.server.post(func() { time.Sleep(50 * time.Millisecond) }) // in the same pass as the arrival
+			gateway.server.post(func() { time.Sleep(50 * time.Millisecond) }) // in the same iteration as the arrival
 			release()
 		},
 	} {
@@ -33,12 +34,12 @@
 			gateway := startGateway(t, nil)
 			gateway.server.post(func() { gateway.server.requests.log = slog.New(slog.NewTextHandler(&log, nil)) })
 			client := gateway.dial()
-			late(gateway, func() {
-				client.command(requestWith("d=20000", fmt.Sprint("d=", wait.Milliseconds()))...)
+			delayLoop(gateway, func() {
+				client.command(requestWith("d=20000", fmt.Sprint("d=", clientTimeout.Milliseconds()))...)
 			})
 			client.wantsPrefix("-BUSY")
 			if strings.Contains(log.String(), "deadline exceeded") {
-				t.Errorf("the last resort was used: %s", log.String())
+				t.Errorf("the loop's deadline timer answered instead of the engine: %s", log.String())
 			}
 		})
 	}
--- a/internal/gateway/requesttable.go
+++ b/internal/gateway/requesttable.go
@@ -9,52 +9,55 @@
 	"bellwood/internal/timerqueue"
 )
 
-// openRequest is a client's request until its final reply is given and its attempts have ended.
+// openRequest is a client's request that still lacks its final reply or has unfinished attempts.
 type openRequest struct {
 	id            uint64
 	received      *clientRequest
-	deadline      time.Duration // when the client gives up, on the loop's clock
+	deadline      time.Duration // when the client stops waiting, on the loop's clock
 	deadlineTimer *timerqueue.Timer
 	attempts      []*backendAttempt
 	openAttempts  int  // attempts without a result
-	ended         bool // the final reply is given, or the client has left
+	ended         bool // the final reply was given, or the client has disconnected
 }
 
-// over says whether the request has ended and so have all its attempts.
-func (request *openRequest) over() bool { return request.ended && request.openAttempts == 0 }
+// finished reports whether the request and all its attempts have ended.
+func (request *openRequest) finished() bool { return request.ended && request.openAttempts == 0 }
 
-// attemptSender is what the requests need of upstream.
+// attemptSender is the part of upstream that requestTable uses.
 type attemptSender interface {
-	// startAttempt sends an attempt. Its result comes by attemptEnded, perhaps before startAttempt returns.
+	// startAttempt sends an attempt. Its result is reported through attemptEnded, possibly before startAttempt returns.
 	startAttempt(attempt *backendAttempt)
-	// cancelAttempt gives an attempt up; one that has ended is passed over.
+	// cancelAttempt cancels an attempt. It ignores one that has ended.
 	cancelAttempt(attempt *backendAttempt)
 }
 
-// attemptAudit is what the requests need of the audit of the fleet.
-type attemptAudit interface {
-	// decided notes that the engine is given the request with the client's id.
-	decided(clientID []byte)
-	// attempted notes that an attempt is started.
-	attempted()
-	// pausedInPass says whether the process was paused in this pass, so that what was decided before is old.
-	pausedInPass(now time.Duration) bool
+// requestAudit is the part of the fleet audit that requestTable uses.
+type requestAudit interface {
+	// requestDecided records that a request is passed to the engine. clientID is the id that the client gave it.
+	requestDecided(clientID []byte)
+	// attemptStarted records the start of an attempt.
+	attemptStarted()
+	// pausedInIteration reports whether the process was paused during this iteration of the loop, which makes the
+	// decisions taken before the pause stale.
+	pausedInIteration(now time.Duration) bool
 }
 
-// requestTable keeps the open requests and their attempts. The loop owns it. A request has two ids: id is the table's own
-// number, by which the engine knows it; the client's id (clientID) stands in its command and in the log.
+// requestTable holds the open requests and their attempts. The loop owns it.
+//
+// A request has two ids: id is assigned by the table and identifies the request to the engine; clientID is taken from
+// the client's command and is the one that is logged.
 type requestTable struct {
 	loop         taskLoop
 	log          *slog.Logger
 	sender       attemptSender
-	audit        attemptAudit
-	maxOpen      int  // requests; 0: no limit
+	audit        requestAudit
+	maxOpen      int  // limit on open requests; 0: no limit
 	allowHedging bool // a request may have two attempts in flight
 
 	byID          map[uint64]*openRequest
-	clientIDInUse map[string]bool // requests without a final reply, by the clients' ids
+	clientIDInUse map[string]bool // client ids of the requests without a final reply
 	lastID        uint64
-	overdue       []*openRequest // their deadlines have passed: answered after the step if the engine has not
+	overdue       []*openRequest // past their deadline; abandonOverdue answers those that the engine has not answered
 }
 
 func newRequestTable(loop taskLoop, cfg *Config, log *slog.Logger) *requestTable {
@@ -64,8 +67,9 @@
 
 func (table *requestTable) len() int { return len(table.byID) }
 
-// requestArrived takes a request in. It answers the request itself if too many are open, or if the client's id is that of
-// an open request: an id belongs to one request until its final reply (TestOpenIDIsRejected).
+// requestArrived adds a request to the table and emits it to the engine. It rejects the request directly if too many are
+// open, or if its client id is that of an open request: an id belongs to one request until its final reply
+// (TestOpenIDIsRejected).
 func (table *requestTable) requestArrived(received *clientRequest) {
 	if table.maxOpen > 0 && len(table.byID) >= table.maxOpen {
 		received.answer(protocol.Busy(0))
@@ -81,25 +85,27 @@
 	request := &openRequest{id: table.lastID, received: received, deadline: received.arrivedAt + received.TimeLeft}
 	received.id = request.id
 	table.byID[request.id] = request
-	table.guardDeadline(request)
+	table.startDeadlineTimer(request)
 	table.loop.emit(policy.Request{ID: request.id, Class: received.Class, Plan: received.Plan, Tenant: received.Tenant,
-		Cost: received.Cost, Gateways: received.Gateways, ClientRetry: received.ClientRetry}) // TimeLeft: see updateTimeLeft
+		Cost: received.Cost, Gateways: received.Gateways, ClientRetry: received.ClientRetry}) // updateTimeLeft sets TimeLeft
 }
 
-// guardDeadline makes sure that a client gets a reply in time, even if the engine never answers.
+// startDeadlineTimer starts a timer that ensures a reply by the client's deadline even if the engine never answers.
+// Without it, the client of a request that the engine has lost would wait forever, and its connection would never be
+// drained.
+//
+// If the loop is late, this timer and the engine's own fire in the same iteration. Overdue requests are therefore answered
+// only after the engine's Step: the engine goes first because only it knows whether the request may be rejected.
 //
-// Failure: a request that the engine has lost. How it shows: its client waits for ever, and its connection is never
-// drained. Why this holds: the loop has a timer of its own for each request. Where the loop is late, that timer and the
-// engine's run in the same pass, so what is overdue is answered only after the step: the engine goes first, as only it
-// knows whether the request may be rejected. TestOverdueRequest, TestEngineAnswersThoughTheLoopIsLate.
-func (table *requestTable) guardDeadline(request *openRequest) {
+// See TestLoopAnswersRequestLostByTheEngine and TestEngineAnswersFirstWhenLoopIsLate.
+func (table *requestTable) startDeadlineTimer(request *openRequest) {
 	request.deadlineTimer = table.loop.addTimer(request.deadline, func() {
 		table.overdue = append(table.overdue, request)
 	})
 }
 
-// abandonOverdue answers the requests whose deadline has passed and to which the step before has given no reply. It says
-// whether any deadline has passed.
+// abandonOverdue abandons the requests whose deadline has passed and that the engine did not answer in the preceding Step.
+// It reports whether any deadline has passed.
 func (table *requestTable) abandonOverdue() bool {
 	if len(table.overdue) == 0 {
 		return false
@@ -115,7 +121,7 @@
 	return true
 }
 
-// abandonAll answers the requests that are still open at the shutdown's abandonAt.
+// abandonAll abandons all requests that are still open. It runs at the shutdown's abandonAt.
 func (table *requestTable) abandonAll() {
 	for _, request := range table.byID {
 		if !request.ended {
@@ -124,16 +130,16 @@
 	}
 }
 
-// abandon answers a request that the engine has not answered. The engine is told that the client has gone, though it has
-// not: by that event the engine forgets a request without answering it.
+// abandon ends a request that the engine has not answered, with an error reply. It emits ClientGone although the client is
+// still connected, because that event makes the engine drop a request without answering it.
 func (table *requestTable) abandon(request *openRequest) {
 	table.end(request)
 	table.loop.emit(policy.ClientGone{ID: request.id})
 	request.received.answer([]byte(protocol.NoAnswerInTime))
 }
 
-// updateTimeLeft sets TimeLeft of the new requests among the events by the clock of the step that takes them: the loop
-// may have been busy since they arrived, and the engine's own deadline must not be later than the client's.
+// updateTimeLeft sets TimeLeft of the new requests among the events as of now, the time of the Step that processes them.
+// The loop may have been busy since they arrived, and the engine's deadline must not be later than the client's.
 func (table *requestTable) updateTimeLeft(events []policy.Event, now time.Duration) {
 	for i, event := range events {
 		arrival, ok := event.(policy.Request)
@@ -143,12 +149,12 @@
 		if request := table.byID[arrival.ID]; request != nil {
 			arrival.TimeLeft = max(0, request.deadline-now)
 			events[i] = arrival
-			table.audit.decided(request.received.ClientID())
+			table.audit.requestDecided(request.received.ClientID())
 		}
 	}
 }
 
-// clientGone ends the request of a client that has left.
+// clientGone ends the request of a client that has disconnected.
 func (table *requestTable) clientGone(received *clientRequest) {
 	if request := table.byID[received.id]; request != nil && !request.ended {
 		table.end(request)
@@ -156,10 +162,10 @@
 	}
 }
 
-// answerByID gives a request its final reply, if it is open. The id is the table's.
+// answerByID gives the request with the given table id its final reply, if it is still open.
 func (table *requestTable) answerByID(id uint64, text []byte) { table.answer(table.byID[id], text) }
 
-// answer gives a request its final reply, once; nil is passed over.
+// answer gives a request its final reply. It does nothing if the request is nil or has ended.
 func (table *requestTable) answer(request *openRequest, text []byte) {
 	if request == nil || request.ended {
 		return
@@ -168,7 +174,7 @@
 	request.received.answer(text)
 }
 
-// end ends a request. Nothing may be sent for it any more, so its attempts in flight are cancelled.
+// end ends a request and cancels its attempts in flight, since nothing more may be sent for it.
 func (table *requestTable) end(request *openRequest) {
 	request.ended = true
 	delete(table.clientIDInUse, string(request.received.ClientID()))
@@ -176,30 +182,31 @@
 	for _, attempt := range request.attempts {
 		table.sender.cancelAttempt(attempt)
 	}
-	table.forgetIfOver(request)
+	table.removeIfFinished(request)
 }
 
-func (table *requestTable) forgetIfOver(request *openRequest) {
-	if request.over() {
+// removeIfFinished removes a request from the table once it and all its attempts have ended.
+func (table *requestTable) removeIfFinished(request *openRequest) {
+	if request.finished() {
 		delete(table.byID, request.id)
 	}
 }
 
-// sendAttempt carries out policy.SendAttempt.
+// sendAttempt executes a policy.SendAttempt action.
 func (table *requestTable) sendAttempt(send policy.SendAttempt) {
 	if request := table.byID[send.ID]; request != nil {
 		table.addAttempt(request, send)
 	}
 }
 
-// cancelAttempt carries out policy.CancelAttempt.
+// cancelAttempt executes a policy.CancelAttempt action.
 func (table *requestTable) cancelAttempt(cancel policy.CancelAttempt) {
 	if request := table.byID[cancel.ID]; request != nil && cancel.Attempt < len(request.attempts) {
 		table.sender.cancelAttempt(request.attempts[cancel.Attempt])
 	}
 }
 
-// addAttempt makes the attempt that the engine wants and hands it to upstream, or ends it as not sent.
+// addAttempt adds an attempt to a request and starts it, or ends it as policy.NotSent if it can no longer be started.
 func (table *requestTable) addAttempt(request *openRequest, send policy.SendAttempt) {
 	now := table.loop.now()
 	attempt := &backendAttempt{request: request, number: len(request.attempts), backend: send.Backend, startedAt: now,
@@ -209,17 +216,17 @@
 	}
 	request.attempts = append(request.attempts, attempt)
 	request.openAttempts++
-	if !table.mayStart(attempt, now) {
+	if !table.canStart(attempt, now) {
 		table.attemptEnded(attempt, attemptResult{status: policy.NotSent})
 		return
 	}
-	table.audit.attempted()
+	table.audit.attemptStarted()
 	table.sender.startAttempt(attempt)
 }
 
-// mayStart says whether an attempt that the engine wants may still be started when its action is carried out. A second
-// attempt in flight is a hedged request, which the settings may forbid.
-func (table *requestTable) mayStart(attempt *backendAttempt, now time.Duration) bool {
+// canStart reports whether an attempt may still be started at the time its action is executed. A second attempt in flight
+// is a hedged request, which the settings may forbid.
+func (table *requestTable) canStart(attempt *backendAttempt, now time.Duration) bool {
 	request := attempt.request
 	if request.ended || attempt.deadline <= now {
 		return false
@@ -227,10 +234,11 @@
 	if request.openAttempts > 1 && !table.allowHedging {
 		return false
 	}
-	return !table.audit.pausedInPass(now)
+	return !table.audit.pausedInIteration(now)
 }
 
-// attemptEnded takes the one result of an attempt, and tells the engine; a further one is passed over.
+// attemptEnded records the result of an attempt and reports it to the engine. Only the first result of an attempt counts;
+// later ones are ignored.
 func (table *requestTable) attemptEnded(attempt *backendAttempt, result attemptResult) {
 	if attempt.ended {
 		return
@@ -241,5 +249,5 @@
 	table.loop.emit(policy.AttemptResult{ID: attempt.request.id, Attempt: attempt.number, Backend: attempt.backend,
 		Status: result.status, Latency: table.loop.now() - attempt.startedAt, RequestClosed: attempt.request.ended,
 		QuotaUsage: result.quotaUsage, Cost: result.cost})
-	table.forgetIfOver(attempt.request)
+	table.removeIfFinished(attempt.request)
 }
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -1,25 +1,33 @@
-// Package gateway carries events from sockets to the engine (policy.Engine) and the engine's actions back to sockets.
+// Package gateway connects sockets to the policy engine (policy.Engine): it turns socket activity into events for the
+// engine and executes the actions that the engine returns.
 //
-// A Server composes the parts and runs the event loop; each part owns its state and knows the others by small
-// interfaces. A request passes them in this order: downstream (listener.go, clientconn.go) accepts and reads,
-// protocol.Parser parses, requestTable keeps it open and hands it to the engine, upstream (backendpool.go,
-// backendconn.go) sends the attempts that the engine wants, and the reply goes back by requestTable to the client's
-// connection.
+// A Server creates the components and runs the event loop. Each component owns its state and uses the others through
+// small interfaces. A request takes this path:
 //
-// # What is answered without the engine
+//  1. downstream (listener.go, clientconn.go) accepts the connection and reads the command.
+//  2. protocol.Parser parses it.
+//  3. requestTable tracks the open request and passes it to the engine.
+//  4. upstream (backendpool.go, backendconn.go) sends the attempts that the engine requests.
+//  5. requestTable returns the reply to the client's connection.
 //
-// The engine decides what becomes of a request. The gateway rejects by itself, with -BUSY, only for want of its own
-// means or at its end:
+// # Replies without an engine decision
 //
-//   - a connection for which there is no room (downstream.rejectConn, listener.go);
-//   - a request during a shutdown, or one for which there is no memory (clientConn.takeRequest, clientconn.go);
-//   - a request beyond limits.open-cap (requestTable.requestArrived, requesttable.go).
+// The engine decides how each request is handled. The gateway itself replies -BUSY only when it runs out of resources or
+// shuts down:
 //
-// It answers with an error what it can't read (clientConn.handleReadError, handleCommand and takeRequest), the id of an
-// open request (requestTable.requestArrived), and what the engine has not answered by the deadline or by the end of a
-// shutdown (requestTable.abandon). PING is answered by Server.pingReply. An attempt that can't be started any more when
-// its action is carried out ends as policy.NotSent (requestTable.mayStart, upstream.startAttempt); what follows from that
-// is the engine's decision.
+//   - to a connection over the connection limit (downstream.rejectConn, listener.go);
+//   - to a request during a shutdown, or when there is no memory for it (clientConn.takeRequest, clientconn.go);
+//   - to a request beyond limits.open-cap (requestTable.requestArrived, requesttable.go).
+//
+// It replies with an error:
+//
+//   - to input that it can't parse (clientConn.handleReadError, handleCommand and takeRequest);
+//   - to a request that reuses the id of an open request (requestTable.requestArrived);
+//   - to a request that the engine has not answered by the client's deadline or by the end of a shutdown
+//     (requestTable.abandon).
+//
+// Server.pingReply answers PING. An attempt that can no longer be started when its action is executed ends as
+// policy.NotSent (requestTable.canStart, upstream.startAttempt); the engine decides what to do next.
 package gateway
 
 import (
@@ -38,19 +46,20 @@
 	"bellwood/internal/policy"
 )
 
-// sweepInterval: idle connections and backends that have gone are looked for this often.
+// sweepInterval is the time between two cleanups of expired idle connections, overdue counter replies and terminated
+// backends.
 const sweepInterval = time.Second
 
-// Server is one gateway. Its loop goroutine (Run) alone owns the engine, the requests, the attempts and the timers; the
-// goroutines that read and write sockets hand it tasks.
+// Server is one gateway. The goroutine of its event loop (Run) exclusively owns the engine, the requests, the attempts
+// and the timers. The goroutines that read and write sockets communicate with it by posting tasks.
 type Server struct {
 	*eventLoop
 	cfg    *Config
 	log    *slog.Logger
 	engine *policy.Engine
 
-	ready     atomic.Bool // a backend in service has been known, so requests can be served
-	suspended atomic.Bool // the audit has taken the gateway out of service
+	ready     atomic.Bool // at least one backend in service has been discovered; never reset
+	suspended atomic.Bool // the fleet audit has taken the gateway out of service
 
 	watchdog   watchdog.Watchdog
 	requests   *requestTable
@@ -58,10 +67,10 @@
 	upstream   *upstream
 	counter    *counter.Client
 	discovery  *discovery.Client
-	audit      *auditor // nil: off
+	audit      *auditor // nil if the fleet audit is disabled
 }
 
-// New returns a gateway that takes no connection before Run. It fails where the settings can't be used.
+// New returns a gateway that accepts connections once Run is called. It returns an error if the settings are invalid.
 func New(cfg *Config, log *slog.Logger) (*Server, error) {
 	engine, err := policy.New(cfg.Settings, cfg.Seed)
 	if err != nil {
@@ -88,22 +97,22 @@
 	return server, nil
 }
 
-// Run serves the clients that connect to the listener until the context ends, then answers the requests that were taken
-// and returns. It owns the goroutines of the listener, of the watchdog and of all connections: they end with their
-// sockets or with it.
+// Run serves clients that connect to the listener until the context is cancelled. It then answers the requests accepted
+// so far and returns. It owns the goroutines of the listener, the watchdog and all connections; each ends when its socket
+// closes or when Run returns.
 func (server *Server) Run(ctx context.Context, ln net.Listener) {
 	defer close(server.done)
 	defer ln.Close()
 	server.discovery.Apply(server.cfg.Known.Endpoints, policy.CachedSnapshot)
 	server.audit.start()
-	server.step() // the engine has the list of the configuration from here on
+	server.step() // passes the endpoint list of the configuration to the engine
 	server.discovery.Follow(server.discovery.Address())
 	defer server.discovery.Stop()
 	go server.downstream.accept(ln)
 	go server.watchdog.Run(server.done, watchdog.Interval, server.log)
 	server.log.Info("gateway started", slog.String("listen", ln.Addr().String()),
 		slog.Int("backends", len(server.cfg.Known.Endpoints)))
-	server.every(sweepInterval, func() {
+	server.runEvery(sweepInterval, func() {
 		server.upstream.closeExpiredIdle()
 		server.counter.Sweep()
 		server.discovery.Sweep()
@@ -111,8 +120,8 @@
 	server.runLoop(ctx, ln)
 }
 
-// Reload moves to other addresses of discovery and the counter, from any goroutine. The revision is that of the
-// configuration; see Audit.
+// Reload switches to new addresses of discovery and the counter. It may be called from any goroutine. revision is the
+// revision of the configuration; see Audit.
 func (server *Server) Reload(discoveryAddr, counterAddr, revision string) {
 	server.post(func() {
 		if discoveryAddr != server.discovery.Address() {
@@ -123,11 +132,11 @@
 		}
 		server.log.Info("configuration reloaded", slog.String("discovery", discoveryAddr),
 			slog.String("counter", counterAddr))
-		server.audit.configured(discoveryAddr, counterAddr, revision)
+		server.audit.configurationChanged(discoveryAddr, counterAddr, revision)
 	})
 }
 
-// pingReply is the reply to a client's PING: whether requests are served.
+// pingReply returns the reply to PING, which tells a client whether the gateway serves requests.
 func (server *Server) pingReply() string {
 	switch {
 	case !server.ready.Load():
@@ -138,26 +147,26 @@
 	return protocol.Pong
 }
 
-// runLoop runs tasks, due timers and steps until a shutdown is complete.
+// runLoop runs the event loop until a shutdown is complete.
 func (server *Server) runLoop(ctx context.Context, ln net.Listener) {
-	alarm := time.NewTimer(0)
-	defer alarm.Stop()
-	signal := ctx.Done()
-	var ending shutdown
+	wakeup := time.NewTimer(0)
+	defer wakeup.Stop()
+	shutdownRequested := ctx.Done()
+	var schedule shutdown
 	for {
-		alarm.Reset(server.waitTime(ending))
+		wakeup.Reset(server.maxWait(schedule))
 		var task func()
 		select {
 		case task = <-server.tasks:
-		case <-alarm.C:
-		case <-signal:
-			signal = nil
-			ending = server.beginShutdown(ln)
+		case <-wakeup.C:
+		case <-shutdownRequested:
+			shutdownRequested = nil // select ignores it from now on
+			schedule = server.beginShutdown(ln)
 		}
 		server.watchdog.Begin()
-		server.runPass(task)
-		if now := server.now(); ending.draining(now) {
-			if server.downstream.drain() || now >= ending.endAt {
+		server.runIteration(task)
+		if now := server.now(); schedule.draining(now) {
+			if server.downstream.drain() || now >= schedule.endAt {
 				server.log.Info("shutdown complete", slog.Int("unanswered", server.requests.len()))
 				return
 			}
@@ -166,25 +175,26 @@
 	}
 }
 
-// waitTime is how long the loop may wait for a task.
-func (server *Server) waitTime(ending shutdown) time.Duration {
+// maxWait returns how long the loop may block until the next task: until the next timer is due, and during a shutdown
+// for shutdownPollInterval at most.
+func (server *Server) maxWait(schedule shutdown) time.Duration {
 	wait := server.timers.Wait(server.now())
-	if ending.begun() {
-		wait = min(wait, shutdownPollTime)
+	if schedule.begun() {
+		wait = min(wait, shutdownPollInterval)
 	}
 	return wait
 }
 
-// beginShutdown sets the times of a shutdown.
+// beginShutdown computes the schedule of a graceful shutdown and sets its timers.
 func (server *Server) beginShutdown(ln net.Listener) shutdown {
 	server.log.Info("shutdown started")
-	ending := newShutdown(server.now(), server.maxClientTimeout())
-	server.addTimer(ending.drainFrom, func() { stopAccepting(ln) })
-	server.addTimer(ending.abandonAt, server.requests.abandonAll)
-	return ending
+	schedule := newShutdown(server.now(), server.maxClientTimeout())
+	server.addTimer(schedule.drainFrom, func() { stopAccepting(ln) })
+	server.addTimer(schedule.abandonAt, server.requests.abandonAll)
+	return schedule
 }
 
-// maxClientTimeout is the longest client timeout of all classes.
+// maxClientTimeout returns the longest client timeout of all request classes.
 func (server *Server) maxClientTimeout() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range server.cfg.Settings.Classes {
@@ -193,33 +203,33 @@
 	return longest
 }
 
-// runPass runs the tasks and timers that wait for the loop, then lets the engine and the audit act on what they brought.
-func (server *Server) runPass(task func()) {
-	server.audit.beginPass()
-	server.runWaiting(task)
+// runIteration runs the queued tasks and the due timers, then lets the engine and the audit process the resulting events.
+func (server *Server) runIteration(task func()) {
+	server.audit.beginIteration()
+	server.runPending(task)
 	server.step()
 	if server.requests.abandonOverdue() {
 		server.step()
 	}
-	server.audit.endPass()
+	server.audit.endIteration()
 }
 
-// step gives the engine what has happened and carries out what it wants, in order, until no event is left: an action may
-// end at once and bring the next event.
+// step passes the pending events to the engine and executes the returned actions in order. It repeats this until no event
+// is pending, because an action may complete immediately and emit another event.
 func (server *Server) step() {
 	for len(server.events) > 0 {
 		events := server.takeEvents()
 		now := server.now()
 		server.requests.updateTimeLeft(events, now)
 		for _, action := range server.engine.Step(now, events) {
-			server.carryOut(action)
+			server.executeAction(action)
 		}
-		server.audit.inForce()
+		server.audit.engineStepped()
 	}
 }
 
-// carryOut does what the engine wants. Actions for a request that is no longer in the table are passed over.
-func (server *Server) carryOut(action policy.Action) {
+// executeAction executes an action of the engine. It ignores actions for a request that is no longer in the table.
+func (server *Server) executeAction(action policy.Action) {
 	switch action := action.(type) {
 	case policy.SendAttempt:
 		server.requests.sendAttempt(action)
@@ -236,7 +246,7 @@
 	case policy.SetTimer:
 		server.addTimer(action.At, func() { server.emit(policy.Timer{Cookie: action.Cookie}) })
 	case policy.WatchEndpoints, policy.FetchEndpoints:
-		// The gateway has a watch open at all times, so an engine that wants one is given a fetch, as one that polls.
+		// The gateway keeps a watch open at all times, so both actions are executed as a fetch.
 		server.discovery.Fetch()
 	case policy.Log:
 		server.log.Info(action.Text)
--- a/internal/gateway/server_test.go
+++ b/internal/gateway/server_test.go
@@ -8,53 +8,53 @@
 	"bellwood/internal/policy"
 )
 
-// All gateways name the counter's numbers by the time, so they must read the same clock.
-func TestClockIsUnixTime(t *testing.T) {
+// All gateways derive the names of the shared counters from the time, so their clocks must agree.
+func TestLoopClockIsUnixTime(t *testing.T) {
 	server := newIdleServer(t)
 	before := time.Now().UnixNano()
 	now := server.now().Nanoseconds()
 	if after := time.Now().UnixNano(); now < before-int64(time.Second) || now > after+int64(time.Second) {
-		t.Errorf("the loop's clock is %v off", time.Duration(now-before))
+		t.Errorf("the loop's clock differs from Unix time by %v", time.Duration(now-before))
 	}
 }
 
-// The engine never lets a request go unanswered; should it, the loop's own timer answers it and cancels its attempts.
-func TestOverdueRequest(t *testing.T) {
+// If the engine never answers a request, the loop's own deadline timer does, and its attempts are cancelled.
+func TestLoopAnswersRequestLostByTheEngine(t *testing.T) {
 	ln := listen(t)
 	server := newIdleServer(t, ln.Addr().String())
 	attempt := newAttempt(t, server)
 	server.timers.Run(attempt.request.deadline)
 	if attempt.request.ended {
-		t.Error("it is answered before the engine's own timer has had its step")
+		t.Error("the request is answered before the engine's Step")
 	}
-	for _, request := range server.requests.overdue { // as abandonOverdue does, without the step behind it
+	for _, request := range server.requests.overdue { // as abandonOverdue does, but no Step follows
 		server.requests.abandon(request)
 	}
-	wantResult(t, server, policy.ConnectFailed) // the loop has not heard of the connection
+	wantResult(t, server, policy.ConnectFailed) // the loop has not yet processed the new connection
 	if !attempt.request.ended || len(server.requests.byID) != 0 {
-		t.Error("the request goes on")
+		t.Error("the request is still open after its deadline")
 	}
 	if _, ok := server.events[len(server.events)-1].(policy.ClientGone); !ok {
-		t.Errorf("events %+v", server.events)
+		t.Errorf("events %+v, want ClientGone as the last one", server.events)
 	}
 }
 
-// After SIGTERM connections and requests are still taken for a while; all that was taken is answered; then
-// connections end between requests, and the gateway too.
-func TestShutdownAnswersWhatWasTaken(t *testing.T) {
+// After SIGTERM the gateway still accepts connections and requests for a while and answers every accepted request. Then
+// it closes each connection between two requests, and ends.
+func TestShutdownAnswersAcceptedRequests(t *testing.T) {
 	gateway, ln := startWithBackend(t)
-	early, calm := gateway.dial(), gateway.dial()
-	calm.command("PING")
-	calm.wants("+PONG")
+	early, idle := gateway.dial(), gateway.dial()
+	idle.command("PING")
+	idle.wants("+PONG")
 	early.sendRequest("1")
 	backend := acceptCommand(t, ln)
 	gateway.stop()
 	late := gateway.dial()
 	late.command("PING")
 	late.wants("+PONG")
-	calm.wantsEnd()
+	idle.wantsEnd()
 	late.wantsEnd()
-	early.sendRequest("2") // too late: it is rejected and does not keep the connection open
+	early.sendRequest("2") // sent while draining: it is rejected and does not keep the connection open
 	gateway.waitForPending(2)
 	backend.write(valueReply("value"))
 	early.wants("value")
@@ -62,14 +62,15 @@
 	early.wantsEnd()
 	gateway.waitForShutdown()
 	if !rawsocket.Quiet(backend.socket) {
-		t.Error("it was forwarded")
+		t.Error("the rejected request was forwarded to the backend")
 	}
 }
 
-// The counter and discovery may be silent at the start: the known list is enough to serve by.
-func TestServesFromKnownList(t *testing.T) {
+// A gateway whose counter and discovery accept connections but never respond serves requests with the endpoint list of
+// its configuration.
+func TestServesFromConfiguredListWhenDiscoveryIsSilent(t *testing.T) {
 	ln := listen(t)
-	silent := listen(t) // takes connections and says nothing
+	silent := listen(t) // accepts connections but never responds
 	gateway := startGateway(t, []string{ln.Addr().String()}, func(cfg *Config, t *testing.T) {
 		cfg.Discovery, cfg.Counter = silent.Addr().String(), silent.Addr().String()
 		cfg.Settings.SharedCounter = true
--- a/internal/gateway/upstream_test.go
+++ b/internal/gateway/upstream_test.go
@@ -111,7 +111,7 @@
 // Ways in which an attempt ends.
 
 func cancelAttempt(server *Server, attempt *backendAttempt, _ *peer) {
-	server.carryOut(policy.CancelAttempt{ID: attempt.request.id})
+	server.executeAction(policy.CancelAttempt{ID: attempt.request.id})
 }
 
 func exceedDeadline(server *Server, attempt *backendAttempt, _ *peer) {
--- a/internal/gateway/watchdog/watchdog.go
+++ b/internal/gateway/watchdog/watchdog.go
@@ -1,4 +1,4 @@
-// Package watchdog reports an event loop that is stuck.
+// Package watchdog detects and reports a stuck event loop.
 package watchdog
 
 import (
@@ -9,48 +9,49 @@
 )
 
 const (
-	// stuckChecks is how many checks in a row have to find a loop in the pass in which the check before them found it,
-	// until it counts as stuck. Checks are counted, not time: a process that was paused as a whole makes none meanwhile.
+	// stuckChecks is the number of consecutive checks without progress after which the loop counts as stuck. Checks are
+	// counted rather than time, because a paused process makes no checks.
 	stuckChecks = 4
-	// Interval is the time between two checks, so that a stuck loop is reported after 5 to 6.25 s.
+	// Interval is the time between two checks. With stuckChecks, a stuck loop is reported after 5 to 6.25 s.
 	Interval      = 1250 * time.Millisecond
-	maxStackBytes = 256 << 10 // of all goroutines
+	maxStackBytes = 256 << 10 // for the stacks of all goroutines
 )
 
-// Watchdog writes the stacks of all goroutines to the log when the loop is stuck.
+// Watchdog logs the stacks of all goroutines when the event loop is stuck.
 //
-// Failure: the loop waits for something that waits for the loop (a lock held over a close, a pipe that nobody reads).
-// How it shows: no request is answered, and the log is silent, as the loop writes it. Why this finds it: it runs on a
-// goroutine of its own and needs nothing of the loop but a counter. It changes nothing else.
+// The loop gets stuck when it waits for something that itself waits for the loop, such as a lock held during a close or a
+// pipe that nobody reads. No request is then answered, and nothing is logged because the loop writes the log. The watchdog
+// still works because it runs on a separate goroutine and shares only an atomic counter with the loop. It only reports and
+// does not intervene.
 //
-// The zero value is ready.
+// The zero value is ready to use.
 type Watchdog struct {
-	passes atomic.Uint64 // odd: the loop is at work; even: it waits for something to do
+	transitions atomic.Uint64 // calls of Begin and End; odd: the loop is busy, even: it is waiting for work
 }
 
-// Begin notes that the loop has something to do. The loop calls it.
-func (watchdog *Watchdog) Begin() { watchdog.passes.Add(1) }
+// Begin marks the start of a loop iteration. The loop calls it.
+func (watchdog *Watchdog) Begin() { watchdog.transitions.Add(1) }
 
-// End notes that the loop has done it. The loop calls it.
-func (watchdog *Watchdog) End() { watchdog.passes.Add(1) }
+// End marks the end of a loop iteration. The loop calls it.
+func (watchdog *Watchdog) End() { watchdog.transitions.Add(1) }
 
-// Run checks the loop at each interval until done is closed. The gateway's Run starts it on a goroutine of its own.
+// Run checks the loop at each interval until done is closed. It blocks, so it needs a goroutine of its own.
 func (watchdog *Watchdog) Run(done <-chan struct{}, interval time.Duration, log *slog.Logger) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
-	lastPass, sameChecks := uint64(0), 0
+	lastSeen, sameChecks := uint64(0), 0
 	for {
 		select {
 		case <-ticker.C:
 		case <-done:
 			return
 		}
-		pass := watchdog.passes.Load()
-		if pass != lastPass || pass%2 == 0 {
+		current := watchdog.transitions.Load()
+		if current != lastSeen || current%2 == 0 {
 			if sameChecks >= stuckChecks {
 				log.Warn("event loop running again", slog.Int("checks", sameChecks))
 			}
-			lastPass, sameChecks = pass, 0
+			lastSeen, sameChecks = current, 0
 			continue
 		}
 		if sameChecks++; sameChecks == stuckChecks {
--- a/internal/gateway/watchdog_test.go
+++ b/internal/gateway/watchdog_test.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// A loop that waits for something never comes back, and nothing is logged, as the loop does that. The watchdog reports
-// it once, with the place where it stands, and that it runs again; a loop that has nothing to do is not reported.
-func TestWatchdogReportsAStuckLoop(t *testing.T) {
+// A blocked loop serves nothing and cannot log. The watchdog must report it exactly once, with the stack of the blocking
+// call, and report again when the loop continues. An idle loop must not be reported.
+func TestWatchdogReportsStuckLoopOnce(t *testing.T) {
 	var log lockedBuffer
 	gateway := startGateway(t, nil)
 	done := make(chan struct{})
 	defer close(done)
 	go gateway.server.watchdog.Run(done, 100*time.Millisecond, slog.New(slog.NewTextHandler(&log, nil)))
-	says := func(want string) {
+	waitForLog := func(want string) {
 		t.Helper()
 		for end := time.Now().Add(testTimeout); !strings.Contains(log.String(), want); time.Sleep(time.Millisecond) {
 			if time.Now().After(end) {
@@ -23,17 +23,17 @@
 			}
 		}
 	}
-	time.Sleep(600 * time.Millisecond) // many checks
+	time.Sleep(600 * time.Millisecond) // longer than the 4 checks after which a stuck loop is reported
 	if text := log.String(); strings.Contains(text, "stuck") {
-		t.Fatalf("reported with nothing to do: %.500s", text)
+		t.Fatalf("an idle loop was reported as stuck: %.500s", text)
 	}
 	release := gateway.holdLoop()
-	says("event loop stuck")
-	says("(*testGateway).holdLoop")
+	waitForLog("event loop stuck")
+	waitForLog("(*testGateway).holdLoop")
 	time.Sleep(600 * time.Millisecond)
 	if n := strings.Count(log.String(), "event loop stuck"); n != 1 {
-		t.Errorf("reported %d times", n)
+		t.Errorf("the stuck loop was reported %d times, want once", n)
 	}
 	release()
-	says("event loop running again")
+	waitForLog("event loop running again")
 }
