--- a/internal/gateway/auditconfig.go
+++ b/internal/gateway/auditconfig.go
@@ -13,40 +13,42 @@
 	"bellwood/internal/audit"
 )
 
-// Defaults of the section audit.
+// Defaults of the audit section.
 const (
-	defaultCallsPerSecond = 830.0 // that the smallest counter takes
+	defaultCallsPerSecond = 830.0 // capacity of the smallest counter
 	defaultAuditShare     = 0.05
 )
 
-// Audit is the section audit of the configuration, which turns the audit of the fleet on. docs/OPERATIONS.md, "Audit of
+// Audit is the audit section of the configuration. Its presence enables the fleet audit. See docs/OPERATIONS.md, "Audit of
 // the fleet".
 type Audit struct {
-	// CallsPerSecond is how many calls the counter takes, from all gateways for all purposes. Default 830.
+	// CallsPerSecond is the capacity of the counter in calls per second, for all gateways and purposes. Default 830.
 	CallsPerSecond float64 `json:"calls_per_second"`
-	// Share is the part of CallsPerSecond for the audits of all gateways; above 0, at most audit.MaxShare. Default 0.05.
+	// Share is the fraction of CallsPerSecond that the audits of all gateways may use; greater than 0, at most
+	// audit.MaxShare. Default 0.05.
 	Share float64 `json:"share"`
-	// Revision is the operators' name of the configuration, alike at all gateways. Default: empty. Server.Reload
+	// Revision is the operators' name for the configuration, the same at all gateways. Default: empty. Server.Reload
 	// replaces it.
 	Revision string `json:"revision"`
 
-	// settingsDigest is a digest of the settings that all gateways have alike.
+	// settingsDigest is a digest of the settings that must be the same at all gateways.
 	settingsDigest uint64
 }
 
-// ownSettings are the paths of settings that differ from gateway to gateway.
-var ownSettings = []string{"rank", "locality"}
+// perGatewaySettings are the paths of the settings that differ between gateways.
+var perGatewaySettings = []string{"rank", "locality"}
 
-// ErrNoSharedCounter is the reason of a SettingError: the audit needs a shared counter.
-var ErrNoSharedCounter = errors.New("the settings have no shared counter")
+// ErrNoSharedCounter is the reason of a SettingError for an audit section in a configuration without a shared counter.
+var ErrNoSharedCounter = errors.New("requires a shared counter, which the settings do not enable")
 
-// readAudit reads the section; nil: there is none, so the audit is off. settings are those of the whole configuration, by
-// their paths. The error is a *SettingError.
+// readAudit reads the audit section; it returns nil if there is none. settings are the flattened settings of the whole
+// configuration. The error is a *SettingError.
 func readAudit(section json.RawMessage, settings map[string]string) (*Audit, error) {
 	if len(section) == 0 || bytes.Equal(section, []byte("null")) {
 		return nil, nil
 	}
-	a := &Audit{CallsPerSecond: defaultCallsPerSecond, Share: defaultAuditShare, settingsDigest: fleetDigest(settings)}
+	a := &Audit{CallsPerSecond: defaultCallsPerSecond, Share: defaultAuditShare,
+		settingsDigest: sharedSettingsDigest(settings)}
 	decoder := json.NewDecoder(bytes.NewReader(section))
 	decoder.DisallowUnknownFields()
 	if err := decoder.Decode(a); err != nil {
@@ -55,18 +57,18 @@
 	return a, nil
 }
 
-// fleetDigest is a digest of all settings but ownSettings, so it is the same at all gateways.
-func fleetDigest(settings map[string]string) uint64 {
+// sharedSettingsDigest returns a digest of all settings except perGatewaySettings, so it is the same at all gateways.
+func sharedSettingsDigest(settings map[string]string) uint64 {
 	digest := xxhash.New()
 	for _, path := range slices.Sorted(maps.Keys(settings)) {
-		if !slices.Contains(ownSettings, path) {
+		if !slices.Contains(perGatewaySettings, path) {
 			fmt.Fprintf(digest, "%s=%s\n", path, settings[path])
 		}
 	}
 	return digest.Sum64()
 }
 
-// RevisionText returns the name of the configuration; empty where the audit is off (nil).
+// RevisionText returns the revision of the configuration. It is empty if the audit is disabled (a is nil).
 func (a *Audit) RevisionText() string {
 	if a == nil {
 		return ""
@@ -74,7 +76,7 @@
 	return a.Revision
 }
 
-// checkAudit returns a *SettingError if the audit can't run; nil if it can, or is off.
+// checkAudit returns a *SettingError if the audit is enabled but cannot run with this configuration.
 func (c *Config) checkAudit() error {
 	if c.Audit == nil {
 		return nil
@@ -89,7 +91,7 @@
 	return nil
 }
 
-// auditSettings is what the audit's machine is told. The section audit has to be there.
+// auditSettings returns the settings of the audit's state machine. It requires an audit section.
 func (c *Config) auditSettings() audit.Settings {
 	return audit.Settings{
 		Gateways:       c.Settings.Gateways,
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -16,45 +16,45 @@
 	"bellwood/internal/simprotocol"
 )
 
-// Config is what a gateway is told at its start; the operators' page DEPLOY-bellwood, which is not in this repository,
-// describes the file. ReadConfig fills it from the configuration file; the environment may replace Name, Listen and
-// Discovery; Check then says whether a gateway can run with it. New takes it over: nobody may change it afterwards.
+// Config is the configuration of a gateway. The operators' page DEPLOY-bellwood, which is not in this repository,
+// describes the file. ReadConfig reads the file; environment variables may override Name, Listen and Discovery; Check
+// validates the result. After New the configuration must not be changed.
 type Config struct {
-	// Name is the gateway's name in its log. It is the same after a restart. Default: empty.
+	// Name is the gateway's name in its log. It stays the same across restarts. Default: empty.
 	Name string
 	// Listen is the IP address and port on which clients connect. Required.
 	Listen string
 	// Discovery is the IP address and port of the discovery agent. Required; Server.Reload replaces it.
 	Discovery string
-	// Counter is the IP address and port of the shared counter. Required where Settings.SharedCounter is set, else
+	// Counter is the IP address and port of the shared counter. Required if Settings.SharedCounter is set, otherwise
 	// not used. Server.Reload replaces it.
 	Counter string
-	// Seed begins the random draws of the engine; the file has it in hex. Required; new with each start.
+	// Seed seeds the engine's random number generator; it is hexadecimal in the file. Required; different at each start.
 	Seed uint64
-	// MemoryMB is the memory limit of the process in MiB; over it the process is killed. Default 0: no limit is known.
+	// MemoryMB is the memory limit of the process in MiB; a process that exceeds it is killed. Default 0: no known limit.
 	MemoryMB int
-	// Sockets is the limit on the descriptors that the process may hold. Default 0: no limit is known.
+	// Sockets is the limit on open file descriptors of the process. Default 0: no known limit.
 	Sockets int
-	// Settings are those of the engine. Required; a restart alone changes them.
+	// Settings are the settings of the engine. Required; they change only by a restart.
 	Settings policy.Settings
-	// Transport is the part of the settings that concerns sockets and names. Required as Settings are.
+	// Transport holds the settings for sockets and names. Required, like Settings.
 	Transport simprotocol.Transport
-	// Known is the endpoint list that was known last, perhaps an old one. Default: no endpoint, and index 0, from which
-	// discovery sends everything.
+	// Known is the last known endpoint list, which may be outdated. Default: no endpoints and index 0, which makes
+	// discovery send the whole list.
 	Known endpoint.List
-	// Audit turns the audit of the fleet on. Default nil: it is off.
+	// Audit enables the fleet audit. Default nil: disabled.
 	Audit *Audit
 
-	// Tests alone set these. watchSilence and settleFor replace the times of discovery.Options.Silence and of settleTime;
-	// 0: the usual ones. discoveryDial replaces the network to discovery; nil: TCP.
+	// The following fields are set only by tests. watchSilence and settleFor override discovery.Options.Silence and
+	// settleTime; 0 keeps the default. discoveryDial replaces the dialer for discovery; nil means TCP.
 	watchSilence, settleFor time.Duration
 	discoveryDial           func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
-// SettingError says which setting of the configuration can't be used. It unwraps to the reason, such as ErrNegative or
-// a *net.AddrError.
+// SettingError reports an invalid setting of the configuration. It unwraps to the reason, such as ErrNegative or a
+// *net.AddrError.
 type SettingError struct {
-	Setting string // its path in the file, with dots: settings.limits.dial-timeout-us
+	Setting string // dotted path in the file, such as settings.limits.dial-timeout-us
 	Err     error
 }
 
@@ -62,14 +62,14 @@
 
 func (e *SettingError) Unwrap() error { return e.Err }
 
-// Reasons of a SettingError; ErrNoSharedCounter is a further one.
+// Reasons of a SettingError, besides ErrNoSharedCounter.
 var (
-	ErrNegative    = errors.New("below 0")
-	ErrNotPositive = errors.New("not above 0")
+	ErrNegative    = errors.New("must not be negative")
+	ErrNotPositive = errors.New("must be greater than 0")
 )
 
-// ReadConfig reads the JSON form of a Config. What it returns may still lack what Check asks for. An error is a
-// *SettingError, or one of encoding/json where the text is not the expected JSON; either fits on one line.
+// ReadConfig reads a Config from its JSON form. It does not validate the result; Check does. The error is a *SettingError,
+// or wraps an error of encoding/json if the text is not valid JSON or a value has the wrong type. Its text is one line.
 func ReadConfig(r io.Reader) (*Config, error) {
 	var file struct {
 		Name, Listen, Discovery, Counter, Seed string
@@ -84,7 +84,7 @@
 	decoder := json.NewDecoder(r)
 	decoder.UseNumber()
 	if err := decoder.Decode(&file); err != nil {
-		return nil, fmt.Errorf("not the expected JSON: %w", err)
+		return nil, fmt.Errorf("decoding JSON: %w", err)
 	}
 	c := &Config{Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Counter: file.Counter,
 		MemoryMB: file.Limits.MemoryMB, Sockets: file.Limits.Sockets, Known: file.Known}
@@ -95,10 +95,10 @@
 	settings := map[string]string{}
 	flatten(settings, "", file.Settings)
 	if c.Settings, err = simprotocol.ParseSettings(settings); err != nil {
-		return nil, inFile(err)
+		return nil, toSettingError(err)
 	}
 	if c.Transport, err = simprotocol.ParseTransport(settings); err != nil {
-		return nil, inFile(err)
+		return nil, toSettingError(err)
 	}
 	if c.Audit, err = readAudit(file.Audit, settings); err != nil {
 		return nil, err
@@ -106,9 +106,8 @@
 	return c, nil
 }
 
-// inFile turns an error of the simulator's protocol into a *SettingError, which has the setting's path in the
-// configuration file.
-func inFile(err error) error {
+// toSettingError converts an error of simprotocol to a *SettingError, whose path is that in the configuration file.
+func toSettingError(err error) error {
 	var setting *simprotocol.SettingError
 	if errors.As(err, &setting) {
 		return &SettingError{"settings." + setting.Path, errors.New(setting.Reason)}
@@ -116,8 +115,8 @@
 	return &SettingError{"settings", err}
 }
 
-// Check returns a *SettingError for the first setting that a gateway can't run with; nil if there is none. It is apart
-// from ReadConfig because the environment may name addresses too.
+// Check validates the configuration and returns a *SettingError for the first invalid setting. It is separate from
+// ReadConfig because environment variables may set addresses as well.
 func (c *Config) Check() error {
 	if err := checkAddress("listen", c.Listen); err != nil {
 		return err
@@ -145,7 +144,7 @@
 	return nil
 }
 
-// checkAddress returns a *SettingError for an address that is not a host and a port.
+// checkAddress returns a *SettingError if the address is not of the form host:port.
 func checkAddress(setting, address string) error {
 	if _, _, err := net.SplitHostPort(address); err != nil {
 		return &SettingError{setting, err}
@@ -153,9 +152,11 @@
 	return nil
 }
 
-// flatten turns nested settings into the paths of the simulator's protocol (the operators' page WIRE-bellwood): objects
-// and lists of objects by dots, a list of objects also with its length under .count, a list of plain values joined with
-// commas.
+// flatten converts nested settings to the dotted paths of the simulator's protocol (the operators' page WIRE-bellwood):
+//
+//   - A field of an object becomes object.field.
+//   - A list of objects becomes list.0.field, list.1.field and so on, and its length becomes list.count.
+//   - A list of scalars becomes one comma-separated value.
 func flatten(settings map[string]string, path string, value any) {
 	switch value := value.(type) {
 	case map[string]any:
@@ -165,33 +166,34 @@
 	case []any:
 		flattenList(settings, path, value)
 	default:
-		settings[path] = plainText(value)
+		settings[path] = formatScalar(value)
 	}
 }
 
+// flattenList flattens a list as described at flatten.
 func flattenList(settings map[string]string, path string, list []any) {
-	var plain []string
+	var scalars []string
 	objects := 0
 	for _, item := range list {
 		if _, ok := item.(map[string]any); ok {
 			flatten(settings, fmt.Sprintf("%s.%d", path, objects), item)
 			objects++
 		} else {
-			plain = append(plain, plainText(item))
+			scalars = append(scalars, formatScalar(item))
 		}
 	}
 	switch {
-	case objects > 0 && len(plain) > 0:
-		settings[path+".count"] = "mixed" // is no number, so the parser of the list fails
+	case objects > 0 && len(scalars) > 0:
+		settings[path+".count"] = "mixed" // not a number, so parsing the list fails
 	case objects > 0:
 		settings[path+".count"] = strconv.Itoa(objects)
 	default:
-		settings[path] = strings.Join(plain, ",")
+		settings[path] = strings.Join(scalars, ",")
 	}
 }
 
-// plainText is a value as the simulator's protocol writes it; one that is not given is "-".
-func plainText(value any) string {
+// formatScalar formats a scalar value for the simulator's protocol, where "-" stands for null.
+func formatScalar(value any) string {
 	if value == nil {
 		return "-"
 	}
--- a/internal/gateway/config_test.go
+++ b/internal/gateway/config_test.go
@@ -11,12 +11,12 @@
 	"bellwood/internal/policy"
 )
 
-// The file's settings come where the engine, the transport and the process look for them.
-func TestReadConfig(t *testing.T) {
+// Each setting of the file reaches the struct of the component that uses it: the engine, the transport or the process.
+func TestReadConfigMapsSettings(t *testing.T) {
 	c := config(t, true, 250_000)
 	settings, transport := c.Settings, c.Transport
 	if c.Name != "n1" || c.Seed != 0x8c1f30d27a5be964 || c.Sockets != 1024 || c.MemoryMB != 192 {
-		t.Errorf("%+v", c)
+		t.Errorf("config %+v", c)
 	}
 	if len(settings.Classes) != 3 || settings.Classes[1].Idempotency != policy.IdempotentWithKey ||
 		settings.Classes[1].DedupWindow != 12*time.Second || len(settings.Plans) != 2 || settings.Plans[1].Rate != 2.5 ||
@@ -33,8 +33,8 @@
 	}
 }
 
-// What a gateway could not run with is named by its setting, with a reason that a caller can ask for.
-func TestCheckNamesTheSetting(t *testing.T) {
+// Check reports an invalid setting by its path, with a reason that errors.Is or errors.As finds.
+func TestCheckNamesInvalidSetting(t *testing.T) {
 	isAddressError := func(err error) bool {
 		var reason *net.AddrError
 		return errors.As(err, &reason)
@@ -59,14 +59,14 @@
 			err := cfg.Check()
 			var named *SettingError
 			if !errors.As(err, &named) || named.Setting != setting || !c.hasReason(err) {
-				t.Errorf("error %v", err)
+				t.Errorf("error %v, want the expected reason for setting %s", err, setting)
 			}
 		})
 	}
 }
 
-// What can't be read ends the start with one line, which names the setting where there is one.
-func TestReadConfigRejectsWithOneLine(t *testing.T) {
+// A configuration that can't be read gives an error of one line, which names the setting if there is one.
+func TestReadConfigErrorIsOneLine(t *testing.T) {
 	for name, c := range map[string]struct{ text, setting string }{
 		"empty":                   {text: ""},
 		"no object":               {text: "[]"},
@@ -78,7 +78,7 @@
 		t.Run(name, func(t *testing.T) {
 			_, err := ReadConfig(strings.NewReader(c.text))
 			if err == nil || strings.Contains(err.Error(), "\n") {
-				t.Errorf("%q: error %v", c.text, err)
+				t.Errorf("%q: error %v, want one line", c.text, err)
 			}
 			var named *SettingError
 			if errors.As(err, &named) != (c.setting != "") || named != nil && named.Setting != c.setting {
--- a/internal/gateway/ready_test.go
+++ b/internal/gateway/ready_test.go
@@ -17,7 +17,7 @@
 	"bellwood/internal/gateway/endpoint"
 )
 
-// configFile is a configuration as it stands in a file, with a list as last known.
+// configFile returns the text of a configuration file with the given endpoint list as the last known one.
 func configFile(t testing.TB, known endpoint.List) string {
 	return fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","counter":"127.0.0.1:1",
 "seed":"8c1f30d27a5be964","limits":{"cores":1.0,"memory_mb":32,"sockets":1024},"known":%s,
@@ -34,8 +34,8 @@
 	return ln
 }
 
-// runGateway runs a gateway with a configuration in JSON and an agent of its own until end is called.
-func runGateway(t testing.TB, config, agent string) (server *Server, address string, end func()) {
+// runGateway runs a gateway with a JSON configuration and the discovery agent at the given address, until stop is called.
+func runGateway(t testing.TB, config, agent string) (server *Server, address string, stop func()) {
 	t.Helper()
 	cfg, err := ReadConfig(strings.NewReader(config))
 	if err != nil {
@@ -47,18 +47,19 @@
 		t.Fatal(err)
 	}
 	ln := listenLocally(t)
-	ctx, stop := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	go server.Run(ctx, ln)
 	return server, ln.Addr().String(), func() {
-		stop()
+		cancel()
 		<-server.done
 	}
 }
 
-// runUntilReady runs a gateway until it has told a client that it is ready, and returns the answers to each PING.
-func runUntilReady(t testing.TB, config, agent string) (server *Server, answers []string, end func()) {
+// runUntilReady runs a gateway and sends it PINGs until one is answered with PONG. It returns all replies. The gateway runs
+// until stop is called.
+func runUntilReady(t testing.TB, config, agent string) (server *Server, replies []string, stop func()) {
 	t.Helper()
-	server, address, end := runGateway(t, config, agent)
+	server, address, stop := runGateway(t, config, agent)
 	nc, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -73,40 +74,42 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if answers = append(answers, line); line == "+PONG\r\n" {
-			return server, answers, end
+		if replies = append(replies, line); line == "+PONG\r\n" {
+			return server, replies, stop
 		}
 	}
 }
 
-// A gateway that starts with the list of the largest fleet, and discovery silent, is ready at the first question.
-func TestReadyWithKnownFleet(t *testing.T) {
+// A gateway that starts with the list of the largest fleet in its configuration is ready at the first PING, even if
+// discovery is silent.
+func TestReadyAtFirstPingWithConfiguredList(t *testing.T) {
 	known := discoverytest.Fleet(5, discoverytest.FleetSize)
-	server, answers, end := runUntilReady(t, configFile(t, known), listen(t).Addr().String())
-	defer end()
+	server, replies, stop := runUntilReady(t, configFile(t, known), listen(t).Addr().String())
+	defer stop()
 	(&testGateway{t: t, server: server}).until(func() bool {
 		return len(server.upstream.pools) == discoverytest.FleetSize && server.discovery.Index() == 5
 	})
-	if len(answers) != 1 {
-		t.Errorf("%d answers, the first %q", len(answers), answers[0])
+	if len(replies) != 1 {
+		t.Errorf("ready only after %d replies, the first of them %q", len(replies), replies[0])
 	}
 }
 
-// A gateway that starts with no list is ready once it has taken the whole one, with all of it and not with a part.
-func TestReadyWithListFromTheAgent(t *testing.T) {
+// A gateway that starts without a list is ready once it has applied the whole list from the agent, not earlier.
+func TestReadyOnlyWithWholeListFromAgent(t *testing.T) {
 	agent := discoverytest.NewAgent(t)
 	go agent.ServeEach(discoverytest.Line(t, discoverytest.Fleet(7, discoverytest.FleetSize)))
-	server, answers, end := runUntilReady(t, configFile(t, endpoint.List{}), agent.Address())
-	defer end()
+	server, replies, stop := runUntilReady(t, configFile(t, endpoint.List{}), agent.Address())
+	defer stop()
 	n := 0
 	(&testGateway{t: t, server: server}).until(func() bool { n = len(server.upstream.pools); return true })
-	if n != discoverytest.FleetSize || !strings.HasPrefix(answers[0], "-LOADING") {
-		t.Errorf("ready with %d backends; the first answer was %q", n, answers[0])
+	if n != discoverytest.FleetSize || !strings.HasPrefix(replies[0], "-LOADING") {
+		t.Errorf("ready with %d backends; the first reply was %q", n, replies[0])
 	}
 }
 
-// asTheProgram sets the threads and the garbage collection that cmd/bellwood has, until the test ends.
-func asTheProgram(b *testing.B) {
+// useProductionRuntime sets GOMAXPROCS and the garbage collection percentage to those of cmd/bellwood until the benchmark
+// ends.
+func useProductionRuntime(b *testing.B) {
 	threads, percent := runtime.GOMAXPROCS(1), debug.SetGCPercent(400)
 	b.Cleanup(func() {
 		runtime.GOMAXPROCS(threads)
@@ -114,10 +117,10 @@
 	})
 }
 
-// BenchmarkReady starts a gateway up to its first PONG, on one thread: with the largest fleet in its configuration, and
-// with the list from the agent.
+// BenchmarkReady measures the start of a gateway up to its first PONG, on one thread, with the largest fleet in its
+// configuration and with the list from the agent.
 func BenchmarkReady(b *testing.B) {
-	asTheProgram(b)
+	useProductionRuntime(b)
 	fleet := discoverytest.Fleet(7, discoverytest.FleetSize)
 	agent := discoverytest.NewAgent(b)
 	go agent.ServeEach(discoverytest.Line(b, fleet))
@@ -128,11 +131,11 @@
 		b.Run(c.name, func(b *testing.B) {
 			var used time.Duration
 			for range b.N {
-				begin := processorTime()
-				_, _, end := runUntilReady(b, c.config, c.agent)
-				used += processorTime() - begin
+				begin := cpuTime()
+				_, _, stop := runUntilReady(b, c.config, c.agent)
+				used += cpuTime() - begin
 				b.StopTimer()
-				end()
+				stop()
 				b.StartTimer()
 			}
 			b.ReportMetric(float64(used.Microseconds())/float64(b.N), "cpu-us/op")
@@ -140,10 +143,11 @@
 	}
 }
 
-// BenchmarkPause measures how long the loop of a running gateway makes others wait while the list of the largest fleet
-// arrives for the first time, again, and without half of it, on one thread and in the program's processor time.
+// BenchmarkPause measures for how long the loop of a running gateway delays other tasks while it applies the list of the
+// largest fleet: for the first time, unchanged, and with half of the backends removed. It runs on one thread and measures
+// CPU time of the process.
 func BenchmarkPause(b *testing.B) {
-	asTheProgram(b)
+	useProductionRuntime(b)
 	fleet := func(index int64, n int) string {
 		return discoverytest.Chunked(discoverytest.Line(b, discoverytest.Fleet(index, n)))
 	}
@@ -158,7 +162,7 @@
 	}
 	for range b.N {
 		ln := listenLocally(b)
-		server, _, end := runGateway(b, configFile(b, endpointList(1, "127.0.0.1:1")), ln.Addr().String())
+		server, _, stop := runGateway(b, configFile(b, endpointList(1, "127.0.0.1:1")), ln.Addr().String())
 		watch, err := ln.Accept()
 		if err != nil {
 			b.Fatal(err)
@@ -167,37 +171,38 @@
 		for i := range lists {
 			list := &lists[i]
 			go io.WriteString(watch, list.text)
-			list.longest = max(list.longest, longestWait(server, list.index))
+			list.longest = max(list.longest, longestDelay(server, list.index))
 		}
 		watch.Close()
 		ln.Close()
-		end()
+		stop()
 	}
 	for _, list := range lists {
 		b.ReportMetric(float64(list.longest.Microseconds()), list.name+"-us")
 	}
 }
 
-// longestWait hands the loop task after task until it has taken a list, and returns how long it let one wait.
-func longestWait(server *Server, last int64) (longest time.Duration) {
+// longestDelay posts one task after another until the loop has applied the list with the index last. It returns the
+// longest time that a task waited.
+func longestDelay(server *Server, last int64) (longest time.Duration) {
 	for index := int64(0); index != last; time.Sleep(100 * time.Microsecond) {
-		begin := processorTime()
+		begin := cpuTime()
 		done := make(chan struct{})
 		server.post(func() {
 			index = server.discovery.Index()
 			close(done)
 		})
 		<-done
-		longest = max(longest, processorTime()-begin)
+		longest = max(longest, cpuTime()-begin)
 	}
 	return longest
 }
 
-// BenchmarkWholeList takes a list of the largest fleet, for the first time, again, and half of it, on one thread and
-// with as much garbage as the program does. It reports the longest task of the loop in the program's processor time,
-// without and with the engine's Step, and the memory that stays for a backend.
+// BenchmarkWholeList measures applying a list of the largest fleet: for the first time, unchanged, and with half of the
+// backends removed. It runs on one thread with the program's garbage collection settings, and reports the longest task of
+// the loop in CPU time, without and with the engine's Step, and the memory retained per backend.
 func BenchmarkWholeList(b *testing.B) {
-	asTheProgram(b)
+	useProductionRuntime(b)
 	whole := discoverytest.Line(b, discoverytest.Fleet(2, discoverytest.FleetSize))
 	half := discoverytest.Line(b, discoverytest.Fleet(3, discoverytest.FleetSize/2))
 	for _, step := range []bool{false, true} {
@@ -211,7 +216,7 @@
 	}
 }
 
-// benchmarkList measures how a gateway that has taken the list before, or none, takes a list.
+// benchmarkList measures applying a list at a gateway that has applied the list before already, unless that is empty.
 func benchmarkList(b *testing.B, before, list string, step bool) {
 	var longest, used time.Duration
 	live := 0.0
@@ -223,13 +228,13 @@
 			b.Fatal(err)
 		}
 		if before != "" {
-			playList(b, server, before, step)
+			applyList(b, server, before, step)
 		}
-		begin := processorTime()
+		begin := cpuTime()
 		b.StartTimer()
-		longest = max(longest, playList(b, server, list, step))
+		longest = max(longest, applyList(b, server, list, step))
 		b.StopTimer()
-		used += processorTime() - begin
+		used += cpuTime() - begin
 		live = liveBytes() - liveBefore
 		close(server.done)
 		b.StartTimer()
@@ -239,6 +244,7 @@
 	b.ReportMetric(live/discoverytest.FleetSize, "B/backend")
 }
 
+// liveBytes returns the size of the heap after a garbage collection.
 func liveBytes() float64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -246,27 +252,28 @@
 	return float64(m.HeapAlloc)
 }
 
-// processorTime is what the program has used: on a busy machine the wall clock tells what others use.
-func processorTime() time.Duration {
+// cpuTime returns the CPU time used by the process. Wall-clock time would include the load of other processes.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	syscall.Getrusage(syscall.RUSAGE_SELF, &u)
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// playList lets a gateway that is not running read a list, and returns how long its longest task took.
-func playList(b *testing.B, server *Server, list string, step bool) (longest time.Duration) {
-	ended := make(chan error)
-	go func() { ended <- server.discovery.ReadList(strings.NewReader(list)) }()
+// applyList makes a gateway whose loop is not running read a list, runs the loop's tasks, and returns the duration of the
+// longest one. If step is set, a task includes the engine's Step.
+func applyList(b *testing.B, server *Server, list string, step bool) (longest time.Duration) {
+	done := make(chan error)
+	go func() { done <- server.discovery.ReadList(strings.NewReader(list)) }()
 	for {
 		select {
 		case task := <-server.tasks:
-			begin := processorTime()
+			begin := cpuTime()
 			if task(); step {
 				server.step()
 			}
 			server.events = nil
-			longest = max(longest, processorTime()-begin)
-		case err := <-ended:
+			longest = max(longest, cpuTime()-begin)
+		case err := <-done:
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -9,9 +9,9 @@
 	"bellwood/internal/policy"
 )
 
-// A client's next request lies unread in the socket, or was read in part, when its connection is to be closed: by an
-// eviction, the deadline of its first command or a shutdown. Closing it there would lose the request, and the reset could
-// take the reply before it along. So the connection stays, and the request is answered.
+// A connection is due to be closed, by eviction, the deadline of its first command or a shutdown, while the client's next
+// request is unread in the socket or partly read. Closing it would lose the request, and the reset could also destroy the
+// preceding reply. The connection must stay open until the request is answered.
 func TestUnreadRequestKeepsTheConnection(t *testing.T) {
 	for _, cut := range []int{1, 5, len(respCommand("PING")) - 1, len(respCommand("PING"))} {
 		server := newIdleServer(t, freeAddr(t))
@@ -30,26 +30,25 @@
 		go conn.serve()
 		client.write(respCommand("PING")[cut:])
 		client.wants("+PONG")
-		client.wantsEnd() // what is owed on it has been given
+		client.wantsEnd() // closed once no reply is pending
 	}
 }
 
-// During a shutdown a client pipelines further requests behind one that is open. None is dropped: they are
-// rejected in their order, and the connection ends with the last reply, that to a request which was read in part
-// included.
-func TestShutdownRejectsCrossingRequests(t *testing.T) {
+// During a shutdown a client pipelines further requests behind an open one. None may be dropped: they are rejected in
+// order, and the connection ends after the last reply, including that to a request that was partly read.
+func TestShutdownRejectsPipelinedRequests(t *testing.T) {
 	gateway, ln := startWithBackend(t)
-	busy, quiet := gateway.dial(), gateway.dial()
-	quiet.command("PING")
-	quiet.wants("+PONG")
+	busy, idle := gateway.dial(), gateway.dial()
+	idle.command("PING")
+	idle.wants("+PONG")
 	busy.sendRequest("1")
 	backend := acceptCommand(t, ln)
 	third := requestCommand("3")
 	busy.write(respCommand("PING"))
 	gateway.stop()
-	quiet.wantsEnd() // nothing is taken in any more
+	idle.wantsEnd() // draining has begun: further requests are rejected
 	busy.write(requestCommand("2") + third[:len(third)-1])
-	gateway.waitForPending(3) // the first, the PING and the second
+	gateway.waitForPending(3) // request 1, the PING and request 2
 	backend.write(valueReply("value"))
 	busy.wants("value")
 	busy.wants("+PONG")
@@ -60,13 +59,13 @@
 	gateway.waitForShutdown()
 }
 
-// Connections stand in the listener's backlog when it is to be closed. Their clients hold them for open and have sent
-// their requests; closing the listener reset them. So they are accepted first, and answered.
+// Closing a listener resets the connections in its backlog, although their clients see them as open and have already sent
+// requests. A shutdown must accept and answer them first.
 func TestShutdownAcceptsTheBacklog(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
 	server.ready.Store(true)
 	ln := listen(t)
-	var all []*peer
+	var clients []*peer
 	for range 5 {
 		nc, err := net.Dial("tcp", ln.Addr().String())
 		if err != nil {
@@ -74,27 +73,27 @@
 		}
 		client := newPeer(t, nc)
 		client.command("PING")
-		all = append(all, client)
+		clients = append(clients, client)
 	}
-	stopAccepting(ln) // nobody has accepted yet
+	stopAccepting(ln) // no connection has been accepted yet
 	server.downstream.accept(ln)
-	for _, client := range all {
+	for _, client := range clients {
 		client.wants("+PONG")
 	}
 	for !server.downstream.drain() {
 		time.Sleep(time.Millisecond)
 	}
-	for _, client := range all {
+	for _, client := range clients {
 		client.wantsEnd()
 	}
 	if nc, err := net.Dial("tcp", ln.Addr().String()); err == nil {
 		nc.Close()
-		t.Error("connections are still taken")
+		t.Error("connections are still accepted after the listener was closed")
 	}
 }
 
-// A request with a long deadline is open when the time for a shutdown is over. SIGKILL does not wait for it, so it is
-// answered with an error.
+// A request with a long deadline is still open when the time for a shutdown is over. It must be answered with an error,
+// because SIGKILL does not wait for it.
 func TestShutdownAnswersOpenRequests(t *testing.T) {
 	ln := listen(t)
 	server := newIdleServer(t, ln.Addr().String())
@@ -113,28 +112,28 @@
 	client.wants("-ERR no answer in time")
 	backend.wantsEnd()
 	if server.step(); len(server.requests.byID) != 0 || len(server.requests.clientIDInUse) != 0 {
-		t.Error("the request is kept")
+		t.Error("the request is still in the table")
 	}
 }
 
-// A backend hangs during a shutdown, and discovery moves meanwhile. The shutdown ends all the same: the backend is waited
-// for no longer than its request.
-func TestHungBackendAtShutdown(t *testing.T) {
+// During a shutdown a backend hangs and a reload changes the address of discovery. The shutdown must still end: it waits
+// for the backend only until the deadline of its request.
+func TestShutdownEndsDespiteHungBackend(t *testing.T) {
 	gateway, ln := startWithBackend(t)
 	client := gateway.dial()
 	client.command(requestWith("d=20000", "d=1500")...)
-	acceptCommand(t, ln) // it hangs
+	acceptCommand(t, ln) // the backend never replies
 	gateway.stop()
 	gateway.server.Reload(freeAddr(t), gateway.server.cfg.Counter, "")
 	gateway.stop()
 	if m := client.message(); len(m) != 1 || m[0][0] != '-' {
-		t.Errorf("got %q", m)
+		t.Errorf("got %q, want an error reply", m)
 	}
 	client.wantsEnd()
 	gateway.waitForShutdown()
 }
 
-// Clients go on coming while the backlog is taken at a shutdown. The listener ends all the same.
+// New clients keep connecting while a shutdown empties the backlog. The listener must still stop.
 func TestAcceptEndsUnderLoad(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
 	ln := listen(t)
@@ -153,15 +152,15 @@
 	server.downstream.accept(ln)
 }
 
-// A connection is new when a shutdown drains the others, and its first request is on its way. It is left the time for
-// it, and no longer.
+// When a shutdown drains connections, a new connection whose first request is still in transit must stay open for
+// firstRequestGrace, and no longer.
 func TestNewConnectionHasTimeForItsRequest(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
 	conn, client := newClientPair(t, server)
-	conn.idleSince.Store(int64(server.now() + time.Hour)) // it came just now, however slow this test is
+	conn.idleSince.Store(int64(server.now() + time.Hour)) // counts as new, however slow this test runs
 	server.downstream.drain()
 	if conn.closed || conn.isFinishing() {
-		t.Fatal("closed at once")
+		t.Fatal("a new connection was closed immediately")
 	}
 	conn.idleSince.Store(int64(server.now() - firstRequestGrace))
 	server.downstream.drain()
