--- a/internal/gateway/clientgone_test.go
+++ b/internal/gateway/clientgone_test.go
@@ -196,7 +196,7 @@
 	if err := syscall.SetsockoptInt(int(small.file.Fd()), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 2048); err != nil {
 		t.Fatal(err)
 	}
-	ln := small.open(t, 16)
+	ln := small.listen(t, 16)
 	server := newIdleServer(t, ln.Addr().String())
 	socket, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
@@ -242,7 +242,7 @@
 	gateway.waitForDial()
 	victim.socket.Close()
 	gateway.until(func() bool { return len(gateway.server.requests.byID) == 0 && gateway.server.upstream.connCount == 0 })
-	l.open()
+	l.emptyBacklog()
 	received := emulateBackend(t, l.listener)
 	other.sendRequest("marker")
 	wantNextCommand(t, received, "marker")
@@ -262,7 +262,7 @@
 		gateway.waitForDial()
 		time.Sleep(wait)
 		up := time.Now() // or later
-		l.open()
+		l.emptyBacklog()
 		backend := accept(t, l.listener)
 		m := backend.message()
 		told := 0
@@ -272,7 +272,7 @@
 		if left := most - up.Sub(come); told < 1 || time.Duration(told)*time.Millisecond > left {
 			t.Errorf("the %s attempt tells %d ms, and %v is left", which, told, left)
 		}
-		l.close()
+		l.fillBacklog()
 		backend.reset()
 	}
 }
--- a/internal/gateway/descriptorlimit_test.go
+++ b/internal/gateway/descriptorlimit_test.go
@@ -28,7 +28,7 @@
 	crowd := startCrowd(gateway.addr, 2*descriptors)
 	defer crowd.stop()
 	crowd.waitForResting(t, descriptors/2)
-	await(t, "discovery is back, and no watch is opened", gateway.serveDiscovery(discovery.open(t, 16), 1))
+	await(t, "discovery is back, and no watch is opened", gateway.serveDiscovery(discovery.listen(t, 16), 1))
 
 	client := gateway.findRoom()
 	reached := client.fillBackends(backendShare)
--- a/internal/gateway/emulatedbackend_test.go
+++ b/internal/gateway/emulatedbackend_test.go
@@ -8,16 +8,18 @@
 	"time"
 )
 
-// receivedCommand is a request's command that an emulated backend has got.
+// receivedCommand is a request that an emulated backend has received.
 type receivedCommand struct {
 	from       *peer
 	id         string
 	deadlineMS int
 }
 
+// replyWithValue answers the request with a value.
 func (command receivedCommand) replyWithValue() { command.from.write(valueReply("value")) }
 
-// emulateBackend is a backend that takes all connections that come to a listener and tells of each whole command.
+// emulateBackend runs a backend that accepts all connections of a listener, and returns a channel of the requests that it
+// receives.
 func emulateBackend(t *testing.T, ln net.Listener) <-chan receivedCommand {
 	received := make(chan receivedCommand, 1024)
 	go func() {
@@ -33,7 +35,7 @@
 	return received
 }
 
-// receiveCommands tells of the commands that come on a connection until it ends, and answers health checks.
+// receiveCommands sends the requests of a connection to received until the connection ends. It answers health checks.
 func receiveCommands(gateway *peer, received chan<- receivedCommand) {
 	for {
 		message, err := gateway.tryMessage()
@@ -45,8 +47,8 @@
 			continue
 		}
 		command := receivedCommand{from: gateway, id: message[2]}
-		for _, item := range strings.Split(message[3], ",") {
-			if value, ok := strings.CutPrefix(item, "d="); ok {
+		for _, field := range strings.Split(message[3], ",") {
+			if value, ok := strings.CutPrefix(field, "d="); ok {
 				command.deadlineMS, _ = strconv.Atoi(value)
 			}
 		}
@@ -54,22 +56,22 @@
 	}
 }
 
-// nextCommand waits for the next command.
+// nextCommand waits for the next forwarded request.
 func nextCommand(t *testing.T, received <-chan receivedCommand) receivedCommand {
 	t.Helper()
 	select {
 	case command := <-received:
 		return command
 	case <-time.After(testTimeout):
-		t.Fatal("nothing is forwarded")
+		t.Fatalf("no request was forwarded within %v", testTimeout)
 		return receivedCommand{}
 	}
 }
 
-// wantNextCommand waits for the next command and compares its id.
+// wantNextCommand waits for the next forwarded request and fails unless it has the given id.
 func wantNextCommand(t *testing.T, received <-chan receivedCommand, id string) {
 	t.Helper()
 	if command := nextCommand(t, received); command.id != id {
-		t.Errorf("%s is forwarded", command.id)
+		t.Errorf("request %s was forwarded, want %s", command.id, id)
 	}
 }
--- a/internal/gateway/idleserver_test.go
+++ b/internal/gateway/idleserver_test.go
@@ -9,7 +9,8 @@
 	"bellwood/internal/policy"
 )
 
-// newIdleServer is a gateway that is not running, so that a test can play its loop.
+// newIdleServer returns a gateway whose event loop is not running, so that the test can run its tasks and timers. It has
+// backends at the given addresses.
 func newIdleServer(t *testing.T, addrs ...string) *Server {
 	t.Helper()
 	server, err := New(config(t, true, 5_000_000), discardLog)
@@ -22,7 +23,7 @@
 	return server
 }
 
-// newAttempt makes a request of a client that is not there, with one attempt.
+// newAttempt adds a request with one attempt at backend s-0. The request's client connection has no socket.
 func newAttempt(t *testing.T, server *Server) *backendAttempt {
 	t.Helper()
 	args := [][]byte{[]byte("Q.ASK"), []byte(tenantID), []byte("1"), []byte(idempotentFields)}
@@ -38,39 +39,40 @@
 	return request.attempts[0]
 }
 
-// runTasksUntil runs the loop's tasks until something holds.
-func runTasksUntil(t *testing.T, server *Server, until func() bool) {
+// runTasksUntil runs the loop's tasks until the condition is true.
+func runTasksUntil(t *testing.T, server *Server, condition func() bool) {
 	t.Helper()
-	end := time.After(testTimeout)
-	for !until() {
+	timeout := time.After(testTimeout)
+	for !condition() {
 		select {
 		case task := <-server.tasks:
 			task()
-		case <-end:
-			t.Fatal("it never came to that")
+		case <-timeout:
+			t.Fatalf("the condition did not become true within %v", testTimeout)
 		}
 	}
 }
 
-// attemptResults returns the results of attempts that the engine is to be told, so far.
-func attemptResults(server *Server) (all []policy.AttemptResult) {
+// attemptResults returns the attempt results that are pending for the engine.
+func attemptResults(server *Server) (results []policy.AttemptResult) {
 	for _, event := range server.events {
 		if result, ok := event.(policy.AttemptResult); ok {
-			all = append(all, result)
+			results = append(results, result)
 		}
 	}
-	return all
+	return results
 }
 
-// wantResult fails unless the engine is told of one result, and of this one.
+// wantResult fails unless exactly one attempt result is pending for the engine, with the given status.
 func wantResult(t *testing.T, server *Server, want policy.Status) {
 	t.Helper()
 	if got := attemptResults(server); len(got) != 1 || got[0].Status != want {
-		t.Errorf("results %+v, want one %v", got, want)
+		t.Errorf("attempt results %+v, want one with status %v", got, want)
 	}
 }
 
-// newClientPair is a connection of which the gateway's end is not read by anybody yet.
+// newClientPair returns both ends of a client's connection. The gateway's end is registered, but serve does not run on it
+// yet.
 func newClientPair(t *testing.T, server *Server) (*clientConn, *peer) {
 	t.Helper()
 	ln := listen(t)
@@ -78,32 +80,32 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	far, err := ln.Accept()
+	accepted, err := ln.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { far.Close() })
-	conn := newClientConn(server.downstream, far)
+	t.Cleanup(func() { accepted.Close() })
+	conn := newClientConn(server.downstream, accepted)
 	server.downstream.add(conn)
 	return conn, newPeer(t, nc)
 }
 
-// waitForBytes waits until what a peer wrote lies in the other end's socket.
+// waitForBytes waits until the socket has unread bytes.
 func waitForBytes(t *testing.T, nc net.Conn) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); rawsocket.Quiet(nc); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("what was written has not come")
+			t.Fatalf("no bytes arrived within %v", testTimeout)
 		}
 	}
 }
 
-// waitForEnd waits until the end of a connection has come to this side, whatever lies before it.
+// waitForEnd waits until the end of the client's stream has reached the socket, even if unread bytes precede it.
 func waitForEnd(t *testing.T, conn *clientConn) {
 	t.Helper()
 	for end := time.Now().Add(testTimeout); !rawsocket.PeerEnded(conn.socket); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("the end has not come")
+			t.Fatalf("the end of the connection did not arrive within %v", testTimeout)
 		}
 	}
 }
--- a/internal/gateway/latelistener_test.go
+++ b/internal/gateway/latelistener_test.go
@@ -8,12 +8,13 @@
 	"testing"
 )
 
-// reservedPort is an address at which connections are refused until it is opened.
+// reservedPort is a bound port that refuses connections until listen is called.
 type reservedPort struct {
 	file *os.File
 	addr string
 }
 
+// newReservedPort binds a free port without listening on it.
 func newReservedPort(t *testing.T) *reservedPort {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
@@ -25,15 +26,16 @@
 	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
 		t.Fatal(err)
 	}
-	at, err := syscall.Getsockname(fd)
+	local, err := syscall.Getsockname(fd)
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.addr = fmt.Sprint("127.0.0.1:", at.(*syscall.SockaddrInet4).Port)
+	p.addr = fmt.Sprint("127.0.0.1:", local.(*syscall.SockaddrInet4).Port)
 	return p
 }
 
-func (p *reservedPort) open(t *testing.T, backlog int) net.Listener {
+// listen starts listening with the given backlog.
+func (p *reservedPort) listen(t *testing.T, backlog int) net.Listener {
 	t.Helper()
 	if err := syscall.Listen(int(p.file.Fd()), backlog); err != nil {
 		t.Fatal(err)
@@ -46,23 +48,24 @@
 	return ln
 }
 
-// lateListener is a backend's address at which connections come up late: the system drops what asks for one while the
-// backlog is full, and the other side tries again after a second.
+// lateListener is a backend's listener that delays connections: while its backlog is full, the kernel drops connection
+// requests (SYN), and the other side retries after one second.
 type lateListener struct {
 	t        *testing.T
 	listener net.Listener
-	filler   net.Conn
+	filler   net.Conn // occupies the backlog
 }
 
+// newLateListener returns a listener that delays connections until emptyBacklog is called.
 func newLateListener(t *testing.T) *lateListener {
 	t.Helper()
-	l := &lateListener{t: t, listener: newReservedPort(t).open(t, 0)}
-	l.close()
+	l := &lateListener{t: t, listener: newReservedPort(t).listen(t, 0)}
+	l.fillBacklog()
 	return l
 }
 
-// close makes further connections wait.
-func (l *lateListener) close() {
+// fillBacklog fills the backlog, so that further connections are delayed.
+func (l *lateListener) fillBacklog() {
 	l.t.Helper()
 	nc, err := net.Dial("tcp", l.listener.Addr().String())
 	if err != nil {
@@ -72,10 +75,10 @@
 	l.filler = nc
 }
 
-// open lets them come up.
-func (l *lateListener) open() {
+// emptyBacklog empties the backlog, so that delayed connections can be established.
+func (l *lateListener) emptyBacklog() {
 	l.t.Helper()
 	if client := accept(l.t, l.listener); client.socket.RemoteAddr().String() != l.filler.LocalAddr().String() {
-		l.t.Fatal("a connection came up before")
+		l.t.Fatal("another connection was established while the backlog was full")
 	}
 }
--- a/internal/gateway/peer_test.go
+++ b/internal/gateway/peer_test.go
@@ -10,20 +10,21 @@
 	"time"
 )
 
-// peer is one end of a connection that speaks RESP, a client's or a backend's.
+// peer is a client or a backend: the remote end of a RESP connection to the gateway.
 type peer struct {
 	t      *testing.T
 	socket net.Conn
 	reader *bufio.Reader
 }
 
+// newPeer returns a peer on a connection, with a deadline of testTimeout. The connection is closed when the test ends.
 func newPeer(t *testing.T, nc net.Conn) *peer {
 	nc.SetDeadline(time.Now().Add(testTimeout))
 	t.Cleanup(func() { nc.Close() })
 	return &peer{t, nc, bufio.NewReader(nc)}
 }
 
-// newPeerWithoutDeadline is for a connection that lasts no longer than its other end.
+// newPeerWithoutDeadline returns a peer on a connection that the caller or the gateway closes.
 func newPeerWithoutDeadline(t *testing.T, conn net.Conn) *peer {
 	return &peer{t, conn, bufio.NewReader(conn)}
 }
@@ -38,18 +39,19 @@
 	return newPeer(gateway.t, nc)
 }
 
-// clientEnds are the ways in which a client ends its connection.
+// clientEnds lists the ways in which a client ends its connection.
 var clientEnds = map[string]func(client *peer){"closes": (*peer).close, "resets": (*peer).reset}
 
-// close ends the connection.
+// close closes the connection normally, with a FIN.
 func (p *peer) close() { p.socket.Close() }
 
-// reset ends the connection by a reset.
+// reset closes the connection with a RST.
 func (p *peer) reset() {
 	p.socket.(*net.TCPConn).SetLinger(0)
 	p.socket.Close()
 }
 
+// write sends text as it is.
 func (p *peer) write(s string) {
 	p.t.Helper()
 	if _, err := io.WriteString(p.socket, s); err != nil {
@@ -57,11 +59,13 @@
 	}
 }
 
+// command sends a command.
 func (p *peer) command(args ...string) {
 	p.t.Helper()
 	p.write(respCommand(args...))
 }
 
+// respCommand encodes a command as a RESP array of bulk strings.
 func respCommand(args ...string) string {
 	s := fmt.Sprintf("*%d\r\n", len(args))
 	for _, a := range args {
@@ -70,7 +74,8 @@
 	return s
 }
 
-// message reads one RESP message: its parts, a line that is no length being one of its own.
+// message reads one RESP message and returns its elements. A simple string, error or integer is a single element and
+// includes its type byte.
 func (p *peer) message() []string {
 	p.t.Helper()
 	m, err := p.tryMessage()
@@ -80,6 +85,7 @@
 	return m
 }
 
+// tryMessage does the same as message but returns an error instead of failing the test.
 func (p *peer) tryMessage() ([]string, error) {
 	line, err := p.reader.ReadString('\n')
 	if err != nil {
@@ -108,7 +114,7 @@
 	return []string{line}, nil
 }
 
-// wants reads one reply and compares it.
+// wants reads one reply and fails unless it equals want.
 func (p *peer) wants(want string) {
 	p.t.Helper()
 	if m := p.message(); len(m) != 1 || m[0] != want {
@@ -116,7 +122,7 @@
 	}
 }
 
-// wantsPrefix reads one reply and compares its beginning.
+// wantsPrefix reads one reply and fails unless it begins with want.
 func (p *peer) wantsPrefix(want string) {
 	p.t.Helper()
 	if m := p.message(); len(m) != 1 || !strings.HasPrefix(m[0], want) {
@@ -124,16 +130,17 @@
 	}
 }
 
-// wantsEnd reads up to the end of the connection and fails if anything comes before it.
+// wantsEnd waits for the end of the connection and fails if a reply arrives before it.
 func (p *peer) wantsEnd() {
 	p.t.Helper()
 	if m, err := p.tryMessage(); err == nil {
 		p.t.Fatalf("got %q, want the end of the connection", m)
 	} else if ne, ok := err.(net.Error); ok && ne.Timeout() {
-		p.t.Fatal("the connection stays open")
+		p.t.Fatalf("the connection is still open at its deadline of %v", testTimeout)
 	}
 }
 
+// Arguments of request commands: a tenant, and the fields of a request of each idempotency.
 const (
 	tenantID            = "00000000b4d65521"
 	idempotentFields    = "c=evaluate,t=open,d=20000,units=1,spread=1,first=0"
@@ -141,7 +148,7 @@
 	nonIdempotentFields = "c=once,t=open,d=20000,units=1,spread=1,first=0"
 )
 
-// accept takes the next connection of a backend.
+// accept accepts the next connection to a backend.
 func accept(t *testing.T, ln net.Listener) *peer {
 	t.Helper()
 	ln.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout))
@@ -152,7 +159,7 @@
 	return newPeer(t, nc)
 }
 
-// acceptCommand takes the next connection of a backend and reads a command from it.
+// acceptCommand accepts the next connection to a backend and reads one command from it.
 func acceptCommand(t *testing.T, ln net.Listener) *peer {
 	t.Helper()
 	backend := accept(t, ln)
@@ -166,19 +173,19 @@
 	p.write(requestCommand(id))
 }
 
-// requestCommand is the command of an idempotent request.
+// requestCommand encodes the command of an idempotent request.
 func requestCommand(id string) string { return respCommand("Q.ASK", tenantID, id, idempotentFields) }
 
-// requestWith is an idempotent request with a part of its fields replaced.
+// requestWith returns the arguments of an idempotent request in which old is replaced in the fields.
 func requestWith(old, replacement string) []string {
 	return []string{"Q.ASK", tenantID, "1", strings.Replace(idempotentFields, old, replacement, 1)}
 }
 
-// respBulk is a bulk string.
+// respBulk encodes a RESP bulk string.
 func respBulk(text string) string { return respCommand(text)[len("*1\r\n"):] }
 
-// valueReply is a backend's reply with a value and nothing else.
+// valueReply encodes a backend's reply that has only a value.
 func valueReply(value string) string { return "*1\r\n" + respBulk(value) }
 
-// fullValueReply is a backend's reply with a value, no figures on use and no load report.
+// fullValueReply encodes a backend's reply of all three elements, of which the usage figures and the load report are null.
 func fullValueReply(value string) string { return "*3\r\n" + respBulk(value) + "$-1\r\n$-1\r\n" }
--- a/internal/gateway/testgateway_test.go
+++ b/internal/gateway/testgateway_test.go
@@ -18,11 +18,13 @@
 	"bellwood/internal/gateway/endpoint"
 )
 
-// testTimeout bounds every wait of these tests; none is expected to take a noticeable part of it.
+// testTimeout is the limit of every wait in these tests. No wait is expected to come close to it.
 const testTimeout = discoverytest.Patient
 
 var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
+// settingsJSON is the settings section of a configuration. Its format arguments are the dial timeout in microseconds and
+// whether there is a shared counter.
 const settingsJSON = `{"peers-total":1,"rank":0,"resolution-us":4000,"discovery":"pushed","areas":["dc1"],"kinds":["std"],
 "limits":{"max-attempts":3,"cancel":true,"may-probe":true,"retry-after":true,"max-retry-after-us":1000000,
  "dial-timeout-us":%d,"conn-idle-us":30000000,"open-cap":1000,"second-copies":false},
@@ -34,19 +36,20 @@
 "tiers-of-service":[{"name":"open","value-factor":1.0},
  {"name":"starter","value-factor":1.0,"units-per-s":2.5,"most-at-once":10,"over-cost":1.2}]}`
 
-// testGateway is a gateway with what stands round it, all on loopback.
+// testGateway is a running gateway and a fake discovery agent, both on the loopback interface.
 type testGateway struct {
 	t           *testing.T
 	server      *Server
 	addr        string
 	stop        context.CancelFunc
-	listUpdates chan endpoint.List // to the watch
-	watches     chan string        // index each watch asked for
+	listUpdates chan endpoint.List // sent on the open watch; an index below 0 ends the watch
+	watches     chan string        // the index that each watch started from
 }
 
+// option changes the configuration of a test gateway.
 type option func(*Config, *testing.T)
 
-// startGateway runs a gateway that knows the given backends.
+// startGateway runs a gateway whose configured endpoint list has backends at the given addresses.
 func startGateway(t *testing.T, addrs []string, options ...option) *testGateway {
 	t.Helper()
 	gateway := &testGateway{t: t, listUpdates: make(chan endpoint.List), watches: make(chan string, 16)}
@@ -54,8 +57,8 @@
 	cfg := config(t, false, 5_000_000)
 	cfg.Discovery = strings.TrimPrefix(disco.URL, "http://")
 	cfg.Known = endpointList(1, addrs...)
-	for _, o := range options {
-		o(cfg, t)
+	for _, apply := range options {
+		apply(cfg, t)
 	}
 	server, err := New(cfg, discardLog)
 	if err != nil {
@@ -74,16 +77,18 @@
 	return gateway
 }
 
-// startWithBackend runs a gateway that knows one backend, and returns the backend's listener too.
+// startWithBackend runs a gateway with one backend and returns the backend's listener too.
 func startWithBackend(t *testing.T, options ...option) (*testGateway, net.Listener) {
 	t.Helper()
 	ln := listen(t)
 	return startGateway(t, []string{ln.Addr().String()}, options...), ln
 }
 
-// withoutSettleTime lets a connection be used again at once.
+// withoutSettleTime allows a backend connection to be reused immediately after a reply.
 func withoutSettleTime(c *Config, t *testing.T) { c.settleFor = 1 }
 
+// config returns a configuration without backends. counter enables the shared counter; dialUS is the dial timeout in
+// microseconds.
 func config(t testing.TB, counter bool, dialUS int) *Config {
 	t.Helper()
 	text := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":"127.0.0.1:1","seed":"8c1f30d27a5be964",
@@ -95,7 +100,7 @@
 	return cfg
 }
 
-// freeAddr is an address on which nothing listens.
+// freeAddr returns an address on which nothing listens.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	ln := listen(t)
@@ -103,6 +108,7 @@
 	return ln.Addr().String()
 }
 
+// listen returns a listener on a free port, which is closed when the test ends.
 func listen(t *testing.T) net.Listener {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -113,15 +119,17 @@
 	return ln
 }
 
+// endpointList returns a snapshot of serving backends s-0, s-1 and so on at the given addresses.
 func endpointList(index int64, addrs ...string) endpoint.List {
-	m := endpoint.List{Index: index, Snapshot: true}
-	for i, a := range addrs {
-		m.Endpoints = append(m.Endpoints, endpoint.Entry{Name: fmt.Sprint("s-", i), Address: a, Zone: "dc1", Kind: "std",
-			Status: "SERVING", Weight: 1})
+	list := endpoint.List{Index: index, Snapshot: true}
+	for i, addr := range addrs {
+		list.Endpoints = append(list.Endpoints, endpoint.Entry{Name: fmt.Sprint("s-", i), Address: addr, Zone: "dc1",
+			Kind: "std", Status: "SERVING", Weight: 1})
 	}
-	return m
+	return list
 }
 
+// serveWatch serves a watch of the fake discovery agent.
 func (gateway *testGateway) serveWatch(rw http.ResponseWriter, r *http.Request) {
 	select {
 	case gateway.watches <- r.URL.Query().Get("index"):
@@ -131,11 +139,11 @@
 	rw.(http.Flusher).Flush()
 	for {
 		select {
-		case m := <-gateway.listUpdates:
-			if m.Index < 0 { // the test ends this watch
+		case list := <-gateway.listUpdates:
+			if list.Index < 0 { // the test ends this watch
 				return
 			}
-			json.NewEncoder(rw).Encode(discoverytest.WireForm(m))
+			json.NewEncoder(rw).Encode(discoverytest.WireForm(list))
 			rw.(http.Flusher).Flush()
 		case <-r.Context().Done():
 			return
@@ -143,30 +151,30 @@
 	}
 }
 
-// holdLoop stops the loop until the returned function is called.
+// holdLoop blocks the event loop until the returned function is called. It returns once the loop is blocked.
 func (gateway *testGateway) holdLoop() (release func()) {
-	holds, until := make(chan struct{}), make(chan struct{})
+	blocked, released := make(chan struct{}), make(chan struct{})
 	gateway.server.post(func() {
-		close(holds)
-		<-until
+		close(blocked)
+		<-released
 	})
-	<-holds
-	release = sync.OnceFunc(func() { close(until) })
-	gateway.t.Cleanup(release) // a failed test must not wait for the loop
+	<-blocked
+	release = sync.OnceFunc(func() { close(released) })
+	gateway.t.Cleanup(release) // otherwise the cleanup of a failed test would wait for the loop forever
 	return release
 }
 
-// waitForTasks waits until so many tasks wait for a loop that is held.
+// waitForTasks waits until n tasks are queued for a loop that is blocked by holdLoop.
 func (gateway *testGateway) waitForTasks(n int) {
 	gateway.t.Helper()
 	for end := time.Now().Add(testTimeout); len(gateway.server.tasks) < n; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			gateway.t.Fatalf("%d tasks wait, not %d", len(gateway.server.tasks), n)
+			gateway.t.Fatalf("%d tasks are queued, want %d", len(gateway.server.tasks), n)
 		}
 	}
 }
 
-// waitForDial waits until a connection to a backend is asked for, and not up.
+// waitForDial waits until an attempt has a backend connection that is still being dialed.
 func (gateway *testGateway) waitForDial() {
 	gateway.t.Helper()
 	gateway.until(func() bool {
@@ -181,22 +189,22 @@
 	})
 }
 
-// until waits until the loop finds that something holds.
-func (gateway *testGateway) until(holds func() bool) {
+// until waits until the condition is true. It evaluates the condition on the event loop.
+func (gateway *testGateway) until(condition func() bool) {
 	gateway.t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
-		got := make(chan bool)
-		gateway.server.post(func() { got <- holds() })
-		if <-got {
+		result := make(chan bool)
+		gateway.server.post(func() { result <- condition() })
+		if <-result {
 			return
 		}
 		if time.Now().After(end) {
-			gateway.t.Fatal("it never came to that")
+			gateway.t.Fatalf("the condition did not become true within %v", testTimeout)
 		}
 	}
 }
 
-// waitForPending waits until so many replies are pending on a connection.
+// waitForPending waits until the client connection with the most pending replies has n of them.
 func (gateway *testGateway) waitForPending(n int) {
 	gateway.t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
@@ -212,17 +220,17 @@
 			return
 		}
 		if time.Now().After(end) {
-			gateway.t.Fatalf("%d replies are pending, not %d", most, n)
+			gateway.t.Fatalf("%d replies are pending, want %d", most, n)
 		}
 	}
 }
 
-// waitForShutdown waits until the gateway has ended.
+// waitForShutdown waits until the gateway's event loop has ended.
 func (gateway *testGateway) waitForShutdown() {
 	gateway.t.Helper()
 	select {
 	case <-gateway.server.done:
 	case <-time.After(testTimeout):
-		gateway.t.Fatal("it does not end")
+		gateway.t.Fatalf("the gateway did not shut down within %v", testTimeout)
 	}
 }
