--- a/internal/gateway/clientdisconnect_test.go
+++ b/internal/gateway/clientdisconnect_test.go
@@ -200,7 +200,7 @@
 	if err := syscall.SetsockoptInt(int(port.file.Fd()), syscall.SOL_SOCKET, syscall.SO_RCVBUF, 2048); err != nil {
 		t.Fatal(err)
 	}
-	ln := port.open(t, 16)
+	ln := port.listen(t, 16)
 	server := newIdleServer(t, ln.Addr().String())
 	socket, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
@@ -246,7 +246,7 @@
 	gateway.waitForDial()
 	disconnecting.socket.Close()
 	gateway.until(func() bool { return len(gateway.server.requests.byID) == 0 && gateway.server.upstream.connCount == 0 })
-	l.open()
+	l.emptyBacklog()
 	received := emulateBackend(t, l.listener)
 	other.sendRequest("later")
 	wantNextCommand(t, received, "later")
@@ -266,7 +266,7 @@
 		gateway.waitForDial()
 		time.Sleep(wait)
 		established := time.Now() // lower bound of the time at which the connection is established
-		l.open()
+		l.emptyBacklog()
 		backend := accept(t, l.listener)
 		m := backend.message()
 		forwarded := 0
@@ -276,7 +276,7 @@
 		if left := timeLeft - established.Sub(arrived); forwarded < 1 || time.Duration(forwarded)*time.Millisecond > left {
 			t.Errorf("the %s attempt forwarded d=%d ms, want at most %v", attempt, forwarded, left)
 		}
-		l.close()
+		l.fillBacklog()
 		backend.reset()
 	}
 }
--- a/internal/gateway/descriptorlimit_test.go
+++ b/internal/gateway/descriptorlimit_test.go
@@ -28,7 +28,7 @@
 	idle := startIdleClients(gateway.addr, 2*descriptors)
 	defer idle.stop()
 	idle.waitForIdle(t, descriptors/2)
-	await(t, "no watch was opened after discovery became available", gateway.serveDiscovery(discovery.open(t, 16), 1))
+	await(t, "no watch was opened after discovery became available", gateway.serveDiscovery(discovery.listen(t, 16), 1))
 
 	client := gateway.connectActiveClient()
 	backendConns := client.openBackendConns(backendShare)
