--- a/internal/emulator/counter.go
+++ b/internal/emulator/counter.go
@@ -18,16 +18,16 @@
 	counterWriteBuffer = 4096
 )
 
-// Counter is the counter as one gateway reaches it, on an address of its own. Several share the same Numbers. Its
+// Counter is the counter as one gateway reaches it, on an address of its own. Several share one CounterStore. Its
 // goroutines end with Close.
 type Counter struct {
 	Meter    Meter
-	numbers  *Numbers
+	numbers  *CounterStore
 	listener *listener
 }
 
 // StartCounter listens on a loopback address.
-func StartCounter(addr string, numbers *Numbers) (*Counter, error) {
+func StartCounter(addr string, numbers *CounterStore) (*Counter, error) {
 	c := &Counter{numbers: numbers}
 	var err error
 	if c.listener, err = listen(addr, maxCounterConns, &c.Meter); err != nil {
--- a/internal/emulator/counter_test.go
+++ b/internal/emulator/counter_test.go
@@ -8,7 +8,7 @@
 
 // The counter answers calls as the protocol page has it, and closes a connection on what is no call.
 func TestCounterAnswersCallsAndClosesOnBadOnes(t *testing.T) {
-	numbers := NewNumbers(0)
+	numbers := NewCounterStore(0)
 	counter, err := StartCounter("127.0.0.1:0", numbers)
 	if err != nil {
 		t.Fatal(err)
@@ -33,7 +33,7 @@
 
 // A number's life counts from its first call; a counter with a bound takes a tenth of a second's calls at once.
 func TestNumbersExpireAndCallsAreBounded(t *testing.T) {
-	numbers, now := NewNumbers(0), time.Now()
+	numbers, now := NewCounterStore(0), time.Now()
 	numbers.Add(now, "a", 3, time.Second)
 	if total, _ := numbers.Add(now.Add(900*time.Millisecond), "a", 1, time.Hour); total != 4 {
 		t.Errorf("total %v, want 4", total)
@@ -45,7 +45,7 @@
 	if numbers.Len() != 1 {
 		t.Errorf("%d numbers, want 1", numbers.Len())
 	}
-	numbers = NewNumbers(100)
+	numbers = NewCounterStore(100)
 	for range 30 {
 		numbers.Add(now, "a", 1, time.Second)
 	}
--- a/internal/emulator/numbers.go
+++ b/internal/emulator/counterstore.go
@@ -15,9 +15,9 @@
 	expiryInterval = time.Second
 )
 
-// Numbers are what the counter holds, for gateways on sockets and within this process alike. They are safe for
+// CounterStore are what the counter holds, for gateways on sockets and within this process alike. They are safe for
 // concurrent use.
-type Numbers struct {
+type CounterStore struct {
 	callsPerSecond float64 // 0: no bound
 
 	mu         sync.Mutex // guards all below
@@ -35,35 +35,35 @@
 	expiresAt time.Time
 }
 
-// NewNumbers returns an empty set of numbers, which takes so many calls a second, a tenth of a second's at once, and rejects
+// NewCounterStore returns an empty set of numbers, which takes so many calls a second, a tenth of a second's at once, and rejects
 // further ones; 0: it takes all calls.
-func NewNumbers(callsPerSecond float64) *Numbers {
-	return &Numbers{numbers: map[string]number{}, callsPerSecond: callsPerSecond}
+func NewCounterStore(callsPerSecond float64) *CounterStore {
+	return &CounterStore{numbers: map[string]number{}, callsPerSecond: callsPerSecond}
 }
 
 // RejectAll makes the counter reject all calls from now on.
-func (n *Numbers) RejectAll() {
+func (n *CounterStore) RejectAll() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.rejectsAll = true
 }
 
 // Clear forgets all numbers, as a counter that was restarted.
-func (n *Numbers) Clear() {
+func (n *CounterStore) Clear() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	clear(n.numbers)
 }
 
 // Calls returns how many calls came so far, and how many of them were rejected.
-func (n *Numbers) Calls() (all, rejected int64) {
+func (n *CounterStore) Calls() (all, rejected int64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.calls, n.rejected
 }
 
 // Len returns how many numbers are held.
-func (n *Numbers) Len() int {
+func (n *CounterStore) Len() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return len(n.numbers)
@@ -71,7 +71,7 @@
 
 // Add adds to a number and returns its total. A new one is forgotten after its ttl. ok is false where the call is
 // rejected and nothing added.
-func (n *Numbers) Add(now time.Time, name string, amount float64, ttl time.Duration) (total float64, ok bool) {
+func (n *CounterStore) Add(now time.Time, name string, amount float64, ttl time.Duration) (total float64, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.calls++
@@ -95,7 +95,7 @@
 }
 
 // refill gives the tokens of the time that has passed.
-func (n *Numbers) refill(now time.Time) {
+func (n *CounterStore) refill(now time.Time) {
 	if n.callsPerSecond > 0 {
 		passed := max(0, now.Sub(n.filledAt)).Seconds()
 		n.tokens = min(n.callsPerSecond/burstsPerSecond, n.tokens+n.callsPerSecond*passed)
@@ -103,7 +103,7 @@
 	}
 }
 
-func (n *Numbers) dropExpired(now time.Time) {
+func (n *CounterStore) dropExpired(now time.Time) {
 	if now.Sub(n.sweptAt) < expiryInterval {
 		return
 	}
@@ -116,7 +116,7 @@
 }
 
 // mustReject says whether a call must be rejected.
-func (n *Numbers) mustReject(known bool) bool {
+func (n *CounterStore) mustReject(known bool) bool {
 	switch {
 	case n.rejectsAll:
 		return true
--- a/internal/fleettest/auditfleet_test.go
+++ b/internal/fleettest/auditfleet_test.go
@@ -35,7 +35,7 @@
 type realAuditFleet struct {
 	t         *testing.T
 	program   program
-	numbers   *emulator.Numbers
+	numbers   *emulator.CounterStore
 	backends  *emulator.Backends
 	ledger    *emulator.Ledger
 	endpoints []emulator.Endpoint // by the backend's index, all in service
@@ -74,7 +74,7 @@
 	root := buildRoot(t)
 	command, err := readRunCommand(root)
 	f := &realAuditFleet{t: t, program: program{root: root, command: command, folder: t.TempDir()},
-		numbers: emulator.NewNumbers(0), ledger: emulator.NewLedger(), halted: make(chan struct{})}
+		numbers: emulator.NewCounterStore(0), ledger: emulator.NewLedger(), halted: make(chan struct{})}
 	f.require(err)
 	t.Cleanup(f.stopTraffic)
 	f.startBackends()
--- a/internal/fleettest/emulated.go
+++ b/internal/fleettest/emulated.go
@@ -27,7 +27,7 @@
 	endpoints []emulator.Endpoint // by the backend's index, all in service
 	indexOf   map[string]int      // the backend's index, by its name
 	catalog   *emulator.Catalog
-	numbers   *emulator.Numbers
+	numbers   *emulator.CounterStore
 	model     *emulator.Model
 	ledger    *emulator.Ledger
 	backends  *emulator.Backends
@@ -39,7 +39,7 @@
 func startEmulated(o Options, onCommand func(backend int, id string, firstByte time.Time)) (*emulatedSystems, error) {
 	fleet, service := &o.Fleet, o.Emulated.MeanServiceTime
 	e := &emulatedSystems{indexOf: make(map[string]int, fleet.Backends), ledger: emulator.NewLedger(),
-		numbers: emulator.NewNumbers(o.Emulated.CounterCallsPerSecond),
+		numbers: emulator.NewCounterStore(o.Emulated.CounterCallsPerSecond),
 		model: emulator.NewModel(emulator.ModelConfig{Backends: fleet.Backends, Concurrency: o.Emulated.BackendConcurrency,
 			MeanService: service, MaxQueueTime: maxQueuedServiceTimes * service, Seed: o.Load.Seed}),
 		traffic: emulator.TrafficConfig{Gateways: fleet.ConfiguredGateways,
--- a/internal/fleettest/realgateway.go
+++ b/internal/fleettest/realgateway.go
@@ -56,7 +56,7 @@
 	emulatorHost string // loopback, of its agent and its counter
 	catalog      *emulator.Catalog
 	onWatchSent  func(emulator.WatchSent) // see emulator.StartAgent; may be nil
-	numbers      *emulator.Numbers
+	numbers      *emulator.CounterStore
 	replyGrace   time.Duration // clients wait so long beyond their own time
 }
 
