--- a/internal/emulator/agent_test.go
+++ b/internal/emulator/agent_test.go
@@ -53,7 +53,7 @@
 // get returns the body, until the test's end, and the status.
 func get(t *testing.T, url string) (*bufio.Reader, int) {
 	t.Helper()
-	ctx, stop := context.WithTimeout(context.Background(), patience)
+	ctx, stop := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(stop)
 	request, _ := http.NewRequestWithContext(ctx, "GET", url, nil)
 	response, err := http.DefaultClient.Do(request)
--- a/internal/emulator/backends_test.go
+++ b/internal/emulator/backends_test.go
@@ -14,8 +14,8 @@
 	checkSharedListeners(t, backends)
 
 	config := TrafficConfig{Gateways: 3, GatewaysPerTenant: 2, Tenants: 30, Plans: []string{"p", "q"},
-		RequestsPerSecond: 100, Seed: 1, Classes: []Class{{Name: "safe", Share: 1, ClientTimeout: patience},
-			{Name: "once", Idempotency: NonIdempotent, Share: 1, ClientTimeout: patience}}}
+		RequestsPerSecond: 100, Seed: 1, Classes: []Class{{Name: "safe", Share: 1, ClientTimeout: testTimeout},
+			{Name: "once", Idempotency: NonIdempotent, Share: 1, ClientTimeout: testTimeout}}}
 	traffic, again := NewTraffic(config, 2), NewTraffic(config, 2)
 	clients := NewClients(backends.Addr(1), 4, 0)
 	defer clients.Close()
@@ -77,9 +77,9 @@
 // connection.
 func checkMalformedCommands(t *testing.T, b *Backends) {
 	t.Helper()
-	expectAnswer(t, b.Addr(0), "*1\r\n$4\r\nPING\r\n*2\r\n$6\r\nSELECT\r\n$1\r\n0\r\n*1\r\n$5\r\nHELLO\r\n", "+PONG\r\n+OK\r\n-ERR")
+	expectReply(t, b.Addr(0), "*1\r\n$4\r\nPING\r\n*2\r\n$6\r\nSELECT\r\n$1\r\n0\r\n*1\r\n$5\r\nHELLO\r\n", "+PONG\r\n+OK\r\n-ERR")
 	for _, bad := range []string{"PING\r\n", "*1\r\n$99999999\r\n", "*2\r\n$5\r\nQ.ASK\r\n$1\r\nx\r\n", "*1\r\n$4\r\nPINGxx"} {
-		expectAnswerAndClose(t, b.Addr(0), bad, "-SYNTAX\r\n")
+		expectReplyAndClose(t, b.Addr(0), bad, "-SYNTAX\r\n")
 	}
 	if b.Malformed() != 4 {
 		t.Errorf("%d malformed commands, want 4", b.Malformed())
--- a/internal/emulator/counter.go
+++ b/internal/emulator/counter.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	maxCounterConns    = 32               // of one gateway
+	maxCounterConns    = 32               // from one gateway
 	counterIdleTimeout = 10 * time.Second // an idle connection is closed after this
 	maxCallBytes       = 256
 	maxNameBytes       = 64
@@ -18,17 +18,17 @@
 	counterWriteBuffer = 4096
 )
 
-// Counter is the counter as one gateway reaches it, on an address of its own. Several share one CounterStore. Its
-// goroutines end with Close.
+// Counter is the counter's endpoint for one gateway, on an address of its own. Several Counters share one CounterStore.
+// Its goroutines end with Close.
 type Counter struct {
 	Meter    Meter
-	numbers  *CounterStore
+	store    *CounterStore
 	listener *listener
 }
 
-// StartCounter listens on a loopback address.
-func StartCounter(addr string, numbers *CounterStore) (*Counter, error) {
-	c := &Counter{numbers: numbers}
+// StartCounter starts a counter on a loopback address.
+func StartCounter(addr string, store *CounterStore) (*Counter, error) {
+	c := &Counter{store: store}
 	var err error
 	if c.listener, err = listen(addr, maxCounterConns, &c.Meter); err != nil {
 		return nil, err
@@ -40,10 +40,11 @@
 // Addr returns the counter's address.
 func (c *Counter) Addr() string { return c.listener.Addr().String() }
 
-// Close ends the counter and its connections.
+// Close stops the counter and closes its connections.
 func (c *Counter) Close() { c.listener.Close() }
 
-// serveConn answers the calls of a connection in their order. Answers to calls that came together go out together.
+// serveConn replies to the calls of a connection in order. The replies to calls that arrived together are flushed
+// together.
 func (c *Counter) serveConn(conn net.Conn) {
 	in := bufio.NewReaderSize(conn, maxCallBytes)
 	out := bufio.NewWriterSize(conn, counterWriteBuffer)
@@ -55,13 +56,13 @@
 			}
 			conn.SetReadDeadline(time.Now().Add(counterIdleTimeout))
 		}
-		text, err := in.ReadSlice('\n')
-		if err != nil { // too long a call, among others
+		call, err := in.ReadSlice('\n')
+		if err != nil { // includes a call longer than maxCallBytes
 			return
 		}
-		answer, ok := c.answer(strings.TrimRight(string(text), "\r\n"))
+		reply, ok := c.handleCall(strings.TrimRight(string(call), "\r\n"))
 		conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-		out.WriteString(answer + "\r\n")
+		out.WriteString(reply + "\r\n")
 		if !ok {
 			out.Flush()
 			return
@@ -69,25 +70,26 @@
 	}
 }
 
-// answer carries out one call; ok is false where it was none, and the connection is to be closed.
-func (c *Counter) answer(text string) (answer string, ok bool) {
-	if text == "ping" {
+// handleCall executes one call and returns its reply. ok is false if the call is malformed and the connection must be
+// closed.
+func (c *Counter) handleCall(call string) (reply string, ok bool) {
+	if call == "ping" {
 		return "pong", true
 	}
-	name, amount, ttl, ok := parseAdd(text)
+	name, amount, ttl, ok := parseAdd(call)
 	if !ok {
 		return "error", false
 	}
-	total, added := c.numbers.Add(time.Now(), name, amount, ttl)
+	total, added := c.store.Add(time.Now(), name, amount, ttl)
 	if !added {
 		return "busy", true
 	}
 	return "ok " + strconv.FormatFloat(total, 'f', -1, 64), true
 }
 
-// parseAdd reads the call add NAME AMOUNT MILLISECONDS.
-func parseAdd(text string) (name string, amount float64, ttl time.Duration, ok bool) {
-	fields := strings.Split(text, " ")
+// parseAdd parses a call of the form "add NAME AMOUNT MILLISECONDS".
+func parseAdd(call string) (name string, amount float64, ttl time.Duration, ok bool) {
+	fields := strings.Split(call, " ")
 	if len(fields) != 4 || fields[0] != "add" {
 		return "", 0, 0, false
 	}
--- a/internal/emulator/counterstore.go
+++ b/internal/emulator/counterstore.go
@@ -6,122 +6,124 @@
 )
 
 const (
-	maxTTL     = time.Minute // a longer life of a number counts as this
+	maxTTL     = time.Minute // longer TTLs are shortened to this
 	minTTL     = time.Millisecond
-	maxNumbers = 1 << 18 // held at once; calls for further ones are rejected
-	// A bounded counter takes the calls of a tenth of a second at once.
-	burstsPerSecond = 10
-	// Numbers that have expired are dropped so often.
+	maxEntries = 1 << 18 // stored at once; calls that would create further ones are rejected
+	// The burst of a limited call rate is what the rate allows in 1/burstDivisor s.
+	burstDivisor = 10
+	// Interval at which expired entries are removed.
 	expiryInterval = time.Second
 )
 
-// CounterStore are what the counter holds, for gateways on sockets and within this process alike. They are safe for
-// concurrent use.
+// CounterStore holds the entries of the shared counter. Counters on sockets and gateways within this process can use the
+// same store. It is safe for concurrent use.
 type CounterStore struct {
-	callsPerSecond float64 // 0: no bound
+	callsPerSecond float64 // 0: unlimited
 
-	mu         sync.Mutex // guards all below
-	numbers    map[string]number
-	sweptAt    time.Time
+	mu         sync.Mutex // guards all fields below
+	entries    map[string]counterEntry
+	lastExpiry time.Time // when expired entries were last removed
 	rejectsAll bool
 	calls      int64
 	rejected   int64
-	tokens     float64 // calls that may come at once
-	filledAt   time.Time
+	tokens     float64 // calls allowed at once
+	lastRefill time.Time
 }
 
-type number struct {
+// counterEntry is the total of one name.
+type counterEntry struct {
 	total     float64
 	expiresAt time.Time
 }
 
-// NewCounterStore returns an empty set of numbers, which takes so many calls a second, a tenth of a second's at once, and rejects
-// further ones; 0: it takes all calls.
+// NewCounterStore returns an empty store. It accepts callsPerSecond calls per second, in bursts of a tenth of a second's
+// calls, and rejects further ones; at 0 it accepts all calls.
 func NewCounterStore(callsPerSecond float64) *CounterStore {
-	return &CounterStore{numbers: map[string]number{}, callsPerSecond: callsPerSecond}
+	return &CounterStore{entries: map[string]counterEntry{}, callsPerSecond: callsPerSecond}
 }
 
-// RejectAll makes the counter reject all calls from now on.
-func (n *CounterStore) RejectAll() {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.rejectsAll = true
+// RejectAll makes the store reject all calls from now on.
+func (s *CounterStore) RejectAll() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.rejectsAll = true
 }
 
-// Clear forgets all numbers, as a counter that was restarted.
-func (n *CounterStore) Clear() {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	clear(n.numbers)
+// Clear removes all entries, as a restart of the counter does.
+func (s *CounterStore) Clear() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	clear(s.entries)
 }
 
-// Calls returns how many calls came so far, and how many of them were rejected.
-func (n *CounterStore) Calls() (all, rejected int64) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.calls, n.rejected
+// Calls returns the number of calls so far, and how many of them were rejected.
+func (s *CounterStore) Calls() (all, rejected int64) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.calls, s.rejected
 }
 
-// Len returns how many numbers are held.
-func (n *CounterStore) Len() int {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return len(n.numbers)
+// Len returns the number of stored entries, including expired ones that are not yet removed.
+func (s *CounterStore) Len() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return len(s.entries)
 }
 
-// Add adds to a number and returns its total. A new one is forgotten after its ttl. ok is false where the call is
-// rejected and nothing added.
-func (n *CounterStore) Add(now time.Time, name string, amount float64, ttl time.Duration) (total float64, ok bool) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.calls++
-	n.refill(now)
-	n.dropExpired(now)
-	current, known := n.numbers[name]
-	if known && !now.Before(current.expiresAt) {
-		current, known = number{}, false
+// Add adds amount to the entry of the given name and returns its total. The entry is created if there is none; it expires
+// ttl after its creation, and later calls don't extend that. ok is false if the call is rejected and nothing is added.
+func (s *CounterStore) Add(now time.Time, name string, amount float64, ttl time.Duration) (total float64, ok bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.calls++
+	s.refill(now)
+	s.removeExpired(now)
+	entry, exists := s.entries[name]
+	if exists && !now.Before(entry.expiresAt) {
+		entry, exists = counterEntry{}, false
 	}
-	if n.mustReject(known) {
-		n.rejected++
+	if s.mustReject(exists) {
+		s.rejected++
 		return 0, false
 	}
-	n.tokens--
-	if !known {
-		current.expiresAt = now.Add(min(max(ttl, minTTL), maxTTL))
+	s.tokens--
+	if !exists {
+		entry.expiresAt = now.Add(min(max(ttl, minTTL), maxTTL))
 	}
-	current.total += amount
-	n.numbers[name] = current
-	return current.total, true
+	entry.total += amount
+	s.entries[name] = entry
+	return entry.total, true
 }
 
-// refill gives the tokens of the time that has passed.
-func (n *CounterStore) refill(now time.Time) {
-	if n.callsPerSecond > 0 {
-		passed := max(0, now.Sub(n.filledAt)).Seconds()
-		n.tokens = min(n.callsPerSecond/burstsPerSecond, n.tokens+n.callsPerSecond*passed)
-		n.filledAt = now
+// refill adds the tokens for the time since the last refill. Without a rate limit there are no tokens.
+func (s *CounterStore) refill(now time.Time) {
+	if s.callsPerSecond > 0 {
+		passed := max(0, now.Sub(s.lastRefill)).Seconds()
+		s.tokens = min(s.callsPerSecond/burstDivisor, s.tokens+s.callsPerSecond*passed)
+		s.lastRefill = now
 	}
 }
 
-func (n *CounterStore) dropExpired(now time.Time) {
-	if now.Sub(n.sweptAt) < expiryInterval {
+// removeExpired removes expired entries, at most once per expiryInterval.
+func (s *CounterStore) removeExpired(now time.Time) {
+	if now.Sub(s.lastExpiry) < expiryInterval {
 		return
 	}
-	n.sweptAt = now
-	for name, number := range n.numbers {
-		if !now.Before(number.expiresAt) {
-			delete(n.numbers, name)
+	s.lastExpiry = now
+	for name, entry := range s.entries {
+		if !now.Before(entry.expiresAt) {
+			delete(s.entries, name)
 		}
 	}
 }
 
-// mustReject says whether a call must be rejected.
-func (n *CounterStore) mustReject(known bool) bool {
+// mustReject reports whether a call must be rejected. exists tells whether the call is for an existing entry.
+func (s *CounterStore) mustReject(exists bool) bool {
 	switch {
-	case n.rejectsAll:
+	case s.rejectsAll:
 		return true
-	case n.callsPerSecond > 0 && n.tokens < 1:
+	case s.callsPerSecond > 0 && s.tokens < 1:
 		return true
 	}
-	return !known && len(n.numbers) >= maxNumbers
+	return !exists && len(s.entries) >= maxEntries
 }
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// patience bounds every wait; none is expected to take a noticeable part of it.
-const patience = 20 * time.Second
+// testTimeout limits every wait of the tests. No wait is expected to take a noticeable part of it.
+const testTimeout = 20 * time.Second
 
-// dial connects to an address until the test's end.
+// dial connects to an address. The connection is closed when the test ends.
 func dial(t *testing.T, addr string) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
@@ -20,34 +20,36 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(patience))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	return conn, bufio.NewReader(conn)
 }
 
-// expectAnswer writes text and checks that what comes back begins as wanted.
-func expectAnswer(t *testing.T, addr, text, want string) {
+// expectReply sends text on a new connection and checks that the reply begins with want.
+func expectReply(t *testing.T, addr, text, want string) {
 	t.Helper()
 	exchange(t, addr, text, want)
 }
 
-// expectAnswerAndClose writes text and checks that what comes back is what is wanted, and then the connection's end.
-func expectAnswerAndClose(t *testing.T, addr, text, want string) {
+// expectReplyAndClose sends text on a new connection and checks that the reply is want and that the connection is closed
+// after it.
+func expectReplyAndClose(t *testing.T, addr, text, want string) {
 	t.Helper()
 	in := exchange(t, addr, text, want)
 	rest, err := io.ReadAll(in)
 	if len(rest) > 0 || err != nil && strings.Contains(err.Error(), "timeout") {
-		t.Fatalf("after %q come %q and %v, want the end", text, rest, err)
+		t.Fatalf("after the reply to %q: read %q, error %v; want the connection closed", text, rest, err)
 	}
 }
 
-// exchange writes text and compares as much of the answer as is wanted. It returns the rest.
+// exchange sends text on a new connection, compares the first len(want) bytes of the reply with want, and returns a reader
+// of the rest.
 func exchange(t *testing.T, addr, text, want string) *bufio.Reader {
 	t.Helper()
 	conn, in := dial(t, addr)
 	io.WriteString(conn, text)
-	answer := make([]byte, len(want))
-	if n, err := io.ReadFull(in, answer); err != nil || string(answer) != want {
-		t.Fatalf("%q is answered %q (%v), want %q", text, answer[:n], err, want)
+	reply := make([]byte, len(want))
+	if n, err := io.ReadFull(in, reply); err != nil || string(reply) != want {
+		t.Fatalf("reply to %q is %q (error %v), want %q", text, reply[:n], err, want)
 	}
 	return in
 }
