--- a/internal/emulator/ledger.go
+++ b/internal/emulator/ledger.go
@@ -5,41 +5,43 @@
 	"time"
 )
 
-// Ending says how a request ended for its client.
+// Ending is how a request ended for its client.
 type Ending int
 
 // The ways in which a request can end.
 const (
-	Unanswered Ending = iota // no final answer, or one that breaks off
+	Unanswered Ending = iota // no reply, or an incomplete one
 	Served
-	Rejected // trying again is harmless
+	Rejected // the client can safely retry
 	Failed
-	Wrong // served with what was not made for this request
+	Wrong // served with the value of another request
 )
 
-// maxLedgerEntries bounds the requests that a ledger holds; further ones are only counted.
+// maxLedgerEntries limits the requests that a ledger holds. Events of further requests are only counted.
 const maxLedgerEntries = 1 << 20
 
-// ledgerEntry is what is known of one request.
+// ledgerEntry records the events of one request.
 type ledgerEntry struct {
-	idempotency Idempotency
-	runs        int // attempts that backends started
-	serviceTime time.Duration
-	ended       bool // at the client
-	ending      Ending
+	idempotency     Idempotency
+	attemptsStarted int // by backends
+	serviceTime     time.Duration
+	ended           bool // at the client
+	ending          Ending
 }
 
-// Ledger keeps, by request, what the backends did and what the client was told. It is safe for concurrent use.
+// Ledger records, per request ID, what the backends did and which result the client received. It is safe for concurrent
+// use.
 type Ledger struct {
-	mu      sync.Mutex // guards all below
+	mu      sync.Mutex // guards all fields below
 	entries map[string]*ledgerEntry
-	notKept int // notes on requests beyond maxLedgerEntries
+	notKept int // events of requests that no longer fitted into the ledger
 }
 
 // NewLedger returns an empty ledger.
 func NewLedger() *Ledger { return &Ledger{entries: map[string]*ledgerEntry{}} }
 
-// entry returns the entry of a request, which nobody keeps if the ledger is full. The caller holds mu.
+// entry returns the entry of a request and creates it if necessary. If the ledger is full, the new entry is not stored. The
+// caller holds mu.
 func (l *Ledger) entry(id string) *ledgerEntry {
 	entry := l.entries[id]
 	if entry != nil {
@@ -54,21 +56,21 @@
 	return entry
 }
 
-// AttemptStarted notes that a backend has started an attempt.
+// AttemptStarted records that a backend has started an attempt.
 func (l *Ledger) AttemptStarted(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.entry(id).runs++
+	l.entry(id).attemptsStarted++
 }
 
-// AttemptServed notes how long a backend had an attempt, from the command's last byte to its answer.
+// AttemptServed records the time that an attempt took at a backend, from the last byte of the command to the reply.
 func (l *Ledger) AttemptServed(id string, serviceTime time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.entry(id).serviceTime = serviceTime
 }
 
-// ServiceTime returns the time that AttemptServed noted last for a request; 0: none.
+// ServiceTime returns the service time recorded last for a request, or 0 if there is none.
 func (l *Ledger) ServiceTime(id string) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -78,7 +80,7 @@
 	return 0
 }
 
-// RequestEnded notes what the client was told.
+// RequestEnded records how a request ended for the client.
 func (l *Ledger) RequestEnded(request *Request, ending Ending) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -86,43 +88,43 @@
 	entry.idempotency, entry.ended, entry.ending = request.Idempotency, true, ending
 }
 
-// Sums compares what the backends did with what the clients were told, by the requests' ids. They are part of the JSON
-// that a fleettest.Report writes.
+// Sums compares, request by request, what the backends did with the results that the clients received. It is part of the
+// JSON that a fleettest.Report writes.
 type Sums struct {
 	Requests   int `json:"requests"` // that ended at a client
 	Served     int `json:"served"`
 	Rejected   int `json:"refused"`
 	Failed     int `json:"failed"`
 	Unanswered int `json:"unanswered"`
-	Wrong      int `json:"wrong"` // served with another request's value
+	Wrong      int `json:"wrong"` // served with the value of another request
 
 	Runs         int `json:"runs"`        // attempts that backends started
-	Ran          int `json:"ran"`         // requests of which they started one or more
-	RanNotServed int `json:"ran_unsaid"`  // run, but not served, or not ended
-	Phantom      int `json:"phantom"`     // served, but no backend ran them
-	Doubled      int `json:"doubled"`     // of a non-idempotent class, run more than once
-	RejectedRan  int `json:"refused_ran"` // of a non-idempotent class, run and yet rejected
-	NotKept      int `json:"lost"`        // notes beyond what the ledger holds
+	Ran          int `json:"ran"`         // requests with at least one started attempt
+	RanNotServed int `json:"ran_unsaid"`  // requests with a started attempt that were not served or have not ended
+	Phantom      int `json:"phantom"`     // requests served without any started attempt
+	Doubled      int `json:"doubled"`     // non-idempotent requests with more than one started attempt
+	RejectedRan  int `json:"refused_ran"` // non-idempotent requests that were rejected although an attempt started
+	NotKept      int `json:"lost"`        // events of requests that no longer fitted into the ledger
 }
 
-// Sums returns the sums of the requests whose ids match; nil: all.
+// Sums returns the sums of the requests whose ids match; if matches is nil, of all requests.
 func (l *Ledger) Sums(matches func(id string) bool) Sums {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	sums := Sums{NotKept: l.notKept}
 	for id, entry := range l.entries {
 		if matches == nil || matches(id) {
-			sums.addRuns(entry)
+			sums.addAttempts(entry)
 			sums.addEnding(entry)
 		}
 	}
 	return sums
 }
 
-// addRuns counts what the backends did.
-func (s *Sums) addRuns(entry *ledgerEntry) {
-	s.Runs += entry.runs
-	if entry.runs == 0 {
+// addAttempts counts what the backends did.
+func (s *Sums) addAttempts(entry *ledgerEntry) {
+	s.Runs += entry.attemptsStarted
+	if entry.attemptsStarted == 0 {
 		return
 	}
 	s.Ran++
@@ -131,25 +133,25 @@
 	}
 }
 
-// addEnding counts what the client was told, and what must not happen.
+// addEnding counts the result that the client received, and the violations: Phantom, Doubled and RejectedRan.
 func (s *Sums) addEnding(entry *ledgerEntry) {
 	if !entry.ended {
 		return
 	}
 	s.Requests++
-	mayRunOnce := entry.idempotency == NonIdempotent
-	if mayRunOnce && entry.runs > 1 {
+	nonIdempotent := entry.idempotency == NonIdempotent
+	if nonIdempotent && entry.attemptsStarted > 1 {
 		s.Doubled++
 	}
 	switch entry.ending {
 	case Served:
 		s.Served++
-		if entry.runs == 0 {
+		if entry.attemptsStarted == 0 {
 			s.Phantom++
 		}
 	case Rejected:
 		s.Rejected++
-		if mayRunOnce && entry.runs > 0 {
+		if nonIdempotent && entry.attemptsStarted > 0 {
 			s.RejectedRan++
 		}
 	case Failed:
--- a/internal/emulator/model.go
+++ b/internal/emulator/model.go
@@ -7,54 +7,55 @@
 	"time"
 )
 
-// maxServiceFactor: no attempt takes more than this many times the mean.
+// maxServiceFactor limits an attempt's service time to this multiple of the mean.
 const maxServiceFactor = 8
 
-// ModelConfig says how the backends behave.
+// ModelConfig configures the behaviour of the backends.
 type ModelConfig struct {
 	Backends     int
-	Concurrency  int           // attempts that one backend serves at once
-	MeanService  time.Duration // of exponential service times, which are cut off at eight times the mean
-	MaxQueueTime time.Duration // an attempt that would wait longer to be served is rejected
+	Concurrency  int           // attempts that one backend serves at the same time
+	MeanService  time.Duration // of the exponential service times, which are cut off at eight times the mean
+	MaxQueueTime time.Duration // an attempt that would be queued for longer is rejected
 	Seed         uint64
 }
 
-// Model is how the backends behave, without sockets: each serves a number of attempts at once and lets a few wait. It is
-// safe for concurrent use.
+// Model simulates the backends without sockets: each serves up to Concurrency attempts at the same time and queues further
+// ones for at most MaxQueueTime. It is safe for concurrent use.
 type Model struct {
 	config ModelConfig
 
-	mu       sync.Mutex    // guards all below
+	mu       sync.Mutex    // guards all fields below
 	rng      *rand.Rand    // draws service times
-	freeAt   [][]time.Time // by backend: when it can serve the next attempt, for each that it serves at once
-	started  []int         // by backend: attempts
-	rejected int           // attempts
+	freeAt   [][]time.Time // per backend and concurrency slot: when the slot becomes free
+	started  []int         // attempts started, per backend
+	rejected int           // attempts rejected by all backends together
 }
 
-// NewModel returns idle backends.
+// NewModel returns a model of idle backends.
 func NewModel(config ModelConfig) *Model {
 	m := &Model{config: config, rng: rand.New(rand.NewPCG(config.Seed, 0)),
 		freeAt: make([][]time.Time, config.Backends), started: make([]int, config.Backends)}
-	all := make([]time.Time, config.Backends*config.Concurrency) // one piece of memory for thousands of backends
+	allSlots := make([]time.Time, config.Backends*config.Concurrency) // one allocation for thousands of backends
 	for i := range m.freeAt {
 		begin, end := i*config.Concurrency, (i+1)*config.Concurrency
-		m.freeAt[i] = all[begin:end:end]
+		m.freeAt[i] = allSlots[begin:end:end]
 	}
 	return m
 }
 
-// StartAttempt hands a backend an attempt and returns when that will be done. ok is false where it is rejected.
+// StartAttempt starts or queues an attempt at a backend and returns when it will be done. ok is false if the backend
+// rejects the attempt.
 func (m *Model) StartAttempt(backend int, now time.Time) (done time.Time, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	freeAt := m.freeAt[backend]
-	first := 0
+	earliest := 0
 	for i, at := range freeAt {
-		if at.Before(freeAt[first]) {
-			first = i
+		if at.Before(freeAt[earliest]) {
+			earliest = i
 		}
 	}
-	start := freeAt[first]
+	start := freeAt[earliest]
 	if start.Before(now) {
 		start = now
 	}
@@ -63,12 +64,12 @@
 		return now, false
 	}
 	service := time.Duration(min(m.rng.ExpFloat64(), maxServiceFactor) * float64(m.config.MeanService))
-	freeAt[first] = start.Add(service)
+	freeAt[earliest] = start.Add(service)
 	m.started[backend]++
-	return freeAt[first], true
+	return freeAt[earliest], true
 }
 
-// Attempts returns how many attempts each backend started, and how many were rejected, by all backends together.
+// Attempts returns the number of attempts that each backend started, and the number that all backends together rejected.
 func (m *Model) Attempts() (started []int, rejected int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/emulator/traffic.go
+++ b/internal/emulator/traffic.go
@@ -6,51 +6,51 @@
 	"time"
 )
 
-// Idempotency says what repeating a request of a class may do.
+// Idempotency is how often a request of a class may run.
 type Idempotency int
 
-// The ways in which repeating a request can have an effect.
+// The idempotency of a class.
 const (
-	Idempotent        Idempotency = iota // it may run any number of times
-	IdempotentWithKey                    // the requests carry a key
-	NonIdempotent                        // it may run once at most
+	Idempotent        Idempotency = iota // may run any number of times
+	IdempotentWithKey                    // may run again under the idempotency key that the request carries
+	NonIdempotent                        // may run at most once
 )
 
-// Class is a class of requests as clients send them.
+// Class describes one class of the requests that clients send.
 type Class struct {
 	Name          string
 	Idempotency   Idempotency
-	Share         float64       // of the requests, compared with the other classes'
-	ClientTimeout time.Duration // how long the client waits; whole milliseconds
+	Share         float64       // share of the requests, relative to the shares of the other classes
+	ClientTimeout time.Duration // how long the client waits, in whole milliseconds
 }
 
-// TrafficConfig says what the requests are like that reach the gateways.
+// TrafficConfig configures the requests that the gateways receive.
 type TrafficConfig struct {
-	Gateways          int      // their indices are 0 to Gateways-1
-	GatewaysPerTenant int      // of each tenant's set
-	Tenants           int      // in all; tenant n has the plan n modulo the number of plans
+	Gateways          int      // with the indices 0 to Gateways-1
+	GatewaysPerTenant int      // gateways among which the requests of one tenant are distributed
+	Tenants           int      // of all gateways; tenant n has plan n modulo the number of plans
 	Plans             []string // names
 	Classes           []Class
-	RequestsPerSecond float64 // at each gateway, at random times (a Poisson process)
+	RequestsPerSecond float64 // at each gateway, as a Poisson process
 	Seed              uint64
 }
 
 // Request is one request of a client.
 type Request struct {
-	ID            string // 16 hex digits: the gateway's index and a number
+	ID            string // 16 hex digits: the gateway's index and a sequence number
 	Tenant        string // 16 hex digits
 	Class         int
 	Plan          int
 	Idempotency   Idempotency
 	ClientTimeout time.Duration
-	Gateways      int    // of the tenant's set
-	FirstGateway  int    // of the tenant's set, which goes on with the next indices and, after the last, from 0 on
-	Key           string // of a request that is idempotent with a key; others don't send it
+	Gateways      int    // among which the tenant's requests are distributed
+	FirstGateway  int    // index of the first of these; the others have the next indices, and 0 follows the last index
+	Key           string // idempotency key; sent only if Idempotency is IdempotentWithKey
 	className     string
 	planName      string
 }
 
-// GatewayOf returns the index of the gateway that a request's id names, or -1.
+// GatewayOf returns the index of the gateway in a request's id, or -1 if the id is malformed.
 func GatewayOf(id string) int {
 	var index, number uint32
 	if _, err := fmt.Sscanf(id, "%08x%08x", &index, &number); err != nil || len(id) != 16 {
@@ -59,31 +59,32 @@
 	return int(index)
 }
 
-// Command returns the request as a client writes it.
+// Command returns the RESP2 command that a client sends for the request.
 func (r *Request) Command() []byte {
-	list := fmt.Sprintf("c=%s,t=%s,d=%d", r.className, r.planName, r.ClientTimeout.Milliseconds())
+	fields := fmt.Sprintf("c=%s,t=%s,d=%d", r.className, r.planName, r.ClientTimeout.Milliseconds())
 	if r.Idempotency == IdempotentWithKey {
-		list += ",k=" + r.Key
+		fields += ",k=" + r.Key
 	}
-	list += fmt.Sprintf(",units=1,spread=%d,first=%d", r.Gateways, r.FirstGateway)
+	fields += fmt.Sprintf(",units=1,spread=%d,first=%d", r.Gateways, r.FirstGateway)
 	if r.Idempotency == Idempotent {
-		return appendCommand(nil, "Q.ASK", r.Tenant, r.ID, list)
+		return appendCommand(nil, "Q.ASK", r.Tenant, r.ID, fields)
 	}
-	return appendCommand(nil, "Q.DO", r.Tenant, r.ID, list, "body")
+	return appendCommand(nil, "Q.DO", r.Tenant, r.ID, fields, "body")
 }
 
-// Traffic generates the requests of one gateway: the same ones for the same configuration and index. It is not safe for
-// concurrent use.
+// Traffic generates the requests of one gateway. The same configuration and index give the same requests. It is not safe
+// for concurrent use.
 type Traffic struct {
 	config       TrafficConfig
 	gatewayIndex int
 	rng          *rand.Rand
-	tenants      []int   // whose set holds this gateway; one tenant where no set does
+	tenants      []int   // whose requests this gateway receives; never empty
 	totalShare   float64 // of all classes
-	lastNumber   uint32  // of a request
+	lastSequence uint32  // sequence number of the latest request
 }
 
-// NewTraffic returns the generator of the gateway with an index.
+// NewTraffic returns the generator of the requests of the gateway with the given index. A gateway to which no tenant is
+// assigned receives the requests of tenant gatewayIndex modulo Tenants.
 func NewTraffic(config TrafficConfig, gatewayIndex int) *Traffic {
 	t := &Traffic{config: config, gatewayIndex: gatewayIndex,
 		rng: rand.New(rand.NewPCG(config.Seed, uint64(gatewayIndex)+1))}
@@ -101,21 +102,21 @@
 	return t
 }
 
-// firstGateway is the first gateway of a tenant's set.
+// firstGateway returns the index of the first gateway that serves a tenant. It is a hash of the tenant's number.
 func (t *Traffic) firstGateway(tenant int) int {
 	return int(uint64(tenant+1) * 0x9e3779b97f4a7c15 >> 33 % uint64(t.config.Gateways))
 }
 
-// Next returns the next request and the time from the one before to it.
+// Next returns the next request and the interval between it and the previous one.
 func (t *Traffic) Next() (time.Duration, *Request) {
-	gap := time.Duration(t.rng.ExpFloat64() / t.config.RequestsPerSecond * float64(time.Second))
+	interval := time.Duration(t.rng.ExpFloat64() / t.config.RequestsPerSecond * float64(time.Second))
 	tenant := t.tenants[t.rng.IntN(len(t.tenants))]
 	classIndex := t.drawClass()
 	class := &t.config.Classes[classIndex]
-	t.lastNumber++
+	t.lastSequence++
 	plan := tenant % len(t.config.Plans)
-	id := fmt.Sprintf("%08x%08x", t.gatewayIndex, t.lastNumber)
-	return gap, &Request{
+	id := fmt.Sprintf("%08x%08x", t.gatewayIndex, t.lastSequence)
+	return interval, &Request{
 		ID:            id,
 		Tenant:        fmt.Sprintf("%016x", tenant+1),
 		Class:         classIndex,
@@ -130,11 +131,11 @@
 	}
 }
 
-// drawClass draws a class by the classes' shares.
+// drawClass picks a class at random, weighted by the classes' shares.
 func (t *Traffic) drawClass() int {
-	index, rest := 0, t.rng.Float64()*t.totalShare
-	for index < len(t.config.Classes)-1 && rest >= t.config.Classes[index].Share {
-		rest -= t.config.Classes[index].Share
+	index, remaining := 0, t.rng.Float64()*t.totalShare
+	for index < len(t.config.Classes)-1 && remaining >= t.config.Classes[index].Share {
+		remaining -= t.config.Classes[index].Share
 		index++
 	}
 	return index
