--- a/internal/emulator/backends.go
+++ b/internal/emulator/backends.go
@@ -10,37 +10,38 @@
 )
 
 const (
-	// Connections that one listener holds: some of each of 1,024 gateways.
+	// Connections per listener. It is enough for several connections from each of 1,024 gateways.
 	maxBackendConns = 4096
-	// Commands of one connection that are begun before the first is answered.
+	// Replies that are queued per connection. While the queue is full, no further commands are read.
 	maxPipelined      = 8
 	backendReadBuffer = 4096
-	tenantBytes       = 16 // of a tenant's name in a command
+	tenantBytes       = 16 // length of a tenant's name in a command
 )
 
-// BackendsConfig says how the backends listen.
+// BackendsConfig configures the listeners of the backends.
 type BackendsConfig struct {
-	Host        string // a loopback host
-	Dedicated   int    // the first backends, at most so many, have a listener of their own
-	Shared      int    // listeners that the other backends share
+	Host        string // a loopback address
+	Dedicated   int    // number of backends with a listener of their own; these are the first ones
+	Shared      int    // number of listeners that the other backends share
 	IdleTimeout time.Duration
-	// OnCommand, if not nil, is called for each command to a backend with a listener of its own, with the time of the
-	// command's first byte, from several goroutines.
+	// OnCommand, if not nil, is called for each request to a backend with a listener of its own, also if the backend then
+	// rejects the request. firstByte is when the first byte of the command arrived. Calls come from several goroutines.
 	OnCommand func(backend int, id string, firstByte time.Time)
 }
 
-// Backends are the backends on sockets. A listener for each would take many descriptors where there are many
-// thousands, so only the first have one of their own and the others share a few: at a shared address nobody can tell
-// which of its backends was meant, and they take turns. Its goroutines end with Close.
+// Backends serves the model's backends on sockets. With thousands of backends a listener for each would need too many file
+// descriptors, so only the first backends have a listener of their own and the others share a few. A command does not name
+// its backend, so a shared listener distributes its commands round-robin among its backends. The goroutines end with
+// Close.
 type Backends struct {
-	config    BackendsConfig
-	model     *Model
-	ledger    *Ledger
-	count     int // backends
-	dedicated int // of them, those with a listener of their own
-	listeners []*listener
-	turns     []atomic.Int64 // of the shared listeners
-	malformed atomic.Int64   // commands
+	config     BackendsConfig
+	model      *Model
+	ledger     *Ledger
+	count      int            // number of backends
+	dedicated  int            // number of backends with a listener of their own
+	listeners  []*listener    // the dedicated listeners, then the shared ones
+	roundRobin []atomic.Int64 // per shared listener: number of commands distributed
+	malformed  atomic.Int64   // commands
 }
 
 // StartBackends opens listeners for the model's backends.
@@ -51,7 +52,7 @@
 	if b.dedicated == b.count {
 		shared = 0
 	}
-	b.turns = make([]atomic.Int64, shared)
+	b.roundRobin = make([]atomic.Int64, shared)
 	for i := range b.dedicated + shared {
 		listener, err := listen(net.JoinHostPort(config.Host, "0"), maxBackendConns, &Meter{})
 		if err != nil {
@@ -64,7 +65,7 @@
 	return b, nil
 }
 
-// Close ends all listeners and connections.
+// Close closes all listeners and connections.
 func (b *Backends) Close() {
 	var closing sync.WaitGroup
 	for _, listener := range b.listeners {
@@ -73,19 +74,20 @@
 	closing.Wait()
 }
 
-// HasOwnListener says whether a backend has a listener of its own.
+// HasOwnListener reports whether a backend has a listener of its own.
 func (b *Backends) HasOwnListener(backend int) bool { return backend < b.dedicated }
 
 // Addr returns a backend's address.
 func (b *Backends) Addr(backend int) string {
 	listener := backend
 	if !b.HasOwnListener(backend) {
-		listener = b.dedicated + (backend-b.dedicated)%len(b.turns)
+		listener = b.dedicated + (backend-b.dedicated)%len(b.roundRobin)
 	}
 	return b.listeners[listener].Addr().String()
 }
 
-// OpenConnections returns how many connections are held by each backend with a listener of its own, and by all together.
+// OpenConnections returns the number of open connections of each backend with a listener of its own, and of all backends
+// together.
 func (b *Backends) OpenConnections() (dedicated []int64, all int64) {
 	for i, listener := range b.listeners {
 		open := listener.meter.Open.Load()
@@ -97,7 +99,7 @@
 	return dedicated, all
 }
 
-// ConnectionsAccepted returns how many connections were taken so far.
+// ConnectionsAccepted returns the number of connections accepted so far.
 func (b *Backends) ConnectionsAccepted() (accepted int64) {
 	for _, listener := range b.listeners {
 		accepted += listener.meter.Opened.Load()
@@ -105,44 +107,44 @@
 	return accepted
 }
 
-// Malformed returns how many commands came that no gateway may send in that form.
+// Malformed returns the number of commands received that violate the protocol.
 func (b *Backends) Malformed() int64 { return b.malformed.Load() }
 
-// nextBackendAt is the backend that the next command at a listener is for. Those of a shared one take turns, and each call
-// ends a turn.
+// nextBackendAt returns the backend for the next command at a listener. At a shared listener each call advances the
+// round-robin.
 func (b *Backends) nextBackendAt(listener int) int {
 	if listener < b.dedicated {
 		return listener
 	}
-	shared, listeners := listener-b.dedicated, len(b.turns)
-	members := (b.count - b.dedicated - shared + listeners - 1) / listeners
-	return b.dedicated + shared + listeners*int(b.turns[shared].Add(1)%int64(members))
+	shared, listeners := listener-b.dedicated, len(b.roundRobin)
+	sharing := (b.count - b.dedicated - shared + listeners - 1) / listeners
+	return b.dedicated + shared + listeners*int(b.roundRobin[shared].Add(1)%int64(sharing))
 }
 
-// backendAnswer is what a connection is to be written, not before a time.
-type backendAnswer struct {
-	text     []byte
-	writeAt  time.Time
-	closes   bool      // the connection, after it
-	servedID string    // of the request, if the answer is to one that was served
-	received time.Time // with servedID: when the command's last byte had come
+// backendReply is a reply and the earliest time at which it may be written.
+type backendReply struct {
+	text       []byte
+	writeAt    time.Time
+	closeAfter bool      // close the connection after the reply
+	servedID   string    // id of the request, if the reply is that of a served one
+	receivedAt time.Time // if servedID is set: when the whole command had been read
 }
 
-// serveConn answers the commands of one connection in their order.
+// serveConn replies to the commands of one connection in order.
 func (b *Backends) serveConn(listener int, conn net.Conn) {
-	answers := make(chan backendAnswer, maxPipelined)
+	replies := make(chan backendReply, maxPipelined)
 	written := make(chan struct{})
 	go func() {
 		defer close(written)
-		b.writeAnswers(conn, answers)
+		b.writeReplies(conn, replies)
 	}()
-	b.readCommands(listener, conn, answers)
-	close(answers)
+	b.readCommands(listener, conn, replies)
+	close(replies)
 	<-written
 }
 
-// readCommands begins the commands of a connection until its end.
-func (b *Backends) readCommands(listener int, conn net.Conn, answers chan<- backendAnswer) {
+// readCommands reads the commands of a connection until it ends, starts each, and queues the replies.
+func (b *Backends) readCommands(listener int, conn net.Conn, replies chan<- backendReply) {
 	in := bufio.NewReaderSize(conn, backendReadBuffer)
 	for {
 		conn.SetReadDeadline(time.Now().Add(b.config.IdleTimeout))
@@ -152,46 +154,46 @@
 		firstByte := time.Now()
 		args, err := readCommand(in)
 		if errors.Is(err, errMalformed) {
-			answers <- b.rejectMalformed()
+			replies <- b.rejectMalformed()
 		}
 		if err != nil {
 			return
 		}
-		answers <- b.beginCommand(listener, args, firstByte)
+		replies <- b.startCommand(listener, args, firstByte)
 	}
 }
 
-// writeAnswers writes answers when it is time for them, to the end of the channel. Once the connection has broken it
-// only reads the channel.
-func (b *Backends) writeAnswers(conn net.Conn, answers <-chan backendAnswer) {
-	broken := false
-	for answer := range answers {
-		if broken {
+// writeReplies writes each reply when it is due, until the channel is closed. Once the connection has failed or is closed,
+// it only drains the channel, so that readCommands doesn't block.
+func (b *Backends) writeReplies(conn net.Conn, replies <-chan backendReply) {
+	closed := false
+	for reply := range replies {
+		if closed {
 			continue
 		}
-		time.Sleep(time.Until(answer.writeAt))
-		if answer.servedID != "" {
-			b.ledger.AttemptServed(answer.servedID, time.Since(answer.received))
+		time.Sleep(time.Until(reply.writeAt))
+		if reply.servedID != "" {
+			b.ledger.AttemptServed(reply.servedID, time.Since(reply.receivedAt))
 		}
 		conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-		_, err := conn.Write(answer.text)
-		if broken = err != nil || answer.closes; broken {
+		_, err := conn.Write(reply.text)
+		if closed = err != nil || reply.closeAfter; closed {
 			conn.Close()
 		}
 	}
 }
 
-// beginCommand begins a command and returns its answer.
-func (b *Backends) beginCommand(listener int, args []string, firstByte time.Time) backendAnswer {
-	received := time.Now()
+// startCommand starts a command and returns its reply.
+func (b *Backends) startCommand(listener int, args []string, firstByte time.Time) backendReply {
+	receivedAt := time.Now()
 	switch args[0] {
 	case "PING":
-		return backendAnswer{text: []byte("+PONG\r\n")}
+		return backendReply{text: []byte("+PONG\r\n")}
 	case "CLIENT", "SELECT":
-		return backendAnswer{text: []byte("+OK\r\n")}
+		return backendReply{text: []byte("+OK\r\n")}
 	case "Q.ASK", "Q.DO":
 	default:
-		return backendAnswer{text: []byte("-ERR unknown command\r\n")}
+		return backendReply{text: []byte("-ERR unknown command\r\n")}
 	}
 	if !isRequest(args) {
 		return b.rejectMalformed()
@@ -201,21 +203,22 @@
 	if b.config.OnCommand != nil && b.HasOwnListener(backend) {
 		b.config.OnCommand(backend, id, firstByte)
 	}
-	done, ok := b.model.StartAttempt(backend, received)
+	done, ok := b.model.StartAttempt(backend, receivedAt)
 	if !ok {
-		return backendAnswer{text: []byte("-BUSY\r\n")}
+		return backendReply{text: []byte("-BUSY\r\n")}
 	}
 	b.ledger.AttemptStarted(id)
 	text := append([]byte("*3\r\n$16\r\n"+id), "\r\n$-1\r\n$-1\r\n"...)
-	return backendAnswer{text: text, writeAt: done, servedID: id, received: received}
+	return backendReply{text: text, writeAt: done, servedID: id, receivedAt: receivedAt}
 }
 
-// isRequest says whether a command has the arguments of a request: the tenant, its id, the list, and perhaps a body.
+// isRequest reports whether a command has the arguments of a request: tenant, id, fields and an optional body.
 func isRequest(args []string) bool {
 	return len(args) >= 4 && len(args) <= 5 && len(args[1]) == tenantBytes && GatewayOf(args[2]) >= 0
 }
 
-func (b *Backends) rejectMalformed() backendAnswer {
+// rejectMalformed counts a malformed command and returns the reply that closes its connection.
+func (b *Backends) rejectMalformed() backendReply {
 	b.malformed.Add(1)
-	return backendAnswer{text: []byte("-SYNTAX\r\n"), closes: true}
+	return backendReply{text: []byte("-SYNTAX\r\n"), closeAfter: true}
 }
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -15,34 +15,34 @@
 	clientReadBuffer  = 4096
 )
 
-// Clients send requests to one gateway. They keep their connections, one request at a time on each, and open more when
-// all are busy. They are safe for concurrent use.
+// Clients sends requests to one gateway. It keeps a pool of connections, each of which carries one request at a time, and
+// opens further connections if all are busy. It is safe for concurrent use.
 type Clients struct {
 	addr       string
-	replyGrace time.Duration // beyond its own time, a request's answer is awaited for so long
-	slots      chan struct{} // one for each connection that may be in use
+	replyGrace time.Duration // how long a reply is awaited beyond the request's ClientTimeout
+	slots      chan struct{} // semaphore: an element for each connection in use
 
-	mu     sync.Mutex // guards all below
-	idle   []*clientConn
+	mu     sync.Mutex    // guards all fields below
+	idle   []*clientConn // the one used last is at the end
 	conns  map[*clientConn]bool
 	closed bool
 }
 
-// clientConn belongs to one request at a time.
+// clientConn is a connection to the gateway. One request at a time uses it.
 type clientConn struct {
 	conn   net.Conn
 	in     *bufio.Reader
-	reused bool // it has carried a request before
+	reused bool // has carried a request before
 }
 
-// NewClients returns the clients of the gateway at an address. They hold at most maxConns connections; a request for
-// which there is none waits. An answer is awaited for the request's own time and replyGrace more.
+// NewClients returns clients for the gateway at addr. They hold at most maxConns connections; further requests wait.
+// A reply is awaited for the request's ClientTimeout plus replyGrace.
 func NewClients(addr string, maxConns int, replyGrace time.Duration) *Clients {
 	return &Clients{addr: addr, replyGrace: replyGrace, slots: make(chan struct{}, maxConns),
 		conns: map[*clientConn]bool{}}
 }
 
-// Close ends all connections. Requests that are out end as Unanswered.
+// Close closes all connections. Requests in progress end as Unanswered.
 func (c *Clients) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -53,7 +53,7 @@
 	c.idle = nil
 }
 
-// Ping sends PING on a new connection and returns the answer's line.
+// Ping sends PING on a new connection and returns the line of the reply.
 func (c *Clients) Ping(ctx context.Context) (string, error) {
 	conn, err := (&net.Dialer{}).DialContext(ctx, "tcp", c.addr)
 	if err != nil {
@@ -68,14 +68,14 @@
 	if _, err := conn.Write(appendCommand(nil, "PING")); err != nil {
 		return "", err
 	}
-	answer, err := readReply(bufio.NewReader(conn))
-	return answer.line, err
+	reply, err := readReply(bufio.NewReader(conn))
+	return reply.line, err
 }
 
-// Do sends a request and awaits its answer. took is the time from before the command is put together and written until its
-// whole answer is read, 0 where no answer came. It does not include the wait for a connection, nor tries on connections that
-// the gateway had closed.
-func (c *Clients) Do(ctx context.Context, request *Request) (ending Ending, took time.Duration) {
+// Do sends a request and waits for its reply. The latency runs from before the command is encoded and written until the
+// whole reply is read; it is 0 if there was no reply. It includes neither the wait for a connection nor tries on
+// connections that the gateway had closed.
+func (c *Clients) Do(ctx context.Context, request *Request) (ending Ending, latency time.Duration) {
 	select {
 	case c.slots <- struct{}{}:
 		defer func() { <-c.slots }()
@@ -83,42 +83,42 @@
 		return Unanswered, 0
 	}
 	for {
-		conn, err := c.takeConn(ctx)
+		conn, err := c.acquireConn(ctx)
 		if err != nil {
 			return Unanswered, 0
 		}
 		start := time.Now()
-		answer, err := conn.roundTrip(request.Command(), request.ClientTimeout+c.replyGrace)
-		took = time.Since(start)
+		reply, err := conn.roundTrip(request.Command(), request.ClientTimeout+c.replyGrace)
+		latency = time.Since(start)
 		if err == nil {
-			c.keep(conn)
-			return endingOf(request, answer), took
+			c.release(conn)
+			return endingOf(request, reply), latency
 		}
-		c.drop(conn)
-		// The gateway may close connections between two requests: the next idle one is tried then, and at last a new one.
-		if conn.reused && errors.Is(err, errNoAnswerBegan) && ctx.Err() == nil {
+		c.discard(conn)
+		// The gateway may close a connection between two requests. Then the next idle one is tried, and finally a new one.
+		if conn.reused && errors.Is(err, errClosedBeforeReply) && ctx.Err() == nil {
 			continue
 		}
 		return Unanswered, 0
 	}
 }
 
-// endingOf is what an answer tells the client.
-func endingOf(request *Request, answer reply) Ending {
+// endingOf returns how a request ends with the given reply.
+func endingOf(request *Request, reply reply) Ending {
 	switch {
-	case answer.isValue && answer.value == request.ID:
+	case reply.isValue && reply.value == request.ID:
 		return Served
-	case answer.isValue:
+	case reply.isValue:
 		return Wrong
-	case answer.line == "-BUSY" || strings.HasPrefix(answer.line, "-BUSY "):
+	case reply.line == "-BUSY" || strings.HasPrefix(reply.line, "-BUSY "):
 		return Rejected
 	}
 	return Failed
 }
 
-// takeConn returns a connection that nobody uses: the one used last, or a new one.
-func (c *Clients) takeConn(ctx context.Context) (*clientConn, error) {
-	if conn := c.takeIdle(); conn != nil {
+// acquireConn returns the idle connection used last, or a new connection if none is idle.
+func (c *Clients) acquireConn(ctx context.Context) (*clientConn, error) {
+	if conn := c.popIdle(); conn != nil {
 		conn.reused = true
 		return conn, nil
 	}
@@ -137,8 +137,8 @@
 	return conn, nil
 }
 
-// takeIdle returns the idle connection used last; nil: there is none.
-func (c *Clients) takeIdle() *clientConn {
+// popIdle removes and returns the idle connection used last, or nil if there is none.
+func (c *Clients) popIdle() *clientConn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	last := len(c.idle) - 1
@@ -150,7 +150,8 @@
 	return conn
 }
 
-func (c *Clients) keep(conn *clientConn) {
+// release makes a connection available to other requests.
+func (c *Clients) release(conn *clientConn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.closed {
@@ -158,28 +159,29 @@
 	}
 }
 
-func (c *Clients) drop(conn *clientConn) {
+// discard closes a connection that failed.
+func (c *Clients) discard(conn *clientConn) {
 	conn.conn.Close()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.conns, conn)
 }
 
-// errNoAnswerBegan says that a connection ended before any byte of an answer, for another reason than the time.
-var errNoAnswerBegan = errors.New("emulator: the connection ended before an answer")
+// errClosedBeforeReply reports that a connection ended before the first byte of a reply, other than by a read timeout.
+var errClosedBeforeReply = errors.New("emulator: connection closed before a reply")
 
-// roundTrip sends a command and reads its answer.
+// roundTrip sends a command and reads its reply.
 func (c *clientConn) roundTrip(command []byte, timeout time.Duration) (reply, error) {
 	c.conn.SetDeadline(time.Now().Add(timeout))
 	if _, err := c.conn.Write(command); err != nil {
-		return reply{}, errNoAnswerBegan
+		return reply{}, errClosedBeforeReply
 	}
 	if _, err := c.in.Peek(1); err != nil {
 		var netErr net.Error
 		if errors.As(err, &netErr) && netErr.Timeout() {
 			return reply{}, err
 		}
-		return reply{}, errNoAnswerBegan
+		return reply{}, errClosedBeforeReply
 	}
 	return readReply(c.in)
 }
