--- a/internal/emulator/agent.go
+++ b/internal/emulator/agent.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// An empty line comes so often while nothing changes.
+	// A watch gets an empty line at this interval while nothing changes.
 	heartbeatInterval = 2 * time.Second
 	maxAgentConns     = 16
 	maxHeaderBytes    = 8 << 10
@@ -19,29 +19,29 @@
 	agentIdleTimeout  = 10 * time.Second
 )
 
-// WatchSent is what a watch was sent.
+// WatchSent describes an update that was sent on a watch.
 type WatchSent struct {
-	Index    int64     // of the list from now on
-	Entries  int       // backends it names
-	Snapshot bool      // the whole list
-	Bytes    int       // of the line, without the transfer's framing
-	SentAt   time.Time // when it was handed to the kernel
-	// The two ends of the connection, as the kernel's table of sockets names them.
+	Index    int64     // of the list after the update
+	Entries  int       // number of backends in the update
+	Snapshot bool      // whether the update is the whole list
+	Bytes    int       // length of the line, without the framing of the chunked transfer
+	SentAt   time.Time // when the line had been passed to the kernel
+	// Both endpoints of the connection, as they are listed in the kernel's socket table.
 	GatewayAddr, AgentAddr netip.AddrPort
 }
 
-// Agent is discovery's agent for one gateway. Its goroutines end with Close.
+// Agent is the discovery agent of one gateway. Its goroutines end with Close.
 type Agent struct {
 	Meter      Meter
 	catalog    *Catalog
 	onSent     func(WatchSent) // may be nil
 	listener   *listener
 	server     *http.Server
-	serveEnded chan struct{}
+	serveEnded chan struct{} // closed when the server's accept loop has ended
 }
 
-// StartAgent listens on a loopback address. It calls onSent, if not nil, after each list that a watch was sent, from
-// several goroutines.
+// StartAgent starts an agent on a loopback address. It calls onSent, if not nil, after each update sent on a watch. Calls
+// come from several goroutines.
 func StartAgent(addr string, catalog *Catalog, onSent func(WatchSent)) (*Agent, error) {
 	a := &Agent{catalog: catalog, onSent: onSent, serveEnded: make(chan struct{})}
 	var err error
@@ -62,14 +62,14 @@
 // Addr returns the agent's address.
 func (a *Agent) Addr() string { return a.listener.Addr().String() }
 
-// Close ends the agent and its watches.
+// Close stops the agent and ends its watches.
 func (a *Agent) Close() {
 	a.server.Close()
 	a.listener.Close()
 	<-a.serveEnded
 }
 
-// serveMembers gives the whole list or serves a watch.
+// serveMembers serves the whole list or, with stream=1, a watch.
 func (a *Agent) serveMembers(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	w.Header().Set("Content-Type", "application/json")
@@ -86,15 +86,16 @@
 		}
 	}
 	w.WriteHeader(http.StatusOK)
-	stream := newWatchStream(w, r)
-	for stream.send(a, index) {
-		index = stream.line.index
-		if !stream.waitForChange(r) {
+	watch := newWatchStream(w, r)
+	for watch.sendUpdate(a, index) {
+		index = watch.lastLine.index
+		if !watch.waitForChange(r) {
 			return
 		}
 	}
 }
 
+// serveSnapshot serves the whole list.
 func (a *Agent) serveSnapshot(w http.ResponseWriter) {
 	snapshot := a.catalog.SnapshotJSON()
 	w.Header().Set("Content-Length", strconv.Itoa(len(snapshot)))
@@ -102,16 +103,16 @@
 	w.Write(snapshot)
 }
 
-// watchStream is one watch. It belongs to the goroutine that serves the request.
+// watchStream is the response to one watch. Only the goroutine that serves the request uses it.
 type watchStream struct {
 	w                      http.ResponseWriter
-	control                *http.ResponseController
+	controller             *http.ResponseController
 	gatewayAddr, agentAddr netip.AddrPort
-	line                   watchLine // sent last
+	lastLine               watchLine // of the latest sendUpdate
 }
 
 func newWatchStream(w http.ResponseWriter, r *http.Request) *watchStream {
-	s := &watchStream{w: w, control: http.NewResponseController(w)}
+	s := &watchStream{w: w, controller: http.NewResponseController(w)}
 	s.gatewayAddr, _ = netip.ParseAddrPort(r.RemoteAddr)
 	if addr, ok := r.Context().Value(http.LocalAddrContextKey).(net.Addr); ok {
 		s.agentAddr, _ = netip.ParseAddrPort(addr.String())
@@ -119,35 +120,35 @@
 	return s
 }
 
-// send sends what there is from an index on, and says whether the watch goes on.
-func (s *watchStream) send(a *Agent, index int64) bool {
-	s.line = a.catalog.watchLine(index)
-	s.control.SetWriteDeadline(time.Now().Add(writeTimeout))
-	if s.line.text != nil {
-		s.w.Write(s.line.text)
+// sendUpdate sends the changes after an index, if there are any. It reports whether the connection is still usable.
+func (s *watchStream) sendUpdate(a *Agent, index int64) bool {
+	s.lastLine = a.catalog.watchLine(index)
+	s.controller.SetWriteDeadline(time.Now().Add(writeTimeout))
+	if s.lastLine.text != nil {
+		s.w.Write(s.lastLine.text)
 		s.w.Write([]byte("\n"))
 	}
-	if s.control.Flush() != nil {
+	if s.controller.Flush() != nil {
 		return false
 	}
-	if s.line.text != nil && a.onSent != nil {
-		a.onSent(WatchSent{Index: s.line.index, Entries: s.line.entries, Snapshot: s.line.snapshot,
-			Bytes: len(s.line.text) + 1, SentAt: time.Now(), GatewayAddr: s.gatewayAddr, AgentAddr: s.agentAddr})
+	if s.lastLine.text != nil && a.onSent != nil {
+		a.onSent(WatchSent{Index: s.lastLine.index, Entries: s.lastLine.entries, Snapshot: s.lastLine.snapshot,
+			Bytes: len(s.lastLine.text) + 1, SentAt: time.Now(), GatewayAddr: s.gatewayAddr, AgentAddr: s.agentAddr})
 	}
 	return true
 }
 
-// waitForChange sends heartbeats until the list changes, and says whether the watch goes on.
+// waitForChange sends heartbeats until the list changes. It returns false if the watch has ended instead.
 func (s *watchStream) waitForChange(r *http.Request) bool {
 	heartbeat := time.NewTimer(heartbeatInterval)
 	defer heartbeat.Stop()
 	for {
 		select {
-		case <-s.line.changed:
+		case <-s.lastLine.changed:
 			return true
 		case <-heartbeat.C:
-			s.control.SetWriteDeadline(time.Now().Add(writeTimeout))
-			if _, err := s.w.Write([]byte("\n")); err != nil || s.control.Flush() != nil {
+			s.controller.SetWriteDeadline(time.Now().Add(writeTimeout))
+			if _, err := s.w.Write([]byte("\n")); err != nil || s.controller.Flush() != nil {
 				return false
 			}
 			heartbeat.Reset(heartbeatInterval)
--- a/internal/emulator/agent_test.go
+++ b/internal/emulator/agent_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// The agent gives the whole list, and a watch the changes after its index, with empty lines while nothing changes.
-func TestAgentTellsTheListAndItsChanges(t *testing.T) {
+// The agent serves the whole list. A watch gets the changes after its index, and empty lines while nothing changes.
+func TestAgentServesWholeListAndStreamsChanges(t *testing.T) {
 	catalog := NewCatalog([]Endpoint{{Name: "a", Status: Serving}, {Name: "b", Status: Serving}})
 	sent := make(chan WatchSent, 8)
 	agent, err := StartAgent("127.0.0.1:0", catalog, func(s WatchSent) { sent <- s })
@@ -22,39 +22,39 @@
 	defer agent.Close()
 	url := "http://" + agent.Addr() + "/catalog/members"
 
-	whole, _ := get(t, url)
-	if m := nextMembers(t, whole); !m.Snapshot || m.Index != 1 || len(m.Endpoints) != 2 {
-		t.Errorf("the whole list is %+v", m)
+	snapshot, _ := get(t, url)
+	if m := nextMembers(t, snapshot); !m.Snapshot || m.Index != 1 || len(m.Endpoints) != 2 {
+		t.Errorf("the whole list is %+v, want a snapshot of 2 endpoints at index 1", m)
 	}
 	watch, _ := get(t, url+"?stream=1&index=1")
 	catalog.Apply(Endpoint{Name: "b", Status: Draining})
 	if m := nextMembers(t, watch); m.Snapshot || m.Index != 2 || len(m.Endpoints) != 1 || m.Endpoints[0].Status != Draining {
-		t.Errorf("the change is %+v", m)
+		t.Errorf("the watch gets %+v, want only the change of b at index 2", m)
 	}
 	if s := <-sent; s.Entries != 1 || s.Snapshot || s.Index != 2 || s.GatewayAddr.Port() == 0 || s.AgentAddr.Port() == 0 {
-		t.Errorf("sent %+v", s)
+		t.Errorf("onSent reports %+v, want 1 entry at index 2, no snapshot, and the ports of both endpoints", s)
 	}
 	catalog.Apply(Endpoint{Name: "a", Status: Deleted}, Endpoint{Name: "c", Status: Serving})
 	nextMembers(t, watch)
-	if m := nextMembers(t, watch); m.Index != 0 { // nothing changes for 2 s: an empty line
-		t.Errorf("instead of an empty line came %+v", m)
+	if m := nextMembers(t, watch); m.Index != 0 { // an empty line, after 2 s without a change
+		t.Errorf("the watch gets %+v, want an empty line", m)
 	}
-	for index, snapshot := range map[int]bool{0: true, 1: false, 9: true} {
+	for index, wantSnapshot := range map[int]bool{0: true, 1: false, 9: true} {
 		watch, _ = get(t, fmt.Sprintf("%s?stream=1&index=%d", url, index))
-		if m := nextMembers(t, watch); m.Snapshot != snapshot || m.Index != 4 {
-			t.Errorf("a watch from %d begins with %+v", index, m)
+		if m := nextMembers(t, watch); m.Snapshot != wantSnapshot || m.Index != 4 {
+			t.Errorf("a watch from index %d begins with %+v, want index 4 and snapshot %v", index, m, wantSnapshot)
 		}
 	}
 	if _, status := get(t, url+"?stream=1&index=x"); status != http.StatusBadRequest {
-		t.Errorf("a watch from x gets %d", status)
+		t.Errorf("a watch from index x gets status %d, want %d", status, http.StatusBadRequest)
 	}
 }
 
-// get returns the body, until the test's end, and the status.
+// get returns the response's body, which is closed when the test ends, and its status.
 func get(t *testing.T, url string) (*bufio.Reader, int) {
 	t.Helper()
-	ctx, stop := context.WithTimeout(context.Background(), testTimeout)
-	t.Cleanup(stop)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
+	t.Cleanup(cancel)
 	request, _ := http.NewRequestWithContext(ctx, "GET", url, nil)
 	response, err := http.DefaultClient.Do(request)
 	if err != nil {
@@ -64,7 +64,7 @@
 	return bufio.NewReader(response.Body), response.StatusCode
 }
 
-// nextMembers reads a line; an empty one gives no members.
+// nextMembers reads and decodes a line. An empty line gives the zero Members.
 func nextMembers(t *testing.T, in *bufio.Reader) (members Members) {
 	t.Helper()
 	text, err := in.ReadBytes('\n')
--- a/internal/emulator/catalog.go
+++ b/internal/emulator/catalog.go
@@ -6,14 +6,14 @@
 	"sync"
 )
 
-// Discovery's words for the state of a backend.
+// Statuses of a backend in discovery.
 const (
 	Serving  = "SERVING"
 	Draining = "DRAINING"
 	Deleted  = "DELETED"
 )
 
-// Endpoint is one backend in discovery's form.
+// Endpoint is one backend in the format of discovery.
 type Endpoint struct {
 	Name    string  `json:"name"`
 	Address string  `json:"address"`
@@ -22,28 +22,28 @@
 	Group   int     `json:"group"`
 	Status  string  `json:"status"`
 	Weight  float64 `json:"weight"`
-	SinceMS int64   `json:"since_ms"` // when it last started, Unix time in milliseconds; 0: long ago
+	SinceMS int64   `json:"since_ms"` // when the backend last started, as Unix time in milliseconds; 0: long ago
 }
 
-// Members is the whole list, or the changes after some index, in discovery's form.
+// Members is the whole list, or the changes after some index, in the format of discovery.
 type Members struct {
 	Index     int64      `json:"index"`
 	Snapshot  bool       `json:"snapshot"`
 	Endpoints []Endpoint `json:"endpoints"`
 }
 
-// maxKeptChanges bounds the changes that a catalog keeps; a watch from before them gets the whole list.
-const maxKeptChanges = 4096
+// maxChanges limits the changes that a catalog keeps. A watch that starts before the oldest of them gets the whole list.
+const maxChanges = 4096
 
-// Catalog is the list of backends that agents tell, with its latest changes. It is safe for concurrent use.
+// Catalog is the list of backends that agents serve, with its latest changes. It is safe for concurrent use.
 type Catalog struct {
-	mu           sync.Mutex // guards all below
+	mu           sync.Mutex // guards all fields below
 	index        int64      // of the last change
 	endpoints    []Endpoint
 	position     map[string]int // in endpoints, by name
-	changes      []Endpoint     // the last of them has the index
+	changes      []Endpoint     // the latest ones; the last one has the current index
 	changed      chan struct{}  // closed at the next change
-	snapshotJSON []byte         // the whole list; nil: to be made
+	snapshotJSON []byte         // cached JSON of the whole list; nil: outdated
 }
 
 // NewCatalog returns a catalog at index 1.
@@ -56,7 +56,7 @@
 	return c
 }
 
-// Apply takes in changes, each with an index of its own, and wakes those that watch. It returns the last index.
+// Apply applies changes, each with an index of its own, and notifies the watches. It returns the last index.
 func (c *Catalog) Apply(changes ...Endpoint) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -70,21 +70,21 @@
 		}
 		c.changes = append(c.changes, endpoint)
 	}
-	c.changes = slices.Delete(c.changes, 0, max(0, len(c.changes)-maxKeptChanges))
-	c.wakeWatches()
+	c.changes = slices.Delete(c.changes, 0, max(0, len(c.changes)-maxChanges))
+	c.notifyWatches()
 	return c.index
 }
 
-// Restart gives the same list under index 1, as a discovery that has lost its versions.
+// Restart resets the index to 1 and keeps the list, as a restart of discovery does that loses its versions.
 func (c *Catalog) Restart() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.index, c.changes = 1, nil
-	c.wakeWatches()
+	c.notifyWatches()
 }
 
-// wakeWatches says that the list has changed. The caller holds mu.
-func (c *Catalog) wakeWatches() {
+// notifyWatches tells the watches that the list has changed. The caller holds mu.
+func (c *Catalog) notifyWatches() {
 	c.snapshotJSON = nil
 	close(c.changed)
 	c.changed = make(chan struct{})
@@ -99,16 +99,16 @@
 
 // snapshot is Snapshot for a caller that holds mu.
 func (c *Catalog) snapshot() Members {
-	all := Members{Index: c.index, Snapshot: true, Endpoints: make([]Endpoint, 0, len(c.endpoints))}
+	members := Members{Index: c.index, Snapshot: true, Endpoints: make([]Endpoint, 0, len(c.endpoints))}
 	for _, endpoint := range c.endpoints {
 		if endpoint.Status != Deleted {
-			all.Endpoints = append(all.Endpoints, endpoint)
+			members.Endpoints = append(members.Endpoints, endpoint)
 		}
 	}
-	return all
+	return members
 }
 
-// SnapshotJSON returns the whole list as the agent sends it. The caller must not change it.
+// SnapshotJSON returns the whole list as the agent sends it. The caller must not modify it.
 func (c *Catalog) SnapshotJSON() []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -118,13 +118,13 @@
 // cachedSnapshotJSON is SnapshotJSON for a caller that holds mu.
 func (c *Catalog) cachedSnapshotJSON() []byte {
 	if c.snapshotJSON == nil {
-		c.snapshotJSON, _ = json.Marshal(c.snapshot()) // of strings and finite numbers: it can't fail
+		c.snapshotJSON, _ = json.Marshal(c.snapshot()) // can't fail: only strings and finite numbers
 	}
 	return c.snapshotJSON
 }
 
-// ChangesSince returns what changed after an index, or the whole list where the changes since the index are no longer kept,
-// or the index was never reached. The channel is closed at the next change. Where nothing has changed the list has no entries.
+// ChangesSince returns the changes after an index, which may be none. It returns the whole list if those changes are no
+// longer kept, or if the index is 0 or higher than the current one. The channel is closed at the next change.
 func (c *Catalog) ChangesSince(index int64) (Members, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -136,16 +136,16 @@
 	return c.snapshot(), c.changed
 }
 
-// watchLine is what a watch is sent.
+// watchLine is an update to be sent on a watch.
 type watchLine struct {
-	text     []byte // as JSON; nil: nothing to tell
-	index    int64  // after it
-	entries  int
+	text     []byte // JSON; nil: no change
+	index    int64  // of the list after the update
+	entries  int    // number of backends in the update
 	snapshot bool
 	changed  <-chan struct{} // closed at the next change
 }
 
-// watchLine returns what a watch from an index is to be sent.
+// watchLine returns the update to be sent on a watch that has received the list up to an index.
 func (c *Catalog) watchLine(index int64) watchLine {
 	update, changed := c.ChangesSince(index)
 	line := watchLine{index: update.Index, entries: len(update.Endpoints), snapshot: update.Snapshot, changed: changed}
