--- a/internal/emulator/backends_test.go
+++ b/internal/emulator/backends_test.go
@@ -80,7 +80,7 @@
 func checkCommandReplies(t *testing.T, b *Backends) {
 	t.Helper()
 	expectReply(t, b.Addr(0), "*1\r\n$4\r\nPING\r\n*2\r\n$6\r\nSELECT\r\n$1\r\n0\r\n*1\r\n$5\r\nHELLO\r\n", "+PONG\r\n+OK\r\n-ERR")
-	for _, malformed := range []string{"PING\r\n", "*1\r\n$99999999\r\n", 
+	for _, malformed := range []string{"PING\r\n", "*1\r\n$99999999\r\n",
 		"*2\r\n$5\r\nQ.ASK\r\n$1\r\nx\r\n", "*1\r\n$4\r\nPINGxx"} {
 		expectReplyAndClose(t, b.Addr(0), malformed, "-SYNTAX\r\n")
 	}
--- a/internal/emulator/doc.go
+++ b/internal/emulator/doc.go
@@ -1,16 +1,16 @@
-// Package emulator emulates the systems outside a gateway for the fleet tests: discovery's agent, the quota counter, the
-// backends and the clients, as PROTOCOL-bellwood describes them. Everything listens on loopback alone, holds bounded
-// buffers, and closes a connection on bad input.
+// Package emulator emulates the systems around a gateway for the fleet tests: the discovery agent, the shared counter, the
+// backends and the clients, as PROTOCOL-bellwood specifies them. All listeners are on loopback, all buffers are bounded, and
+// malformed input closes the connection.
 //
-// What the emulated systems hold can also be used without sockets, so that gateways within this process are told and
-// counted by the same: Catalog (the endpoint list), CounterStore (of the counter), Model (of the backends). Ledger compares
-// what the backends did with what the clients were told.
+// The state of the emulated systems can also be used without sockets, so that gateways simulated in this process share it
+// with gateways on sockets: Catalog (the endpoint list), CounterStore (the counter) and Model (the backends). Ledger
+// compares what the backends did with the results that the clients received.
 //
-//	catalog.go, agent.go    the endpoint list, and the agent that tells it to one gateway
-//	counterstore.go, counter.go  the counter's numbers, and the counter as one gateway reaches it
-//	model.go, backends.go   how long backends take, and the backends on sockets
-//	traffic.go, clients.go  which requests come, and the clients that send them
-//	ledger.go               what became of each request
-//	link.go                 a relay that holds, drops, delays and resets
-//	listener.go, resp.go    what these share
+//	catalog.go, agent.go         the endpoint list, and the agent that serves it to one gateway
+//	counterstore.go, counter.go  the counter's entries, and the counter's endpoint for one gateway
+//	model.go, backends.go        the service times of the backends, and the backends on sockets
+//	traffic.go, clients.go       the generator of requests, and the clients that send them
+//	ledger.go                    the events of each request
+//	link.go                      a TCP relay that holds, drops, delays and resets
+//	listener.go, resp.go         shared code: limited listeners, and RESP2 encoding and parsing
 package emulator
--- a/internal/emulator/link.go
+++ b/internal/emulator/link.go
@@ -11,47 +11,47 @@
 	relayBuffer  = 4096
 )
 
-// Direction is one of the two ways through a link.
+// Direction is one of the two directions of a link's connections.
 type Direction int
 
-// Directions of a link.
+// The directions of a link.
 const (
-	ToServer Direction = iota // from who dials to who listens
-	ToClient
+	ToServer Direction = iota // from the dialing side to the listening side
+	ToClient                  // from the listening side to the dialing side
 )
 
-// Flow says what a link does with the bytes of one direction.
+// Flow is what a link does with the bytes of one direction.
 type Flow int
 
-// Flows of a direction.
+// The flows of a direction.
 const (
 	Pass Flow = iota
-	Hold      // kept until it passes again, as on a network that is partitioned: nobody is told
-	Drop      // read and thrown away
+	Hold      // bytes are held back until the flow changes, as in a network partition: neither side gets an error
+	Drop      // bytes are read and discarded
 )
 
-// Link is a relay on loopback between any two parties. It can hold, drop or delay one direction, and reset connections.
-// Its goroutines end with Close.
+// Link is a TCP relay on loopback for fault injection. It can hold, drop or delay the bytes of each direction, and reset
+// connections. Its goroutines end with Close.
 type Link struct {
 	listener *listener
 	target   string
 
-	mu      sync.Mutex // guards all below
-	changed *sync.Cond // of mu: flow, closed or relayed has changed
+	mu      sync.Mutex // guards all fields below
+	changed *sync.Cond // uses mu; signals a change of flow, closed or relayed
 	flow    [2]Flow
 	delay   [2]time.Duration
 	closed  bool
 	relayed map[*relayedConn]bool
 }
 
-// relayedConn is a connection through a link: its two ends.
+// relayedConn is a connection through a link. It consists of the connection from the client and that to the server.
 type relayedConn struct {
 	link           *Link
 	client, server net.Conn
-	closing        sync.Once
+	closeOnce      sync.Once
 }
 
-// StartLink listens on a loopback address and relays to another one.
+// StartLink starts a link that listens on a loopback address and relays connections to the target address.
 func StartLink(addr, target string) (*Link, error) {
 	l := &Link{target: target, relayed: map[*relayedConn]bool{}}
 	l.changed = sync.NewCond(&l.mu)
@@ -66,7 +66,7 @@
 // Addr returns the address to dial.
 func (l *Link) Addr() string { return l.listener.Addr().String() }
 
-// Set says what becomes of one direction from now on, on all connections.
+// Set sets the flow of one direction for all connections, present and future.
 func (l *Link) Set(direction Direction, flow Flow) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -74,20 +74,20 @@
 	l.changed.Broadcast()
 }
 
-// Partition holds both directions. Set lets them pass again.
+// Partition holds both directions until Set changes their flow.
 func (l *Link) Partition() {
 	l.Set(ToServer, Hold)
 	l.Set(ToClient, Hold)
 }
 
-// Delay lets one direction's bytes wait.
+// Delay sets the time by which the bytes of one direction are delayed, for all connections.
 func (l *Link) Delay(direction Direction, by time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.delay[direction] = by
 }
 
-// Reset resets all connections. New ones may come.
+// Reset resets all open connections. New connections are still accepted.
 func (l *Link) Reset() {
 	for _, relayed := range l.openConns() {
 		resetOnClose(relayed.client)
@@ -96,14 +96,14 @@
 	}
 }
 
-// resetOnClose makes the close of a TCP connection a reset.
+// resetOnClose makes a TCP connection send a reset when it is closed.
 func resetOnClose(conn net.Conn) {
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		tcp.SetLinger(0)
 	}
 }
 
-// Close ends the link and its connections.
+// Close stops the link and closes its connections.
 func (l *Link) Close() {
 	l.mu.Lock()
 	l.closed = true
@@ -115,6 +115,7 @@
 	l.listener.Close()
 }
 
+// openConns returns the relayed connections that are open.
 func (l *Link) openConns() (open []*relayedConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -124,10 +125,10 @@
 	return open
 }
 
-// serveConn relays one connection until either side ends it. One to a server that can't be reached is reset.
+// serveConn relays one connection until it has ended. It resets the connection if the server can't be reached.
 func (l *Link) serveConn(accepted net.Conn) {
 	client := accepted
-	if metered, ok := accepted.(*meteredConn); ok { // SetLinger and CloseWrite are those of TCP
+	if metered, ok := accepted.(*meteredConn); ok { // SetLinger and CloseWrite need the TCP connection
 		client = metered.Conn
 	}
 	server, err := net.DialTimeout("tcp", l.target, writeTimeout)
@@ -140,14 +141,15 @@
 	l.relayed[relayed] = true
 	l.mu.Unlock()
 	defer relayed.close()
-	var both sync.WaitGroup
-	both.Go(func() { relayed.relay(ToServer, client, server) })
-	both.Go(func() { relayed.relay(ToClient, server, client) })
-	both.Wait()
+	var directions sync.WaitGroup
+	directions.Go(func() { relayed.relay(ToServer, client, server) })
+	directions.Go(func() { relayed.relay(ToClient, server, client) })
+	directions.Wait()
 }
 
+// close closes both sides and ends the relaying.
 func (c *relayedConn) close() {
-	c.closing.Do(func() {
+	c.closeOnce.Do(func() {
 		c.client.Close()
 		c.server.Close()
 		c.link.mu.Lock()
@@ -157,13 +159,14 @@
 	})
 }
 
-// relay passes one direction on until its end. While it is held the end is held too.
+// relay forwards the bytes of one direction until the end of the stream. While the direction is held, the end of the stream
+// is held back too.
 func (c *relayedConn) relay(direction Direction, from, to net.Conn) {
 	buffer := make([]byte, relayBuffer)
 	for {
 		n, readErr := from.Read(buffer)
-		flow, alive := c.link.wait(c, direction)
-		if !alive {
+		flow, open := c.link.awaitFlow(c, direction)
+		if !open {
 			return
 		}
 		if n > 0 && flow == Pass {
@@ -181,8 +184,9 @@
 	}
 }
 
-// wait waits while a direction is delayed or held. alive is false where the connection or the link has ended.
-func (l *Link) wait(relayed *relayedConn, direction Direction) (flow Flow, alive bool) {
+// awaitFlow waits for the direction's delay, and then while the direction is held. It returns the flow that applies
+// afterwards. open is false if the connection or the link has been closed.
+func (l *Link) awaitFlow(relayed *relayedConn, direction Direction) (flow Flow, open bool) {
 	l.mu.Lock()
 	delay := l.delay[direction]
 	l.mu.Unlock()
--- a/internal/emulator/link_test.go
+++ b/internal/emulator/link_test.go
@@ -9,54 +9,54 @@
 	"time"
 )
 
-// Times of the test of the link: what has to come comes within linkPatience, what must not come is awaited for linkQuiet.
 const (
-	linkPatience = 20 * time.Second
-	linkQuiet    = 50 * time.Millisecond
+	linkTimeout = 20 * time.Second      // for bytes that must arrive
+	linkQuiet   = 50 * time.Millisecond // how long the test waits for bytes that must not arrive
 )
 
-// A link passes both directions on, holds one and lets it go, drops one, delays one, and resets.
+// A link forwards both directions, holds a direction and releases it, drops a direction, delays a direction, and resets
+// connections.
 func TestLinkPassesHoldsDropsDelaysAndResets(t *testing.T) {
 	link := startEchoLink(t)
 	conn, _ := dial(t, link.Addr())
-	if say(conn, "one"); !hears(conn, "one", linkPatience) {
-		t.Error("it does not pass on")
+	if send(conn, "one"); !receives(conn, "one", linkTimeout) {
+		t.Error("the link does not forward bytes")
 	}
 
 	link.Set(ToClient, Hold)
-	if say(conn, "two"); hears(conn, "two", linkQuiet) {
-		t.Error("what is held comes")
+	if send(conn, "two"); receives(conn, "two", linkQuiet) {
+		t.Error("bytes arrive although the direction is held")
 	}
 	link.Set(ToClient, Pass)
-	if !hears(conn, "two", linkPatience) {
-		t.Error("what was held does not come")
+	if !receives(conn, "two", linkTimeout) {
+		t.Error("held bytes do not arrive after the direction passes again")
 	}
 
 	link.Set(ToServer, Drop)
-	if say(conn, "three"); hears(conn, "three", linkQuiet) {
-		t.Error("what is dropped comes")
+	if send(conn, "three"); receives(conn, "three", linkQuiet) {
+		t.Error("bytes arrive although the direction is dropped")
 	}
 	link.Set(ToServer, Pass)
 
 	link.Delay(ToServer, linkQuiet)
-	begun := time.Now()
-	if say(conn, "four"); !hears(conn, "four", linkPatience) || time.Since(begun) < linkQuiet {
-		t.Errorf("what is delayed came after %v", time.Since(begun))
+	start := time.Now()
+	if send(conn, "four"); !receives(conn, "four", linkTimeout) || time.Since(start) < linkQuiet {
+		t.Errorf("delayed bytes: waited for %v, want them to arrive after at least %v", time.Since(start), linkQuiet)
 	}
 
 	link.Reset()
-	conn.SetReadDeadline(time.Now().Add(linkPatience))
+	conn.SetReadDeadline(time.Now().Add(linkTimeout))
 	if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) && !errors.Is(err, io.EOF) {
-		t.Errorf("after a reset: %v", err)
+		t.Errorf("read after a reset returns error %v, want a connection reset or EOF", err)
 	}
 	link.Delay(ToServer, 0)
 	conn, _ = dial(t, link.Addr())
-	if say(conn, "five"); !hears(conn, "five", linkPatience) {
-		t.Error("no new connection passes")
+	if send(conn, "five"); !receives(conn, "five", linkTimeout) {
+		t.Error("the link does not forward bytes of a connection opened after the reset")
 	}
 }
 
-// startEchoLink starts a link to a server that sends back what comes.
+// startEchoLink starts a link to a server that echoes what it receives.
 func startEchoLink(t *testing.T) *Link {
 	t.Helper()
 	echo, err := listen("127.0.0.1:0", 8, &Meter{})
@@ -73,10 +73,10 @@
 	return link
 }
 
-func say(conn net.Conn, text string) { io.WriteString(conn, text) }
+func send(conn net.Conn, text string) { io.WriteString(conn, text) }
 
-// hears says whether the text comes within a time.
-func hears(conn net.Conn, want string, within time.Duration) bool {
+// receives reports whether the wanted text arrives within a time.
+func receives(conn net.Conn, want string, within time.Duration) bool {
 	conn.SetReadDeadline(time.Now().Add(within))
 	text := make([]byte, len(want))
 	_, err := io.ReadFull(conn, text)
--- a/internal/emulator/listener.go
+++ b/internal/emulator/listener.go
@@ -9,37 +9,37 @@
 )
 
 const (
-	// A peer that takes nothing for so long has gone.
+	// A write that takes longer than this fails, and the peer counts as gone.
 	writeTimeout = 2 * time.Second
-	// Before the next try to accept, where descriptors have run out.
-	acceptRetry = 10 * time.Millisecond
+	// Delay after a failed accept, for example when there are no file descriptors left.
+	acceptRetryDelay = 10 * time.Millisecond
 )
 
-// Meter counts what passes a listener, as the emulated system sees it. It is safe for concurrent use.
+// Meter counts the traffic of a listener, as seen by the emulated system. It is safe for concurrent use.
 type Meter struct {
-	Received, Sent atomic.Int64 // bytes of TCP payload from and to the peers, without the kernel's headers
-	Open, Opened   atomic.Int64 // connections now, and in all
+	Received, Sent atomic.Int64 // bytes of TCP payload from and to the peers, without TCP/IP headers
+	Open, Opened   atomic.Int64 // connections that are open now, and that were opened in total
 }
 
-// listener takes a bounded number of connections at once and counts their bytes. Further ones are reset.
+// listener accepts a limited number of simultaneous connections and counts their bytes. It resets further connections.
 type listener struct {
 	net.Listener
 	meter      *Meter
 	maxConns   int64
-	goroutines sync.WaitGroup // those that serve started; Close waits for them
+	goroutines sync.WaitGroup // started by serve; Close waits for them
 
 	mu    sync.Mutex
-	conns map[*meteredConn]bool // guarded by mu; nil: closed
+	conns map[*meteredConn]bool // guarded by mu; nil: the listener is closed
 }
 
-// listen listens on a loopback address; any other one is an error.
+// listen opens a listener on a loopback address. Any other address is an error.
 func listen(addr string, maxConns int, meter *Meter) (*listener, error) {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
 		return nil, err
 	}
 	if ip := net.ParseIP(host); ip == nil || !ip.IsLoopback() {
-		return nil, errors.New("emulator: " + addr + " is no loopback address")
+		return nil, errors.New("emulator: " + addr + " is not a loopback address")
 	}
 	tcp, err := net.Listen("tcp", addr)
 	if err != nil {
@@ -48,14 +48,14 @@
 	return &listener{Listener: tcp, meter: meter, maxConns: int64(maxConns), conns: map[*meteredConn]bool{}}, nil
 }
 
-// Accept takes the next connection for which there is room.
+// Accept returns the next connection, and resets connections beyond maxConns.
 func (l *listener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
-		if metered := (&meteredConn{Conn: conn, listener: l}); l.admit(metered) {
+		if metered := (&meteredConn{Conn: conn, listener: l}); l.register(metered) {
 			return metered, nil
 		}
 		conn.(*net.TCPConn).SetLinger(0)
@@ -63,8 +63,8 @@
 	}
 }
 
-// admit counts a connection, if there is room for it.
-func (l *listener) admit(conn *meteredConn) bool {
+// register counts a connection. It returns false if the listener is closed or has maxConns connections.
+func (l *listener) register(conn *meteredConn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.conns == nil || int64(len(l.conns)) >= l.maxConns {
@@ -76,7 +76,7 @@
 	return true
 }
 
-// serve hands each connection to a goroutine of its own until the listener is closed.
+// serve accepts connections until the listener is closed, and calls serveConn for each in a goroutine of its own.
 func (l *listener) serve(serveConn func(net.Conn)) {
 	l.goroutines.Go(func() {
 		for {
@@ -84,8 +84,8 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			if err != nil { // out of descriptors, say
-				time.Sleep(acceptRetry)
+			if err != nil { // such as no file descriptors left
+				time.Sleep(acceptRetryDelay)
 				continue
 			}
 			l.goroutines.Go(func() {
@@ -96,7 +96,7 @@
 	})
 }
 
-// Close ends the listener and its connections. It waits for the goroutines that serve started.
+// Close closes the listener and its connections, and waits for the goroutines that serve started.
 func (l *listener) Close() error {
 	err := l.Listener.Close()
 	l.mu.Lock()
@@ -113,8 +113,8 @@
 // meteredConn counts the bytes of one connection.
 type meteredConn struct {
 	net.Conn
-	listener *listener
-	closing  sync.Once
+	listener  *listener
+	closeOnce sync.Once
 }
 
 func (c *meteredConn) Read(b []byte) (int, error) {
@@ -130,7 +130,7 @@
 }
 
 func (c *meteredConn) Close() error {
-	c.closing.Do(func() {
+	c.closeOnce.Do(func() {
 		c.listener.mu.Lock()
 		delete(c.listener.conns, c)
 		c.listener.mu.Unlock()
--- a/internal/emulator/resp.go
+++ b/internal/emulator/resp.go
@@ -8,19 +8,20 @@
 	"strconv"
 )
 
-// The emulator parses RESP2 by itself, on purpose: a parser shared with the gateway (internal/resp) would make the same
-// mistake on both sides of a test, and the mistake would not show.
+// The emulator deliberately has its own RESP2 parser. If it shared that of the gateway (internal/resp), a parser bug would
+// affect both sides of a test alike and remain undetected.
 
-// Limits of what is read: of a value the protocol's own, the others far above what the protocol needs.
+// Limits of received RESP2 messages. That of bulk strings is the protocol's; the others are far above what the protocol
+// needs.
 const (
-	maxValueBytes = 64 << 10 // of a bulk string, by PROTOCOL-bellwood
-	maxItems      = 8        // of a command, or elements of an answer
-	maxLineBytes  = 512      // with its end
+	maxBulkBytes     = 64 << 10 // of a bulk string, as specified in PROTOCOL-bellwood
+	maxArrayElements = 8        // of a command or an array reply
+	maxLineBytes     = 512      // including CRLF
 )
 
-var errMalformed = errors.New("emulator: not RESP2 as the protocol has it")
+var errMalformed = errors.New("emulator: malformed RESP2 message")
 
-// readLine reads a line without its end. The bytes are good until the next read.
+// readLine reads a line and returns it without CRLF. The bytes are valid until the next read.
 func readLine(in *bufio.Reader) ([]byte, error) {
 	line, err := in.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
@@ -35,7 +36,7 @@
 	return line[:len(line)-2], nil
 }
 
-// parseLength reads the number of a header such as *3; -1 stands for null.
+// parseLength parses the number of a header such as *3. It is -1 for null.
 func parseLength(text []byte, limit int) (int, error) {
 	length, err := strconv.Atoi(string(text))
 	if err != nil || length < -1 || length > limit {
@@ -44,9 +45,9 @@
 	return length, nil
 }
 
-// readBulk reads what follows the header of a bulk string. given is false for null.
-func readBulk(in *bufio.Reader, lengthText []byte) (value string, given bool, err error) {
-	length, err := parseLength(lengthText, maxValueBytes)
+// readBulk reads the rest of a bulk string after its header. present is false for the null bulk string.
+func readBulk(in *bufio.Reader, lengthText []byte) (value string, present bool, err error) {
+	length, err := parseLength(lengthText, maxBulkBytes)
 	if err != nil || length < 0 {
 		return "", false, err
 	}
@@ -60,7 +61,7 @@
 	return string(b[:length]), true, nil
 }
 
-// readCommand reads an array of bulk strings. The error is errMalformed or that of the connection.
+// readCommand reads a command, which is an array of bulk strings. The error is errMalformed or that of the connection.
 func readCommand(in *bufio.Reader) ([]string, error) {
 	header, err := readLine(in)
 	if err != nil {
@@ -69,7 +70,7 @@
 	if header[0] != '*' {
 		return nil, errMalformed
 	}
-	count, err := parseLength(header[1:], maxItems)
+	count, err := parseLength(header[1:], maxArrayElements)
 	if err != nil {
 		return nil, err
 	}
@@ -85,7 +86,7 @@
 	return args, nil
 }
 
-// readArgument reads a bulk string that has to be given.
+// readArgument reads a bulk string that must not be null.
 func readArgument(in *bufio.Reader) (string, error) {
 	header, err := readLine(in)
 	if err != nil {
@@ -94,21 +95,21 @@
 	if header[0] != '$' {
 		return "", errMalformed
 	}
-	value, given, err := readBulk(in, header[1:])
-	if err == nil && !given {
+	value, present, err := readBulk(in, header[1:])
+	if err == nil && !present {
 		err = errMalformed
 	}
 	return value, err
 }
 
-// reply is an answer: a line with its first character, or a value.
+// reply is a reply of the gateway: a line or a bulk string. A null bulk string is the zero reply.
 type reply struct {
-	line    string // such as -BUSY 20
+	line    string // with the type character, such as -BUSY 20
 	value   string
-	isValue bool // and not null
+	isValue bool // whether the reply is a bulk string other than null
 }
 
-// readReply reads an answer of a gateway. Of an array the first element counts.
+// readReply reads a reply of the gateway. Of an array it returns the first element.
 func readReply(in *bufio.Reader) (reply, error) {
 	header, err := readLine(in)
 	if err != nil {
@@ -118,17 +119,17 @@
 	case '+', '-', ':':
 		return reply{line: string(header)}, nil
 	case '$':
-		value, given, err := readBulk(in, header[1:])
-		return reply{value: value, isValue: given}, err
+		value, present, err := readBulk(in, header[1:])
+		return reply{value: value, isValue: present}, err
 	case '*':
 		return readArrayReply(in, header[1:])
 	}
 	return reply{}, errMalformed
 }
 
-// readArrayReply reads the elements of an array, which may be no arrays, and returns the first.
+// readArrayReply reads the elements of an array and returns the first. Nested arrays are malformed.
 func readArrayReply(in *bufio.Reader, countText []byte) (first reply, err error) {
-	count, err := parseLength(countText, maxItems)
+	count, err := parseLength(countText, maxArrayElements)
 	if err != nil {
 		return reply{}, err
 	}
@@ -151,7 +152,7 @@
 	return first, nil
 }
 
-// appendCommand appends a command.
+// appendCommand appends a command, encoded as an array of bulk strings, to b.
 func appendCommand(b []byte, args ...string) []byte {
 	b = fmt.Appendf(b, "*%d\r\n", len(args))
 	for _, arg := range args {
