--- a/internal/audit/faults_test.go
+++ b/internal/audit/faults_test.go
@@ -119,7 +119,7 @@
 		f.counterSilent = f.rng.IntN(4) == 0
 	case 9:
 		if f.rng.IntN(10) == 0 { // discovery starts anew
-			f.history = append(f.history, 500+int64(f.rng.IntN(100)))
+			f.indexHistory = append(f.indexHistory, 500+int64(f.rng.IntN(100)))
 		}
 	}
 }
@@ -139,7 +139,7 @@
 	for index, g := range f.gateways {
 		if staleness := g.machine.staleness; g.outOfService || staleness.stage > behind {
 			f.t.Errorf("seed %d: gateway %d is not back: out of service %v, stage %d, acts on %d of %d, target %d", seed, index,
-				g.outOfService, staleness.stage, g.latestVersion, f.history[len(f.history)-1], staleness.target)
+				g.outOfService, staleness.stage, g.latestVersion, f.indexHistory[len(f.indexHistory)-1], staleness.target)
 		}
 	}
 }
@@ -154,7 +154,7 @@
 			f.gateways[index].agentCut = true
 		}
 		f.step(20)
-		f.play(20 * time.Second)
+		f.advance(20 * time.Second)
 		for range 60 * time.Second / tick {
 			if f.rng.IntN(20) == 0 {
 				f.counter.empty()
--- a/internal/audit/machine.go
+++ b/internal/audit/machine.go
@@ -11,13 +11,13 @@
 // Machine is the audit of one gateway. It owns its parts, and belongs to the goroutine that calls Step.
 type Machine struct {
 	schedule     schedule
-	out          *output
+	step         *stepContext
 	versions     *versionHistory
-	calls        *counterCalls
+	counter      *counterClient
 	round        *round
 	staleness    *staleness
 	slotLease    *slotLease
-	pauses       *pauseCheck
+	pauseCheck   *pauseCheck
 	outOfService bool // what the gateway was told last
 }
 
@@ -27,19 +27,19 @@
 		return nil, err
 	}
 	m := &Machine{schedule: newSchedule(settings), versions: &versionHistory{}}
-	m.out = &output{versions: m.versions}
-	m.calls = newCounterCalls(m.out, m.schedule.callRate, settings.CounterTimeout)
+	m.step = &stepContext{versions: m.versions}
+	m.counter = newCounterClient(m.step, m.schedule.callRate, settings.CounterTimeout)
 	m.slotLease = &slotLease{
-		out:          m.out,
+		step:         m.step,
 		schedule:     m.schedule,
-		calls:        m.calls,
+		counter:      m.counter,
 		rng:          rand.New(rand.NewPCG(seed, 2)),
 		gatewayIndex: settings.GatewayIndex,
 	}
-	m.staleness = &staleness{out: m.out, versions: m.versions, slotLease: m.slotLease}
-	ballot := newBallot(settings, m.schedule, m.calls, m.versions)
+	m.staleness = &staleness{step: m.step, versions: m.versions, slotLease: m.slotLease}
+	ballot := newBallot(settings, m.schedule, m.counter, m.versions)
 	m.round = &round{
-		out:          m.out,
+		step:         m.step,
 		schedule:     m.schedule,
 		versions:     m.versions,
 		ballot:       ballot,
@@ -48,7 +48,7 @@
 		gateways:     settings.Gateways,
 		gatewayIndex: settings.GatewayIndex,
 	}
-	m.pauses = &pauseCheck{out: m.out, schedule: m.schedule, versions: m.versions, ballot: ballot, staleness: m.staleness}
+	m.pauseCheck = &pauseCheck{step: m.step, schedule: m.schedule, versions: m.versions, ballot: ballot, staleness: m.staleness}
 	return m, nil
 }
 
@@ -56,86 +56,86 @@
 func (m *Machine) Window() time.Duration { return m.schedule.window }
 
 // Records returns the latest records, the oldest first.
-func (m *Machine) Records() []Record { return m.out.latest.list() }
+func (m *Machine) Records() []Record { return m.step.recent.list() }
 
 // Step takes what happened up to the time now, in order, and returns what to do, in order. now is Unix time, above 0 and
 // alike at all gateways to within a tenth of an epoch; one before that of the last Step is taken as that one. Step has to
 // be called every TickInterval at least. The slice is the caller's until the next Step.
 func (m *Machine) Step(now time.Duration, events []Event) []Action {
-	m.out.actions = m.out.actions[:0]
-	if m.out.now == 0 {
-		m.begin(now)
+	m.step.actions = m.step.actions[:0]
+	if m.step.now == 0 {
+		m.start(now)
 	}
-	m.out.now = max(m.out.now, now)
+	m.step.now = max(m.step.now, now)
 	for _, event := range events {
-		m.take(event)
+		m.handle(event)
 	}
-	if record, ok := m.versions.inForce(m.out.now); ok {
-		m.out.record(record)
+	if record, ok := m.versions.takeSettled(m.step.now); ok {
+		m.step.logRecord(record)
 	}
 	m.round.run()
 	m.staleness.run()
 	m.runSlotLease()
-	m.pauses.run()
-	m.setService()
-	return m.out.actions
+	m.pauseCheck.run()
+	m.updateService()
+	return m.step.actions
 }
 
-// begin is what the first Step does before all else.
-func (m *Machine) begin(now time.Duration) {
-	m.round.begin(now)
-	m.slotLease.begin(now)
-	m.calls.begin(now)
+// start is what the first Step does before all else.
+func (m *Machine) start(now time.Duration) {
+	m.round.start(now)
+	m.slotLease.start(now)
+	m.counter.start(now)
 }
 
-// take hands an event to the part that it concerns.
-func (m *Machine) take(event Event) {
+// handle hands an event to the part that it concerns.
+func (m *Machine) handle(event Event) {
 	switch event := event.(type) {
 	case VersionAdopted:
-		m.recordEnded(m.versions.adopt(m.out.now, event))
+		m.recordReplaced(m.versions.adopt(m.step.now, event))
 	case Configured:
-		m.recordEnded(m.versions.configure(m.out.now, event))
+		m.recordReplaced(m.versions.setConfig(m.step.now, event))
 	case RequestDecided:
 		m.versions.requestDecided(event.ClientID)
 	case AttemptSent:
 		m.versions.attemptSent()
 	case CounterResult:
-		m.calls.settle(event)
+		m.counter.complete(event)
 	case QuotaCallFailed:
-		m.calls.quotaCallFailed()
+		m.counter.quotaCallFailed()
 	case ResumedAfterPause:
-		m.pauses.resumed(event.Pause)
+		m.pauseCheck.start(event.Pause)
 	case SnapshotFetched:
-		m.pauses.snapshotFetched(event.OK)
+		m.pauseCheck.snapshotFetched(event.OK)
 	}
 }
 
-// recordEnded records that a version was replaced, if one was.
-func (m *Machine) recordEnded(ended VersionRecord, ok bool) {
+// recordReplaced records that a version was replaced, if one was.
+func (m *Machine) recordReplaced(ended VersionRecord, ok bool) {
 	if ok {
-		m.out.record(ended)
+		m.step.logRecord(ended)
 	}
 }
 
 // runSlotLease claims, verifies and ends the lease of a slot, by what the staleness needs a slot for.
 func (m *Machine) runSlotLease() {
-	if notRenewed := m.slotLease.followEpoch(m.staleness.slotNeed()); notRenewed {
+	if notRenewed := m.slotLease.advanceEpoch(m.staleness.slotNeed()); notRenewed {
 		m.staleness.slotNotRenewed()
 	}
 	m.slotLease.run(m.staleness.slotNeed())
 }
 
-// setService takes the gateway out of service or puts it back.
-func (m *Machine) setService() {
-	out := m.pauses.isRunning() || m.staleness.needsOutOfService()
+// updateService takes the gateway out of service or puts it back.
+func (m *Machine) updateService() {
+	out := m.pauseCheck.isRunning() || m.staleness.needsOutOfService()
 	if out == m.outOfService {
 		return
 	}
 	m.outOfService = out
 	if out {
-		m.out.act(LeaveService{})
+		m.step.emit(LeaveService{})
 		return
 	}
-	m.out.act(ReturnToService{})
-	m.out.recordStep(StepBackInService, m.staleness.fleetVersion(), "nothing keeps it out")
+	m.step.emit(ReturnToService{})
+	m.step.recordStep(StepBackInService, m.staleness.fleetVersion(), "nothing keeps it out")
 }
--- a/internal/audit/pacer.go
+++ b/internal/audit/pacer.go
@@ -4,7 +4,7 @@
 
 const (
 	// Counter calls that may be saved up.
-	maxSavedCalls = 3.0
+	maxTokens = 3.0
 	// After a call that failed or was slow the audit makes none for minBackoff, doubled with each further one in a row
 	// up to maxBackoff: the calls for quotas need the counter more.
 	minBackoff = 2 * time.Second
@@ -23,7 +23,7 @@
 
 // allow takes the token of one call, and says whether the call may be made.
 func (p *pacer) allow(now time.Duration) bool {
-	p.tokens = min(maxSavedCalls, p.tokens+p.callsPerSecond*(now-p.filledAt).Seconds())
+	p.tokens = min(maxTokens, p.tokens+p.callsPerSecond*(now-p.filledAt).Seconds())
 	p.filledAt = now
 	if p.tokens < 1 || now < p.backoffUntil {
 		return false
--- a/internal/audit/pacer_test.go
+++ b/internal/audit/pacer_test.go
@@ -13,7 +13,7 @@
 	for _, gateways := range []int{5, 30, 300} {
 		t.Run(fmt.Sprint(gateways, " gateways"), func(t *testing.T) {
 			f := newSimFleet(t, 1, gateways)
-			bound := f.settings.Share*f.settings.CallsPerSecond*span.Seconds() + maxSavedCalls*float64(gateways)
+			bound := f.settings.Share*f.settings.CallsPerSecond*span.Seconds() + maxTokens*float64(gateways)
 			for _, phase := range []string{"start", "quiet", "half are behind"} {
 				if phase == "half are behind" {
 					for _, g := range f.gateways[:gateways/2] {
@@ -22,7 +22,7 @@
 					f.step(1)
 				}
 				f.counter.calls = 0
-				f.play(span)
+				f.advance(span)
 				calls := float64(f.counter.calls)
 				if calls > bound {
 					t.Errorf("%s: %v calls, at most %v", phase, calls, bound)
--- a/internal/audit/pausecheck.go
+++ b/internal/audit/pausecheck.go
@@ -4,7 +4,7 @@
 
 const (
 	// The longest time that a gateway waits for its check after a pause.
-	maxPauseCheck = 3 * time.Second
+	pauseCheckTimeout = 3 * time.Second
 	// Windows about the list whose proposals the check reads, the latest ones: the one that runs may have none yet.
 	pauseCheckWindows = 2
 )
@@ -12,7 +12,7 @@
 // pauseCheck is the check of a gateway whose process was paused: it is out of service until it has heard from discovery,
 // and from the fleet if the counter answers. docs/AUDIT.md, "A gateway whose process was paused".
 type pauseCheck struct {
-	out       *output
+	step      *stepContext
 	schedule  schedule
 	versions  *versionHistory
 	ballot    *ballot
@@ -32,19 +32,19 @@
 // isRunning says whether a check is under way.
 func (p *pauseCheck) isRunning() bool { return p.current != nil }
 
-// resumed begins the check: it reopens the watch, asks for the whole list, and reads the proposals of the latest windows
+// start begins the check: it reopens the watch, asks for the whole list, and reads the proposals of the latest windows
 // about the list, as far as the pacer allows.
-func (p *pauseCheck) resumed(pause time.Duration) {
-	if pause < MinPause || !p.versions.isKnown() {
+func (p *pauseCheck) start(pause time.Duration) {
+	if pause < MinPause || !p.versions.hasVersion() {
 		return
 	}
-	check := &runningCheck{since: p.out.now}
+	check := &runningCheck{since: p.step.now}
 	p.current = check
-	p.out.recordStep(StepResumed, 0, "it stood still for %v", pause.Round(time.Millisecond))
-	p.out.act(ReopenWatch{})
-	p.out.act(FetchSnapshot{})
+	p.step.recordStep(StepResumed, 0, "it stood still for %v", pause.Round(time.Millisecond))
+	p.step.emit(ReopenWatch{})
+	p.step.emit(FetchSnapshot{})
 	read := 0
-	for window := p.schedule.windowAt(p.out.now); read < pauseCheckWindows; window-- {
+	for window := p.schedule.windowAt(p.step.now); read < pauseCheckWindows; window-- {
 		if !isConfigWindow(window) {
 			p.readProposal(check, window)
 			read++
@@ -56,7 +56,7 @@
 func (p *pauseCheck) readProposal(check *runningCheck, window int64) {
 	asked := p.ballot.readProposal(window, func(proposal int64, ok bool) {
 		check.callsInFlight--
-		if ok && p.ballot.concerns(window, proposal) {
+		if ok && p.ballot.needsComparison(window, proposal) {
 			p.readVotes(check, window, proposal)
 		}
 	})
@@ -94,12 +94,12 @@
 	}
 	ahead := check.target > p.versions.index()
 	complete := !ahead && check.snapshotFetched && check.callsInFlight <= 0
-	if !complete && p.out.now-check.since < maxPauseCheck {
+	if !complete && p.step.now-check.since < pauseCheckTimeout {
 		return
 	}
 	p.current = nil
-	p.out.recordStep(StepResumeChecked, check.target, "%s, after %v", check.result(ahead),
-		(p.out.now - check.since).Round(time.Millisecond))
+	p.step.recordStep(StepResumeChecked, check.target, "%s, after %v", check.result(ahead),
+		(p.step.now - check.since).Round(time.Millisecond))
 	if ahead {
 		p.staleness.behindAfterPause(check.target)
 	}
--- a/internal/audit/pausecheck_test.go
+++ b/internal/audit/pausecheck_test.go
@@ -10,7 +10,7 @@
 	for name, discoveryAnswers := range map[string]bool{"discovery answers": true, "discovery is silent": false} {
 		t.Run(name, func(t *testing.T) {
 			f := newSimFleet(t, 1, 5)
-			f.play(10 * time.Second)
+			f.advance(10 * time.Second)
 			g := f.gateways[1]
 			g.agentCut = !discoveryAnswers
 			g.pausedAt, g.pausedUntil = f.now, f.now+8*time.Second
@@ -21,11 +21,11 @@
 			if !g.outOfService {
 				t.Fatal("it serves at once")
 			}
-			for g.outOfService && f.now < resumedAt+2*maxPauseCheck {
+			for g.outOfService && f.now < resumedAt+2*pauseCheckTimeout {
 				f.step(0)
 			}
 			waited := f.now - resumedAt
-			if discoveryAnswers != (waited < time.Second) || waited > maxPauseCheck+time.Second {
+			if discoveryAnswers != (waited < time.Second) || waited > pauseCheckTimeout+time.Second {
 				t.Errorf("it served after %v", waited)
 			}
 		})
--- a/internal/audit/round.go
+++ b/internal/audit/round.go
@@ -17,7 +17,7 @@
 // round is a gateway's part in each window: propose, vote, compare. A proposal is only a question and the votes are the
 // answer, so a proposal may be old, absurd or missing. docs/AUDIT.md, "The protocol".
 type round struct {
-	out          *output
+	step         *stepContext
 	schedule     schedule
 	versions     *versionHistory
 	ballot       *ballot
@@ -40,10 +40,10 @@
 	dueAt            time.Duration
 }
 
-// begin keeps the gateway out of the window that runs and out of the next one. In the one that runs a gateway of this
+// start keeps the gateway out of the window that runs and out of the next one. In the one that runs a gateway of this
 // name may have voted before its restart. In the next one the gateways of a fleet that started at once would still wait
 // for the first token of their pacers, and all whose turn had come by then would call the counter at the same time.
-func (r *round) begin(now time.Duration) { r.firstWindow = r.schedule.windowAt(now) + 2 }
+func (r *round) start(now time.Duration) { r.firstWindow = r.schedule.windowAt(now) + 2 }
 
 // run does what is due in the window that runs.
 func (r *round) run() {
@@ -51,7 +51,7 @@
 	if !r.takesPart() {
 		return
 	}
-	fraction := r.schedule.windowFraction(r.out.now)
+	fraction := r.schedule.windowFraction(r.step.now)
 	if r.mayPropose(fraction) {
 		r.proposed = r.ballot.propose(r.window)
 	}
@@ -63,7 +63,7 @@
 
 // followWindow begins the window that runs.
 func (r *round) followWindow() {
-	if window := r.schedule.windowAt(r.out.now); window != r.window {
+	if window := r.schedule.windowAt(r.step.now); window != r.window {
 		r.window, r.proposed, r.read = window, false, false
 	}
 }
@@ -71,7 +71,7 @@
 // takesPart says whether the gateway takes part in the window: it has a version, the window is not one of its first
 // ones, and the fleet is large enough for a quorum.
 func (r *round) takesPart() bool {
-	return r.versions.isKnown() && r.window >= r.firstWindow && r.gateways >= minQuorum
+	return r.versions.hasVersion() && r.window >= r.firstWindow && r.gateways >= minQuorum
 }
 
 // mayPropose says whether the window's proposal is this gateway's and still to be made.
@@ -89,8 +89,8 @@
 	return r.ballot.readProposal(window, func(proposal int64, ok bool) {
 		switch {
 		case !ok || window != r.window:
-		case r.ballot.concerns(window, proposal):
-			r.pending = &comparison{window, proposal, r.out.now + r.schedule.ofWindow(compareAfter)}
+		case r.ballot.needsComparison(window, proposal):
+			r.pending = &comparison{window, proposal, r.step.now + r.schedule.ofWindow(compareAfter)}
 		default:
 			r.vote(window, proposal)
 		}
@@ -114,11 +114,11 @@
 // with it or it is too late.
 func (r *round) compareIfDue() {
 	c := r.pending
-	if c == nil || r.out.now < c.dueAt {
+	if c == nil || r.step.now < c.dueAt {
 		return
 	}
-	tooLate := r.out.now > c.dueAt+r.schedule.ofWindow(maxCompareDelay)
-	if tooLate || !r.ballot.concerns(c.window, c.proposal) || r.compare(c.window, c.proposal) {
+	tooLate := r.step.now > c.dueAt+r.schedule.ofWindow(maxCompareDelay)
+	if tooLate || !r.ballot.needsComparison(c.window, c.proposal) || r.compare(c.window, c.proposal) {
 		r.pending = nil
 	}
 }
@@ -137,7 +137,7 @@
 func (r *round) decide(window, proposal int64, voters int) {
 	switch {
 	case !r.ballot.isQuorum(voters): // no proof
-	case !r.ballot.concerns(window, proposal): // it has caught up meanwhile
+	case !r.ballot.needsComparison(window, proposal): // it has caught up meanwhile
 	case isConfigWindow(window):
 		r.recordOtherConfig(proposal, voters)
 	default:
@@ -151,6 +151,6 @@
 		return
 	}
 	r.reportedRevision = uint64(proposal) + 1
-	r.out.recordStep(StepConfigDiffers, 0, "%d gateways or more act on configuration %d, this one on %d", voters, proposal,
-		r.ballot.configSubject())
+	r.step.recordStep(StepConfigDiffers, 0, "%d gateways or more act on configuration %d, this one on %d", voters, proposal,
+		r.ballot.configValue())
 }
--- a/internal/audit/round_test.go
+++ b/internal/audit/round_test.go
@@ -14,19 +14,19 @@
 	for index, g := range others {
 		g.events = append(g.events, Configured{Revision: 8, Digest: uint64(index)})
 	}
-	f.play(60 * time.Second)
-	if words := strings.Join(stepWords(missed), ","); words != StepConfigDiffers.String() {
+	f.advance(60 * time.Second)
+	if words := strings.Join(stepNames(missed), ","); words != StepConfigDiffers.String() {
 		t.Errorf("the gateway that missed it took steps %q", words)
 	}
 	for _, revision := range []uint64{8, 7} { // it takes it, and loses it again
 		missed.events = append(missed.events, Configured{Revision: revision})
-		f.play(60 * time.Second)
+		f.advance(60 * time.Second)
 	}
-	if words := stepWords(missed); len(words) != 2 {
+	if words := stepNames(missed); len(words) != 2 {
 		t.Errorf("the gateway that lost it again took steps %q", words)
 	}
 	for index, g := range others {
-		if words := stepWords(g); len(words) > 0 {
+		if words := stepNames(g); len(words) > 0 {
 			t.Errorf("gateway %d took steps %q", index, words)
 		}
 	}
--- a/internal/audit/schedule.go
+++ b/internal/audit/schedule.go
@@ -8,7 +8,7 @@
 	// A change needs some time to reach all gateways; shorter windows would compare versions that are on their way.
 	minWindow = 2 * time.Second
 	// Lifetime of a proposal's and of a vote count's number, in windows.
-	numberWindows = 2
+	entryTTLWindows = 2
 	// An epoch is a number of windows, so that the calls for slots fit into a gateway's pace in a large fleet.
 	windowsPerEpoch = 2
 	minEpoch        = 4 * time.Second
@@ -19,12 +19,12 @@
 // schedule is what follows from the Settings alone: how time is cut into windows and epochs, how long the counter's
 // numbers live, and how many slots there are. It is alike at all gateways of a fleet, and derived once, by newSchedule.
 type schedule struct {
-	window    time.Duration // of one proposal and its votes
-	epoch     time.Duration // of one lease of a slot
-	numberTTL time.Duration // lifetime of a proposal's and of a vote count's number at the counter
-	slotTTL   time.Duration // lifetime of a slot's number at the counter: beyond the end of verifying
-	slots     int           // gateways that may be out of service at once
-	callRate  float64       // counter calls a second of one gateway
+	window   time.Duration // of one proposal and its votes
+	epoch    time.Duration // of one lease of a slot
+	entryTTL time.Duration // lifetime of a proposal's and of a vote count's number at the counter
+	slotTTL  time.Duration // lifetime of a slot's number at the counter: beyond the end of verifying
+	slots    int           // gateways that may be out of service at once
+	callRate float64       // counter calls a second of one gateway
 }
 
 // newSchedule derives the schedule from settings that have passed Check.
@@ -32,12 +32,12 @@
 	window := settings.window()
 	epoch := max(minEpoch, windowsPerEpoch*window)
 	return schedule{
-		window:    window,
-		epoch:     epoch,
-		numberTTL: numberWindows * window,
-		slotTTL:   epoch * 11 / 10,
-		slots:     max(1, settings.Gateways/gatewaysPerSlot),
-		callRate:  settings.Share * settings.CallsPerSecond / float64(settings.Gateways),
+		window:   window,
+		epoch:    epoch,
+		entryTTL: entryTTLWindows * window,
+		slotTTL:  epoch * 11 / 10,
+		slots:    max(1, settings.Gateways/gatewaysPerSlot),
+		callRate: settings.Share * settings.CallsPerSecond / float64(settings.Gateways),
 	}
 }
 
--- a/internal/audit/simfleet_test.go
+++ b/internal/audit/simfleet_test.go
@@ -18,16 +18,16 @@
 // checks what has to hold whatever happens: the bound on gateways out of service, and that nobody is called behind
 // without a quorum. What runs in each tick has no t.Helper: it would cost more than the tick.
 type simFleet struct {
-	t        testing.TB
-	rng      *rand.Rand
-	now      time.Duration
-	settings Settings
-	schedule schedule
-	gateways []*simGateway
-	counter  simCounter
-	history  []int64 // discovery's index, see pastIndex
-	highest  []int64 // by gateway, the newest version that it ever acted on
-	late     []lateEvent
+	t            testing.TB
+	rng          *rand.Rand
+	now          time.Duration
+	settings     Settings
+	schedule     schedule
+	gateways     []*simGateway
+	counter      simCounter
+	indexHistory []int64 // discovery's index, see pastIndex
+	maxVersions  []int64 // by gateway, the newest version that it ever acted on
+	nextTick     []delayedEvent
 
 	counterSilent bool
 	callFaults    float64 // part of the calls that are lost, before or after they are added, or doubled
@@ -46,8 +46,8 @@
 	latestVersion int64         // that its agent has brought
 }
 
-// lateEvent is an event of the next tick, for a gateway's process if that still runs.
-type lateEvent struct {
+// delayedEvent is an event of the next tick, for a gateway's process if that still runs.
+type delayedEvent struct {
 	gateway *simGateway
 	machine *Machine
 	event   Event
@@ -76,7 +76,7 @@
 	t.Helper()
 	settings := Settings{Gateways: gateways, CallsPerSecond: 830, Share: 0.05, CounterTimeout: callTimeout}
 	f := &simFleet{t: t, rng: rand.New(rand.NewPCG(seed, 1)), now: simStart, settings: settings,
-		schedule: newSchedule(settings), history: []int64{1000}, highest: make([]int64, gateways)}
+		schedule: newSchedule(settings), indexHistory: []int64{1000}, maxVersions: make([]int64, gateways)}
 	f.counter.empty()
 	for index := range gateways {
 		f.gateways = append(f.gateways, &simGateway{agentDelay: time.Duration(f.rng.IntN(maxDelay)) * tick})
@@ -97,7 +97,7 @@
 	g := f.gateways[index]
 	g.machine, g.outOfService, g.pausedUntil = machine, false, 0
 	if g.latestVersion == 0 {
-		g.latestVersion = f.history[0]
+		g.latestVersion = f.indexHistory[0]
 	}
 	g.events = []Event{
 		Configured{Revision: 7, Digest: uint64(index)},
@@ -105,8 +105,8 @@
 	}
 }
 
-// play lets time pass in which the list does not change.
-func (f *simFleet) play(duration time.Duration) {
+// advance lets time pass in which the list does not change.
+func (f *simFleet) advance(duration time.Duration) {
 	for range duration / tick {
 		f.step(0)
 	}
@@ -115,8 +115,8 @@
 // step plays one tick. Discovery's index grows by the number of changes.
 func (f *simFleet) step(changes int) {
 	f.now += tick
-	f.history = append(f.history, f.history[len(f.history)-1]+int64(changes))
-	f.deliverLate()
+	f.indexHistory = append(f.indexHistory, f.indexHistory[len(f.indexHistory)-1]+int64(changes))
+	f.deliverDelayed()
 	for index, g := range f.gateways {
 		if f.now < g.pausedUntil {
 			continue
@@ -131,10 +131,10 @@
 	f.checkSlots()
 }
 
-// deliverLate hands over what was kept for this tick.
-func (f *simFleet) deliverLate() {
-	late := f.late
-	f.late = nil
+// deliverDelayed hands over what was kept for this tick.
+func (f *simFleet) deliverDelayed() {
+	late := f.nextTick
+	f.nextTick = nil
 	for _, l := range late {
 		if l.gateway.machine == l.machine {
 			l.gateway.events = append(l.gateway.events, l.event)
@@ -162,7 +162,7 @@
 // pastIndex is discovery's index as it was so long ago. The history has an entry a tick, and one more where discovery
 // has started anew (makeFault): for as long as that one lies within the delay, the index is from a tick later.
 func (f *simFleet) pastIndex(delay time.Duration) int64 {
-	return f.history[max(0, len(f.history)-1-int(delay/tick))]
+	return f.indexHistory[max(0, len(f.indexHistory)-1-int(delay/tick))]
 }
 
 func (f *simFleet) stepGateway(index int, g *simGateway) {
@@ -170,21 +170,21 @@
 	g.events = nil
 	for _, event := range events {
 		if version, ok := event.(VersionAdopted); ok {
-			f.highest[index] = max(f.highest[index], version.Index)
+			f.maxVersions[index] = max(f.maxVersions[index], version.Index)
 		}
 	}
 	for _, action := range slices.Clone(g.machine.Step(f.now, events)) {
-		f.do(index, g, action)
+		f.carryOut(index, g, action)
 	}
 }
 
-// do carries an action out.
-func (f *simFleet) do(index int, g *simGateway, action Action) {
+// carryOut carries an action out.
+func (f *simFleet) carryOut(index int, g *simGateway, action Action) {
 	switch action := action.(type) {
 	case AddToCounter:
 		f.call(g, action)
 	case FetchSnapshot:
-		f.late = append(f.late, lateEvent{g, g.machine, SnapshotFetched{OK: !g.agentCut}})
+		f.nextTick = append(f.nextTick, delayedEvent{g, g.machine, SnapshotFetched{OK: !g.agentCut}})
 	case LeaveService:
 		g.outOfService = true
 	case ReturnToService:
@@ -212,14 +212,14 @@
 		g.events = append(g.events, CounterResult{call.Call, Added, f.counter.add(f.now, call, times)})
 		return
 	}
-	f.late = append(f.late, lateEvent{g, g.machine, CounterResult{call.Call, MaybeAdded, 0}})
+	f.nextTick = append(f.nextTick, delayedEvent{g, g.machine, CounterResult{call.Call, MaybeAdded, 0}})
 }
 
 // checkSlots checks that no more gateways are out of service for staleness than there are slots.
 func (f *simFleet) checkSlots() {
 	out := 0
 	for _, g := range f.gateways {
-		if g.outOfService && !g.machine.pauses.isRunning() && f.now >= g.pausedUntil {
+		if g.outOfService && !g.machine.pauseCheck.isRunning() && f.now >= g.pausedUntil {
 			out++
 		}
 	}
@@ -234,18 +234,18 @@
 		return
 	}
 	ahead := 0
-	for _, highest := range f.highest {
+	for _, highest := range f.maxVersions {
 		if highest >= step.Target {
 			ahead++
 		}
 	}
-	if ahead < quorumOf(f.settings.Gateways) {
+	if ahead < quorumSize(f.settings.Gateways) {
 		f.t.Fatalf("gateway %d is called behind version %d, on which %d gateways have acted", index, step.Target, ahead)
 	}
 }
 
-// stepWords returns the log's words of the steps that a gateway has recorded, in order.
-func stepWords(g *simGateway) (words []string) {
+// stepNames returns the log's words of the steps that a gateway has recorded, in order.
+func stepNames(g *simGateway) (words []string) {
 	for _, record := range g.machine.Records() {
 		if step, ok := record.(StepRecord); ok {
 			words = append(words, step.Kind.String())
--- a/internal/audit/slotlease.go
+++ b/internal/audit/slotlease.go
@@ -31,9 +31,9 @@
 type slotNeedKind int
 
 const (
-	needsNoSlot slotNeedKind = iota
-	keepsSlot                // it renews the slot that it holds, and claims no other
-	needsSlot                // it claims any
+	noSlotNeeded slotNeedKind = iota
+	keepSlot                  // it renews the slot that it holds, and claims no other
+	acquireSlot               // it claims any
 )
 
 // slotLease is the slot that a gateway holds, and its claim to one for the next epoch. The slots bound how many gateways
@@ -45,9 +45,9 @@
 // No guard time lies between two leases, and each gateway goes over to a new epoch at a Step of its own. So the holder of
 // one epoch and that of the next may both be out of service until the former has had its first Step in the new epoch.
 type slotLease struct {
-	out          *output
+	step         *stepContext
 	schedule     schedule
-	calls        *counterCalls
+	counter      *counterClient
 	rng          *rand.Rand
 	gatewayIndex int
 
@@ -65,16 +65,16 @@
 	verified    bool // the claim stands
 }
 
-// begin keeps the gateway from claiming in the epoch that runs: one of its name may have claimed in it before a restart.
-func (l *slotLease) begin(now time.Duration) { l.firstEpoch = l.schedule.epochAt(now) + 1 }
+// start keeps the gateway from claiming in the epoch that runs: one of its name may have claimed in it before a restart.
+func (l *slotLease) start(now time.Duration) { l.firstEpoch = l.schedule.epochAt(now) + 1 }
 
 // isHeld says whether the gateway holds a slot in this epoch.
 func (l *slotLease) isHeld() bool { return l.held }
 
-// followEpoch goes over to the epoch that runs, if that is another one, and says whether a slot that was held is not held
+// advanceEpoch goes over to the epoch that runs, if that is another one, and says whether a slot that was held is not held
 // any more.
-func (l *slotLease) followEpoch(need slotNeed) (notRenewed bool) {
-	epoch := l.schedule.epochAt(l.out.now)
+func (l *slotLease) advanceEpoch(need slotNeed) (notRenewed bool) {
+	epoch := l.schedule.epochAt(l.step.now)
 	if epoch == l.epoch {
 		return false
 	}
@@ -98,19 +98,19 @@
 // recordChange records what a new epoch means to a gateway that needs a slot. Where the slot is lost the text says "it
 // serves on" in the sense of "it serves again"; the log's texts stay as they are.
 func (l *slotLease) recordChange(wasHeld bool, need slotNeed) {
-	if need.kind != needsSlot {
+	if need.kind != acquireSlot {
 		l.noSlotLogged = false
 		return
 	}
 	slots := l.schedule.slots
 	switch {
 	case l.held && !wasHeld:
-		l.out.recordStep(StepOutOfService, need.target, "slot %d of %d is leased until the next epoch", l.slotNumber, slots)
+		l.step.recordStep(StepOutOfService, need.target, "slot %d of %d is leased until the next epoch", l.slotNumber, slots)
 	case !l.held && wasHeld:
-		l.out.recordStep(StepSlotLost, need.target, "the lease was not renewed: it serves on")
+		l.step.recordStep(StepSlotLost, need.target, "the lease was not renewed: it serves on")
 	case !l.held && l.tried && !l.noSlotLogged:
 		l.noSlotLogged = true
-		l.out.recordStep(StepNoSlot, need.target, "no slot of %d was to be had: it serves on", slots)
+		l.step.recordStep(StepNoSlot, need.target, "no slot of %d was to be had: it serves on", slots)
 	}
 }
 
@@ -119,7 +119,7 @@
 	if !l.isWanted(need) || l.epoch < l.firstEpoch {
 		return
 	}
-	fraction := l.schedule.epochFraction(l.out.now)
+	fraction := l.schedule.epochFraction(l.step.now)
 	switch {
 	case l.mayTry(fraction):
 		l.claim()
@@ -130,7 +130,7 @@
 
 // isWanted says whether the gateway wants a slot in the next epoch.
 func (l *slotLease) isWanted(need slotNeed) bool {
-	return need.kind == needsSlot || need.kind == keepsSlot && l.held
+	return need.kind == acquireSlot || need.kind == keepSlot && l.held
 }
 
 // mayTry says whether it is time to claim: holders come before the others.
@@ -158,7 +158,7 @@
 	}
 	l.slotNumber = l.rng.IntN(l.schedule.slots)
 	epoch := l.epoch
-	l.tried = l.calls.read(slotName(epoch+1, l.slotNumber), l.schedule.slotTTL, func(status CallStatus, total float64) {
+	l.tried = l.counter.read(slotName(epoch+1, l.slotNumber), l.schedule.slotTTL, func(status CallStatus, total float64) {
 		if status == Added && total == 0 && l.claimsCount(epoch) {
 			l.addMark(epoch)
 		}
@@ -173,21 +173,21 @@
 // compared as it is; the tolerance in verify makes no difference while that holds.
 func (l *slotLease) addMark(epoch int64) bool {
 	name := slotName(epoch+1, l.slotNumber)
-	return l.calls.add(name, l.mark(), l.schedule.slotTTL, func(status CallStatus, total float64) {
+	return l.counter.add(name, l.mark(), l.schedule.slotTTL, func(status CallStatus, total float64) {
 		l.claimed = status == Added && total == l.mark() && l.claimsCount(epoch)
 	})
 }
 
 // claimsCount says whether a claim made in an epoch that is answered now still counts.
 func (l *slotLease) claimsCount(epoch int64) bool {
-	return l.epoch == epoch && l.out.now <= l.schedule.inEpoch(epoch, claimAnsweredTo)
+	return l.epoch == epoch && l.step.now <= l.schedule.inEpoch(epoch, claimAnsweredTo)
 }
 
 // verify looks whether the claim stands: just this gateway's mark is there.
 func (l *slotLease) verify() {
 	epoch := l.epoch
 	name := slotName(epoch+1, l.slotNumber)
-	l.verifyAsked = l.calls.read(name, l.schedule.slotTTL, func(status CallStatus, total float64) {
+	l.verifyAsked = l.counter.read(name, l.schedule.slotTTL, func(status CallStatus, total float64) {
 		l.verified = status == Added && math.Abs(total-l.mark()) < 0.5 && l.epoch == epoch
 	})
 }
--- a/internal/audit/staleness.go
+++ b/internal/audit/staleness.go
@@ -91,7 +91,7 @@
 
 // staleness is what a gateway that is behind does about it: the state machine of docs/AUDIT.md.
 type staleness struct {
-	out       *output
+	step      *stepContext
 	versions  *versionHistory
 	slotLease slotHolder
 
@@ -121,7 +121,7 @@
 		if t.from != s.stage || t.trigger != on || !t.guard.allows(s.slotLease.isHeld()) {
 			continue
 		}
-		s.stage, s.stageSince = t.to, s.out.now
+		s.stage, s.stageSince = t.to, s.step.now
 		if t.onEntry != nil {
 			t.onEntry(s)
 		}
@@ -157,15 +157,15 @@
 // run takes the step that is due.
 func (s *staleness) run() {
 	if s.isCatchingUp() && s.versions.index() >= s.target {
-		inStage := s.out.now - s.stageSince // the record's text names this time only, not that of the stages before
-		s.out.recordStep(StepCaughtUp, s.target, "behind for %v since the last step", inStage)
+		inStage := s.step.now - s.stageSince // the record's text names this time only, not that of the stages before
+		s.step.recordStep(StepCaughtUp, s.target, "behind for %v since the last step", inStage)
 		s.fire(resolved)
 	}
-	if timeout, ok := s.timeout(); ok && s.out.now-s.stageSince >= timeout {
+	if timeout, ok := s.timeout(); ok && s.step.now-s.stageSince >= timeout {
 		s.fire(stageTimedOut)
 		return
 	}
-	if s.stage == stale && s.out.now-s.triedAt >= retryInterval {
+	if s.stage == stale && s.step.now-s.triedAt >= retryInterval {
 		s.retryDiscovery()
 	}
 }
@@ -188,11 +188,11 @@
 func (s *staleness) slotNeed() slotNeed {
 	switch s.stage {
 	case stale:
-		return slotNeed{needsSlot, s.target}
+		return slotNeed{acquireSlot, s.target}
 	case recovering:
-		return slotNeed{keepsSlot, s.target}
+		return slotNeed{keepSlot, s.target}
 	}
-	return slotNeed{needsNoSlot, s.target}
+	return slotNeed{noSlotNeeded, s.target}
 }
 
 // quorumAhead takes the proof that a quorum acts on a newer version. While the gateway is catching up the target stays:
@@ -203,7 +203,7 @@
 		return
 	}
 	s.target = version
-	s.out.recordStep(StepBehind, version, "%d gateways or more act on version %d", voters, version)
+	s.step.recordStep(StepBehind, version, "%d gateways or more act on version %d", voters, version)
 	s.fire(quorumFound)
 }
 
@@ -215,7 +215,7 @@
 func (s *staleness) notBehindProposal() {
 	s.notBehindCount++
 	if s.isCatchingUp() && s.notBehindCount >= windowsToClear {
-		s.out.recordStep(StepFleetNotAhead, s.target, "%d proposals in a row were no newer", s.notBehindCount)
+		s.step.recordStep(StepFleetNotAhead, s.target, "%d proposals in a row were no newer", s.notBehindCount)
 		s.fire(resolved)
 	}
 }
@@ -234,22 +234,22 @@
 // The rest is what transitions do at the entry to a stage, and retryDiscovery.
 
 func (s *staleness) reopenWatch() {
-	s.out.recordStep(StepWatchReopened, s.target, "still behind after %v", behindTimeout)
-	s.out.act(ReopenWatch{})
+	s.step.recordStep(StepWatchReopened, s.target, "still behind after %v", behindTimeout)
+	s.step.emit(ReopenWatch{})
 }
 
 func (s *staleness) requestSnapshot() {
-	s.out.recordStep(StepSnapshotRequested, s.target, "the new watch brought nothing in %v", watchTimeout)
-	s.out.act(FetchSnapshot{})
+	s.step.recordStep(StepSnapshotRequested, s.target, "the new watch brought nothing in %v", watchTimeout)
+	s.step.emit(FetchSnapshot{})
 }
 
-func (s *staleness) startRetries() { s.triedAt = s.out.now }
+func (s *staleness) startRetries() { s.triedAt = s.step.now }
 
 func (s *staleness) forgetTarget() { s.target = 0 }
 
 // setRecovery sets how long the gateway stays out of service after it has caught up.
 func (s *staleness) setRecovery() {
-	if s.out.now-s.lastRecovered > recoveryMemory {
+	if s.step.now-s.lastRecovered > recoveryMemory {
 		s.recovery = 0
 	}
 	s.recovery = min(maxRecovery, max(minRecovery, 2*s.recovery))
@@ -260,15 +260,15 @@
 	s.forgetTarget()
 }
 
-func (s *staleness) noteReturn() { s.lastRecovered = s.out.now }
+func (s *staleness) noteReturn() { s.lastRecovered = s.step.now }
 
 // retryDiscovery tries discovery once more, by the watch and by the whole list in turn.
 func (s *staleness) retryDiscovery() {
-	s.triedAt = s.out.now
+	s.triedAt = s.step.now
 	if s.fetchesNext {
-		s.out.act(FetchSnapshot{})
+		s.step.emit(FetchSnapshot{})
 	} else {
-		s.out.act(ReopenWatch{})
+		s.step.emit(ReopenWatch{})
 	}
 	s.fetchesNext = !s.fetchesNext
 }
--- a/internal/audit/staleness_test.go
+++ b/internal/audit/staleness_test.go
@@ -18,7 +18,7 @@
 				g.agentDelay = 0
 			}
 			window, epoch := f.schedule.window, f.schedule.epoch
-			f.play(3 * window)
+			f.advance(3 * window)
 			lost := f.gateways[2]
 			lost.agentCut = true
 			f.step(1) // the change that it misses
@@ -33,14 +33,14 @@
 			}
 
 			lost.agentCut = false
-			f.play(2*epoch + 10*time.Second)
+			f.advance(2*epoch + 10*time.Second)
 			want := "behind,watch reopened,list asked for,shut out,caught up,back in service"
-			if got := strings.Join(stepWords(lost), ","); got != want || lost.outOfService {
+			if got := strings.Join(stepNames(lost), ","); got != want || lost.outOfService {
 				t.Errorf("steps %s; want %s", got, want)
 			}
 			for index, g := range f.gateways {
-				if g != lost && len(stepWords(g)) > 0 {
-					t.Errorf("gateway %d took steps %v", index, stepWords(g))
+				if g != lost && len(stepNames(g)) > 0 {
+					t.Errorf("gateway %d took steps %v", index, stepNames(g))
 				}
 			}
 		})
--- a/internal/audit/tally.go
+++ b/internal/audit/tally.go
@@ -13,8 +13,8 @@
 	minQuorum             = 2
 )
 
-// quorumOf is how many different voters are a quorum.
-func quorumOf(gateways int) int {
+// quorumSize is how many different voters are a quorum.
+func quorumSize(gateways int) int {
 	return max(minQuorum, (gateways+gatewaysPerQuorumVote-1)/gatewaysPerQuorumVote)
 }
 
@@ -37,13 +37,13 @@
 	return tally{1, maxExactTotal + 1}
 }
 
-// vote is the amount that the gateway with an index adds.
-func (t tally) vote(gatewayIndex int) float64 {
+// voteAmount is the amount that the gateway with an index adds.
+func (t tally) voteAmount(gatewayIndex int) float64 {
 	return math.Pow(t.base, float64(gatewayIndex%t.classes))
 }
 
-// voters is a lower bound of how many different gateways have added to a total; 0 for what can't be a total.
-func (t tally) voters(total float64) int {
+// minVoters is a lower bound of how many different gateways have added to a total; 0 for what can't be a total.
+func (t tally) minVoters(total float64) int {
 	if !isExactTotal(total) {
 		return 0
 	}
@@ -61,12 +61,12 @@
 	return total >= 0 && total <= maxExactTotal && total == math.Trunc(total)
 }
 
-// totalOfVersion gives a version as a total above 0: a number that nobody has added to must not look like a version.
-func totalOfVersion(version int64) float64 { return float64(moduloTotal(version)) + 1 }
+// encodeVersion gives a version as a total above 0: a number that nobody has added to must not look like a version.
+func encodeVersion(version int64) float64 { return float64(moduloTotal(version)) + 1 }
 
-// versionOfTotal reads a version out of a total. A version may have more digits than a total, so it is the one nearest to
+// decodeVersion reads a version out of a total. A version may have more digits than a total, so it is the one nearest to
 // a version that the reader knows; ok is false where the total stands for none.
-func versionOfTotal(total float64, near int64) (version int64, ok bool) {
+func decodeVersion(total float64, near int64) (version int64, ok bool) {
 	if !isExactTotal(total) || total < 1 {
 		return 0, false
 	}
--- a/internal/audit/tally_test.go
+++ b/internal/audit/tally_test.go
@@ -14,16 +14,16 @@
 			voters := rng.Perm(gateways)[:rng.IntN(min(gateways, 60)+1)]
 			total, mayDouble := 0.0, rng.IntN(2)
 			for _, index := range voters {
-				total += tally.vote(index) * float64(1+rng.IntN(1+mayDouble))
+				total += tally.voteAmount(index) * float64(1+rng.IntN(1+mayDouble))
 			}
-			got := tally.voters(total)
+			got := tally.minVoters(total)
 			if got > len(voters) || gateways <= 7 && got != len(voters) || 2*got < len(voters) {
 				t.Fatalf("%d gateways: %d voters give %v, counted as %d", gateways, len(voters), total, got)
 			}
 		}
 	}
 	for _, noTotal := range []float64{-1, 0.5, maxExactTotal + 1, 1e300} {
-		if got := newTally(30).voters(noTotal); got != 0 {
+		if got := newTally(30).minVoters(noTotal); got != 0 {
 			t.Errorf("%v counts as %d voters", noTotal, got)
 		}
 	}
@@ -37,8 +37,8 @@
 			if version < 0 {
 				continue
 			}
-			total := totalOfVersion(version)
-			if got, ok := versionOfTotal(total, near); !ok || got != version || total < 1 || total > maxExactTotal {
+			total := encodeVersion(version)
+			if got, ok := decodeVersion(total, near); !ok || got != version || total < 1 || total > maxExactTotal {
 				t.Errorf("version %d near %d is told as %v and read as %d, %v", version, near, total, got, ok)
 			}
 		}
--- a/internal/audit/versions.go
+++ b/internal/audit/versions.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// foldWithin is how long a record has to hold before the next version gets one of its own. A version that comes sooner is
+// mergeInterval is how long a record has to hold before the next version gets one of its own. A version that comes sooner is
 // recorded together with those before it, so that fast changes do not flood the log.
-const foldWithin = 500 * time.Millisecond
+const mergeInterval = 500 * time.Millisecond
 
 // versionHistory owns the version and the configuration in force, and the record of what is done under them.
 type versionHistory struct {
@@ -14,8 +14,8 @@
 	config  Configured
 }
 
-// isKnown says whether there is a version in force.
-func (h *versionHistory) isKnown() bool { return h.known }
+// hasVersion says whether there is a version in force.
+func (h *versionHistory) hasVersion() bool { return h.known }
 
 // index is the version in force; 0 while there is none.
 func (h *versionHistory) index() int64 { return h.current.Version }
@@ -26,7 +26,7 @@
 // adopt notes that another version is in force. Within foldWithin of the current record's start it goes on with that
 // record; else it starts a new one and returns the one that has ended, if there was one.
 func (h *versionHistory) adopt(now time.Duration, version VersionAdopted) (ended VersionRecord, ok bool) {
-	if !h.known || now-h.current.InForceAt >= foldWithin {
+	if !h.known || now-h.current.InForceAt >= mergeInterval {
 		return h.start(now, version)
 	}
 	h.current.Version, h.current.Source, h.current.ReadAt = version.Index, version.Source, version.ReadAt
@@ -35,9 +35,9 @@
 	return VersionRecord{}, false
 }
 
-// configure notes another configuration. It starts a record of the same version under it, and returns the one that has
+// setConfig notes another configuration. It starts a record of the same version under it, and returns the one that has
 // ended, if there was one.
-func (h *versionHistory) configure(now time.Duration, config Configured) (ended VersionRecord, ok bool) {
+func (h *versionHistory) setConfig(now time.Duration, config Configured) (ended VersionRecord, ok bool) {
 	h.config = config
 	if !h.known {
 		return VersionRecord{}, false
@@ -63,9 +63,9 @@
 	return ended, ok
 }
 
-// inForce returns the current record, once: when no further version can be folded into it.
-func (h *versionHistory) inForce(now time.Duration) (record VersionRecord, ok bool) {
-	if !h.known || h.logged || now-h.current.InForceAt < foldWithin {
+// takeSettled returns the current record, once: when no further version can be folded into it.
+func (h *versionHistory) takeSettled(now time.Duration) (record VersionRecord, ok bool) {
+	if !h.known || h.logged || now-h.current.InForceAt < mergeInterval {
 		return VersionRecord{}, false
 	}
 	h.logged = true
