--- a/internal/audit/slotlease.go
+++ b/internal/audit/slotlease.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// Parts of an epoch, as fractions of it. docs/AUDIT.md, "Slots", has the same ones.
+// Phases of an epoch, as fractions of its length. docs/AUDIT.md, "Slots", lists the same values.
 const (
-	// Holders claim their slots for the next epoch before this.
-	renewTo = 0.2
-	// Others claim what is left at a random moment between claimFrom and claimSpreadTo, so that few claim at once, or up
-	// to claimTo where the pacer allowed no call at that moment.
-	claimFrom     = 0.25
-	claimSpreadTo = 0.45
-	claimTo       = 0.5
-	// A claim that is answered later does not count.
-	claimAnsweredTo = 0.55
-	// No claim counts any more, and each gateway looks between these whether its own stands.
-	verifyFrom = 0.65
-	verifyTo   = 0.9
+	// Holders renew before this: they claim their own slots for the next epoch.
+	renewEnd = 0.2
+	// Other gateways claim the remaining slots at a random moment between claimStart and claimSpreadEnd, so that few claim
+	// at the same time. If the pacer denies the call they retry it until claimEnd.
+	claimStart     = 0.25
+	claimSpreadEnd = 0.45
+	claimEnd       = 0.5
+	// A claim that is answered after this is void.
+	claimResultEnd = 0.55
+	// Between these, when no further claim counts, each gateway verifies its own claim.
+	verifyStart = 0.65
+	verifyEnd   = 0.9
 )
 
-// slotNeed says what a gateway needs a slot for.
+// slotNeed is what a gateway needs a slot for.
 type slotNeed struct {
 	kind   slotNeedKind
 	target int64 // the version that the fleet acts on, for the records
@@ -32,18 +32,20 @@
 
 const (
 	noSlotNeeded slotNeedKind = iota
-	keepSlot                  // it renews the slot that it holds, and claims no other
-	acquireSlot               // it claims any
+	keepSlot                  // renew the slot that is held, and claim no other
+	acquireSlot               // claim any slot
 )
 
-// slotLease is the slot that a gateway holds, and its claim to one for the next epoch. The slots bound how many gateways
-// are out of service at once. A slot is leased for one epoch and claimed in the one before: a gateway that finds the
-// slot's number empty and adds its mark has claimed it, and gets it if just that mark is still there when no claim counts
-// any more. So a counter that comes back empty in between makes gateways lose their claims, and never gives a slot to
-// two for one epoch.
+// slotLease is the slot that a gateway holds, and its claim for the next epoch. The number of slots bounds how many
+// gateways are out of service at once.
 //
-// No guard time lies between two leases, and each gateway goes over to a new epoch at a Step of its own. So the holder of
-// one epoch and that of the next may both be out of service until the former has had its first Step in the new epoch.
+// A slot is leased for one epoch and claimed in the epoch before. A gateway claims a slot by adding its claim value to
+// the slot's counter entry, which must be empty. It gets the slot if the entry holds exactly that value once no further
+// claim counts. A counter that loses its entries in between therefore makes gateways lose their claims, but never leases
+// a slot to two gateways for the same epoch.
+//
+// There is no guard time between two leases, and each gateway enters a new epoch at its own Step. The holders of one
+// epoch and of the next may therefore both be out of service until the former has had its first Step in the new epoch.
 type slotLease struct {
 	step         *stepContext
 	schedule     schedule
@@ -51,28 +53,28 @@
 	rng          *rand.Rand
 	gatewayIndex int
 
-	firstEpoch    int64   // in which to claim
-	epoch         int64   // that runs
-	claimFraction float64 // fraction of this epoch at which to claim
-	slotNumber    int     // held or claimed
-	held          bool    // the slot, in this epoch
-	noSlotLogged  bool    // StepNoSlot is on the log, and is not repeated while the gateway needs a slot
-
-	// The claim for the next epoch, in the order in which it proceeds.
-	tried       bool // a call to claim, or to look for a free slot, was made
-	claimed     bool // the gateway's mark was added, and no other was there
-	verifyAsked bool // a call that looks whether the claim stands was made
-	verified    bool // the claim stands
+	firstEpoch    int64   // first epoch in which to claim
+	epoch         int64   // current epoch
+	claimFraction float64 // fraction of the current epoch at which to claim
+	slotNumber    int     // slot that is held or claimed
+	held          bool    // the slot is leased to this gateway in the current epoch
+	noSlotLogged  bool    // StepNoSlot is logged already; it is logged once while the gateway needs a slot
+
+	// State of the claim for the next epoch, in the order in which it proceeds.
+	claimStarted  bool // a call was made that claims a slot or reads whether one is free
+	claimed       bool // the claim value was added to an empty entry
+	verifyStarted bool // a call was made that verifies the claim
+	verified      bool // the claim is confirmed
 }
 
-// start keeps the gateway from claiming in the epoch that runs: one of its name may have claimed in it before a restart.
+// start keeps the gateway from claiming in the current epoch: before a restart, a gateway with the same index may have
+// claimed in it.
 func (l *slotLease) start(now time.Duration) { l.firstEpoch = l.schedule.epochAt(now) + 1 }
 
-// isHeld says whether the gateway holds a slot in this epoch.
+// isHeld reports whether the gateway holds a slot in the current epoch.
 func (l *slotLease) isHeld() bool { return l.held }
 
-// advanceEpoch goes over to the epoch that runs, if that is another one, and says whether a slot that was held is not held
-// any more.
+// advanceEpoch enters the current epoch if it is a new one, and reports whether a slot that was held has been lost.
 func (l *slotLease) advanceEpoch(need slotNeed) (notRenewed bool) {
 	epoch := l.schedule.epochAt(l.step.now)
 	if epoch == l.epoch {
@@ -80,24 +82,24 @@
 	}
 	wasHeld := l.held
 	l.held = l.isClaimedFor(epoch)
-	l.recordChange(wasHeld, need)
-	l.beginEpoch(epoch)
+	l.recordLeaseChange(wasHeld, need)
+	l.resetClaim(epoch)
 	return wasHeld && !l.held
 }
 
-// isClaimedFor says whether the claim that was verified is one for this epoch.
+// isClaimedFor reports whether a verified claim exists for this epoch.
 func (l *slotLease) isClaimedFor(epoch int64) bool { return l.verified && epoch == l.epoch+1 }
 
-// beginEpoch forgets the claim of the epoch before and draws the moment of the next one.
-func (l *slotLease) beginEpoch(epoch int64) {
+// resetClaim starts an epoch without a claim, and picks the moment at which to claim in it.
+func (l *slotLease) resetClaim(epoch int64) {
 	l.epoch = epoch
-	l.claimFraction = claimFrom + l.rng.Float64()*(claimSpreadTo-claimFrom)
-	l.tried, l.claimed, l.verifyAsked, l.verified = false, false, false, false
+	l.claimFraction = claimStart + l.rng.Float64()*(claimSpreadEnd-claimStart)
+	l.claimStarted, l.claimed, l.verifyStarted, l.verified = false, false, false, false
 }
 
-// recordChange records what a new epoch means to a gateway that needs a slot. Where the slot is lost the text says "it
-// serves on" in the sense of "it serves again"; the log's texts stay as they are.
-func (l *slotLease) recordChange(wasHeld bool, need slotNeed) {
+// recordLeaseChange records what a new epoch means for a gateway that needs a slot. In the text for a lost slot "it serves
+// on" means "it serves again"; log texts are not changed.
+func (l *slotLease) recordLeaseChange(wasHeld bool, need slotNeed) {
 	if need.kind != acquireSlot {
 		l.noSlotLogged = false
 		return
@@ -108,86 +110,87 @@
 		l.step.recordStep(StepOutOfService, need.target, "slot %d of %d is leased until the next epoch", l.slotNumber, slots)
 	case !l.held && wasHeld:
 		l.step.recordStep(StepSlotLost, need.target, "the lease was not renewed: it serves on")
-	case !l.held && l.tried && !l.noSlotLogged:
+	case !l.held && l.claimStarted && !l.noSlotLogged:
 		l.noSlotLogged = true
 		l.step.recordStep(StepNoSlot, need.target, "no slot of %d was to be had: it serves on", slots)
 	}
 }
 
-// run claims a slot for the next epoch, or verifies the claim, when it is time for that.
+// run claims a slot for the next epoch, or verifies the claim, when that is due.
 func (l *slotLease) run(need slotNeed) {
-	if !l.isWanted(need) || l.epoch < l.firstEpoch {
+	if !l.wantsSlot(need) || l.epoch < l.firstEpoch {
 		return
 	}
 	fraction := l.schedule.epochFraction(l.step.now)
 	switch {
-	case l.mayTry(fraction):
+	case l.claimDue(fraction):
 		l.claim()
-	case l.mayVerify(fraction):
+	case l.verifyDue(fraction):
 		l.verify()
 	}
 }
 
-// isWanted says whether the gateway wants a slot in the next epoch.
-func (l *slotLease) isWanted(need slotNeed) bool {
+// wantsSlot reports whether the gateway wants a slot in the next epoch.
+func (l *slotLease) wantsSlot(need slotNeed) bool {
 	return need.kind == acquireSlot || need.kind == keepSlot && l.held
 }
 
-// mayTry says whether it is time to claim: holders come before the others.
-func (l *slotLease) mayTry(fraction float64) bool {
+// claimDue reports whether it is time to claim. Holders claim before other gateways.
+func (l *slotLease) claimDue(fraction float64) bool {
 	switch {
-	case l.tried:
+	case l.claimStarted:
 		return false
 	case l.held:
-		return fraction < renewTo
+		return fraction < renewEnd
 	}
-	return fraction >= l.claimFraction && fraction < claimTo
+	return fraction >= l.claimFraction && fraction < claimEnd
 }
 
-// mayVerify says whether it is time to look whether the claim stands.
-func (l *slotLease) mayVerify(fraction float64) bool {
-	return l.claimed && !l.verifyAsked && fraction >= verifyFrom && fraction < verifyTo
+// verifyDue reports whether it is time to verify the claim.
+func (l *slotLease) verifyDue(fraction float64) bool {
+	return l.claimed && !l.verifyStarted && fraction >= verifyStart && fraction < verifyEnd
 }
 
-// claim claims a slot for the next epoch: a holder the one that it has, any other a slot drawn at random. The latter
-// looks first whether that slot is free, as a second claim would spoil the first.
+// claim claims a slot for the next epoch. A holder claims its own slot. Any other gateway picks one at random and first
+// reads whether it is free, because a second claim would invalidate the first.
 func (l *slotLease) claim() {
 	if l.held {
-		l.tried = l.addMark(l.epoch)
+		l.claimStarted = l.addClaim(l.epoch)
 		return
 	}
 	l.slotNumber = l.rng.IntN(l.schedule.slots)
 	epoch := l.epoch
-	l.tried = l.counter.read(slotName(epoch+1, l.slotNumber), l.schedule.slotTTL, func(status CallStatus, total float64) {
-		if status == Added && total == 0 && l.claimsCount(epoch) {
-			l.addMark(epoch)
-		}
-	})
+	l.claimStarted = l.counter.read(slotName(epoch+1, l.slotNumber), l.schedule.slotTTL,
+		func(status CallStatus, total float64) {
+			if status == Added && total == 0 && l.claimInTime(epoch) {
+				l.addClaim(epoch)
+			}
+		})
 }
 
-// mark is what a gateway adds to a slot's number: above 0, and another one for each gateway.
-func (l *slotLease) mark() float64 { return float64(l.gatewayIndex + 1) }
+// claimValue returns what the gateway adds to a slot's entry to claim it: above 0, and different for each gateway.
+func (l *slotLease) claimValue() float64 { return float64(l.gatewayIndex + 1) }
 
-// addMark claims the slot for the epoch behind the given one, and says whether the pacer allowed the call. The slot is
-// claimed if no other mark was there. Marks are whole numbers and the counter gives totals exactly, so the total is
-// compared as it is; the tolerance in verify makes no difference while that holds.
-func (l *slotLease) addMark(epoch int64) bool {
+// addClaim claims the slot for the epoch after the given one, and reports whether the pacer allowed the call. The claim
+// succeeds if the entry was empty before. Claim values are whole numbers and the counter returns exact totals, so the
+// total is compared for equality; the tolerance in verify makes no difference as long as that holds.
+func (l *slotLease) addClaim(epoch int64) bool {
 	name := slotName(epoch+1, l.slotNumber)
-	return l.counter.add(name, l.mark(), l.schedule.slotTTL, func(status CallStatus, total float64) {
-		l.claimed = status == Added && total == l.mark() && l.claimsCount(epoch)
+	return l.counter.add(name, l.claimValue(), l.schedule.slotTTL, func(status CallStatus, total float64) {
+		l.claimed = status == Added && total == l.claimValue() && l.claimInTime(epoch)
 	})
 }
 
-// claimsCount says whether a claim made in an epoch that is answered now still counts.
-func (l *slotLease) claimsCount(epoch int64) bool {
-	return l.epoch == epoch && l.step.now <= l.schedule.inEpoch(epoch, claimAnsweredTo)
+// claimInTime reports whether a claim made in an epoch still counts if it is answered now.
+func (l *slotLease) claimInTime(epoch int64) bool {
+	return l.epoch == epoch && l.step.now <= l.schedule.inEpoch(epoch, claimResultEnd)
 }
 
-// verify looks whether the claim stands: just this gateway's mark is there.
+// verify reads the slot's entry and confirms the claim if the entry holds only this gateway's claim value.
 func (l *slotLease) verify() {
 	epoch := l.epoch
 	name := slotName(epoch+1, l.slotNumber)
-	l.verifyAsked = l.counter.read(name, l.schedule.slotTTL, func(status CallStatus, total float64) {
-		l.verified = status == Added && math.Abs(total-l.mark()) < 0.5 && l.epoch == epoch
+	l.verifyStarted = l.counter.read(name, l.schedule.slotTTL, func(status CallStatus, total float64) {
+		l.verified = status == Added && math.Abs(total-l.claimValue()) < 0.5 && l.epoch == epoch
 	})
 }
--- a/internal/audit/staleness.go
+++ b/internal/audit/staleness.go
@@ -2,94 +2,94 @@
 
 import "time"
 
-// Times of the stages. docs/AUDIT.md, "What a gateway that is behind does", has the same ones.
+// Timeouts of the stages. docs/AUDIT.md, "What a gateway that is behind does", lists the same values.
 const (
-	// A change counts as told to every gateway after this, so a gateway that is behind for longer needs a remedy.
+	// A change is expected to reach every gateway within this time. A gateway that is behind for longer needs a remedy.
 	behindTimeout = 6 * time.Second
-	// From the reopened watch to the request of the whole list: a new watch answers at once.
+	// Time from reopening the watch to requesting the whole list. A new watch is answered at once.
 	watchTimeout = 2 * time.Second
-	// From the request of the whole list to the stage stale: two calls that come to nothing take 5.5 s.
+	// Time from requesting the whole list to the stage stale. Two failed calls take 5.5 s.
 	snapshotTimeout = 6 * time.Second
-	// In the stage stale discovery is tried again after each such time.
+	// Interval at which discovery is retried in the stage stale.
 	retryInterval = 5 * time.Second
-	// After it has caught up, a gateway that was out of service stays out for minRecovery, doubled each time up to
-	// maxRecovery; after having served for recoveryMemory the doubling starts anew.
+	// A gateway that was out of service stays out for minRecovery after it has caught up. The time doubles with each
+	// recovery, up to maxRecovery, and starts again from minRecovery after recoveryMemory in service.
 	minRecovery    = time.Second
 	maxRecovery    = 30 * time.Second
 	recoveryMemory = 2 * time.Minute
-	// The notBehindCount at which the fleet counts as not ahead. One window would not be enough: the proposing gateway may
-	// be behind itself. It is needed where discovery has started anew with a lower index, as the target is never reached
-	// then.
+	// Number of windows without a newer proposal (notBehindCount) after which the fleet no longer counts as ahead. One
+	// window is not enough, as the proposing gateway may be behind itself. The rule is needed if discovery restarts with
+	// a lower index: the target is never reached then.
 	windowsToClear = 5
 )
 
-// stage says how far the remedies of a gateway that is behind have come. The stages are in the order of escalation.
+// stage is how far the remedies of a gateway that is behind have escalated. The values are in order of escalation.
 type stage int
 
 const (
 	inSync            stage = iota // no quorum is known to be ahead
-	behind                         // a quorum is ahead; the version may just be on its way
-	watchReopened                  // the watch was opened anew
-	snapshotRequested              // the whole list was asked for
-	stale                          // all remedies failed: out of service while it holds a slot; discovery is tried again
+	behind                         // a quorum is ahead; the version may still be on its way
+	watchReopened                  // the watch was reopened
+	snapshotRequested              // the whole list was requested
+	stale                          // all remedies failed: out of service while it holds a slot; discovery is retried
 	recovering                     // it has caught up, and stays out of service a while longer
 )
 
-// trigger is what leads from one stage to another.
+// trigger is an event that may cause a transition between stages.
 type trigger int
 
 const (
 	quorumFound     trigger = iota // a quorum acts on a newer version
-	stageTimedOut                  // the stage has lasted for its time
+	stageTimedOut                  // the stage's timeout has expired
 	resolved                       // the version in force has reached the target, or the fleet is not ahead
 	slotExpired                    // the lease of the slot was not renewed
-	pauseCheckFound                // the check after the process was paused found a quorum ahead
+	pauseCheckFound                // the check after a pause of the process found a quorum ahead
 )
 
-// slotGuard says whether a transition depends on holding a slot.
+// slotGuard restricts a transition by whether the gateway holds a slot.
 type slotGuard int
 
 const (
-	slotOrNot slotGuard = iota
+	anySlotState slotGuard = iota
 	withSlot
 	withoutSlot
 )
 
-// transition is one row of the state machine.
+// transition is one row of the state machine's table.
 type transition struct {
 	from    stage
 	trigger trigger
 	guard   slotGuard
 	to      stage
-	onEntry func(*staleness) // nil: nothing
+	onEntry func(*staleness) // nil: no action
 }
 
-// transitions is the whole state machine. A trigger for which it has no row changes nothing. The stage changes nowhere
-// else than in staleness.fire.
+// transitions defines the whole state machine. A trigger without a matching row is ignored. Only staleness.fire changes
+// the stage.
 var transitions = [...]transition{
 	// from, trigger, guard, to, onEntry
-	{inSync, quorumFound, slotOrNot, behind, nil},
-	{behind, stageTimedOut, slotOrNot, watchReopened, (*staleness).reopenWatch},
-	{watchReopened, stageTimedOut, slotOrNot, snapshotRequested, (*staleness).requestSnapshot},
-	{snapshotRequested, stageTimedOut, slotOrNot, stale, (*staleness).startRetries},
-
-	{behind, resolved, slotOrNot, inSync, (*staleness).forgetTarget},
-	{watchReopened, resolved, slotOrNot, inSync, (*staleness).forgetTarget},
-	{snapshotRequested, resolved, slotOrNot, inSync, (*staleness).forgetTarget},
-	{stale, resolved, withoutSlot, inSync, (*staleness).forgetTarget},
-	{stale, resolved, withSlot, recovering, (*staleness).setRecovery},
-
-	{recovering, stageTimedOut, slotOrNot, inSync, (*staleness).endRecovery},
-	{recovering, slotExpired, slotOrNot, inSync, (*staleness).noteReturn},
-	{recovering, quorumFound, slotOrNot, stale, nil},
-
-	// The check has reopened the watch and asked for the whole list already.
-	{inSync, pauseCheckFound, slotOrNot, snapshotRequested, nil},
-	{behind, pauseCheckFound, slotOrNot, snapshotRequested, nil},
-	{watchReopened, pauseCheckFound, slotOrNot, snapshotRequested, nil},
+	{inSync, quorumFound, anySlotState, behind, nil},
+	{behind, stageTimedOut, anySlotState, watchReopened, (*staleness).reopenWatch},
+	{watchReopened, stageTimedOut, anySlotState, snapshotRequested, (*staleness).requestSnapshot},
+	{snapshotRequested, stageTimedOut, anySlotState, stale, (*staleness).startRetries},
+
+	{behind, resolved, anySlotState, inSync, (*staleness).clearTarget},
+	{watchReopened, resolved, anySlotState, inSync, (*staleness).clearTarget},
+	{snapshotRequested, resolved, anySlotState, inSync, (*staleness).clearTarget},
+	{stale, resolved, withoutSlot, inSync, (*staleness).clearTarget},
+	{stale, resolved, withSlot, recovering, (*staleness).startRecovery},
+
+	{recovering, stageTimedOut, anySlotState, inSync, (*staleness).endRecovery},
+	{recovering, slotExpired, anySlotState, inSync, (*staleness).setRecoveredAt},
+	{recovering, quorumFound, anySlotState, stale, nil},
+
+	// The check after a pause has already reopened the watch and requested the whole list.
+	{inSync, pauseCheckFound, anySlotState, snapshotRequested, nil},
+	{behind, pauseCheckFound, anySlotState, snapshotRequested, nil},
+	{watchReopened, pauseCheckFound, anySlotState, snapshotRequested, nil},
 }
 
-// staleness is what a gateway that is behind does about it: the state machine of docs/AUDIT.md.
+// staleness is the state machine that escalates the remedies of a gateway that is behind. docs/AUDIT.md describes it.
 type staleness struct {
 	step      *stepContext
 	versions  *versionHistory
@@ -97,25 +97,27 @@
 
 	stage      stage
 	stageSince time.Duration // when the stage was entered
-	// The version that the first verdict of this matter named, or the check after a pause; 0: none. Later verdicts do not
-	// move it, even if the fleet has gone on. A gateway whose slot expired while it was recovering keeps it.
+	// target is the version that the gateway has to reach: the one named by the first verdict that found it behind, or by
+	// the check after a pause. 0: none. Later verdicts do not change it, even if the fleet has moved on. A gateway whose
+	// slot expired while it was recovering keeps it.
 	target int64
-	// Windows in which this gateway was not behind the proposal and its vote was counted, since a verdict last found a
-	// quorum ahead or, in the stage stale, since it was last behind a proposal. A window without a counted vote, or with a
-	// proposal ahead that no quorum stands for, neither adds to it nor begins it anew; it also grows while the gateway is
-	// in sync.
+	// notBehindCount counts the windows in which this gateway was not behind the proposal and its vote was counted.
+	//
+	// It restarts from 0 when a verdict finds a quorum ahead and, in the stage stale, when the gateway is behind a
+	// proposal. A window without a counted vote, or with a newer proposal that has no quorum, leaves it unchanged. It also
+	// grows while the gateway is in sync.
 	notBehindCount int
 
-	triedAt       time.Duration // when discovery was last tried
-	fetchesNext   bool          // the next try fetches the whole list; else it reopens the watch
-	recovery      time.Duration // how long the last stage recovering was to take
-	lastRecovered time.Duration // when it ended
+	lastRetryAt       time.Duration // when discovery was last retried, or the remedies had failed
+	fetchSnapshotNext bool          // the next retry fetches the whole list; otherwise it reopens the watch
+	recoveryTime      time.Duration // length of the current or last stage recovering
+	recoveredAt       time.Duration // when the last stage recovering ended
 }
 
-// slotHolder is what the staleness needs of the slotLease: whether the gateway holds a slot.
+// slotHolder is the part of slotLease that staleness uses.
 type slotHolder interface{ isHeld() bool }
 
-// fire takes the transition that a trigger leads to, if there is one.
+// fire takes the transition for a trigger, if there is one from the current stage.
 func (s *staleness) fire(on trigger) {
 	for _, t := range transitions {
 		if t.from != s.stage || t.trigger != on || !t.guard.allows(s.slotLease.isHeld()) {
@@ -129,6 +131,7 @@
 	}
 }
 
+// allows reports whether the guard permits a transition, given whether a slot is held.
 func (g slotGuard) allows(held bool) bool {
 	switch g {
 	case withSlot:
@@ -139,7 +142,7 @@
 	return true
 }
 
-// timeout is how long the stage lasts; ok is false if it has no end of its own.
+// timeout returns how long the current stage lasts; ok is false if it has no time limit.
 func (s *staleness) timeout() (timeout time.Duration, ok bool) {
 	switch s.stage {
 	case behind:
@@ -149,15 +152,15 @@
 	case snapshotRequested:
 		return snapshotTimeout, true
 	case recovering:
-		return s.recovery, true
+		return s.recoveryTime, true
 	}
 	return 0, false
 }
 
-// run takes the step that is due.
+// run takes the transitions that are due, and retries discovery in the stage stale.
 func (s *staleness) run() {
 	if s.isCatchingUp() && s.versions.index() >= s.target {
-		inStage := s.step.now - s.stageSince // the record's text names this time only, not that of the stages before
+		inStage := s.step.now - s.stageSince // the record gives the time in this stage only, not in all stages together
 		s.step.recordStep(StepCaughtUp, s.target, "behind for %v since the last step", inStage)
 		s.fire(resolved)
 	}
@@ -165,26 +168,26 @@
 		s.fire(stageTimedOut)
 		return
 	}
-	if s.stage == stale && s.step.now-s.triedAt >= retryInterval {
+	if s.stage == stale && s.step.now-s.lastRetryAt >= retryInterval {
 		s.retryDiscovery()
 	}
 }
 
-// isCatchingUp says whether a quorum is known to act on a newer version: in the stages from behind to stale.
+// isCatchingUp reports whether a quorum is known to act on a newer version: in the stages from behind to stale.
 func (s *staleness) isCatchingUp() bool { return s.stage > inSync && s.stage < recovering }
 
-// isStale says whether the remedies have failed.
+// isStale reports whether all remedies have failed.
 func (s *staleness) isStale() bool { return s.stage == stale }
 
-// fleetVersion is the version that a quorum was found to act on; see target.
+// fleetVersion returns the version that a quorum was found to act on, the target; 0 if there is none.
 func (s *staleness) fleetVersion() int64 { return s.target }
 
-// needsOutOfService says whether the gateway has to be out of service because it holds a slot for that.
+// needsOutOfService reports whether the gateway has to be out of service: it is stale or recovering, and holds a slot.
 func (s *staleness) needsOutOfService() bool {
 	return s.slotLease.isHeld() && (s.stage == stale || s.stage == recovering)
 }
 
-// slotNeed says what the gateway needs a slot for.
+// slotNeed returns what the gateway needs a slot for in its current stage.
 func (s *staleness) slotNeed() slotNeed {
 	switch s.stage {
 	case stale:
@@ -195,8 +198,8 @@
 	return slotNeed{noSlotNeeded, s.target}
 }
 
-// quorumAhead takes the proof that a quorum acts on a newer version. While the gateway is catching up the target stays:
-// a later verdict only begins the count of windows anew.
+// quorumAhead handles the verdict that a quorum acts on a newer version. While the gateway is catching up the target is
+// kept, and the verdict only resets notBehindCount.
 func (s *staleness) quorumAhead(version int64, voters int) {
 	s.notBehindCount = 0
 	if s.isCatchingUp() {
@@ -207,11 +210,11 @@
 	s.fire(quorumFound)
 }
 
-// behindProposal notes that a gateway in the stage stale is behind one more proposal.
+// behindProposal handles a proposal that a gateway in the stage stale is behind.
 func (s *staleness) behindProposal() { s.notBehindCount = 0 }
 
-// notBehindProposal takes the evidence that this gateway acts on what was proposed in a window, or on something newer.
-// What the log's "in a row" means stands at notBehindCount.
+// notBehindProposal handles a window in which this gateway's vote was counted: it acts on the proposed version or on a
+// newer one. The log text's "in a row" is to be read as notBehindCount defines it.
 func (s *staleness) notBehindProposal() {
 	s.notBehindCount++
 	if s.isCatchingUp() && s.notBehindCount >= windowsToClear {
@@ -220,10 +223,10 @@
 	}
 }
 
-// slotNotRenewed notes that the lease has ended.
+// slotNotRenewed handles the end of a lease that was not renewed.
 func (s *staleness) slotNotRenewed() { s.fire(slotExpired) }
 
-// behindAfterPause takes what the check after a pause has found. It leaves notBehindCount as it is.
+// behindAfterPause handles a check after a pause that found a quorum ahead. It does not change notBehindCount.
 func (s *staleness) behindAfterPause(target int64) {
 	if s.stage < snapshotRequested {
 		s.target = target
@@ -231,7 +234,7 @@
 	}
 }
 
-// The rest is what transitions do at the entry to a stage, and retryDiscovery.
+// Entry actions of the transitions, and retryDiscovery.
 
 func (s *staleness) reopenWatch() {
 	s.step.recordStep(StepWatchReopened, s.target, "still behind after %v", behindTimeout)
@@ -243,32 +246,32 @@
 	s.step.emit(FetchSnapshot{})
 }
 
-func (s *staleness) startRetries() { s.triedAt = s.step.now }
+func (s *staleness) startRetries() { s.lastRetryAt = s.step.now }
 
-func (s *staleness) forgetTarget() { s.target = 0 }
+func (s *staleness) clearTarget() { s.target = 0 }
 
-// setRecovery sets how long the gateway stays out of service after it has caught up.
-func (s *staleness) setRecovery() {
-	if s.step.now-s.lastRecovered > recoveryMemory {
-		s.recovery = 0
+// startRecovery sets how long the gateway stays out of service after it has caught up.
+func (s *staleness) startRecovery() {
+	if s.step.now-s.recoveredAt > recoveryMemory {
+		s.recoveryTime = 0
 	}
-	s.recovery = min(maxRecovery, max(minRecovery, 2*s.recovery))
+	s.recoveryTime = min(maxRecovery, max(minRecovery, 2*s.recoveryTime))
 }
 
 func (s *staleness) endRecovery() {
-	s.noteReturn()
-	s.forgetTarget()
+	s.setRecoveredAt()
+	s.clearTarget()
 }
 
-func (s *staleness) noteReturn() { s.lastRecovered = s.step.now }
+func (s *staleness) setRecoveredAt() { s.recoveredAt = s.step.now }
 
-// retryDiscovery tries discovery once more, by the watch and by the whole list in turn.
+// retryDiscovery retries discovery, by reopening the watch and by fetching the whole list in turn.
 func (s *staleness) retryDiscovery() {
-	s.triedAt = s.step.now
-	if s.fetchesNext {
+	s.lastRetryAt = s.step.now
+	if s.fetchSnapshotNext {
 		s.step.emit(FetchSnapshot{})
 	} else {
 		s.step.emit(ReopenWatch{})
 	}
-	s.fetchesNext = !s.fetchesNext
+	s.fetchSnapshotNext = !s.fetchSnapshotNext
 }
