--- a/internal/audit/calls.go
+++ b/internal/audit/calls.go
@@ -6,50 +6,50 @@
 	"time"
 )
 
-// counterClient makes the audit's counter calls as its pacer allows, and hands each result to the part that asked for it.
-// The type of the same name in the engine (internal/policy) has nothing to do with it: that one is for quotas.
+// counterClient makes the audit's counter calls as its pacer allows, and passes each result to the caller's callback. It
+// is independent of the counter calls for quotas, which the engine (internal/policy) makes.
 type counterClient struct {
-	step    *stepContext
-	pacer   pacer
-	timeout time.Duration // of a call
-	last    uint64        // number of the last call; 0: none yet
-	pending map[uint64]pendingCall
+	step       *stepContext
+	pacer      pacer
+	timeout    time.Duration // of a call
+	lastCallID uint64        // 0: no call yet
+	pending    map[uint64]pendingCall
 }
 
-// pendingCall is a call without a result.
+// pendingCall is a call that has no result yet.
 type pendingCall struct {
 	sentAt   time.Duration
 	onResult resultFunc
 }
 
-// resultFunc takes a call's result. The total counts only if the status is Added.
+// resultFunc receives the result of a call. The total is valid only if the status is Added.
 type resultFunc func(status CallStatus, total float64)
 
-func newCounterClient(out *stepContext, callsPerSecond float64, timeout time.Duration) *counterClient {
-	return &counterClient{step: out, pacer: pacer{callsPerSecond: callsPerSecond}, timeout: timeout,
+func newCounterClient(step *stepContext, callsPerSecond float64, timeout time.Duration) *counterClient {
+	return &counterClient{step: step, pacer: pacer{callsPerSecond: callsPerSecond}, timeout: timeout,
 		pending: map[uint64]pendingCall{}}
 }
 
-// start starts the pacer, at the first Step.
-func (c *counterClient) start(now time.Duration) { c.pacer.filledAt = now }
+// start starts the pacer at the first Step.
+func (c *counterClient) start(now time.Duration) { c.pacer.refilledAt = now }
 
-// add makes a call if the pacer allows it, and says whether it did. The result comes in a later Step.
+// add makes a call if the pacer allows it, and reports whether it did. The result arrives in a later Step.
 func (c *counterClient) add(name uint64, amount float64, ttl time.Duration, onResult resultFunc) bool {
 	if !c.pacer.allow(c.step.now) {
 		return false
 	}
-	c.last++
-	c.pending[c.last] = pendingCall{sentAt: c.step.now, onResult: onResult}
-	c.step.emit(AddToCounter{Call: c.last, Name: name, Amount: amount, TTL: ttl})
+	c.lastCallID++
+	c.pending[c.lastCallID] = pendingCall{sentAt: c.step.now, onResult: onResult}
+	c.step.emit(AddToCounter{Call: c.lastCallID, Name: name, Amount: amount, TTL: ttl})
 	return true
 }
 
-// read adds 0, so that the result tells the number's total.
+// read reads the total of an entry by adding 0.
 func (c *counterClient) read(name uint64, ttl time.Duration, onResult resultFunc) bool {
 	return c.add(name, 0, ttl, onResult)
 }
 
-// complete ends a call. A result without such a call is passed over.
+// complete ends a call. A result that belongs to no pending call is ignored.
 func (c *counterClient) complete(result CounterResult) {
 	call, ok := c.pending[result.Call]
 	if !ok {
@@ -64,11 +64,11 @@
 	call.onResult(result.Status, result.Total)
 }
 
-// quotaCallFailed makes the audit spare the counter.
+// quotaCallFailed makes the audit back off from the counter.
 func (c *counterClient) quotaCallFailed() { c.pacer.quotaCallFailed(c.step.now) }
 
-// The counter's names of the audit's numbers, within 63 bits. All gateways have to work out the same ones, whatever
-// program they run, so the texts that they are hashed from stay as they are. The names of quotas are built otherwise.
+// Names of the audit's entries at the counter, within 63 bits. All gateways have to compute the same names, whatever
+// version of the program they run, so the texts that are hashed must not change. Names of quotas are built differently.
 
 func proposalName(window int64) uint64 { return counterName("audit proposal %d", window) }
 
--- a/internal/audit/machine.go
+++ b/internal/audit/machine.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-// TickInterval is how often Step has to be called even if nothing happens.
+// TickInterval is the longest interval between calls of Step, even if there are no events.
 const TickInterval = 100 * time.Millisecond
 
-// Machine is the audit of one gateway. It owns its parts, and belongs to the goroutine that calls Step.
+// Machine is the audit of one gateway. It owns its parts. It is not safe for concurrent use: the goroutine that calls Step
+// owns it.
 type Machine struct {
 	schedule     schedule
 	step         *stepContext
@@ -18,10 +19,10 @@
 	staleness    *staleness
 	slotLease    *slotLease
 	pauseCheck   *pauseCheck
-	outOfService bool // what the gateway was told last
+	outOfService bool // as last told to the gateway
 }
 
-// New makes a machine that knows no version yet. The seed is for its random numbers. The error is a *SettingsError.
+// New returns a Machine that has no version yet. The seed initializes its random numbers. The error is a *SettingsError.
 func New(settings Settings, seed uint64) (*Machine, error) {
 	if err := settings.Check(); err != nil {
 		return nil, err
@@ -52,15 +53,17 @@
 	return m, nil
 }
 
-// Window is the length of a window: the time of one proposal and its votes.
+// Window returns the length of a window: the time of one proposal and its votes.
 func (m *Machine) Window() time.Duration { return m.schedule.window }
 
-// Records returns the latest records, the oldest first.
+// Records returns the latest records, oldest first.
 func (m *Machine) Records() []Record { return m.step.recent.list() }
 
-// Step takes what happened up to the time now, in order, and returns what to do, in order. now is Unix time, above 0 and
-// alike at all gateways to within a tenth of an epoch; one before that of the last Step is taken as that one. Step has to
-// be called every TickInterval at least. The slice is the caller's until the next Step.
+// Step processes the events up to the time now, in order, and returns the actions to carry out, in order. It has to be
+// called at least every TickInterval. The returned slice is valid until the next Step.
+//
+// now is Unix time and above 0. The clocks of all gateways have to agree to within a tenth of an epoch. A time before that
+// of the last Step counts as the time of the last Step.
 func (m *Machine) Step(now time.Duration, events []Event) []Action {
 	m.step.actions = m.step.actions[:0]
 	if m.step.now == 0 {
@@ -81,14 +84,14 @@
 	return m.step.actions
 }
 
-// start is what the first Step does before all else.
+// start initializes the parts that depend on the time of the first Step.
 func (m *Machine) start(now time.Duration) {
 	m.round.start(now)
 	m.slotLease.start(now)
 	m.counter.start(now)
 }
 
-// handle hands an event to the part that it concerns.
+// handle passes an event to the part that handles it.
 func (m *Machine) handle(event Event) {
 	switch event := event.(type) {
 	case VersionAdopted:
@@ -110,14 +113,14 @@
 	}
 }
 
-// recordReplaced records that a version was replaced, if one was.
+// recordReplaced logs the record of a version that was replaced, if ok.
 func (m *Machine) recordReplaced(ended VersionRecord, ok bool) {
 	if ok {
 		m.step.logRecord(ended)
 	}
 }
 
-// runSlotLease claims, verifies and ends the lease of a slot, by what the staleness needs a slot for.
+// runSlotLease claims, verifies and ends the lease of a slot, depending on what staleness needs a slot for.
 func (m *Machine) runSlotLease() {
 	if notRenewed := m.slotLease.advanceEpoch(m.staleness.slotNeed()); notRenewed {
 		m.staleness.slotNotRenewed()
@@ -125,7 +128,7 @@
 	m.slotLease.run(m.staleness.slotNeed())
 }
 
-// updateService takes the gateway out of service or puts it back.
+// updateService takes the gateway out of service or puts it back if that has changed.
 func (m *Machine) updateService() {
 	out := m.pauseCheck.isRunning() || m.staleness.needsOutOfService()
 	if out == m.outOfService {
--- a/internal/audit/output.go
+++ b/internal/audit/output.go
@@ -5,25 +5,26 @@
 	"time"
 )
 
-// stepContext is what all parts of a Machine share: the time of the Step that runs, and the way out for its actions and
-// records. The Machine owns it.
+// stepContext is the state of the current Step that all parts of a Machine share: its time, and its actions and records.
+// The Machine owns it.
 type stepContext struct {
 	now      time.Duration // of the Step; Unix time
-	actions  []Action      // of the Step, so far
+	actions  []Action      // emitted by the Step so far
 	recent   recordRing
-	versions *versionHistory // tells the version of a StepRecord
+	versions *versionHistory // source of StepRecord.Version
 }
 
-func (o *stepContext) emit(action Action) { o.actions = append(o.actions, action) }
+// emit adds an action to those that the Step returns.
+func (c *stepContext) emit(action Action) { c.actions = append(c.actions, action) }
 
-// logRecord puts a logRecord on the log and keeps it among the latest ones.
-func (o *stepContext) logRecord(record Record) {
-	o.recent.add(record)
-	o.emit(Log{record})
+// logRecord emits a Log action for a record and keeps the record among the recent ones.
+func (c *stepContext) logRecord(record Record) {
+	c.recent.add(record)
+	c.emit(Log{record})
 }
 
-// recordStep records a step of the audit. target is the version that a quorum was found to act on; 0: none.
-func (o *stepContext) recordStep(kind StepKind, target int64, reason string, args ...any) {
-	o.logRecord(StepRecord{Kind: kind, At: o.now, Reason: fmt.Sprintf(reason, args...), Version: o.versions.index(),
+// recordStep logs a step of the audit. target is the version that a quorum was found to act on; 0: none.
+func (c *stepContext) recordStep(kind StepKind, target int64, reason string, args ...any) {
+	c.logRecord(StepRecord{Kind: kind, At: c.now, Reason: fmt.Sprintf(reason, args...), Version: c.versions.index(),
 		Target: target})
 }
--- a/internal/audit/pacer.go
+++ b/internal/audit/pacer.go
@@ -3,28 +3,28 @@
 import "time"
 
 const (
-	// Counter calls that may be saved up.
+	// Capacity of the token bucket: the most counter calls that can be made at once.
 	maxTokens = 3.0
-	// After a call that failed or was slow the audit makes none for minBackoff, doubled with each further one in a row
-	// up to maxBackoff: the calls for quotas need the counter more.
+	// After a failed or slow call the audit makes no call for minBackoff, doubled with each consecutive one up to
+	// maxBackoff, as the calls for quotas have priority at the counter.
 	minBackoff = 2 * time.Second
 	maxBackoff = time.Minute
 )
 
-// pacer says when a counter call may be made: by a token bucket, which starts empty as all gateways of a fleet may start
-// at once, and by a backoff while the counter is in trouble.
+// pacer limits the rate of counter calls by a token bucket, and backs off while the counter is in trouble. The bucket
+// starts empty because all gateways of a fleet may start at once.
 type pacer struct {
 	callsPerSecond float64
 	tokens         float64
-	filledAt       time.Duration
+	refilledAt     time.Duration
 	backoffUntil   time.Duration
-	backoff        time.Duration // the last one after a call of the audit; 0: none since the last call that succeeded
+	backoff        time.Duration // last backoff after a call of the audit; 0: none since the last successful call
 }
 
-// allow takes the token of one call, and says whether the call may be made.
+// allow reports whether a call may be made now, and takes the call's token if so.
 func (p *pacer) allow(now time.Duration) bool {
-	p.tokens = min(maxTokens, p.tokens+p.callsPerSecond*(now-p.filledAt).Seconds())
-	p.filledAt = now
+	p.tokens = min(maxTokens, p.tokens+p.callsPerSecond*(now-p.refilledAt).Seconds())
+	p.refilledAt = now
 	if p.tokens < 1 || now < p.backoffUntil {
 		return false
 	}
@@ -32,16 +32,16 @@
 	return true
 }
 
-// callSucceeded ends the doubling of the backoff.
+// callSucceeded resets the doubling of the backoff.
 func (p *pacer) callSucceeded() { p.backoff = 0 }
 
 // callFailed backs off after a call of the audit that failed or was slow.
 func (p *pacer) callFailed(now time.Duration) {
 	p.backoff = min(maxBackoff, max(minBackoff, 2*p.backoff))
-	p.backOffUntil(now + p.backoff)
+	p.extendBackoff(now + p.backoff)
 }
 
 // quotaCallFailed backs off after a failed call for a quota.
-func (p *pacer) quotaCallFailed(now time.Duration) { p.backOffUntil(now + minBackoff) }
+func (p *pacer) quotaCallFailed(now time.Duration) { p.extendBackoff(now + minBackoff) }
 
-func (p *pacer) backOffUntil(at time.Duration) { p.backoffUntil = max(p.backoffUntil, at) }
+func (p *pacer) extendBackoff(until time.Duration) { p.backoffUntil = max(p.backoffUntil, until) }
--- a/internal/audit/pausecheck.go
+++ b/internal/audit/pausecheck.go
@@ -3,42 +3,44 @@
 import "time"
 
 const (
-	// The longest time that a gateway waits for its check after a pause.
+	// Longest time that a gateway waits for its check after a pause.
 	pauseCheckTimeout = 3 * time.Second
-	// Windows about the list whose proposals the check reads, the latest ones: the one that runs may have none yet.
+	// Number of recent windows that compare the endpoint list whose proposals the check reads. One is not enough, as the
+	// current window may have no proposal yet.
 	pauseCheckWindows = 2
 )
 
-// pauseCheck is the check of a gateway whose process was paused: it is out of service until it has heard from discovery,
-// and from the fleet if the counter answers. docs/AUDIT.md, "A gateway whose process was paused".
+// pauseCheck is the check of a gateway whose process was paused. The gateway is out of service until it has heard from
+// discovery and, if the counter answers, from the fleet. docs/AUDIT.md, "A gateway whose process was paused".
 type pauseCheck struct {
 	step      *stepContext
 	schedule  schedule
 	versions  *versionHistory
 	ballot    *ballot
-	staleness *staleness // is told if the check finds a quorum ahead
+	staleness *staleness // notified if the check finds a quorum ahead
 
 	current *runningCheck // nil: none
 }
 
-// runningCheck is one check. A further pause begins another; the results of the earlier one's calls are then of no use.
+// runningCheck is the state of one check. A further pause starts a new one; results that arrive for the earlier one are
+// then ignored.
 type runningCheck struct {
-	since           time.Duration
-	callsInFlight   int   // about proposals and votes
-	target          int64 // a quorum was found to act on this newer version; 0: none
+	startedAt       time.Duration
+	callsInFlight   int   // counter calls for proposals and votes
+	target          int64 // newer version that a quorum was found to act on; 0: none
 	snapshotFetched bool
 }
 
-// isRunning says whether a check is under way.
+// isRunning reports whether a check is in progress.
 func (p *pauseCheck) isRunning() bool { return p.current != nil }
 
-// start begins the check: it reopens the watch, asks for the whole list, and reads the proposals of the latest windows
-// about the list, as far as the pacer allows.
+// start starts a check after a pause: it reopens the watch, requests the whole list, and reads the proposals of the latest
+// windows that compare the list, as far as the pacer allows.
 func (p *pauseCheck) start(pause time.Duration) {
 	if pause < MinPause || !p.versions.hasVersion() {
 		return
 	}
-	check := &runningCheck{since: p.step.now}
+	check := &runningCheck{startedAt: p.step.now}
 	p.current = check
 	p.step.recordStep(StepResumed, 0, "it stood still for %v", pause.Round(time.Millisecond))
 	p.step.emit(ReopenWatch{})
@@ -52,41 +54,42 @@
 	}
 }
 
-// readProposal reads a window's proposal, whatever the gateway's turn is, and the votes for it if the gateway is behind.
+// readProposal reads a window's proposal at once, without waiting for the gateway's turn, and then the votes for it if the
+// gateway is behind.
 func (p *pauseCheck) readProposal(check *runningCheck, window int64) {
-	asked := p.ballot.readProposal(window, func(proposal int64, ok bool) {
+	sent := p.ballot.readProposal(window, func(proposal int64, ok bool) {
 		check.callsInFlight--
 		if ok && p.ballot.needsComparison(window, proposal) {
 			p.readVotes(check, window, proposal)
 		}
 	})
-	if asked {
+	if sent {
 		check.callsInFlight++
 	}
 }
 
-// readVotes looks whether a quorum has voted for a proposal that the gateway is behind.
+// readVotes reads whether a quorum has voted for a proposal that the gateway is behind.
 func (p *pauseCheck) readVotes(check *runningCheck, window, proposal int64) {
-	asked := p.ballot.readVotes(window, proposal, func(voters int) {
+	sent := p.ballot.readVotes(window, proposal, func(voters int) {
 		check.callsInFlight--
 		if p.ballot.isQuorum(voters) {
 			check.target = max(check.target, proposal)
 		}
 	})
-	if asked {
+	if sent {
 		check.callsInFlight++
 	}
 }
 
-// snapshotFetched notes whether the whole list was fetched.
+// snapshotFetched records whether the whole list was fetched.
 func (p *pauseCheck) snapshotFetched(ok bool) {
 	if p.current != nil {
 		p.current.snapshotFetched = ok
 	}
 }
 
-// run ends the check: when all is heard and nobody is known to be ahead, or when its time is over. If the gateway is
-// behind then, its staleness goes on from the request of the whole list.
+// run ends the check when all results are in and no quorum is known to be ahead, or when its time is over. If the gateway
+// is behind then, its staleness continues from the stage snapshotRequested.
 func (p *pauseCheck) run() {
 	check := p.current
 	if check == nil {
@@ -94,18 +97,18 @@
 	}
 	ahead := check.target > p.versions.index()
 	complete := !ahead && check.snapshotFetched && check.callsInFlight <= 0
-	if !complete && p.step.now-check.since < pauseCheckTimeout {
+	if !complete && p.step.now-check.startedAt < pauseCheckTimeout {
 		return
 	}
 	p.current = nil
 	p.step.recordStep(StepResumeChecked, check.target, "%s, after %v", check.result(ahead),
-		(p.step.now - check.since).Round(time.Millisecond))
+		(p.step.now - check.startedAt).Round(time.Millisecond))
 	if ahead {
 		p.staleness.behindAfterPause(check.target)
 	}
 }
 
-// result is what the check has found, for the log.
+// result returns the result of the check as a text for the log.
 func (c *runningCheck) result(ahead bool) string {
 	switch {
 	case ahead:
--- a/internal/audit/records.go
+++ b/internal/audit/records.go
@@ -6,35 +6,35 @@
 	"time"
 )
 
-// Record is a line of a gateway's audit: a VersionRecord or a StepRecord. docs/OPERATIONS.md, "Audit of the fleet", tells
-// operators how to read them, so messages, keys and words stay as they are.
+// Record is a line in a gateway's log about its audit: a VersionRecord or a StepRecord. docs/OPERATIONS.md, "Audit of the
+// fleet", explains the lines to operators, so messages, keys and step names must not change.
 type Record interface {
-	// Message is the line's text.
+	// Message returns the message of the log line.
 	Message() string
-	// Attrs are the line's fields.
+	// Attrs returns the attributes of the log line.
 	Attrs() []slog.Attr
 }
 
-// VersionRecord tells of a time in which a gateway acted on one version, or on several that followed each other fast. It
-// is logged once the version has been in force for foldWithin, without the fields below Replaced, and once more when it
-// is replaced.
+// VersionRecord describes a period in which a gateway acted on one version, or on several in quick succession. It is
+// logged when the version has been in force for mergeInterval, without the fields below Replaced, and again when the
+// version is replaced.
 type VersionRecord struct {
-	Before       int64         // the version before, discovery's index
-	Version      int64         // the last version of the record, discovery's index
-	Source       Source        // how Version came
-	Changes      int           // lists and changes that the record stands for; 0: another configuration began it
+	Before       int64         // the previous version, discovery's index
+	Version      int64         // the last version of the period, discovery's index
+	Source       Source        // where Version came from
+	Changes      int           // number of lists and changes in the period; 0: it began with another configuration
 	ReadAt       time.Duration // when Version was read; Unix time
-	InForceAt    time.Duration // since when the record holds; Unix time
-	Replaced     bool          // the fields below are final
-	ReplacedAt   time.Duration // Unix time
-	FirstRequest string        // the client's id of the first request decided under it; empty: none
-	Requests     int           // decided under it
-	Attempts     int           // started under it
+	InForceAt    time.Duration // start of the period; Unix time
+	Replaced     bool          // the period has ended and the fields below are final
+	ReplacedAt   time.Duration // end of the period; Unix time
+	FirstRequest string        // client's id of the first request decided in the period; empty: none
+	Requests     int           // requests decided in the period
+	Attempts     int           // attempts started in the period
 	Revision     uint64        // of the configuration
 	ConfigDigest uint64        // of the configuration with the gateway's own addresses
 }
 
-// Message is the line's text.
+// Message returns the message of the log line.
 func (r VersionRecord) Message() string {
 	if r.Replaced {
 		return "version replaced"
@@ -42,7 +42,7 @@
 	return "version in force"
 }
 
-// Attrs are the line's fields.
+// Attrs returns the attributes of the log line.
 func (r VersionRecord) Attrs() []slog.Attr {
 	attrs := []slog.Attr{
 		slog.Int64("version_before", r.Before),
@@ -64,26 +64,26 @@
 		slog.Int("attempts", r.Attempts))
 }
 
-// StepKind says what a StepRecord is about.
+// StepKind is the kind of a StepRecord.
 type StepKind int
 
 // Kinds of steps.
 const (
 	StepBehind            StepKind = iota // a quorum acts on a newer version
-	StepWatchReopened                     // first remedy
-	StepSnapshotRequested                 // second remedy
-	StepNoSlot                            // it is stale, and got no slot: it serves on, by its old list
-	StepOutOfService                      // third remedy: it is stale, and holds a slot
-	StepSlotLost                          // it is stale, and its slot was not renewed: it serves again, by its old list
-	StepCaughtUp                          // it acts on the target, or on a newer version
-	StepFleetNotAhead                     // the fleet is no longer found to act on a newer version
-	StepBackInService
-	StepResumed       // the process was paused: nothing is forwarded until the check has ended
-	StepResumeChecked // the check after a pause has ended
-	StepConfigDiffers // a quorum acts on another configuration
+	StepWatchReopened                     // first remedy: the watch was reopened
+	StepSnapshotRequested                 // second remedy: the whole list was requested
+	StepNoSlot                            // it is stale and got no slot: it stays in service with its old list
+	StepOutOfService                      // third remedy: it is stale and holds a slot
+	StepSlotLost                          // it is stale and its slot was not renewed: it is back in service with its old list
+	StepCaughtUp                          // it acts on the target or on a newer version
+	StepFleetNotAhead                     // the fleet no longer counts as acting on a newer version
+	StepBackInService                     // it is back in service
+	StepResumed                           // the process was paused: no request is forwarded until the check has ended
+	StepResumeChecked                     // the check after a pause has ended
+	StepConfigDiffers                     // a quorum acts on another configuration
 )
 
-// stepTexts are the words of the kinds in the log's field "step".
+// stepTexts are the values of the log attribute "step".
 var stepTexts = [...]string{
 	StepBehind:            "behind",
 	StepWatchReopened:     "watch reopened",
@@ -99,22 +99,22 @@
 	StepConfigDiffers:     "other configuration",
 }
 
-// String is the kind's word on the log.
+// String returns the kind's name in the log.
 func (k StepKind) String() string { return stepTexts[k] }
 
-// StepRecord tells of one step that an audit took.
+// StepRecord describes one step of an audit.
 type StepRecord struct {
 	Kind    StepKind
 	At      time.Duration // Unix time
 	Reason  string
-	Version int64 // that the gateway acts on; 0: none yet
-	Target  int64 // that a quorum was found to act on; 0: none
+	Version int64 // version that the gateway acts on; 0: none yet
+	Target  int64 // version that a quorum was found to act on; 0: none
 }
 
-// Message is the line's text.
+// Message returns the message of the log line.
 func (r StepRecord) Message() string { return "audit" }
 
-// Attrs are the line's fields.
+// Attrs returns the attributes of the log line.
 func (r StepRecord) Attrs() []slog.Attr {
 	return []slog.Attr{
 		slog.String("step", r.Kind.String()),
@@ -131,13 +131,13 @@
 
 func hexDigest(digest uint64) string { return fmt.Sprintf("%016x", digest) }
 
-// maxRecords is how many records a gateway keeps.
+// maxRecords is how many recent records a gateway keeps.
 const maxRecords = 128
 
-// recordRing keeps the latest records.
+// recordRing is a ring buffer of the latest records.
 type recordRing struct {
 	records [maxRecords]Record
-	next    int // where the next one goes
+	next    int // index of the next record to write
 	size    int
 }
 
@@ -147,7 +147,7 @@
 	r.size = min(r.size+1, maxRecords)
 }
 
-// list returns the records, the oldest first.
+// list returns the records, oldest first.
 func (r *recordRing) list() (records []Record) {
 	oldest := r.next - r.size + maxRecords
 	for i := range r.size {
