--- a/internal/audit/faults_test.go
+++ b/internal/audit/faults_test.go
@@ -8,24 +8,25 @@
 )
 
 const (
-	faultyFleet = 30                // gateways
-	faultsFor   = 100 * time.Second // in which faults come and go
-	healsWithin = 100 * time.Second // a fleet without faults has to be well again
+	faultTestGateways = 30
+	faultPhase        = 100 * time.Second // in which faults begin and end
+	recoveryPhase     = 100 * time.Second // without faults, after which all gateways have to be in service
 )
 
-// Whatever is lost, doubled, silent, restarted or stopped: no more gateways are out of service than there are slots,
-// none is called behind without a quorum, a gateway that publishes an absurd version moves nobody, and a fleet without
-// faults serves again. All 1,000 seeds together come to each kind of step.
-func TestFaultsNeverExceedSlotsOrFakeAQuorum(t *testing.T) {
-	const seeds, lanes = 1000, 8
+// Guards against breaches of the audit's bounds while calls and answers are lost or duplicated, the counter is silent or
+// emptied, and processes are restarted or paused. No more gateways may be out of service than there are slots, none may
+// be found behind without a quorum, a gateway that publishes an absurd version must affect no other, and once the faults
+// end all gateways serve again. The 1,000 seeds together have to reach every kind of step but StepConfigDiffers.
+func TestFleetUnderFaultsKeepsSlotBoundAndQuorumRule(t *testing.T) {
+	const seeds, workers = 1000, 8
 	var mu sync.Mutex // guards found
 	found := stepCounts{}
 	t.Run("seeds", func(t *testing.T) {
-		for lane := range lanes {
-			t.Run(fmt.Sprint("lane", lane), func(t *testing.T) {
+		for worker := range workers {
+			t.Run(fmt.Sprint("worker", worker), func(t *testing.T) {
 				t.Parallel()
-				for seed := lane; seed < seeds && !t.Failed(); seed += lanes {
-					counts := playFaults(t, uint64(seed))
+				for seed := worker; seed < seeds && !t.Failed(); seed += workers {
+					counts := runFaults(t, uint64(seed))
 					mu.Lock()
 					found.add(counts)
 					mu.Unlock()
@@ -36,12 +37,12 @@
 	for _, kind := range []StepKind{StepBehind, StepWatchReopened, StepSnapshotRequested, StepNoSlot, StepOutOfService,
 		StepSlotLost, StepCaughtUp, StepFleetNotAhead, StepBackInService, StepResumed, StepResumeChecked} {
 		if found[kind] == 0 {
-			t.Errorf("no run came to %q", kind)
+			t.Errorf("no run recorded the step %q", kind)
 		}
 	}
 }
 
-// stepCounts is how often each kind of step was taken.
+// stepCounts is how often each kind of step was recorded.
 type stepCounts map[StepKind]int
 
 func (c stepCounts) add(other stepCounts) {
@@ -50,23 +51,23 @@
 	}
 }
 
-// playFaults plays one seed: faults, then the time to heal. It returns the steps that were taken.
-func playFaults(t *testing.T, seed uint64) stepCounts {
+// runFaults simulates a fleet with one seed: a phase with faults, then a phase without. It returns the recorded steps.
+func runFaults(t *testing.T, seed uint64) stepCounts {
 	t.Helper()
-	f := newSimFleet(t, seed, faultyFleet)
+	f := newSimFleet(t, seed, faultTestGateways)
 	f.callFaults = 0.1
 	f.publishAbsurdVersion(3)
 	counts, seen := stepCounts{}, map[StepRecord]bool{}
 	changes := f.rng.IntN(4)
-	for range faultsFor / tick {
-		f.makeFault()
+	for range faultPhase / tick {
+		f.injectFault()
 		f.step(f.rng.IntN(changes + 1))
 		if f.now%(10*time.Second) == 0 {
 			f.countNewSteps(counts, seen)
 		}
 	}
-	f.heal()
-	for range healsWithin / tick {
+	f.endFaults()
+	for range recoveryPhase / tick {
 		f.step(f.rng.IntN(changes + 1))
 	}
 	f.countNewSteps(counts, seen)
@@ -74,15 +75,15 @@
 	return counts
 }
 
-// publishAbsurdVersion makes a gateway act on a version that nobody else has.
+// publishAbsurdVersion makes a gateway act on a version that no other gateway has.
 func (f *simFleet) publishAbsurdVersion(index int) {
 	const absurd = 1_000_000
-	liar := f.gateways[index]
-	liar.agentCut, liar.latestVersion = true, absurd
-	liar.events = append(liar.events, VersionAdopted{Index: absurd, Changes: 1})
+	faulty := f.gateways[index]
+	faulty.agentCut, faulty.latestVersion = true, absurd
+	faulty.events = append(faulty.events, VersionAdopted{Index: absurd, Changes: 1})
 }
 
-// countNewSteps counts the steps that have not been seen yet.
+// countNewSteps adds the recorded steps that have not been seen yet to counts.
 func (f *simFleet) countNewSteps(counts stepCounts, seen map[StepRecord]bool) {
 	for _, g := range f.gateways {
 		for _, record := range g.machine.Records() {
@@ -94,8 +95,8 @@
 	}
 }
 
-// makeFault makes or ends a fault by chance.
-func (f *simFleet) makeFault() {
+// injectFault begins or ends a fault at random.
+func (f *simFleet) injectFault() {
 	index := f.rng.IntN(len(f.gateways))
 	g := f.gateways[index]
 	switch f.rng.IntN(60) {
@@ -118,14 +119,14 @@
 	case 8:
 		f.counterSilent = f.rng.IntN(4) == 0
 	case 9:
-		if f.rng.IntN(10) == 0 { // discovery starts anew
+		if f.rng.IntN(10) == 0 { // discovery restarts with another index
 			f.indexHistory = append(f.indexHistory, 500+int64(f.rng.IntN(100)))
 		}
 	}
 }
 
-// heal ends all faults.
-func (f *simFleet) heal() {
+// endFaults ends all faults, and limits the delays of agents to 1 s.
+func (f *simFleet) endFaults() {
 	f.counterSilent, f.callFaults = false, 0
 	for _, g := range f.gateways {
 		g.agentCut, g.counterCut, g.agentDelay = false, false, min(g.agentDelay, time.Second)
@@ -133,23 +134,24 @@
 	}
 }
 
-// checkAllServe checks that all gateways are in service, and at most in the stage behind.
+// checkAllServe checks that all gateways are in service, in the stage inSync or behind.
 func (f *simFleet) checkAllServe(seed uint64) {
 	f.t.Helper()
 	for index, g := range f.gateways {
 		if staleness := g.machine.staleness; g.outOfService || staleness.stage > behind {
-			f.t.Errorf("seed %d: gateway %d is not back: out of service %v, stage %d, acts on %d of %d, target %d", seed, index,
-				g.outOfService, staleness.stage, g.latestVersion, f.indexHistory[len(f.indexHistory)-1], staleness.target)
+			f.t.Errorf("seed %d: gateway %d has not recovered: out of service %v, stage %d, version %d of %d, target %d", seed,
+				index, g.outOfService, staleness.stage, g.latestVersion, f.indexHistory[len(f.indexHistory)-1], staleness.target)
 		}
 	}
 }
 
-// A counter that comes back empty again and again gives no slot to two gateways: simFleet.step checks it.
-func TestEmptiedCounterGivesNoSlotTwice(t *testing.T) {
+// Guards against two gateways holding one slot, which may come about if the counter repeatedly loses its entries.
+// simFleet.step checks the bound.
+func TestEmptiedCounterLeasesNoSlotTwice(t *testing.T) {
 	const staleGateways, seeds = 12, 40
 	outOfService := 0 // gateways, summed over ticks
 	for seed := range uint64(seeds) {
-		f := newSimFleet(t, seed, faultyFleet)
+		f := newSimFleet(t, seed, faultTestGateways)
 		for index := range staleGateways {
 			f.gateways[index].agentCut = true
 		}
@@ -168,7 +170,7 @@
 	}
 }
 
-// outOfService is how many gateways are out of service.
+// outOfService returns how many gateways are out of service.
 func (f *simFleet) outOfService() (out int) {
 	for _, g := range f.gateways {
 		if g.outOfService {
--- a/internal/audit/machine_test.go
+++ b/internal/audit/machine_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// BenchmarkStep tells what one gateway's audit spends in one second: its ticks, 120 requests, and its calls, which are
-// answered at once.
+// BenchmarkStep measures the cost of one gateway's audit per second: its ticks, 120 requests, and its counter calls, which
+// are answered at once.
 func BenchmarkStep(b *testing.B) {
 	for _, gateways := range []int{30, 810} {
 		b.Run(fmt.Sprint(gateways), func(b *testing.B) {
@@ -27,7 +27,7 @@
 	}
 }
 
-// stepOneTick plays a tick with 12 requests.
+// stepOneTick simulates a tick with 12 requests.
 func stepOneTick(machine *Machine, now time.Duration) {
 	var events []Event
 	for range 12 {
--- a/internal/audit/pausecheck_test.go
+++ b/internal/audit/pausecheck_test.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// A gateway whose process was paused forwards nothing until it has heard from discovery, or its time for that is over.
-func TestPausedGatewayWaitsForItsList(t *testing.T) {
+// Guards against a gateway that forwards requests by an old list after its process was paused. It has to wait until it has
+// heard from discovery or the check's time limit is over.
+func TestPausedGatewayWaitsForDiscoveryOrTimeout(t *testing.T) {
 	for name, discoveryAnswers := range map[string]bool{"discovery answers": true, "discovery is silent": false} {
 		t.Run(name, func(t *testing.T) {
 			f := newSimFleet(t, 1, 5)
@@ -19,14 +20,14 @@
 			}
 			resumedAt := f.now
 			if !g.outOfService {
-				t.Fatal("it serves at once")
+				t.Fatal("the gateway is in service right after the pause")
 			}
 			for g.outOfService && f.now < resumedAt+2*pauseCheckTimeout {
 				f.step(0)
 			}
 			waited := f.now - resumedAt
 			if discoveryAnswers != (waited < time.Second) || waited > pauseCheckTimeout+time.Second {
-				t.Errorf("it served after %v", waited)
+				t.Errorf("the gateway was back in service after %v", waited)
 			}
 		})
 	}
--- a/internal/audit/settings_test.go
+++ b/internal/audit/settings_test.go
@@ -6,15 +6,15 @@
 	"testing"
 )
 
-// A setting that can't be used is named by the word that the operator wrote.
-func TestUnusableSettingsAreNamed(t *testing.T) {
-	usable := Settings{Gateways: 300, GatewayIndex: 1, CallsPerSecond: 830, Share: 0.05, CounterTimeout: callTimeout}
-	if err := usable.Check(); err != nil {
+// Guards against errors that do not identify the invalid setting by its name in the configuration.
+func TestInvalidSettingIsNamedInError(t *testing.T) {
+	valid := Settings{Gateways: 300, GatewayIndex: 1, CallsPerSecond: 830, Share: 0.05, CounterTimeout: callTimeout}
+	if err := valid.Check(); err != nil {
 		t.Error(err)
 	}
 	for _, c := range []struct {
 		setting, text string
-		spoil         func(*Settings)
+		invalidate    func(*Settings)
 	}{
 		{"peers-total", "gateways", func(s *Settings) { s.Gateways = 0 }},
 		{"rank", "rank", func(s *Settings) { s.GatewayIndex = 300 }},
@@ -23,12 +23,12 @@
 		{"specifics.counter-timeout-us", "time-out", func(s *Settings) { s.CounterTimeout = 0 }},
 		{"calls_per_second", "round", func(s *Settings) { s.Gateways = 3000 }},
 	} {
-		settings := usable
-		c.spoil(&settings)
-		var unusable *SettingsError
+		settings := valid
+		c.invalidate(&settings)
+		var settingsErr *SettingsError
 		err := settings.Check()
-		if !errors.As(err, &unusable) || unusable.Setting != c.setting || !strings.Contains(err.Error(), c.text) {
-			t.Errorf("%s: error %v", c.setting, err)
+		if !errors.As(err, &settingsErr) || settingsErr.Setting != c.setting || !strings.Contains(err.Error(), c.text) {
+			t.Errorf("%s: error %v, want one that contains %q", c.setting, err, c.text)
 		}
 	}
 }
--- a/internal/audit/simfleet_test.go
+++ b/internal/audit/simfleet_test.go
@@ -10,13 +10,13 @@
 const (
 	tick        = TickInterval
 	callTimeout = 50 * time.Millisecond       // of a counter call
-	simStart    = 1_800_000_000 * time.Second // all machines read one clock
-	maxDelay    = 15                          // ticks that an agent's updates may take
+	simStart    = 1_800_000_000 * time.Second // virtual time, shared by all machines
+	maxDelay    = 15                          // upper bound of an agent's delay, in ticks
 )
 
-// simFleet plays the machines of a fleet over a simulated discovery and a simulated counter, in virtual time. Each tick
-// checks what has to hold whatever happens: the bound on gateways out of service, and that nobody is called behind
-// without a quorum. What runs in each tick has no t.Helper: it would cost more than the tick.
+// simFleet simulates the machines of a fleet with a simulated discovery and a simulated counter, in virtual time. Each
+// tick checks the invariants: the bound on gateways out of service, and that no gateway is found behind without a quorum.
+// The methods that run in each tick do not call t.Helper, which would cost more than the tick itself.
 type simFleet struct {
 	t            testing.TB
 	rng          *rand.Rand
@@ -30,30 +30,30 @@
 	nextTick     []delayedEvent
 
 	counterSilent bool
-	callFaults    float64 // part of the calls that are lost, before or after they are added, or doubled
+	callFaults    float64 // fraction of the calls that are lost before or after they are added, or duplicated
 }
 
-// simGateway is a machine and what stands round it.
+// simGateway is a machine and the simulated state of its gateway.
 type simGateway struct {
 	machine       *Machine
 	events        []Event       // for the next Step
-	outOfService  bool          // as the machine wants it
-	agentCut      bool          // its agent brings nothing
-	agentDelay    time.Duration // of its agent's updates
-	counterCut    bool          // its calls to the counter are lost
-	pausedAt      time.Duration // when the process came to stand still
-	pausedUntil   time.Duration // 0: it runs
-	latestVersion int64         // that its agent has brought
+	outOfService  bool          // as requested by the machine
+	agentCut      bool          // the agent delivers no updates
+	agentDelay    time.Duration // of the agent's updates
+	counterCut    bool          // calls to the counter are lost
+	pausedAt      time.Duration // when the process was paused
+	pausedUntil   time.Duration // 0: the process is running
+	latestVersion int64         // delivered by the agent
 }
 
-// delayedEvent is an event of the next tick, for a gateway's process if that still runs.
+// delayedEvent is an event for the next tick. It is dropped if the gateway's process has been restarted by then.
 type delayedEvent struct {
 	gateway *simGateway
 	machine *Machine
 	event   Event
 }
 
-// simCounter is the counter's numbers.
+// simCounter simulates the counter's entries.
 type simCounter struct {
 	totals  map[uint64]float64
 	expires map[uint64]time.Duration
@@ -62,7 +62,7 @@
 
 func (c *simCounter) empty() { c.totals, c.expires = map[uint64]float64{}, map[uint64]time.Duration{} }
 
-// add carries a call out so many times, and returns the total.
+// add applies a call the given number of times, and returns the total.
 func (c *simCounter) add(now time.Duration, call AddToCounter, times int) float64 {
 	c.calls++
 	if now >= c.expires[call.Name] {
@@ -85,7 +85,7 @@
 	return f
 }
 
-// startGateway starts a gateway's process anew, with the list that it had in its configuration.
+// startGateway starts or restarts a gateway's process, with the list in its configuration.
 func (f *simFleet) startGateway(index int) {
 	f.t.Helper()
 	settings := f.settings
@@ -105,14 +105,14 @@
 	}
 }
 
-// advance lets time pass in which the list does not change.
+// advance simulates a duration in which the list does not change.
 func (f *simFleet) advance(duration time.Duration) {
 	for range duration / tick {
 		f.step(0)
 	}
 }
 
-// step plays one tick. Discovery's index grows by the number of changes.
+// step simulates one tick. Discovery's index grows by the number of changes.
 func (f *simFleet) step(changes int) {
 	f.now += tick
 	f.indexHistory = append(f.indexHistory, f.indexHistory[len(f.indexHistory)-1]+int64(changes))
@@ -124,25 +124,25 @@
 		f.resume(g)
 		f.deliverVersion(g)
 		f.stepGateway(index, g)
-		for len(g.events) > 0 { // answers that came at once
+		for len(g.events) > 0 { // results that arrived at once
 			f.stepGateway(index, g)
 		}
 	}
 	f.checkSlots()
 }
 
-// deliverDelayed hands over what was kept for this tick.
+// deliverDelayed delivers the events that were kept for this tick.
 func (f *simFleet) deliverDelayed() {
-	late := f.nextTick
+	delayed := f.nextTick
 	f.nextTick = nil
-	for _, l := range late {
-		if l.gateway.machine == l.machine {
-			l.gateway.events = append(l.gateway.events, l.event)
+	for _, d := range delayed {
+		if d.gateway.machine == d.machine {
+			d.gateway.events = append(d.gateway.events, d.event)
 		}
 	}
 }
 
-// resume ends the pause of a process whose time is over. The machine hears of it before all else.
+// resume ends the pause of a process that is due to run again. The machine receives this event before all others.
 func (f *simFleet) resume(g *simGateway) {
 	if g.pausedUntil > 0 {
 		g.events = append([]Event{ResumedAfterPause{f.now - g.pausedAt}}, g.events...)
@@ -150,7 +150,7 @@
 	}
 }
 
-// deliverVersion brings what the gateway's agent knows, if that is another version.
+// deliverVersion delivers the version that the gateway's agent knows, if it is another one.
 func (f *simFleet) deliverVersion(g *simGateway) {
 	known := f.pastIndex(g.agentDelay)
 	if !g.agentCut && known != g.latestVersion {
@@ -159,8 +159,8 @@
 	}
 }
 
-// pastIndex is discovery's index as it was so long ago. The history has an entry a tick, and one more where discovery
-// has started anew (makeFault): for as long as that one lies within the delay, the index is from a tick later.
+// pastIndex returns discovery's index as of the given delay ago. The history has one entry per tick, and an additional one
+// for each restart of discovery (injectFault): while that entry lies within the delay, the result is one tick too recent.
 func (f *simFleet) pastIndex(delay time.Duration) int64 {
 	return f.indexHistory[max(0, len(f.indexHistory)-1-int(delay/tick))]
 }
@@ -178,7 +178,7 @@
 	}
 }
 
-// carryOut carries an action out.
+// carryOut carries out an action of a gateway's machine.
 func (f *simFleet) carryOut(index int, g *simGateway, action Action) {
 	switch action := action.(type) {
 	case AddToCounter:
@@ -196,8 +196,8 @@
 	}
 }
 
-// call carries a counter call out, with the faults of the network. A result of Added comes at once, as a slow one would
-// make the audit back off.
+// call makes a counter call, subject to the simulated network faults. A result of Added arrives at once, because a slow
+// one would make the audit back off.
 func (f *simFleet) call(g *simGateway, call AddToCounter) {
 	fault := f.rng.Float64()
 	switch {
@@ -206,7 +206,7 @@
 		f.counter.add(f.now, call, 1)
 	default:
 		times := 1
-		if fault < f.callFaults { // the call is doubled
+		if fault < f.callFaults { // the call is duplicated
 			times = maxAddsPerVote
 		}
 		g.events = append(g.events, CounterResult{call.Call, Added, f.counter.add(f.now, call, times)})
@@ -224,32 +224,32 @@
 		}
 	}
 	if out > f.schedule.slots {
-		f.t.Fatalf("%v: %d gateways are out of service, %d may be", f.now-simStart, out, f.schedule.slots)
+		f.t.Fatalf("%v: %d gateways are out of service, want at most %d", f.now-simStart, out, f.schedule.slots)
 	}
 }
 
-// checkVerdict checks that a gateway is called behind only if a quorum has acted on that version.
+// checkVerdict checks that a gateway is found behind a version only if a quorum has acted on that version or a newer one.
 func (f *simFleet) checkVerdict(index int, step StepRecord) {
 	if step.Kind != StepBehind {
 		return
 	}
 	ahead := 0
-	for _, highest := range f.maxVersions {
-		if highest >= step.Target {
+	for _, newest := range f.maxVersions {
+		if newest >= step.Target {
 			ahead++
 		}
 	}
 	if ahead < quorumSize(f.settings.Gateways) {
-		f.t.Fatalf("gateway %d is called behind version %d, on which %d gateways have acted", index, step.Target, ahead)
+		f.t.Fatalf("gateway %d is found behind version %d, on which only %d gateways have acted", index, step.Target, ahead)
 	}
 }
 
-// stepNames returns the log's words of the steps that a gateway has recorded, in order.
-func stepNames(g *simGateway) (words []string) {
+// stepNames returns the log names of the steps that a gateway has recorded, in order.
+func stepNames(g *simGateway) (names []string) {
 	for _, record := range g.machine.Records() {
 		if step, ok := record.(StepRecord); ok {
-			words = append(words, step.Kind.String())
+			names = append(names, step.Kind.String())
 		}
 	}
-	return words
+	return names
 }
--- a/internal/audit/staleness_test.go
+++ b/internal/audit/staleness_test.go
@@ -8,9 +8,10 @@
 	"time"
 )
 
-// One gateway whose agent brings nothing is found, goes through the remedies, leaves service, and comes back once it has
-// caught up; nobody else is touched. The times are those of docs/AUDIT.md.
-func TestStaleGatewayLeavesServiceAndComesBack(t *testing.T) {
+// Guards against a gateway whose agent delivers nothing and that stays in service unnoticed, leaves service late or never
+// returns. It has to be found, go through the remedies, leave service, and return once it has caught up, while no other
+// gateway is affected. The time limits are those of docs/AUDIT.md.
+func TestStaleGatewayLeavesServiceAndReturnsOnceCaughtUp(t *testing.T) {
 	for _, gateways := range []int{5, 30, 300} {
 		t.Run(fmt.Sprint(gateways, " gateways"), func(t *testing.T) {
 			f := newSimFleet(t, 1, gateways)
@@ -19,60 +20,61 @@
 			}
 			window, epoch := f.schedule.window, f.schedule.epoch
 			f.advance(3 * window)
-			lost := f.gateways[2]
-			lost.agentCut = true
+			staleGateway := f.gateways[2]
+			staleGateway.agentCut = true
 			f.step(1) // the change that it misses
-			foundAfter, outAfter := f.timesUntilOut(lost)
-			t.Logf("window %v, found stale after %v, out of service after %v", window, foundAfter, outAfter)
+			foundAfter, outAfter := f.timesUntilOut(staleGateway)
+			t.Logf("window %v, first remedy after %v, out of service after %v", window, foundAfter, outAfter)
 			if bound := 3*window + behindTimeout + time.Second; foundAfter == 0 || foundAfter > bound {
-				t.Errorf("found stale after %v, not within %v", foundAfter, bound)
+				t.Errorf("first remedy after %v, want within %v", foundAfter, bound)
 			}
 			bound := 3*window + behindTimeout + watchTimeout + snapshotTimeout + 2*epoch + time.Second
 			if outAfter == 0 || outAfter > bound {
-				t.Errorf("out of service after %v, not within %v", outAfter, bound)
+				t.Errorf("out of service after %v, want within %v", outAfter, bound)
 			}
 
-			lost.agentCut = false
+			staleGateway.agentCut = false
 			f.advance(2*epoch + 10*time.Second)
 			want := "behind,watch reopened,list asked for,shut out,caught up,back in service"
-			if got := strings.Join(stepNames(lost), ","); got != want || lost.outOfService {
-				t.Errorf("steps %s; want %s", got, want)
+			if got := strings.Join(stepNames(staleGateway), ","); got != want || staleGateway.outOfService {
+				t.Errorf("steps %s, out of service %v; want %s, in service", got, staleGateway.outOfService, want)
 			}
 			for index, g := range f.gateways {
-				if g != lost && len(stepNames(g)) > 0 {
-					t.Errorf("gateway %d took steps %v", index, stepNames(g))
+				if g != staleGateway && len(stepNames(g)) > 0 {
+					t.Errorf("gateway %d recorded steps %v, want none", index, stepNames(g))
 				}
 			}
 		})
 	}
 }
 
-// timesUntilOut plays until a gateway is out of service, or should have been for long. It returns the times until its
-// first remedy and until then; 0: it did not come to it.
-func (f *simFleet) timesUntilOut(lost *simGateway) (foundAfter, outAfter time.Duration) {
+// timesUntilOut runs the simulation until a gateway is out of service, or until long after it should have been. It returns
+// the times until the gateway's first remedy and until it is out of service; 0: that did not happen.
+func (f *simFleet) timesUntilOut(staleGateway *simGateway) (foundAfter, outAfter time.Duration) {
 	f.t.Helper()
-	from := f.now
-	for f.now-from < 12*f.schedule.window+60*time.Second && outAfter == 0 {
+	start := f.now
+	for f.now-start < 12*f.schedule.window+60*time.Second && outAfter == 0 {
 		f.step(0)
-		if foundAfter == 0 && lost.machine.staleness.stage >= watchReopened {
-			foundAfter = f.now - from
+		if foundAfter == 0 && staleGateway.machine.staleness.stage >= watchReopened {
+			foundAfter = f.now - start
 		}
-		if lost.outOfService {
-			outAfter = f.now - from
+		if staleGateway.outOfService {
+			outAfter = f.now - start
 		}
 	}
 	return foundAfter, outAfter
 }
 
-// One stage, one trigger and one state of the slot lead to one stage: the order of the table's rows does not matter.
-func TestTransitionsAreUnambiguous(t *testing.T) {
-	for i, one := range transitions {
+// Guards against a transition table whose result depends on the order of its rows: each combination of a stage, a trigger
+// and holding a slot or not must match at most one row.
+func TestTransitionTableMatchesAtMostOneRow(t *testing.T) {
+	for i, row := range transitions {
 		for _, other := range transitions[i+1:] {
-			sameSlot := slices.ContainsFunc([]bool{true, false}, func(held bool) bool {
-				return one.guard.allows(held) && other.guard.allows(held)
+			sameSlotState := slices.ContainsFunc([]bool{true, false}, func(held bool) bool {
+				return row.guard.allows(held) && other.guard.allows(held)
 			})
-			if one.from == other.from && one.trigger == other.trigger && sameSlot {
-				t.Errorf("stage %d and trigger %d lead to stages %d and %d", one.from, one.trigger, one.to, other.to)
+			if row.from == other.from && row.trigger == other.trigger && sameSlotState {
+				t.Errorf("stage %d with trigger %d leads to both stages %d and %d", row.from, row.trigger, row.to, other.to)
 			}
 		}
 	}
--- a/internal/audit/versions_test.go
+++ b/internal/audit/versions_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// At 100 changes a second the lines on the log stay bounded, and the records count each change.
-func TestFastChangesAreRecordedTogether(t *testing.T) {
+// Guards against fast changes that flood the log: at 100 changes per second the number of lines stays bounded, and the
+// records still count every change.
+func TestFastChangesAreMergedIntoFewRecords(t *testing.T) {
 	const updates, interval = 1000, 10 * time.Millisecond
 	f := newSimFleet(t, 1, 5)
 	machine := f.gateways[0].machine
@@ -28,9 +29,9 @@
 	}
 	current := machine.versions.current
 	if lines > 50 || changes+current.Changes != updates {
-		t.Errorf("%d lines, %d changes", lines, changes+current.Changes)
+		t.Errorf("%d lines, want at most 50; %d changes, want %d", lines, changes+current.Changes, updates)
 	}
 	if current.FirstRequest == "" || current.Version != 2999 {
-		t.Errorf("the last record is %+v", current)
+		t.Errorf("the last record is %+v, want version 2999 with a first request", current)
 	}
 }
