--- a/internal/audit/machine.go
+++ b/internal/audit/machine.go
@@ -19,7 +19,7 @@
 	staleness    *staleness
 	slotLease    *slotLease
 	pauseCheck   *pauseCheck
-	outOfService bool // as last told to the gateway
+	outOfService bool // last state requested of the gateway
 }
 
 // New returns a Machine that has no version yet. The seed initializes its random numbers. The error is a *SettingsError.
--- a/internal/audit/pausecheck.go
+++ b/internal/audit/pausecheck.go
@@ -10,8 +10,9 @@
 	pauseCheckWindows = 2
 )
 
-// pauseCheck is the check of a gateway whose process was paused. The gateway is out of service until it has heard from
-// discovery and, if the counter answers, from the fleet. docs/AUDIT.md, "A gateway whose process was paused".
+// pauseCheck is the check of a gateway whose process was paused. The gateway is out of service until discovery has sent the
+// whole list and the counter calls that look for a quorum ahead have ended, or until the check times out. docs/AUDIT.md,
+// "A gateway whose process was paused".
 type pauseCheck struct {
 	step      *stepContext
 	schedule  schedule
--- a/internal/audit/pausecheck_test.go
+++ b/internal/audit/pausecheck_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Guards against a gateway that forwards requests by an old list after its process was paused. It has to wait until it has
-// heard from discovery or the check's time limit is over.
+// Guards against a gateway that forwards requests by an old list after its process was paused. It has to wait until
+// discovery has answered or the check has timed out.
 func TestPausedGatewayWaitsForDiscoveryOrTimeout(t *testing.T) {
 	for name, discoveryAnswers := range map[string]bool{"discovery answers": true, "discovery is silent": false} {
 		t.Run(name, func(t *testing.T) {
--- a/internal/audit/tally_test.go
+++ b/internal/audit/tally_test.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// Guards against versions that are decoded as others: a total has fewer digits than a version, and stands for the version
-// that is nearest to the reader's own.
+// Guards against versions that are decoded wrongly: a version may have more digits than a total, so it has to be decoded as
+// the matching version nearest to the reader's own.
 func TestEncodedVersionIsDecodedNearReadersVersion(t *testing.T) {
 	for _, near := range []int64{0, 1, 500, maxExactTotal - 1, maxExactTotal, 123_456_789_012} {
 		for _, ahead := range []int64{-1000, -1, 0, 1, 1571, 4_000_000} {
