--- a/internal/fleettest/simulated.go
+++ b/internal/fleettest/simulated.go
@@ -157,7 +157,7 @@
 		}
 		g.ready.Store(true)
 		g.idle.Store(g.arrivals.left == 0 && len(g.requests) == 0)
-		alarm.Reset(g.timers.Wait(g.fleet.now()))
+		alarm.Reset(g.timers.TimeUntilNext(g.fleet.now()))
 		select {
 		case <-ctx.Done():
 			return
@@ -179,7 +179,7 @@
 // runTimers runs what is due.
 func (g *simulatedGateway) runTimers() {
 	now := g.fleet.now()
-	if late := g.timers.Late(now); late > 0 {
+	if late := g.timers.Lateness(now); late > 0 {
 		g.fleet.lateness.record(late)
 	}
 	g.timers.Run(now)
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -168,7 +168,7 @@
 
 // waitTime is how long the loop may wait for a task.
 func (server *Server) waitTime(ending shutdown) time.Duration {
-	wait := server.timers.Wait(server.now())
+	wait := server.timers.TimeUntilNext(server.now())
 	if ending.begun() {
 		wait = min(wait, shutdownPollTime)
 	}
--- a/internal/timerqueue/timerqueue.go
+++ b/internal/timerqueue/timerqueue.go
@@ -36,16 +36,16 @@
 	}
 }
 
-// Wait is the time until the first timer is due; an hour where there is none.
-func (queue *Queue) Wait(now time.Duration) time.Duration {
+// TimeUntilNext is the time until the first timer is due; an hour where there is none.
+func (queue *Queue) TimeUntilNext(now time.Duration) time.Duration {
 	if len(queue.timers) == 0 {
 		return time.Hour
 	}
 	return max(0, queue.timers[0].at-now)
 }
 
-// Late is how long the first timer has been due; below 0 where it is not yet, 0 where there is none.
-func (queue *Queue) Late(now time.Duration) time.Duration {
+// Lateness is how long the first timer has been due; below 0 where it is not yet, 0 where there is none.
+func (queue *Queue) Lateness(now time.Duration) time.Duration {
 	if len(queue.timers) == 0 {
 		return 0
 	}
--- a/internal/timerqueue/timerqueue_test.go
+++ b/internal/timerqueue/timerqueue_test.go
@@ -11,8 +11,8 @@
 	var queue Queue
 	var got []int
 	add := func(at int) *Timer { return queue.Add(time.Duration(at), func() { got = append(got, at) }) }
-	if queue.Wait(5) != time.Hour || queue.Late(5) != 0 {
-		t.Errorf("an empty queue: wait %v, late %v", queue.Wait(5), queue.Late(5))
+	if queue.TimeUntilNext(5) != time.Hour || queue.Lateness(5) != 0 {
+		t.Errorf("empty queue: TimeUntilNext = %v, Lateness = %v", queue.TimeUntilNext(5), queue.Lateness(5))
 	}
 	third := add(3)
 	add(2)
@@ -21,12 +21,12 @@
 	queue.Stop(third)
 	queue.Stop(third)
 	queue.Stop(nil)
-	if wait := queue.Wait(0); wait != 1 {
+	if wait := queue.TimeUntilNext(0); wait != 1 {
 		t.Errorf("the first is due in %d", wait)
 	}
 	queue.Run(3)
 	queue.Stop(first)
-	if !slices.Equal(got, []int{1, 2}) || queue.Wait(9) != 0 || queue.Late(9) != 5 {
+	if !slices.Equal(got, []int{1, 2}) || queue.TimeUntilNext(9) != 0 || queue.Lateness(9) != 5 {
 		t.Errorf("ran %v", got)
 	}
 }
@@ -64,8 +64,8 @@
 	})
 	stopped = queue.Add(3, func() { t.Error("a stopped timer ran") })
 	queue.Run(4)
-	if stops != 1 || queue.Wait(4) != time.Hour {
-		t.Errorf("%d stops, the next is due in %v", stops, queue.Wait(4))
+	if stops != 1 || queue.TimeUntilNext(4) != time.Hour {
+		t.Errorf("%d stops, the next is due in %v", stops, queue.TimeUntilNext(4))
 	}
 }
 
