--- a/internal/timerqueue/timerqueue.go
+++ b/internal/timerqueue/timerqueue.go
@@ -1,4 +1,4 @@
-// Package timerqueue keeps tasks that are due at some time, for the one goroutine that owns them and their clock.
+// Package timerqueue implements a priority queue of timers for a single goroutine that has its own clock.
 package timerqueue
 
 import (
@@ -6,37 +6,37 @@
 	"time"
 )
 
-// Timer is a task for later.
+// Timer is a task scheduled for a given time.
 type Timer struct {
-	at     time.Duration // on the owner's clock
-	number uint64        // in the order of Add
-	task   func()
-	index  int // in the heap; -1: no longer there
+	at       time.Duration // on the owner's clock
+	sequence uint64        // increases with each Add
+	task     func()
+	index    int // in the heap; -1 once removed
 }
 
-// Queue holds timers, the first that is due on top. The zero value is empty. It is not safe for concurrent use.
+// Queue is a queue of timers ordered by due time. The zero value is an empty queue. It is not safe for concurrent use.
 type Queue struct {
-	timers timerHeap
-	last   uint64 // number of the timer added last
+	timers       timerHeap
+	lastSequence uint64 // of the timer added last
 }
 
-// Add adds a task that is due at a time on the owner's clock. Tasks that are due at the same time run in no fixed
-// order.
+// Add schedules a task for the time at on the owner's clock. The order of tasks that are due at the same time is
+// unspecified.
 func (queue *Queue) Add(at time.Duration, task func()) *Timer {
-	queue.last++
-	timer := &Timer{at: at, number: queue.last, task: task}
+	queue.lastSequence++
+	timer := &Timer{at: at, sequence: queue.lastSequence, task: task}
 	heap.Push(&queue.timers, timer)
 	return timer
 }
 
-// Stop takes a timer back; nil or one that has run is passed over.
+// Stop removes a timer from the queue. It does nothing if timer is nil, has run or has been stopped.
 func (queue *Queue) Stop(timer *Timer) {
 	if timer != nil && timer.index >= 0 {
 		heap.Remove(&queue.timers, timer.index)
 	}
 }
 
-// TimeUntilNext is the time until the first timer is due; an hour where there is none.
+// TimeUntilNext returns the time until the next timer is due: 0 if one is due already, an hour if the queue is empty.
 func (queue *Queue) TimeUntilNext(now time.Duration) time.Duration {
 	if len(queue.timers) == 0 {
 		return time.Hour
@@ -44,7 +44,8 @@
 	return max(0, queue.timers[0].at-now)
 }
 
-// Lateness is how long the first timer has been due; below 0 where it is not yet, 0 where there is none.
+// Lateness returns how long the next timer has been overdue. It is negative if that timer is not due yet, and 0 if the
+// queue is empty.
 func (queue *Queue) Lateness(now time.Duration) time.Duration {
 	if len(queue.timers) == 0 {
 		return 0
@@ -52,12 +53,13 @@
 	return now - queue.timers[0].at
 }
 
-// Run runs what is due, in the order of the times, until it comes to a task that was added meanwhile. That one, and all
-// that is due behind it, is left for the next Run, so that tasks which add others always come to an end.
+// Run runs the tasks that are due, in order of due time. It stops at the first task that was added during this Run, and
+// leaves that one and all later ones to the next Run. Run therefore returns even if tasks keep adding others that are
+// due at once.
 func (queue *Queue) Run(now time.Duration) {
-	for last := queue.last; len(queue.timers) > 0; {
+	for lastBeforeRun := queue.lastSequence; len(queue.timers) > 0; {
 		first := queue.timers[0]
-		if first.at > now || first.number > last {
+		if first.at > now || first.sequence > lastBeforeRun {
 			return
 		}
 		heap.Pop(&queue.timers)
@@ -65,7 +67,7 @@
 	}
 }
 
-// timerHeap is a heap.Interface with the timer that is due first on top.
+// timerHeap implements heap.Interface as a min-heap by due time.
 type timerHeap []*Timer
 
 func (h timerHeap) Len() int           { return len(h) }
--- a/internal/timerqueue/timerqueue_test.go
+++ b/internal/timerqueue/timerqueue_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Timers run in the order of their times, a stopped one not at all, and one that has run can be stopped.
-func TestTimers(t *testing.T) {
+// Timers run in order of due time and stopped timers don't run. Stop accepts nil and timers that have run or have been
+// stopped.
+func TestTimersRunInOrderUnlessStopped(t *testing.T) {
 	var queue Queue
 	var got []int
 	add := func(at int) *Timer { return queue.Add(time.Duration(at), func() { got = append(got, at) }) }
@@ -22,18 +23,19 @@
 	queue.Stop(third)
 	queue.Stop(nil)
 	if wait := queue.TimeUntilNext(0); wait != 1 {
-		t.Errorf("the first is due in %d", wait)
+		t.Errorf("TimeUntilNext(0) = %d, want 1", wait)
 	}
 	queue.Run(3)
 	queue.Stop(first)
 	if !slices.Equal(got, []int{1, 2}) || queue.TimeUntilNext(9) != 0 || queue.Lateness(9) != 5 {
-		t.Errorf("ran %v", got)
+		t.Errorf("timers run: %v, want [1 2]; TimeUntilNext(9) = %v, want 0; Lateness(9) = %v, want 5",
+			got, queue.TimeUntilNext(9), queue.Lateness(9))
 	}
 }
 
-// A task that adds itself again at once does not hold up the caller: it runs once in each Run. What it adds is due before
-// the others, so these are left for a next Run each time, and neither of them comes to run.
-func TestTaskThatAddsItselfRunsOnceInEachRun(t *testing.T) {
+// A task that adds itself again, due at once, must not keep Run from returning: it runs once in each Run. Because the
+// added task is due before the other timers, each Run stops there, and those timers never run.
+func TestSelfAddingTaskRunsOncePerRun(t *testing.T) {
 	var queue Queue
 	runs := 0
 	var again func()
@@ -44,17 +46,17 @@
 	queue.Add(1, again)
 	var stopped *Timer
 	queue.Add(2, func() { queue.Stop(stopped) })
-	stopped = queue.Add(3, func() { t.Error("a stopped timer ran") })
+	stopped = queue.Add(3, func() { t.Error("a timer behind the added task ran") })
 	for range 3 {
 		queue.Run(4)
 	}
 	if runs != 3 {
-		t.Errorf("%d runs in three", runs)
+		t.Errorf("the task ran %d times in 3 Runs", runs)
 	}
 }
 
-// A task may stop another one that is due in the same Run.
-func TestTaskStopsAnotherThatIsDue(t *testing.T) {
+// A task can stop another timer that is due in the same Run.
+func TestTaskStopsAnotherDueTimer(t *testing.T) {
 	var queue Queue
 	stops := 0
 	var stopped *Timer
@@ -65,12 +67,12 @@
 	stopped = queue.Add(3, func() { t.Error("a stopped timer ran") })
 	queue.Run(4)
 	if stops != 1 || queue.TimeUntilNext(4) != time.Hour {
-		t.Errorf("%d stops, the next is due in %v", stops, queue.TimeUntilNext(4))
+		t.Errorf("%d calls of Stop, want 1; TimeUntilNext(4) = %v, want 1h", stops, queue.TimeUntilNext(4))
 	}
 }
 
-// What is due behind a task that was added in a Run is left for the next one.
-func TestTaskAddedMeanwhileEndsTheRun(t *testing.T) {
+// Run stops at a task that was added during it: that task and all later ones run in the next Run.
+func TestTaskAddedDuringRunWaitsForNextRun(t *testing.T) {
 	var queue Queue
 	var got []int
 	add := func(at int, task func()) {
@@ -83,9 +85,9 @@
 	add(1, func() { add(2, none) })
 	add(3, none)
 	if queue.Run(4); !slices.Equal(got, []int{1}) {
-		t.Errorf("the first Run ran %v", got)
+		t.Errorf("the first Run ran %v, want [1]", got)
 	}
 	if queue.Run(4); !slices.Equal(got, []int{1, 2, 3}) {
-		t.Errorf("both Runs ran %v", got)
+		t.Errorf("two Runs ran %v, want [1 2 3]", got)
 	}
 }
