--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -1,8 +1,9 @@
-// Package logsink keeps a program from waiting for whoever reads its log.
+// Package logsink keeps a program from blocking on its log.
 //
-// Failure: the log goes to a pipe that nobody reads, and is full. How it shows: whoever logs waits for ever, the
-// gateway's event loop among them, so nothing is answered. Why this holds: lines are taken into a bounded buffer and
-// written by a goroutine of its own; what does not fit is dropped, and the log says how many lines that were.
+// If the log goes to a pipe whose reader has stopped, the pipe fills up and each write to it blocks for ever. A
+// goroutine that logs then hangs, and if it is the gateway's event loop, no request is answered any more. A Writer
+// therefore buffers lines up to a bound and writes them from its own goroutine. Lines that don't fit are dropped, and
+// the log reports how many.
 package logsink
 
 import (
@@ -12,30 +13,30 @@
 	"time"
 )
 
-// maxPendingBytes is how many bytes may wait for the reader of the log; further lines are dropped and counted.
+// maxPendingBytes limits the bytes that wait to be written; further lines are dropped and counted.
 const maxPendingBytes = 1 << 20
 
-// Writer hands lines to another writer from a goroutine of its own, so that Write never waits.
+// Writer passes lines on to another writer from its own goroutine, so that Write never blocks on it.
 type Writer struct {
-	to   io.Writer
-	done chan struct{} // closed once all is written after Close
+	dest io.Writer
+	done chan struct{} // closed once everything has been written after Close
 
 	mu        sync.Mutex // guards the fields below
-	workOrEnd *sync.Cond // there is something to write, or it is to end
+	workReady *sync.Cond // signalled when there is something to write or closing is set
 	pending   []byte     // lines to be written
-	dropped   int        // lines that did not fit, since the log last told of them
+	dropped   int        // lines dropped since the log last reported them
 	closing   bool
 }
 
-// New returns a Writer to another writer. Its goroutine ends after Close, unless the other writer never returns.
-func New(to io.Writer) *Writer {
-	writer := &Writer{to: to, done: make(chan struct{})}
-	writer.workOrEnd = sync.NewCond(&writer.mu)
+// New returns a Writer that writes to dest. Its goroutine ends after Close, unless a write to dest blocks for ever.
+func New(dest io.Writer) *Writer {
+	writer := &Writer{dest: dest, done: make(chan struct{})}
+	writer.workReady = sync.NewCond(&writer.mu)
 	go writer.run()
 	return writer
 }
 
-// Write takes a line, or drops it whole where too much waits already. It never fails.
+// Write buffers a line, or drops the whole line if the buffer has no room for it. It never fails.
 func (writer *Writer) Write(line []byte) (int, error) {
 	writer.mu.Lock()
 	defer writer.mu.Unlock()
@@ -44,15 +45,15 @@
 		return len(line), nil
 	}
 	writer.pending = append(writer.pending, line...)
-	writer.workOrEnd.Signal()
+	writer.workReady.Signal()
 	return len(line), nil
 }
 
-// Close lets what waits be written, for the timeout at most. What is written afterwards may be lost.
+// Close waits until the buffered lines are written, at most for the timeout. Lines written after Close may be lost.
 func (writer *Writer) Close(timeout time.Duration) {
 	writer.mu.Lock()
 	writer.closing = true
-	writer.workOrEnd.Signal()
+	writer.workReady.Signal()
 	writer.mu.Unlock()
 	select {
 	case <-writer.done:
@@ -60,24 +61,25 @@
 	}
 }
 
-// run writes what waits until the end.
+// run writes the buffered lines until the Writer is closed and the buffer is empty.
 func (writer *Writer) run() {
 	defer close(writer.done)
 	for {
-		lines, more := writer.next()
-		if !more {
+		lines, ok := writer.takePending()
+		if !ok {
 			return
 		}
-		writer.to.Write(lines) // there is nowhere to tell of an error
+		writer.dest.Write(lines) // an error can't be reported: dest is the log
 	}
 }
 
-// next waits for lines. It says whether there were any before the end.
-func (writer *Writer) next() (lines []byte, more bool) {
+// takePending waits for lines and removes them from the buffer. A report of dropped lines counts as a line. ok is false
+// if the Writer is closed and nothing is left to write.
+func (writer *Writer) takePending() (lines []byte, ok bool) {
 	writer.mu.Lock()
 	defer writer.mu.Unlock()
 	for len(writer.pending) == 0 && writer.dropped == 0 && !writer.closing {
-		writer.workOrEnd.Wait()
+		writer.workReady.Wait()
 	}
 	lines, writer.pending = writer.pending, nil
 	if writer.dropped > 0 {
--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -8,13 +8,14 @@
 	"time"
 )
 
-// testTimeout bounds every wait; none is expected to take a noticeable part of it.
+// testTimeout bounds every wait in these tests; each normally takes a small fraction of it.
 const testTimeout = 20 * time.Second
 
-// Nobody reads: every Write returns all the same, memory is bounded, and what was dropped is told once somebody reads.
-func TestWriteNeverWaits(t *testing.T) {
-	reads, writes := io.Pipe()
-	writer := New(writes)
+// While nobody reads the destination, Write returns at once, the buffer stays within its limit and further lines are
+// dropped. Once somebody reads, the log reports the dropped lines.
+func TestWriteNeverBlocksAndReportsDroppedLines(t *testing.T) {
+	pipeReader, pipeWriter := io.Pipe()
+	writer := New(pipeWriter)
 	line := []byte(strings.Repeat("x", 1023) + "\n")
 	const lines = 3 * maxPendingBytes / 1024
 	for range lines {
@@ -22,32 +23,33 @@
 	}
 	writer.mu.Lock()
 	if len(writer.pending) > maxPendingBytes || writer.dropped == 0 {
-		t.Errorf("%d bytes wait, %d lines dropped", len(writer.pending), writer.dropped)
+		t.Errorf("%d bytes pending, want at most %d; %d lines dropped, want some",
+			len(writer.pending), maxPendingBytes, writer.dropped)
 	}
 	writer.mu.Unlock()
 	got := make(chan []byte)
 	go func() {
-		all, _ := io.ReadAll(reads)
+		all, _ := io.ReadAll(pipeReader)
 		got <- all
 	}()
 	writer.Close(testTimeout)
-	writes.Close()
+	pipeWriter.Close()
 	if all := <-got; bytes.Count(all, line) == 0 || !bytes.Contains(all, []byte("log lines dropped")) {
-		t.Errorf("%d bytes were written", len(all))
+		t.Errorf("the %d bytes written lack the lines or the report of dropped lines", len(all))
 	}
 }
 
-// What waits at the end is written, but nobody waits for a reader that never comes.
-func TestClose(t *testing.T) {
+// Close writes the buffered lines, but returns after its timeout if the destination blocks.
+func TestCloseFlushesOrTimesOut(t *testing.T) {
 	var all bytes.Buffer
 	writer := New(&all)
-	io.WriteString(writer, "last words\n")
+	io.WriteString(writer, "last line\n")
 	writer.Close(testTimeout)
-	if all.String() != "last words\n" {
-		t.Errorf("wrote %q", all.String())
+	if all.String() != "last line\n" {
+		t.Errorf("got %q, want %q", all.String(), "last line\n")
 	}
-	_, stuck := io.Pipe()
-	writer = New(stuck)
+	_, blocked := io.Pipe()
+	writer = New(blocked)
 	io.WriteString(writer, "never read\n")
 	writer.Close(time.Millisecond)
 }
