--- a/internal/resp/reader.go
+++ b/internal/resp/reader.go
@@ -1,11 +1,11 @@
-// Package resp reads RESP2 messages from a peer that is not trusted: a client's commands and a backend's answers.
+// Package resp reads RESP2 messages from untrusted peers: commands from clients and replies from backends.
 //
-// Redcon's parser does the decoding, but it takes any length that the other side names, and it can't tell a message
-// that is not complete yet from one that never will be. So a Reader first finds the frame of a message, checks it
-// against its limits (PROTOCOL-bellwood: values of at most 64 KiB) and takes memory only for bytes that have come.
+// Redcon's parser decodes the messages, but it accepts any length that the peer announces, and it can't tell an
+// incomplete message from an invalid one. A Reader therefore finds the end of a message itself, enforces the limits
+// below (PROTOCOL-bellwood: values of at most 64 KiB) and allocates memory only for bytes that have arrived.
 //
-// The emulator of clients and backends (internal/emulator) has a parser of its own, on purpose: one that was shared
-// with the gateway would make the same mistake on both sides of a test, and the mistake would not show.
+// The emulator of clients and backends (internal/emulator) deliberately has its own parser: with a shared one, a parsing
+// error would occur on both sides of a test and stay undetected.
 package resp
 
 import (
@@ -17,49 +17,49 @@
 	"github.com/tidwall/redcon"
 )
 
-// Limits of what a Reader takes.
+// Limits on messages and buffers.
 const (
 	MaxValueBytes   = 64 << 10              // of a bulk string
-	MaxMessageBytes = MaxValueBytes + 8<<10 // of a whole command or answer
-	BufferBytes     = 4 << 10               // of a reader's buffer, but for messages that don't fit into it
-	maxArrayItems   = 64                    // a command has at most 5, an answer 3
-	maxArrayDepth   = 2                     // an array within an array, as redcon gives them
-	maxLengthBytes  = 32                    // of the line that gives a length or a count
-	maxLineBytes    = 4 << 10               // of a line that is a value by itself
+	MaxMessageBytes = MaxValueBytes + 8<<10 // of a whole command or reply
+	BufferBytes     = 4 << 10               // initial size of a Reader's buffer, which grows only for longer messages
+	maxArrayItems   = 64                    // a command has at most 5 items, a reply 3
+	maxArrayDepth   = 2                     // an array may contain arrays, which redcon parses as well
+	maxLengthBytes  = 32                    // of the header line of a bulk string or an array
+	maxLineBytes    = 4 << 10               // of a simple string, an error or an integer
 )
 
-// ErrMalformed says that what came is no RESP message within the limits, and can't become one. The stream can't be
-// read any further, as the beginning of the next message is not known.
+// ErrMalformed means that the input is not a RESP message within the limits, and that no further input can make it one.
+// Nothing more can be read from the stream, as the start of the next message is unknown.
 var ErrMalformed = errors.New("malformed RESP")
 
-// ErrNoMemory says that the Memory of a Reader granted nothing for a message longer than its buffer. The message
-// stays where it is: Next or Fill may be tried again.
+// ErrNoMemory means that the Reader's MemoryBudget refused the bytes for a message longer than its buffer. What has been
+// read of the message stays buffered, so Next or Fill can be retried.
 var ErrNoMemory = errors.New("no memory left for a message")
 
-// Memory is a bound on the bytes that several Readers hold together. It must be safe for use by several goroutines.
-type Memory interface {
-	// Reserve holds n more bytes and returns true, or holds none and returns false.
+// MemoryBudget limits the total buffer memory of several Readers. Implementations must be safe for concurrent use.
+type MemoryBudget interface {
+	// Reserve reserves n bytes and returns true, or returns false and reserves nothing.
 	Reserve(n int64) bool
-	// Release gives back n bytes of those reserved.
+	// Release returns n reserved bytes to the budget.
 	Release(n int64)
 }
 
-// Reader reads whole messages from a stream. One goroutine at a time may use it; nothing of it locks.
+// Reader reads whole messages from a stream. It is not safe for concurrent use.
 type Reader struct {
 	source   io.Reader
-	memory   Memory // for what goes beyond BufferBytes; nil: unbounded
+	budget   MemoryBudget // for buffer memory beyond BufferBytes; nil: unlimited
 	buffer   []byte
-	consumed int // bytes at the beginning of buffer that Next has returned
+	consumed int // bytes at the start of buffer that Next has returned
 }
 
-// NewReader returns a Reader of a stream. It takes what it needs beyond BufferBytes from memory, which may be nil:
-// then nothing is asked, and MaxMessageBytes alone bounds it. Release gives it back.
-func NewReader(source io.Reader, memory Memory) *Reader {
-	return &Reader{source: source, memory: memory}
+// NewReader returns a Reader of source. It reserves buffer memory beyond BufferBytes from budget until Release. If
+// budget is nil, only MaxMessageBytes limits the buffer.
+func NewReader(source io.Reader, budget MemoryBudget) *Reader {
+	return &Reader{source: source, budget: budget}
 }
 
-// Next returns the next message and waits for it as long as the stream does. The bytes of the message are good until
-// the next call of Next, Fill or Release. The error is ErrMalformed, ErrNoMemory, or that of the stream as it stands.
+// Next returns the next message, and blocks until it is complete. The message's bytes are valid until the next call of
+// Next, Fill or Release. The error is ErrMalformed, ErrNoMemory or the unchanged error of the stream.
 func (r *Reader) Next() (redcon.RESP, error) {
 	for {
 		length, err := frameLength(r.Buffered(), maxArrayDepth)
@@ -83,15 +83,15 @@
 	}
 }
 
-// Fill reads once from the stream, without looking at what came. It may be called while ReadAheadLeft is above 0.
-// The error is ErrNoMemory, or that of the stream where no byte came with it.
+// Fill reads once from the stream into the buffer, without parsing. It may be called only while ReadAheadLeft is above 0.
+// The error is ErrNoMemory, or the stream's error if the read returned no bytes.
 func (r *Reader) Fill() error {
 	if r.consumed > 0 {
 		r.buffer = r.buffer[:copy(r.buffer, r.Buffered())]
 		r.consumed = 0
 	}
 	switch {
-	case len(r.buffer) == 0 && cap(r.buffer) != BufferBytes: // also gives back what a long message took
+	case len(r.buffer) == 0 && cap(r.buffer) != BufferBytes: // also releases the larger buffer of a long message
 		r.Release()
 		r.buffer = make([]byte, 0, BufferBytes)
 	case len(r.buffer) == cap(r.buffer):
@@ -107,36 +107,36 @@
 	return nil
 }
 
-// grow moves what the buffer holds into one of up to twice its size.
+// grow doubles the buffer's capacity, up to MaxMessageBytes.
 func (r *Reader) grow() error {
 	size := min(2*cap(r.buffer), MaxMessageBytes)
-	if r.memory != nil && !r.memory.Reserve(int64(size-cap(r.buffer))) {
+	if r.budget != nil && !r.budget.Reserve(int64(size-cap(r.buffer))) {
 		return ErrNoMemory
 	}
 	r.buffer = append(make([]byte, 0, size), r.buffer...)
 	return nil
 }
 
-// Buffered returns the bytes that have been read and that Next has not returned yet. They are good until the next
-// call of Next, Fill or Release.
+// Buffered returns the bytes that have been read but not yet returned by Next. They are valid until the next call of
+// Next, Fill or Release.
 func (r *Reader) Buffered() []byte { return r.buffer[r.consumed:] }
 
-// Partial tells whether bytes of a further message have been read.
+// Partial reports whether bytes of a further message are buffered.
 func (r *Reader) Partial() bool { return len(r.Buffered()) > 0 }
 
-// ReadAheadLeft is how many bytes may still be read ahead of what Next has returned; at 0 Fill has no place left.
+// ReadAheadLeft returns how many more bytes can be buffered ahead of Next. At 0 there is no room left for Fill.
 func (r *Reader) ReadAheadLeft() int { return MaxMessageBytes - len(r.Buffered()) }
 
-// Release drops the buffer with what is in it and gives back its memory. The Reader may be used again.
+// Release discards the buffer with its contents and returns its memory to the budget. The Reader can be used again.
 func (r *Reader) Release() {
-	if r.memory != nil && cap(r.buffer) > BufferBytes {
-		r.memory.Release(int64(cap(r.buffer) - BufferBytes))
+	if r.budget != nil && cap(r.buffer) > BufferBytes {
+		r.budget.Release(int64(cap(r.buffer) - BufferBytes))
 	}
 	r.buffer, r.consumed = nil, 0
 }
 
-// frameLength returns the length of the first message in b, 0 if it is not complete yet. It rejects what can't become
-// a message within the limits before memory is taken for it. Arrays may stand in each other as deep as maxDepth.
+// frameLength returns the length of the first message in b, or 0 if it is incomplete. It rejects input that can't become
+// a message within the limits before any memory is allocated for it. Arrays may be nested up to maxDepth.
 func frameLength(b []byte, maxDepth int) (int, error) {
 	lineLength, err := headerLength(b)
 	if lineLength == 0 || err != nil {
@@ -152,7 +152,7 @@
 	return lineLength, nil
 }
 
-// headerLength returns the length of the line that a message begins with, its end included; 0 if that has not come.
+// headerLength returns the length of a message's first line, including CRLF, or 0 if the line is incomplete.
 func headerLength(b []byte) (int, error) {
 	if len(b) == 0 {
 		return 0, nil
@@ -177,8 +177,8 @@
 	return newline + 1, nil
 }
 
-// bulkLength returns the length of a bulk string whose first line has the length lineLength and names a size; 0 if
-// it is not complete yet. The size -1 stands for no value.
+// bulkLength returns the length of the bulk string at the start of b, whose first line has the length lineLength and
+// announces sizeText bytes. It returns 0 if the string is incomplete. A size of -1 means a null bulk string.
 func bulkLength(b []byte, lineLength int, sizeText string) (int, error) {
 	size, err := strconv.Atoi(sizeText)
 	end := lineLength + size
@@ -195,8 +195,8 @@
 	return end + len("\r\n"), nil
 }
 
-// arrayLength returns the length of an array whose first line has the length lineLength and names a count of items; 0
-// if it is not complete yet. The count -1 stands for no array.
+// arrayLength returns the length of the array at the start of b, whose first line has the length lineLength and
+// announces countText items. It returns 0 if the array is incomplete. A count of -1 means a null array.
 func arrayLength(b []byte, lineLength int, countText string, maxDepth int) (int, error) {
 	count, err := strconv.Atoi(countText)
 	if err != nil || count < -1 || count > maxArrayItems || maxDepth == 0 {
