--- a/internal/simprotocol/doc.go
+++ b/internal/simprotocol/doc.go
@@ -1,16 +1,17 @@
-// Package simprotocol is the edge between the simulator and the engine (policy.Engine): it parses the line protocol
-// of WIRE-bellwood into the events and settings of package policy, and prints policy's actions as lines. It decides nothing.
+// Package simprotocol connects the simulator to the engine (policy.Engine). It parses the line protocol of WIRE-bellwood
+// into the events and settings of package policy, and formats policy's actions as protocol lines. It makes no decisions.
 //
-// The protocol and the settings have words of their own (worth, aim, effect, keyed, HAND_OFF, ...). They stand in this
-// package and nowhere else in the program; docs/GLOSSARY.md sets them beside the program's terms. An instance, the
-// protocol's word for a simulated gateway, keeps that name here.
+// The protocol and the settings have a vocabulary of their own (worth, target-us, effect, keyed, HAND_OFF, ...).
+// docs/GLOSSARY.md maps it to the terms of the program. Only this package translates it; elsewhere its words occur only
+// where a setting is named, in an error or in a generated configuration. "Instance", the protocol's word for a simulated
+// gateway, is also used for identifiers here.
 //
-//	parse.go      Reader: lines into batches of items; one parser for each message
-//	fields.go     the fields of a line, by position
-//	print.go      AppendAction: an action into a line
-//	settings.go   ParseSettings: path=value settings into policy.Settings
-//	transport.go  Transport: the settings that concern sockets and names
-//	values.go     the values of settings, by path
-//	words.go      the words of the protocol and of the settings, and what they stand for
-//	errors.go     what can't be read, and where
+//	parse.go      Reader: parses lines into batches of items, with one parser for each message
+//	fields.go     reads the fields of a line by position
+//	print.go      AppendAction: formats an action as a line
+//	settings.go   ParseSettings: parses path=value settings into policy.Settings
+//	transport.go  Transport: the settings for sockets and names
+//	values.go     reads the values of settings by path
+//	words.go      the words of the protocol and the settings, mapped to values of package policy
+//	errors.go     errors for invalid lines, fields and settings
 package simprotocol
--- a/internal/simprotocol/errors.go
+++ b/internal/simprotocol/errors.go
@@ -7,18 +7,18 @@
 
 // Reasons of a LineError.
 var (
-	ErrOutOfPlace     = errors.New("out of place in its batch")
-	ErrWrongListSize  = errors.New("the list has another number of entries")
-	ErrUnknownMessage = errors.New("unknown message")
-	ErrUnknownList    = errors.New("no list of this number was told")
-	ErrNoPair         = errors.New("a setting is no path=value pair")
+	ErrMisplacedMessage = errors.New("message not allowed at this point of a batch")
+	ErrWrongListSize    = errors.New("the list does not have the announced number of entries")
+	ErrUnknownMessage   = errors.New("unknown message")
+	ErrUnknownList      = errors.New("no list with this number")
+	ErrMalformedPair    = errors.New("not a path=value pair")
 )
 
-// LineError says which line of the simulator's input can't be read. It unwraps to the reason: one of the errors above, a
-// *FieldError, a *SettingError or the error of the input.
+// LineError reports an invalid line of the simulator's input, or a failure to read it. It unwraps to the reason: one of
+// the errors above, a *FieldError, a *SettingError or the error of the input.
 type LineError struct {
-	Line int    // from 1
-	Text string // of the line; empty where the input failed
+	Line int    // line number, from 1
+	Text string // the line; empty if the input failed
 	Err  error
 }
 
@@ -31,20 +31,20 @@
 
 func (e *LineError) Unwrap() error { return e.Err }
 
-// FieldError says which field of a line can't be read.
+// FieldError reports an invalid or missing field of a line.
 type FieldError struct {
-	Field int // from 0, the message's name
+	Field int // index of the field; 0 is the message's name
 	Want  string
 	Got   string
 }
 
 func (e *FieldError) Error() string {
-	return fmt.Sprintf("field %d: not %s: %.40q", e.Field, e.Want, e.Got)
+	return fmt.Sprintf("field %d: want %s, got %.40q", e.Field, e.Want, e.Got)
 }
 
-// SettingError says which setting can't be used.
+// SettingError reports an invalid setting.
 type SettingError struct {
-	Path   string // classes.0.worth
+	Path   string // such as classes.0.worth
 	Reason string
 }
 
--- a/internal/simprotocol/fields.go
+++ b/internal/simprotocol/fields.go
@@ -8,30 +8,30 @@
 	"bellwood/internal/policy"
 )
 
-// timeBits is the size of a line's times: signed, in microseconds. 54 bits are the most that fit into a time.Duration, which
-// counts nanoseconds in 64.
+// timeBits is the size of a time in a line: a signed number of microseconds. 54 bits are the most that fit into a
+// time.Duration, which counts nanoseconds in 64 bits.
 const timeBits = 54
 
-// lineFields reads a line's fields in order, and keeps the first error as a *FieldError. After an error it goes on with
-// zero values.
-type lineFields struct {
+// fieldReader reads the fields of a line in order. It keeps the first error as a *FieldError and goes on, so the values
+// read are valid only if err is nil at the end.
+type fieldReader struct {
 	fields []string
-	next   int
+	next   int // index of the next field
 	err    error
 }
 
-// fail notes that the field read last is not what is wanted.
-func (f *lineFields) fail(want, got string) {
+// fail records that the field read last is invalid, unless an error is recorded already.
+func (f *fieldReader) fail(want, got string) {
 	if f.err == nil {
 		f.err = &FieldError{Field: f.next - 1, Want: want, Got: got}
 	}
 }
 
-// isAbsent says whether the next field is not given.
-func (f *lineFields) isAbsent() bool { return f.next >= len(f.fields) || f.fields[f.next] == absent }
+// isAbsent reports whether the next field is missing or marked as absent.
+func (f *fieldReader) isAbsent() bool { return f.next >= len(f.fields) || f.fields[f.next] == absent }
 
-// take returns the next field as it stands, and absent beyond the line's end.
-func (f *lineFields) take() string {
+// raw returns the next field unparsed, or absent at the end of the line.
+func (f *fieldReader) raw() string {
 	f.next++
 	if f.next > len(f.fields) {
 		return absent
@@ -39,49 +39,49 @@
 	return f.fields[f.next-1]
 }
 
-// rest returns all fields that are left.
-func (f *lineFields) rest() []string { return f.fields[min(f.next, len(f.fields)):] }
+// rest returns all remaining fields.
+func (f *fieldReader) rest() []string { return f.fields[min(f.next, len(f.fields)):] }
 
-// text reads a field that has to be given.
-func (f *lineFields) text() string {
-	field := f.take()
+// text reads a required field.
+func (f *fieldReader) text() string {
+	field := f.raw()
 	if field == absent || field == "" {
-		f.fail("present", field)
+		f.fail("a value", field)
 	}
 	return field
 }
 
-// id reads a whole number of 64 bits.
-func (f *lineFields) id() uint64 {
+// id reads an unsigned 64-bit integer.
+func (f *fieldReader) id() uint64 {
 	field := f.text()
 	id, err := strconv.ParseUint(field, 10, 64)
 	if err != nil {
-		f.fail("a whole number", field)
+		f.fail("an unsigned 64-bit integer", field)
 	}
 	return id
 }
 
-// countOr reads a whole number of 64 bits, a count or a bitmap, that may be absent.
-func (f *lineFields) countOr(otherwise uint64) uint64 {
+// countOr reads an optional unsigned 64-bit integer, which is a count or a bitmap.
+func (f *fieldReader) countOr(fallback uint64) uint64 {
 	if f.isAbsent() {
-		f.take()
-		return otherwise
+		f.raw()
+		return fallback
 	}
 	return f.id()
 }
 
-// index reads a small whole number.
-func (f *lineFields) index() int {
+// index reads a signed 32-bit integer.
+func (f *fieldReader) index() int {
 	field := f.text()
 	index, err := strconv.ParseInt(field, 10, 32)
 	if err != nil {
-		f.fail("a small whole number", field)
+		f.fail("a 32-bit integer", field)
 	}
 	return int(index)
 }
 
-// number reads a number.
-func (f *lineFields) number() float64 {
+// number reads a floating-point number.
+func (f *fieldReader) number() float64 {
 	field := f.text()
 	number, err := strconv.ParseFloat(field, 64)
 	if err != nil || math.IsNaN(number) {
@@ -90,17 +90,17 @@
 	return number
 }
 
-// numberOr reads a number that may be absent.
-func (f *lineFields) numberOr(otherwise float64) float64 {
+// numberOr reads an optional floating-point number.
+func (f *fieldReader) numberOr(fallback float64) float64 {
 	if f.isAbsent() {
-		f.take()
-		return otherwise
+		f.raw()
+		return fallback
 	}
 	return f.number()
 }
 
 // flag reads 0 or 1.
-func (f *lineFields) flag() bool {
+func (f *fieldReader) flag() bool {
 	field := f.text()
 	if field != "0" && field != "1" {
 		f.fail("0 or 1", field)
@@ -109,26 +109,26 @@
 }
 
 // duration reads a time in microseconds.
-func (f *lineFields) duration() time.Duration {
+func (f *fieldReader) duration() time.Duration {
 	field := f.text()
 	micros, err := strconv.ParseInt(field, 10, timeBits)
 	if err != nil {
-		f.fail("a time", field)
+		f.fail("a time in whole microseconds", field)
 	}
 	return time.Duration(micros) * time.Microsecond
 }
 
-// status reads how an attempt or call ended. The protocol numbers the endings as package policy does.
-func (f *lineFields) status() policy.Status {
+// status reads the status of an attempt or call. The protocol and package policy use the same numbers.
+func (f *fieldReader) status() policy.Status {
 	number := f.index()
 	if number < int(policy.Failed) || number > int(policy.NotSent) {
-		f.fail("an outcome", strconv.Itoa(number))
+		f.fail("a status number", strconv.Itoa(number))
 	}
 	return policy.Status(number)
 }
 
-// wordOf reads a word and looks it up.
-func wordOf[T any](f *lineFields, want string, words map[string]T) T {
+// wordOf reads a word and returns what the table words maps it to.
+func wordOf[T any](f *fieldReader, want string, words map[string]T) T {
 	field := f.text()
 	value, ok := words[field]
 	if !ok {
--- a/internal/simprotocol/parse.go
+++ b/internal/simprotocol/parse.go
@@ -11,79 +11,80 @@
 )
 
 const (
-	readBuffer = 1 << 20 // bytes; batches may run to megabytes
-	// Entries that are made room for before they come, whatever number the list announces.
-	maxAnnouncedEntries = 1 << 16
+	readBufferBytes = 1 << 20 // a batch may have several megabytes
+	// maxPreallocatedEntries limits the entries allocated before they are read, whatever number the list announces.
+	maxPreallocatedEntries = 1 << 16
 )
 
-// ItemKind says what an Item tells.
+// ItemKind is the kind of an Item.
 type ItemKind int
 
 // Kinds of items.
 const (
-	InstanceEvent   ItemKind = iota // Item.Event happened at the instance
+	InstanceEvent   ItemKind = iota // Item.Event occurs at the instance
 	InstanceStarted                 // the instance starts, with Item.Seed and Item.Settings
 	InstanceStopped                 // the instance is killed
 )
 
-// Item is one thing of a batch that concerns an instance: a simulated gateway.
+// Item is one entry of a batch. It concerns one instance, which is a simulated gateway.
 type Item struct {
-	Instance string // the protocol's name, door/3
+	Instance string // name in the protocol, such as door/3
 	Kind     ItemKind
-	Seed     uint64          // of InstanceStarted
-	Settings policy.Settings // of InstanceStarted
-	Event    policy.Event    // of InstanceEvent
+	Seed     uint64          // for InstanceStarted
+	Settings policy.Settings // for InstanceStarted
+	Event    policy.Event    // for InstanceEvent
 }
 
-// Batch is what happened at one time, in order.
+// Batch holds everything that happens at one point in time, in order.
 type Batch struct {
 	Now    time.Duration // on the simulator's clock
-	Number string        // the reply has to give it back
+	Number string        // to be repeated in the reply
 	Items  []Item
 }
 
 // Reader reads batches. It is not safe for concurrent use.
 type Reader struct {
 	in   *bufio.Reader
-	line int // number of the last line
-
-	// Lists are told once, by CENSUS and its entries, and referred to by number, by any number of instances. They are kept
-	// to the end; the events that refer to one share its entries, which nobody may change.
-	lists      map[int][]policy.Backend
-	listNumber int // of the list being told
-	list       []policy.Backend
-	entriesDue int // entries of list still to come
+	line int // number of the line read last
+
+	// An endpoint list is sent once, as a CENSUS line and its BACKEND lines. VIEW lines of any number of instances then
+	// refer to it by number, so lists are kept until the input ends. The events that refer to a list share its entries,
+	// which must not be modified.
+	lists       map[int][]policy.Backend
+	listNumber  int              // of the list being read
+	list        []policy.Backend // the list being read
+	entriesLeft int              // entries of list not yet read
 }
 
-// NewReader returns a Reader of what the simulator writes.
+// NewReader returns a Reader of the simulator's output.
 func NewReader(in io.Reader) *Reader {
-	return &Reader{in: bufio.NewReaderSize(in, readBuffer), lists: map[int][]policy.Backend{}}
+	return &Reader{in: bufio.NewReaderSize(in, readBufferBytes), lists: map[int][]policy.Backend{}}
 }
 
-// Next returns the next batch; io.EOF as it is at the end of input between two batches. Any other error is a *LineError,
-// and ends the reading.
+// Next returns the next batch, or an unwrapped io.EOF if the input ends between two batches. Any other error is a
+// *LineError; Next must not be called again after it.
 func (r *Reader) Next() (*Batch, error) {
 	text, err := r.readFirstLine()
 	if err != nil {
 		return nil, err
 	}
-	batch, err := openBatch(text)
+	batch, err := parseBatchStart(text)
 	if err != nil {
-		return nil, r.fail(text, err)
+		return nil, r.lineError(text, err)
 	}
 	for done := false; !done; {
 		text, err := r.readLine()
 		if err != nil {
-			return nil, r.fail("", unexpectedEOF(err))
+			return nil, r.lineError("", unexpectedEOF(err))
 		}
-		if done, err = r.takeLine(batch, text); err != nil {
-			return nil, r.fail(text, err)
+		if done, err = r.parseLine(batch, text); err != nil {
+			return nil, r.lineError(text, err)
 		}
 	}
 	return batch, nil
 }
 
-// readFirstLine reads the first line of a batch. Empty lines between batches are passed over.
+// readFirstLine reads the first line of a batch. It skips empty lines between batches.
 func (r *Reader) readFirstLine() (string, error) {
 	for {
 		text, err := r.readLine()
@@ -91,14 +92,14 @@
 		case errors.Is(err, io.EOF) && text == "":
 			return "", io.EOF
 		case err != nil:
-			return "", r.fail("", unexpectedEOF(err))
+			return "", r.lineError("", unexpectedEOF(err))
 		case text != "":
 			return text, nil
 		}
 	}
 }
 
-// readLine reads a line without its end. Where the input ends it returns io.EOF, with what there is of a line.
+// readLine reads a line without its line ending. At the end of the input it returns io.EOF and any incomplete last line.
 func (r *Reader) readLine() (string, error) {
 	text, err := r.in.ReadString('\n')
 	r.line++
@@ -108,7 +109,7 @@
 	return strings.TrimRight(text, "\r\n"), nil
 }
 
-// unexpectedEOF makes the end of input within a batch an error of its own.
+// unexpectedEOF turns io.EOF, which here means the end of input within a batch, into io.ErrUnexpectedEOF.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -116,38 +117,38 @@
 	return err
 }
 
-// fail says that the line read last can't be taken.
-func (r *Reader) fail(text string, err error) error { return &LineError{r.line, text, err} }
+// lineError returns a *LineError for the line read last.
+func (r *Reader) lineError(text string, err error) error { return &LineError{r.line, text, err} }
 
-// openBatch reads the line CLOCK.
-func openBatch(text string) (*Batch, error) {
+// parseBatchStart parses a CLOCK line.
+func parseBatchStart(text string) (*Batch, error) {
 	fields := splitLine(text)
 	if fields.text() != "CLOCK" {
-		return nil, ErrOutOfPlace
+		return nil, ErrMisplacedMessage
 	}
 	batch := &Batch{Now: fields.duration(), Number: fields.text()}
 	return batch, fields.err
 }
 
-// takeLine takes a line within a batch, and says whether it closes the batch.
-func (r *Reader) takeLine(batch *Batch, text string) (done bool, err error) {
+// parseLine parses a line within a batch and adds what it holds to the batch. done tells whether the line ends the batch.
+func (r *Reader) parseLine(batch *Batch, text string) (done bool, err error) {
 	fields := splitLine(text)
 	message := fields.text()
 	if message == "CLOCK" {
-		return false, ErrOutOfPlace
+		return false, ErrMisplacedMessage
 	}
-	if isEntry := message == "BACKEND"; isEntry != (r.entriesDue > 0) {
+	if isEntry := message == "BACKEND"; isEntry != (r.entriesLeft > 0) {
 		return false, ErrWrongListSize
 	}
 	switch message {
 	case "EOF_BATCH":
 		return true, fields.err
 	case "CENSUS":
-		return false, r.beginList(fields)
+		return false, r.startList(fields)
 	case "BACKEND":
 		r.list = append(r.list, parseBackend(fields))
-		r.entriesDue--
-		r.endList()
+		r.entriesLeft--
+		r.storeListIfComplete()
 		return false, fields.err
 	}
 	item, err := r.parseItem(message, fields)
@@ -158,27 +159,28 @@
 	return false, nil
 }
 
-func splitLine(text string) *lineFields { return &lineFields{fields: strings.Split(text, " ")} }
+func splitLine(text string) *fieldReader { return &fieldReader{fields: strings.Split(text, " ")} }
 
-// beginList reads the line CENSUS, which says how many entries follow.
-func (r *Reader) beginList(fields *lineFields) error {
-	r.listNumber, r.entriesDue = fields.index(), fields.index()
-	if r.entriesDue < 0 {
+// startList parses a CENSUS line, which announces how many entries follow.
+func (r *Reader) startList(fields *fieldReader) error {
+	r.listNumber, r.entriesLeft = fields.index(), fields.index()
+	if r.entriesLeft < 0 {
 		return ErrWrongListSize
 	}
-	r.list = make([]policy.Backend, 0, min(r.entriesDue, maxAnnouncedEntries))
-	r.endList()
+	r.list = make([]policy.Backend, 0, min(r.entriesLeft, maxPreallocatedEntries))
+	r.storeListIfComplete()
 	return fields.err
 }
 
-// endList keeps a list once all its entries have come.
-func (r *Reader) endList() {
-	if r.entriesDue == 0 {
+// storeListIfComplete stores the list being read once all its entries have been read.
+func (r *Reader) storeListIfComplete() {
+	if r.entriesLeft == 0 {
 		r.lists[r.listNumber] = r.list
 	}
 }
 
-func parseBackend(fields *lineFields) policy.Backend {
+// parseBackend parses a BACKEND line.
+func parseBackend(fields *fieldReader) policy.Backend {
 	backend := policy.Backend{Name: fields.text(), Zone: fields.index(), Kind: fields.index(), Cell: fields.index()}
 	backend.State = wordOf(fields, "a state", backendStates)
 	backend.Weight = fields.numberOr(1)
@@ -188,14 +190,14 @@
 	return backend
 }
 
-// parseItem reads a line that concerns an instance.
-func (r *Reader) parseItem(message string, fields *lineFields) (Item, error) {
+// parseItem parses a line that concerns an instance.
+func (r *Reader) parseItem(message string, fields *fieldReader) (Item, error) {
 	item := Item{Instance: fields.text()}
 	var err error
 	switch message {
 	case "PROVISION":
 		item.Kind, item.Seed = InstanceStarted, fields.id()
-		item.Settings, err = settingsOfPairs(fields.rest())
+		item.Settings, err = parseSettingPairs(fields.rest())
 	case "STOP":
 		item.Kind = InstanceStopped
 	case "VIEW":
@@ -213,8 +215,8 @@
 	return item, fields.err
 }
 
-// parseEndpointUpdate reads the line VIEW, which refers to a list.
-func (r *Reader) parseEndpointUpdate(fields *lineFields) (policy.Event, error) {
+// parseEndpointUpdate parses a VIEW line, which refers to a list by number.
+func (r *Reader) parseEndpointUpdate(fields *fieldReader) (policy.Event, error) {
 	update := policy.EndpointUpdate{Kind: wordOf(fields, "a scope", updateKinds)}
 	fields.text() // the list's version
 	if fields.err != nil || update.Kind == policy.UpdateFailed {
@@ -228,8 +230,9 @@
 	return update, fields.err
 }
 
-// eventParsers read the fields after the instance's name, by message. An error is kept in the fields.
-var eventParsers = map[string]func(*lineFields) policy.Event{
+// eventParsers holds a parser for each message that is an event. It parses the fields after the instance's name, and
+// leaves an error in the fieldReader.
+var eventParsers = map[string]func(*fieldReader) policy.Event{
 	"ACCEPT":       parseRequest,
 	"VERDICT":      parseAttemptResult,
 	"COUNT_RESULT": parseCounterResult,
@@ -240,10 +243,10 @@
 	"FROM_PEER":    parsePeerMessage,
 }
 
-// clientRetryBit of the field bitmap says that the client marks the request as a repeat.
+// clientRetryBit is the bit of the bitmap field of ACCEPT by which the client marks the request as a retry.
 const clientRetryBit = 2
 
-func parseRequest(fields *lineFields) policy.Event {
+func parseRequest(fields *fieldReader) policy.Event {
 	request := policy.Request{
 		ID:       fields.id(),
 		Class:    fields.index(),
@@ -253,12 +256,12 @@
 	}
 	request.Cost = fields.numberOr(1)
 	request.Gateways = int(fields.countOr(0))
-	fields.countOr(0) // first-door: the engine needs no more than the number of gateways
+	fields.countOr(0) // first-door: the engine needs only the number of gateways
 	request.ClientRetry = fields.countOr(0)&clientRetryBit != 0
 	return request
 }
 
-func parseAttemptResult(fields *lineFields) policy.Event {
+func parseAttemptResult(fields *fieldReader) policy.Event {
 	result := policy.AttemptResult{
 		ID:      fields.id(),
 		Attempt: fields.index(),
@@ -270,32 +273,32 @@
 	return result
 }
 
-func parseCounterResult(fields *lineFields) policy.Event {
+func parseCounterResult(fields *fieldReader) policy.Event {
 	result := policy.CounterResult{Name: fields.id(), Status: fields.status()}
 	if result.Status == policy.OK {
 		result.Total = fields.number()
 	} else {
-		fields.numberOr(0) // must be a number or absent, and means nothing
+		fields.numberOr(0) // must be a number or absent; the value is not used
 	}
 	return result
 }
 
-func parseTimer(fields *lineFields) policy.Event { return policy.Timer{Cookie: fields.id()} }
+func parseTimer(fields *fieldReader) policy.Event { return policy.Timer{Cookie: fields.id()} }
 
-func parseClientGone(fields *lineFields) policy.Event { return policy.ClientGone{ID: fields.id()} }
+func parseClientGone(fields *fieldReader) policy.Event { return policy.ClientGone{ID: fields.id()} }
 
-func parseFirstByte(fields *lineFields) policy.Event {
+func parseFirstByte(fields *fieldReader) policy.Event {
 	id := fields.id()
-	fields.text() // the backend: the attempt's number says which
+	fields.text() // the backend, which the attempt's number already identifies
 	return policy.FirstByte{ID: id, Attempt: fields.index()}
 }
 
-func parseHealthCheckResult(fields *lineFields) policy.Event {
-	fields.duration() // how long it took
+func parseHealthCheckResult(fields *fieldReader) policy.Event {
+	fields.duration() // latency, not used
 	status := fields.status()
 	return policy.HealthCheckResult{Status: status, Backend: fields.text()}
 }
 
-func parsePeerMessage(fields *lineFields) policy.Event {
+func parsePeerMessage(fields *fieldReader) policy.Event {
 	return policy.PeerMessage{From: fields.index()}
 }
--- a/internal/simprotocol/parse_test.go
+++ b/internal/simprotocol/parse_test.go
@@ -16,7 +16,7 @@
 	"classes.0.target-us=500000 classes.0.worth=3.0 tiers-of-service.count=1 tiers-of-service.0.units-per-s=1.9 " +
 	"tiers-of-service.0.most-at-once=4\n"
 
-// readBatches reads all batches of a text.
+// readBatches reads all batches of a text, and those before the first error if there is one.
 func readBatches(text string) ([]*Batch, error) {
 	reader := NewReader(strings.NewReader(text))
 	var batches []*Batch
@@ -32,8 +32,8 @@
 	}
 }
 
-// Each message becomes the engine's event, with the protocol's words and defaults mapped.
-func TestMessagesBecomeEvents(t *testing.T) {
+// Messages are parsed into events of the engine; the protocol's words and defaults are translated.
+func TestReaderParsesMessagesIntoEvents(t *testing.T) {
 	batches, err := readBatches("CLOCK 8412250 12\n" + provision + "CENSUS 0 2\nBACKEND 10.18.74.7:8003 0 0 0 in_service 1 -\n" +
 		"BACKEND 10.18.74.7:8044 0 0 1 terminating 1.5 6100000\nVIEW door/3 cached 41 0\n" +
 		"ACCEPT door/3 1564119492 0 0 u:kd6b 240000 2 3 1 1\nACCEPT door/3 7 0 0 u:x 240000\n" +
@@ -45,30 +45,30 @@
 		t.Fatal(err)
 	}
 	if len(batches) != 2 || batches[0].Now != 8412250*time.Microsecond || batches[1].Number != "13" {
-		t.Fatalf("batches: %+v", batches)
+		t.Fatalf("got batches %+v, want 2, the first at 8412250µs, the second with number 13", batches)
 	}
 	items := batches[0].Items
 	settings := items[0].Settings
 	class := settings.Classes[0]
 	if settings.Gateways != 2 || class.Idempotency != policy.IdempotentWithKey || class.DedupScope != policy.DedupCell ||
 		class.LatencyObjective != 500*time.Millisecond || settings.Plans[0].Rate != 1.9 || !settings.AllowCancel {
-		t.Errorf("settings: %+v", settings)
+		t.Errorf("got settings %+v, want those of the PROVISION line", settings)
 	}
 	update := items[1].Event.(policy.EndpointUpdate)
 	if len(update.Backends) != 2 || update.Backends[1].State != policy.Draining ||
 		update.Backends[1].Started != 6100*time.Millisecond {
-		t.Errorf("endpoint update: %+v", update)
+		t.Errorf("got endpoint update %+v, want the 2 entries of list 0", update)
 	}
 	if request := items[3].Event.(policy.Request); request.Cost != 1 || request.Gateways != 0 {
-		t.Errorf("fields left out: %+v", request)
+		t.Errorf("absent fields: got %+v, want Cost 1 and Gateways 0", request)
 	}
 	result := items[4].Event.(policy.AttemptResult)
 	if result.Status != policy.OK || !result.RequestClosed || result.QuotaUsage != 86 || result.Cost != 3 {
-		t.Errorf("attempt result: %+v", result)
+		t.Errorf("got attempt result %+v, want that of the VERDICT line", result)
 	}
 }
 
-var badLines = []string{
+var invalidLines = []string{
 	"NONSENSE door/3 1", "ACCEPT door/3", "ACCEPT door/3 x 0 0 u:a 1", "ACCEPT door/3 1 0 0 - 5",
 	"ACCEPT door/3 1 0 0 u:a 1 nan", "VERDICT door/3 7 0 b 9 1 1", "VERDICT door/3 7 0 b 1 1 maybe",
 	"COUNT_RESULT door/3 1 1 - 5", "VIEW door/3 odd 1 0", "VIEW door/3 full 1 9", "REMINDER door/3 -1",
@@ -77,38 +77,39 @@
 	"CENSUS 0 1\nBACKEND a 0 0 0 asleep 1",
 }
 
-// What can't be read ends the reading with the number of its line.
-func TestBadLinesAreNamedByNumber(t *testing.T) {
-	for _, lines := range badLines {
+// An invalid line ends the reading with an error that tells the line's number.
+func TestInvalidLineIsReportedByNumber(t *testing.T) {
+	for _, lines := range invalidLines {
 		_, err := readBatches("CLOCK 1 1\n" + lines + "\nEOF_BATCH\n")
-		last := 1 + strings.Count(lines, "\n") + 1 // CLOCK stands before; the last of the lines is the bad one
-		var bad *LineError
-		if !errors.As(err, &bad) || bad.Line != last || !strings.HasPrefix(err.Error(), fmt.Sprintf("line %d: ", last)) {
-			t.Errorf("%q: error %v, want line %d", lines, err, last)
+		last := 1 + strings.Count(lines, "\n") + 1 // after the CLOCK line; the last of lines is the invalid one
+		var lineErr *LineError
+		if !errors.As(err, &lineErr) || lineErr.Line != last || !strings.HasPrefix(err.Error(), fmt.Sprintf("line %d: ", last)) {
+			t.Errorf("%q: got error %v, want one for line %d", lines, err, last)
 		}
 	}
 	for _, text := range []string{"EOF_BATCH\n", "CLOCK 1 1\n", "CLOCK x 1\nEOF_BATCH\n"} {
 		if _, err := readBatches(text); err == nil {
-			t.Errorf("%q: no error", text)
+			t.Errorf("%q: got no error", text)
 		}
 	}
 }
 
-// A missing field is named by its own number, not by that of the last one given.
-func TestMissingFieldsAreNamedByNumber(t *testing.T) {
+// The error for a missing field tells that field's number, not the number of the last field given.
+func TestMissingOrInvalidFieldIsReportedByNumber(t *testing.T) {
 	for line, want := range map[string]int{"ACCEPT door/3": 2, "ACCEPT door/3 7 0 0 u:a": 6, "ACCEPT door/3 7 0 0 - 5": 5,
 		"ACCEPT door/3 7 x 0 u:a 5": 3, "VERDICT door/3 7 0 b 1 1": 7, "REMINDER": 1} {
 		_, err := readBatches("CLOCK 1 1\n" + line + "\nEOF_BATCH\n")
-		var bad *FieldError
-		if !errors.As(err, &bad) || bad.Field != want {
-			t.Errorf("%q: error %v, want field %d", line, err, want)
+		var fieldErr *FieldError
+		if !errors.As(err, &fieldErr) || fieldErr.Field != want {
+			t.Errorf("%q: got error %v, want one for field %d", line, err, want)
 		}
 	}
 }
 
+// No input makes the reader panic or read for ever.
 func FuzzReader(f *testing.F) {
 	f.Add("CLOCK 1 1\n" + provision + "EOF_BATCH\n")
-	for _, line := range badLines {
+	for _, line := range invalidLines {
 		f.Add("CLOCK 1 1\n" + line + "\nEOF_BATCH\n")
 	}
 	f.Fuzz(func(_ *testing.T, text string) { readBatches(text) })
--- a/internal/simprotocol/print.go
+++ b/internal/simprotocol/print.go
@@ -7,7 +7,7 @@
 	"bellwood/internal/policy"
 )
 
-// AppendAction appends an instance's action to b, as a line of the protocol.
+// AppendAction appends an instance's action to b as a line of the protocol.
 func AppendAction(b []byte, instance string, action policy.Action) []byte {
 	line := lineWriter(b)
 	switch action := action.(type) {
@@ -51,7 +51,7 @@
 	return append(line, '\n')
 }
 
-// lineWriter builds a line: a message's name, the instance, and further fields after a space each.
+// lineWriter builds a line: the message's name, the instance and further fields, separated by spaces.
 type lineWriter []byte
 
 func (l *lineWriter) message(name, instance string) {
@@ -67,5 +67,5 @@
 
 func (l *lineWriter) number(n float64) { *l = strconv.AppendFloat(append(*l, ' '), n, 'f', -1, 64) }
 
-// micros writes a time in whole microseconds.
+// micros writes a time in whole microseconds, rounded toward zero.
 func (l *lineWriter) micros(d time.Duration) { l.integer(d.Microseconds()) }
--- a/internal/simprotocol/print_test.go
+++ b/internal/simprotocol/print_test.go
@@ -7,8 +7,7 @@
 	"bellwood/internal/policy"
 )
 
-// Each action becomes its message.
-func TestActionsBecomeMessages(t *testing.T) {
+func TestAppendActionFormatsEachAction(t *testing.T) {
 	for want, action := range map[string]policy.Action{
 		"HAND_OFF d 7 80000 b:1\n":      policy.SendAttempt{ID: 7, Backend: "b:1", Timeout: 80 * time.Millisecond},
 		"TURN_AWAY d 7 5000\n":          policy.Reject{ID: 7, RetryAfter: 5 * time.Millisecond},
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -7,36 +7,36 @@
 	"bellwood/internal/policy"
 )
 
-// settingsOfPairs reads the path=value pairs of a PROVISION line.
-func settingsOfPairs(pairs []string) (policy.Settings, error) {
+// parseSettingPairs parses the path=value pairs of a PROVISION line.
+func parseSettingPairs(pairs []string) (policy.Settings, error) {
 	settings := make(map[string]string, len(pairs))
 	for _, pair := range pairs {
 		path, value, ok := strings.Cut(pair, "=")
 		if !ok {
-			return policy.Settings{}, fmt.Errorf("%w: %.40q", ErrNoPair, pair)
+			return policy.Settings{}, fmt.Errorf("%w: %.40q", ErrMalformedPair, pair)
 		}
 		settings[path] = value
 	}
 	return ParseSettings(settings)
 }
 
-// ParseSettings maps settings, by their paths, to those of the engine. Unknown paths are passed over. The error is a
-// *SettingError for the first setting that can't be used.
+// ParseSettings parses settings, which are keyed by path, into those of the engine. It ignores unknown paths. The error is
+// a *SettingError for the first invalid setting.
 func ParseSettings(settings map[string]string) (policy.Settings, error) {
 	v := &settingValues{values: settings}
-	mapped := v.fleet()
-	v.checkFleet(&mapped)
+	parsed := v.gatewaySettings()
+	v.checkGatewaySettings(&parsed)
 	for i := range v.listLength("classes") {
-		mapped.Classes = append(mapped.Classes, v.class(fmt.Sprintf("classes.%d.", i)))
+		parsed.Classes = append(parsed.Classes, v.class(fmt.Sprintf("classes.%d.", i)))
 	}
 	for i := range v.listLength("tiers-of-service") {
-		mapped.Plans = append(mapped.Plans, v.plan(fmt.Sprintf("tiers-of-service.%d.", i)))
+		parsed.Plans = append(parsed.Plans, v.plan(fmt.Sprintf("tiers-of-service.%d.", i)))
 	}
-	return mapped, v.err
+	return parsed, v.err
 }
 
-// fleet reads all but the classes and plans.
-func (v *settingValues) fleet() policy.Settings {
+// gatewaySettings reads all settings except the classes and plans.
+func (v *settingValues) gatewaySettings() policy.Settings {
 	return policy.Settings{
 		Gateways:        v.wholeNumber("peers-total"),
 		GatewayIndex:    v.wholeNumber("rank"),
@@ -66,24 +66,25 @@
 	}
 }
 
-func (v *settingValues) checkFleet(mapped *policy.Settings) {
-	if mapped.Gateways < 1 {
-		v.fail("peers-total", "under 1")
+// checkGatewaySettings checks the ranges of the settings that gatewaySettings reads.
+func (v *settingValues) checkGatewaySettings(parsed *policy.Settings) {
+	if parsed.Gateways < 1 {
+		v.fail("peers-total", "must be at least 1")
 	}
-	if mapped.GatewayIndex >= max(1, mapped.Gateways) {
-		v.fail("rank", "not under peers-total")
+	if parsed.GatewayIndex >= max(1, parsed.Gateways) {
+		v.fail("rank", "must be below peers-total")
 	}
-	if mapped.MaxAttempts < 1 {
-		v.fail("limits.max-attempts", "under 1")
+	if parsed.MaxAttempts < 1 {
+		v.fail("limits.max-attempts", "must be at least 1")
 	}
-	if mapped.SlowStartMinShare > 1 {
-		v.fail("obligations.cold-from", "over 1")
+	if parsed.SlowStartMinShare > 1 {
+		v.fail("obligations.cold-from", "must be at most 1")
 	}
-	v.failUnless(!mapped.SharedCounter || mapped.CounterTimeout > 0, "specifics.counter-timeout-us",
+	v.requirePositive(!parsed.SharedCounter || parsed.CounterTimeout > 0, "specifics.counter-timeout-us",
 		"specifics.shared-counter")
 }
 
-// class reads a class of requests.
+// class reads the class of requests whose settings begin with path.
 func (v *settingValues) class(path string) policy.Class {
 	class := policy.Class{
 		PriorityWeight:   v.number(path + "worth"),
@@ -95,13 +96,13 @@
 		DedupWindow:      v.duration(path + "window-us"),
 		Streaming:        v.flag(path + "stream"),
 	}
-	if v.values[path+"effect"] == "" { // to take it for idempotent would be to run it twice
+	if v.values[path+"effect"] == "" { // defaulting to idempotent could run a request twice
 		v.fail(path+"effect", "missing")
 	}
 	return class
 }
 
-// plan reads the quotas of the tenants on a plan.
+// plan reads the plan whose settings begin with path.
 func (v *settingValues) plan(path string) policy.Plan {
 	plan := policy.Plan{
 		Rate:             v.number(path + "units-per-s"),
@@ -113,7 +114,7 @@
 		HardLimitRate:    v.number(path + "never-over-rate"),
 		HardLimitBurst:   v.number(path + "cap-depth"),
 	}
-	v.failUnless(plan.Rate == 0 || plan.Burst > 0, path+"most-at-once", "units-per-s")
-	v.failUnless(plan.HardLimitRate == 0 || plan.HardLimitBurst > 0, path+"cap-depth", "never-over-rate")
+	v.requirePositive(plan.Rate == 0 || plan.Burst > 0, path+"most-at-once", "units-per-s")
+	v.requirePositive(plan.HardLimitRate == 0 || plan.HardLimitBurst > 0, path+"cap-depth", "never-over-rate")
 	return plan
 }
--- a/internal/simprotocol/settings_test.go
+++ b/internal/simprotocol/settings_test.go
@@ -9,15 +9,16 @@
 	"bellwood/internal/policy"
 )
 
-// minimalSettings is the least that a deployment can tell.
+// minimalSettings returns the smallest valid settings.
 func minimalSettings() map[string]string {
 	return map[string]string{"peers-total": "3", "rank": "2", "limits.max-attempts": "1", "classes.count": "1",
 		"classes.0.name": "scan", "classes.0.effect": "unsafe", "tiers-of-service.count": "1",
 		"tiers-of-service.0.name": "only", "limits.dial-timeout-us": "1000"}
 }
 
-// What can't be used is named by its path. A missing group of a keyed class is no error: it counts as all backends.
-func TestUnusableSettingsAreNamed(t *testing.T) {
+// The error for an invalid or missing setting tells its path. The group of a keyed class is not among the missing settings
+// here, as leaving it out is no error: it then defaults to all backends.
+func TestInvalidSettingIsReportedByPath(t *testing.T) {
 	for path, values := range map[string][]string{
 		"peers-total": {"0", "1.5", "many", "-1", "1e300", "-"}, "rank": {"3", "-1"}, "limits.max-attempts": {"0", "-"},
 		"classes": {"0", "-", "5000"}, "classes.0.effect": {"", "harmless"}, "classes.0.group": {"town"},
@@ -33,8 +34,8 @@
 			} else {
 				settings[path] = value
 			}
-			if _, err := ParseSettings(settings); !namesSetting(err, path) {
-				t.Errorf("%s=%s: error %v", path, value, err)
+			if _, err := ParseSettings(settings); !isErrorForSetting(err, path) {
+				t.Errorf("%s=%s: got error %v, want one for this setting", path, value, err)
 			}
 		}
 	}
@@ -45,33 +46,33 @@
 	} {
 		settings := minimalSettings()
 		maps.Copy(settings, given)
-		if _, err := ParseSettings(settings); !namesSetting(err, path) {
-			t.Errorf("%s is left out: error %v", path, err)
+		if _, err := ParseSettings(settings); !isErrorForSetting(err, path) {
+			t.Errorf("without %s: got error %v, want one for this setting", path, err)
 		}
 	}
 }
 
-// namesSetting says whether an error is about the setting of a path, and says so.
-func namesSetting(err error, path string) bool {
-	var unusable *SettingError
-	return errors.As(err, &unusable) && unusable.Path == path && strings.Contains(err.Error(), "setting "+path+":")
+// isErrorForSetting reports whether err is a *SettingError for path whose text contains the path.
+func isErrorForSetting(err error, path string) bool {
+	var settingErr *SettingError
+	return errors.As(err, &settingErr) && settingErr.Path == path && strings.Contains(err.Error(), "setting "+path+":")
 }
 
-// Requests name their class and plan, so each of these has to have a name of its own.
-func TestMissingAndRepeatedNamesAreRejected(t *testing.T) {
-	repeated := minimalSettings()
-	repeated["classes.count"], repeated["classes.1.name"], repeated["classes.1.effect"] = "2", "scan", "safe"
+// Requests refer to their class and plan by name, so each class and plan needs a unique name.
+func TestMissingOrDuplicateNameIsRejected(t *testing.T) {
+	duplicate := minimalSettings()
+	duplicate["classes.count"], duplicate["classes.1.name"], duplicate["classes.1.effect"] = "2", "scan", "safe"
 	missing := minimalSettings()
 	delete(missing, "tiers-of-service.0.name")
-	for path, settings := range map[string]map[string]string{"classes.1.name": repeated, "tiers-of-service.0.name": missing} {
-		if _, err := ParseTransport(settings); !namesSetting(err, path) {
-			t.Errorf("%s: error %v", path, err)
+	for path, settings := range map[string]map[string]string{"classes.1.name": duplicate, "tiers-of-service.0.name": missing} {
+		if _, err := ParseTransport(settings); !isErrorForSetting(err, path) {
+			t.Errorf("%s: got error %v, want one for this setting", path, err)
 		}
 	}
 }
 
-// Load reports, a counter, hard limits, quotas and zones may be left out; unknown paths are passed over.
-func TestMinimalSettingsAreEnough(t *testing.T) {
+// Load reports, the counter, hard limits, quotas and zones are optional. Unknown paths are ignored.
+func TestMinimalSettingsAreAccepted(t *testing.T) {
 	given := minimalSettings()
 	given["load-info.how"], given["something.new"] = "none", "7"
 	settings, err := ParseSettings(given)
--- a/internal/simprotocol/transport.go
+++ b/internal/simprotocol/transport.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// Transport is the part of the settings that concerns sockets and names: the engine has no use for it, a gateway with
-// sockets does.
+// Transport holds the settings for sockets and names. The engine doesn't need them; a gateway that serves real
+// connections does.
 type Transport struct {
-	Classes, Plans, Zones, Kinds []string      // names, in the order of the indices that the engine uses
-	DialTimeout                  time.Duration // a connection that is not up by then has failed
+	Classes, Plans, Zones, Kinds []string      // names, indexed by the numbers that the engine uses
+	DialTimeout                  time.Duration // dialing fails after this
 	ConnIdleTimeout              time.Duration // backends close a connection that has been idle for this long
-	MaxOpenRequests              int           // requests that may be open at once; 0: no limit is told
+	MaxOpenRequests              int           // requests that may be open at once; 0: no limit
 }
 
-// ParseTransport maps settings, by their paths, to a Transport. Zones and backend types that are not given are one entry with
-// no name. The error is a *SettingError.
+// ParseTransport parses settings, which are keyed by path, into a Transport. If zones or backend kinds are not given,
+// there is one with an empty name. The error is a *SettingError.
 func ParseTransport(settings map[string]string) (Transport, error) {
 	v := &settingValues{values: settings}
 	transport := Transport{
@@ -32,7 +32,7 @@
 	return transport, v.err
 }
 
-// names reads the names of a list's entries. Each has to have one of its own, as requests refer to them by name.
+// names reads the names of a list's entries. They must be unique, as requests refer to the entries by name.
 func (v *settingValues) names(list string) (names []string) {
 	for i := range v.listLength(list) {
 		path := fmt.Sprintf("%s.%d.name", list, i)
@@ -40,7 +40,7 @@
 		case name == "":
 			v.fail(path, "missing")
 		case slices.Contains(names, name):
-			v.fail(path, "given twice")
+			v.fail(path, "duplicate name")
 		default:
 			names = append(names, name)
 		}
--- a/internal/simprotocol/values.go
+++ b/internal/simprotocol/values.go
@@ -7,27 +7,28 @@
 	"time"
 )
 
-// Bounds against nonsense in the settings.
+// Upper bounds that reject implausible settings.
 const (
 	maxWholeNumber = 1e9
 	maxTimeMicros  = 10 * 365 * 86400e6 // ten years
 	maxListLength  = 1 << 12            // classes or plans
 )
 
-// settingValues reads settings by their paths, and keeps the first error as a *SettingError. After an error it goes on
-// with zero values.
+// settingValues reads settings by path. It keeps the first error as a *SettingError and goes on, so the values read are
+// valid only if err is nil at the end.
 type settingValues struct {
 	values map[string]string
 	err    error
 }
 
+// fail records an invalid setting, unless an error is recorded already.
 func (v *settingValues) fail(path, reason string) {
 	if v.err == nil {
 		v.err = &SettingError{path, reason}
 	}
 }
 
-// number reads a number; an absent one is 0. None of the settings can be below that.
+// number reads a number, which defaults to 0. No setting may be negative.
 func (v *settingValues) number(path string) float64 {
 	value, given := v.values[path]
 	if !given || value == absent {
@@ -44,17 +45,17 @@
 	return number
 }
 
-// wholeNumber reads a whole number; an absent one is 0.
+// wholeNumber reads a whole number, which defaults to 0.
 func (v *settingValues) wholeNumber(path string) int {
 	number := v.number(path)
 	if number != math.Trunc(number) || number > maxWholeNumber {
-		v.fail(path, "not a whole number within reason")
+		v.fail(path, fmt.Sprintf("not a whole number of at most %d", int(maxWholeNumber)))
 		return 0
 	}
 	return int(number)
 }
 
-// duration reads a time in microseconds; an absent one is 0.
+// duration reads a time in microseconds, which defaults to 0.
 func (v *settingValues) duration(path string) time.Duration {
 	micros := v.number(path)
 	if micros > maxTimeMicros {
@@ -64,32 +65,34 @@
 	return time.Duration(micros * float64(time.Microsecond))
 }
 
-// listLength reads the length of a list of objects, which has to have an entry.
+// listLength reads the length of a list of objects, which must have at least one entry.
 func (v *settingValues) listLength(list string) int {
 	length := v.wholeNumber(list + ".count")
 	if length < 1 || length > maxListLength {
-		v.fail(list, fmt.Sprintf("%d entries, not 1 to %d", length, maxListLength))
+		v.fail(list, fmt.Sprintf("has %d entries, must have 1 to %d", length, maxListLength))
 		return 0
 	}
 	return length
 }
 
-// flag reads true or false; an absent one is false.
+// flag reads a boolean, which defaults to false.
 func (v *settingValues) flag(path string) bool { return settingWord(v, path, flags) }
 
-// settingWord looks a setting's word up in a table; an absent one gives the zero value.
+// settingWord reads a setting that is a word, and returns what the table words maps it to. A setting that is not given
+// returns the table's value for the empty word, if any, else the zero value.
 func settingWord[T any](v *settingValues, path string, words map[string]T) T {
 	word, given := v.values[path]
 	value, known := words[word]
 	if given && !known {
-		v.fail(path, "unknown word")
+		v.fail(path, "unknown value")
 	}
 	return value
 }
 
-// failUnless fails a setting that has to be above 0 because another one is set. The caller says whether it is, or needn't be.
-func (v *settingValues) failUnless(isPositiveOrUnused bool, path, because string) {
-	if !isPositiveOrUnused {
-		v.fail(path, "not above 0, with "+because)
+// requirePositive fails the setting path unless ok. The caller sets ok if the setting is above 0, or if dependent, which
+// requires it to be, is not in use.
+func (v *settingValues) requirePositive(ok bool, path, dependent string) {
+	if !ok {
+		v.fail(path, "must be above 0 if "+dependent+" is set")
 	}
 }
--- a/internal/simprotocol/words.go
+++ b/internal/simprotocol/words.go
@@ -5,7 +5,7 @@
 // absent is what the protocol writes for a value that is not given.
 const absent = "-"
 
-// Words of the field scope of VIEW.
+// updateKinds maps the field scope of a VIEW line.
 var updateKinds = map[string]policy.UpdateKind{
 	"delta":  policy.Delta,
 	"full":   policy.Snapshot,
@@ -13,24 +13,25 @@
 	"failed": policy.UpdateFailed,
 }
 
-// Words of the field state of a list's entry.
+// backendStates maps the field state of a BACKEND line.
 var backendStates = map[string]policy.BackendState{
 	"in_service":  policy.InService,
 	"terminating": policy.Draining,
 	"terminated":  policy.Terminated,
 }
 
-// Words of the setting classes[].effect.
+// idempotencies maps the setting classes[].effect.
 var idempotencies = map[string]policy.Idempotency{
 	"safe":   policy.Idempotent,
 	"keyed":  policy.IdempotentWithKey,
 	"unsafe": policy.NonIdempotent,
 }
 
-// Words of the setting classes[].group, which concerns keyed classes alone; the others may leave it out. WIRE-bellwood
-// doesn't say what a keyed class without a group means: here it counts as all, and is no error as a missing effect is.
-// Where that is not so a retry may go to a backend that doesn't know the key, and the request may run twice; so a
-// deployment's settings must name the group of each keyed class.
+// dedupScopes maps the setting classes[].group, which applies only to keyed classes; other classes may omit it.
+//
+// WIRE-bellwood doesn't define a keyed class without a group. Here it counts as "all" and is not an error, unlike a
+// missing effect. If a backend doesn't know the key after all, a retry may go there and the request may run twice.
+// The settings of a deployment must therefore give the group of every keyed class.
 var dedupScopes = map[string]policy.DedupScope{
 	"all":  policy.DedupAllBackends,
 	"zone": policy.DedupZone,
@@ -40,13 +41,13 @@
 	absent: policy.DedupAllBackends,
 }
 
-// Words of the setting discovery: whether the endpoint list has to be polled.
+// pollsEndpoints maps the setting discovery: whether the gateway has to poll the endpoint list.
 var pollsEndpoints = map[string]bool{
 	"pushed":     false,
 	"on_request": true,
 }
 
-// Words of all settings that are true or false.
+// flags maps every boolean setting.
 var flags = map[string]bool{
 	"true":  true,
 	"1":     true,
