--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter plays the engines of simulated gateways: it reads the simulator's line protocol from
-// standard input, steps one policy.Engine for each instance, and writes the engines' actions to standard output.
+// Command simadapter connects the simulator to the engines of simulated gateways. It reads the simulator's line protocol
+// from standard input, runs one policy.Engine for each instance, and writes the engines' actions to standard output.
 package main
 
 import (
@@ -20,13 +20,12 @@
 	}
 }
 
-// writeBuffer, in bytes: a reply may run to megabytes.
-const writeBuffer = 1 << 20
+const writeBufferBytes = 1 << 20 // a reply may have several megabytes
 
-// run answers batches until the input ends between two of them.
+// run replies to each batch until the input ends between two batches.
 func run(in io.Reader, out io.Writer) error {
 	reader := simprotocol.NewReader(in)
-	a := &adapter{out: bufio.NewWriterSize(out, writeBuffer), engines: map[string]*policy.Engine{}}
+	a := &adapter{out: bufio.NewWriterSize(out, writeBufferBytes), engines: map[string]*policy.Engine{}}
 	for {
 		batch, err := reader.Next()
 		if errors.Is(err, io.EOF) {
@@ -35,21 +34,21 @@
 		if err != nil {
 			return err
 		}
-		if err := a.answer(batch); err != nil {
+		if err := a.handleBatch(batch); err != nil {
 			return err
 		}
 	}
 }
 
-// adapter holds the engines of the instances that run.
+// adapter holds the engines of the running instances.
 type adapter struct {
 	out     *bufio.Writer
 	engines map[string]*policy.Engine // by instance
-	line    []byte                    // room for one action
+	line    []byte                    // buffer for one action
 }
 
-// answer replies to a batch. Events of one instance that follow one another make one Step.
-func (a *adapter) answer(batch *simprotocol.Batch) error {
+// handleBatch processes a batch and writes the reply. Consecutive events of one instance are passed to one Step.
+func (a *adapter) handleBatch(batch *simprotocol.Batch) error {
 	items := batch.Items
 	for len(items) > 0 {
 		item := items[0]
@@ -73,24 +72,24 @@
 		items = items[len(events):]
 		for _, action := range engine.Step(batch.Now, events) {
 			a.line = simprotocol.AppendAction(a.line[:0], item.Instance, action)
-			a.out.Write(a.line) // an error is kept by the writer, and returned by Flush
+			a.out.Write(a.line) // Flush returns the error, if any
 		}
 	}
 	fmt.Fprintf(a.out, "YIELD %s\n", batch.Number)
 	return a.out.Flush()
 }
 
-// start makes the engine of an instance that starts, in place of one of its name.
+// start creates the engine of an instance that starts. It replaces the engine of an instance with the same name.
 func (a *adapter) start(item simprotocol.Item) error {
 	engine, err := policy.New(item.Settings, item.Seed)
 	if err != nil {
-		return fmt.Errorf("settings of %s: %w", item.Instance, err)
+		return fmt.Errorf("creating the engine of %s: %w", item.Instance, err)
 	}
 	a.engines[item.Instance] = engine
 	return nil
 }
 
-// leadingEvents returns the events of an instance that the items begin with.
+// leadingEvents returns the events of the instance at the start of items, up to the first item of another instance or kind.
 func leadingEvents(items []simprotocol.Item, instance string) (events []policy.Event) {
 	for i := range items {
 		if items[i].Instance != instance || items[i].Kind != simprotocol.InstanceEvent {
