--- a/cmd/bellwood/log_test.go
+++ b/cmd/bellwood/log_test.go
@@ -11,53 +11,53 @@
 	"time"
 )
 
-// asMain stands in the environment of a process that is to be the program, not the tests.
-const asMain = "BELLWOOD_TEST_AS_MAIN"
+// runMainVariable is the environment variable that makes the test binary run main instead of the tests.
+const runMainVariable = "BELLWOOD_TEST_AS_MAIN"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asMain) != "" {
+	if os.Getenv(runMainVariable) != "" {
 		main()
 		os.Exit(0)
 	}
 	os.Exit(m.Run())
 }
 
-// A gateway whose log goes to a pipe that nobody reads must serve on and end: each line once waited for the reader, and
-// the event loop with it.
-func TestServesThoughNobodyReadsTheLog(t *testing.T) {
+// A gateway whose log goes to a full pipe that nobody reads must still serve clients and shut down. If each log line
+// were written straight to the pipe, the write would block, and with it the event loop.
+func TestGatewayServesAndShutsDownWhenLogBlocks(t *testing.T) {
 	addr := freeAddr(t)
-	program := startProgram(t, addr, fullPipe(t))
+	gateway := startGateway(t, addr, fullPipe(t))
 	if reply := ping(addr); !strings.HasPrefix(reply, "-LOADING") {
-		t.Fatalf("PING is answered %q", reply)
+		t.Fatalf("got reply %q to PING, want -LOADING", reply)
 	}
-	program.process.Signal(syscall.SIGTERM)
+	gateway.process.Signal(syscall.SIGTERM)
 	select {
-	case err := <-program.ended:
+	case err := <-gateway.exited:
 		if err != nil {
 			t.Error(err)
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("it does not end")
+		t.Fatalf("the gateway did not exit within %v of SIGTERM", testTimeout)
 	}
 }
 
-// fullPipe returns the writing end of a pipe that takes nothing more, as that of a log whose reader has stopped.
+// fullPipe returns the write end of a full pipe, like that of a log whose reader has stopped.
 func fullPipe(t *testing.T) *os.File {
 	t.Helper()
-	reads, writes, err := os.Pipe()
+	readEnd, writeEnd, err := os.Pipe()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { reads.Close(); writes.Close() })
-	writes.SetWriteDeadline(time.Now().Add(50 * time.Millisecond))
+	t.Cleanup(func() { readEnd.Close(); writeEnd.Close() })
+	writeEnd.SetWriteDeadline(time.Now().Add(50 * time.Millisecond))
 	for block := make([]byte, 4096); ; {
-		if _, err := writes.Write(block); err != nil {
-			return writes
+		if _, err := writeEnd.Write(block); err != nil {
+			return writeEnd
 		}
 	}
 }
 
-// freeAddr returns an address on which nothing listens.
+// freeAddr returns a loopback address with a port that is not in use.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -68,29 +68,30 @@
 	return ln.Addr().String()
 }
 
-// program is the program in a process of its own.
-type program struct {
+// gatewayProcess is a gateway that runs in its own process.
+type gatewayProcess struct {
 	process *os.Process
-	ended   chan error
+	exited  chan error // receives the result of Wait
 }
 
-// startProgram starts the program, which listens on an address and logs to a file, until the test ends.
-func startProgram(t *testing.T, addr string, log *os.File) program {
+// startGateway starts a gateway process that listens on addr and logs to the file log. It is killed when the test ends.
+func startGateway(t *testing.T, addr string, log *os.File) gatewayProcess {
 	t.Helper()
 	file := newConfigFile(t, configJSON(addr, "127.0.0.1:1"))
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), asMain+"=1", "NODE_CONFIG="+file, "NODE_NAME=", "NODE_LISTEN=", "NODE_DISCOVERY=")
+	cmd.Env = append(os.Environ(), runMainVariable+"=1", "NODE_CONFIG="+file, "NODE_NAME=", "NODE_LISTEN=", "NODE_DISCOVERY=")
 	cmd.Stderr = log
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	ended := make(chan error, 1)
-	go func() { ended <- cmd.Wait() }()
+	exited := make(chan error, 1)
+	go func() { exited <- cmd.Wait() }()
 	t.Cleanup(func() { cmd.Process.Kill() })
-	return program{process: cmd.Process, ended: ended}
+	return gatewayProcess{process: cmd.Process, exited: exited}
 }
 
-// ping sends a PING as soon as the program listens, and returns the reply; empty: there was none in time.
+// ping sends a PING as soon as a connection to addr succeeds, and returns the reply, or "" if there is none within
+// testTimeout.
 func ping(addr string) (reply string) {
 	for end := time.Now().Add(testTimeout); reply == "" && time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 		conn, err := net.Dial("tcp", addr)
--- a/cmd/bellwood/main.go
+++ b/cmd/bellwood/main.go
@@ -1,7 +1,8 @@
-// Command bellwood is one gateway: it meters tenants' quotas and forwards their requests to a shared fleet of backends.
+// Command bellwood runs one gateway, which enforces tenants' quotas and forwards their requests to a shared fleet of
+// backends.
 //
-// It is configured by the JSON file that NODE_CONFIG names; NODE_NAME, NODE_LISTEN and NODE_DISCOVERY override it at the
-// start. SIGTERM or an interrupt begins a graceful shutdown, SIGHUP makes it read the file again. It logs to standard
+// NODE_CONFIG names its configuration file, which is JSON. At the start NODE_NAME, NODE_LISTEN and NODE_DISCOVERY override
+// values of the file. SIGTERM or an interrupt starts a graceful shutdown; SIGHUP reloads the file. The log goes to standard
 // error. See README.
 package main
 
@@ -22,13 +23,14 @@
 )
 
 const (
-	// gcPercent is how much garbage may gather for each live byte, in percent. The heap has few MB, so collections would
-	// else come often; the memory limit makes them come sooner where that is needed.
+	// gcPercent is the value of GOGC. The heap has only a few MB, so collections would be frequent at the default. Near the
+	// memory limit they run earlier regardless.
 	gcPercent = 400
-	// goMemoryNum/goMemoryDen is the part of the memory limit that Go's runtime may use, its stacks and its own data
-	// included. The rest is for what it does not count: the program's code, a C library and the kernel's socket buffers.
+	// goMemoryNum/goMemoryDen is the share of the memory limit for memory that the Go runtime accounts for, including
+	// stacks and the runtime's own data. The rest is for what it doesn't account for: the program's code, a C library and
+	// the kernel's socket buffers.
 	goMemoryNum, goMemoryDen = 3, 4
-	// logFlushTimeout is how long the end waits for whoever reads the log.
+	// logFlushTimeout limits how long run waits at the end for the log to be written, as its reader may have stopped.
 	logFlushTimeout = 100 * time.Millisecond
 )
 
@@ -39,17 +41,17 @@
 	}
 }
 
-// run serves until SIGTERM or an interrupt, and then until what was taken is answered. SIGHUP makes it read the
-// configuration again.
+// run serves until SIGTERM or an interrupt, and then until the accepted requests are answered. SIGHUP reloads the
+// configuration.
 func run() error {
 	hup := make(chan os.Signal, 1)
-	signal.Notify(hup, syscall.SIGHUP) // first of all: by default the signal ends the program
+	signal.Notify(hup, syscall.SIGHUP) // before anything else, as by default SIGHUP ends the process
 	defer signal.Stop(hup)
-	cfg, err := readConfig(environment)
+	cfg, err := readConfig(applyEnvironment)
 	if err != nil {
 		return fmt.Errorf("configuration: %w", err)
 	}
-	runtime.GOMAXPROCS(1) // a gateway has one core: more threads would only take turns on it
+	runtime.GOMAXPROCS(1) // a gateway has one core, so further threads would only compete for it
 	if cfg.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(cfg.MemoryMB) << 20 * goMemoryNum / goMemoryDen)
 		debug.SetGCPercent(gcPercent)
@@ -67,25 +69,28 @@
 	if err != nil {
 		return err
 	}
-	ended := make(chan struct{})
-	defer close(ended)
-	go reload(hup, ended, server, log) // until run returns
+	done := make(chan struct{})
+	defer close(done)
+	go reloadOnSignal(hup, done, server, log)
 	server.Run(ctx, ln)
 	return nil
 }
 
-// reload reads the file again at each signal, until ended is closed. It takes from it the addresses of discovery and the
-// counter and the audit's revision, and nothing else. The environment counts only at the start: from the first reload on
-// the file's discovery holds, also where NODE_DISCOVERY is set, and a file that lacks what the environment gave at the
-// start does not pass the check. An unusable file changes nothing.
-func reload(hup <-chan os.Signal, ended <-chan struct{}, server *gateway.Server, log *slog.Logger) {
+// reloadOnSignal reloads the configuration file on each signal, until done is closed.
+//
+// A reload applies the addresses of discovery and the counter and the audit's revision, and nothing else. An invalid file
+// changes nothing.
+//
+// The environment applies only at the start. From the first reload on, the file's discovery address is used even if
+// NODE_DISCOVERY is set, and a file that lacks a value that the environment gave at the start is invalid.
+func reloadOnSignal(hup <-chan os.Signal, done <-chan struct{}, server *gateway.Server, log *slog.Logger) {
 	for {
 		select {
 		case <-hup:
-		case <-ended:
+		case <-done:
 			return
 		}
-		cfg, err := readConfig(fileOnly)
+		cfg, err := readConfig(noOverrides)
 		if err != nil {
 			log.Error("configuration reload failed", slog.Any("error", err))
 			continue
@@ -94,8 +99,8 @@
 	}
 }
 
-// readConfig reads the file that NODE_CONFIG names, lets replace put other values in its place, and checks the result.
-func readConfig(replace func(*gateway.Config)) (*gateway.Config, error) {
+// readConfig reads the file that NODE_CONFIG names, applies override to the result and checks it.
+func readConfig(override func(*gateway.Config)) (*gateway.Config, error) {
 	file, err := os.Open(os.Getenv("NODE_CONFIG"))
 	if err != nil {
 		return nil, fmt.Errorf("NODE_CONFIG: %w", err)
@@ -105,12 +110,12 @@
 	if err != nil {
 		return nil, err
 	}
-	replace(cfg)
+	override(cfg)
 	return cfg, cfg.Check()
 }
 
-// environment puts the values of the environment in the place of those in the file (DEPLOY-bellwood).
-func environment(cfg *gateway.Config) {
+// applyEnvironment overrides values of the file with those that the environment sets (DEPLOY-bellwood).
+func applyEnvironment(cfg *gateway.Config) {
 	for name, value := range map[string]*string{"NODE_NAME": &cfg.Name, "NODE_LISTEN": &cfg.Listen,
 		"NODE_DISCOVERY": &cfg.Discovery} {
 		if v := os.Getenv(name); v != "" {
@@ -119,5 +124,5 @@
 	}
 }
 
-// fileOnly leaves a configuration as the file has it.
-func fileOnly(*gateway.Config) {}
+// noOverrides leaves the configuration as it is in the file.
+func noOverrides(*gateway.Config) {}
--- a/cmd/bellwood/main_test.go
+++ b/cmd/bellwood/main_test.go
@@ -11,43 +11,42 @@
 	"time"
 )
 
-// A gateway that can't start says why in one line; the address it is to listen on is no exception.
-func TestBadConfiguration(t *testing.T) {
+// With an invalid configuration, a listen address that can't be used included, run fails with an error of one line.
+func TestRunFailsOnInvalidConfiguration(t *testing.T) {
 	good := configJSON("127.0.0.1:0", "127.0.0.1:1")
-	for _, bad := range []string{"{", strings.Replace(good, `"peers-total":1`, `"peers-total":0`, 1),
+	for _, invalid := range []string{"{", strings.Replace(good, `"peers-total":1`, `"peers-total":0`, 1),
 		strings.Replace(good, "127.0.0.1:0", "127.0.0.1:none", 1), strings.Replace(good, "127.0.0.1:0", "nowhere", 1),
 		strings.Replace(good, "1000", "0", 1)} {
-		t.Setenv("NODE_CONFIG", newConfigFile(t, bad))
+		t.Setenv("NODE_CONFIG", newConfigFile(t, invalid))
 		for _, name := range []string{"NODE_NAME", "NODE_LISTEN", "NODE_DISCOVERY"} {
 			t.Setenv(name, "")
 		}
 		if err := run(); err == nil || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%.40q: error %v", bad, err)
+			t.Errorf("%.40q: got error %v, want an error of one line", invalid, err)
 		}
 	}
 }
 
-// The environment overrides the file.
-func TestEnvironment(t *testing.T) {
+func TestEnvironmentOverridesConfigFile(t *testing.T) {
 	t.Setenv("NODE_CONFIG", newConfigFile(t, configJSON("127.0.0.1:1", "127.0.0.1:2")))
 	t.Setenv("NODE_NAME", "n2")
 	t.Setenv("NODE_LISTEN", "127.0.0.1:3")
 	t.Setenv("NODE_DISCOVERY", "127.0.0.1:4")
-	cfg, err := readConfig(environment)
+	cfg, err := readConfig(applyEnvironment)
 	if err != nil || cfg.Name != "n2" || cfg.Listen != "127.0.0.1:3" || cfg.Discovery != "127.0.0.1:4" {
-		t.Errorf("%+v, %v", cfg, err)
+		t.Errorf("got configuration %+v, error %v; want name, listen and discovery from the environment", cfg, err)
 	}
 }
 
-// By default SIGHUP ends a program. It must not end this one, also while it starts or ends: an unusable file changes
-// nothing, and a usable one overrides the environment.
-func TestReload(t *testing.T) {
-	watched := make(chan string, 64) // names of the agents that are asked
+// SIGHUP, which by default ends a process, must not end the gateway, even during startup or shutdown. It reloads the
+// configuration: an invalid file changes nothing, a valid one overrides the environment.
+func TestSIGHUPReloadsConfiguration(t *testing.T) {
+	watched := make(chan string, 64) // receives the name of each agent that gets a request
 	file := newConfigFile(t, configJSON("127.0.0.1:0", "127.0.0.1:1"))
 	t.Setenv("NODE_CONFIG", file)
 	t.Setenv("NODE_DISCOVERY", newAgent(t, "first", watched))
-	ended := make(chan error, 1)
-	go func() { ended <- run() }()
+	result := make(chan error, 1)
+	go func() { result <- run() }()
 	waitForWatch(t, watched, "first")
 	replaceFile(t, file, configJSON("127.0.0.1:0", "nowhere"))
 	sendSignal(t, syscall.SIGHUP)
@@ -55,18 +54,18 @@
 	replaceFile(t, file, configJSON("127.0.0.1:0", newAgent(t, "second", watched)))
 	sendSignal(t, syscall.SIGHUP)
 	waitForWatch(t, watched, "second")
-	late := make(chan os.Signal, 8) // one that comes when run has ended must not end the tests
+	late := make(chan os.Signal, 8) // a signal that arrives after run has returned must not end the test process
 	signal.Notify(late, syscall.SIGHUP, syscall.SIGTERM)
 	defer signal.Stop(late)
 	for _, s := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP, syscall.SIGTERM} {
 		sendSignal(t, s)
 	}
-	if err := <-ended; err != nil {
+	if err := <-result; err != nil {
 		t.Error(err)
 	}
 }
 
-// newAgent starts a discovery agent that tells when it is asked, and returns its address.
+// newAgent starts a discovery agent that sends its name to watched on each request, and returns its address.
 func newAgent(t *testing.T, name string, watched chan<- string) (addr string) {
 	t.Helper()
 	agent := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { watched <- name }))
@@ -74,8 +73,8 @@
 	return strings.TrimPrefix(agent.URL, "http://")
 }
 
-// waitForWatch waits until an agent is asked from now on: it passes over what has been noted before. Agents are asked
-// again and again, as they answer nothing of use.
+// waitForWatch waits for the next request to the agent; requests made before the call don't count. The gateway keeps
+// retrying, as the agents' responses are empty.
 func waitForWatch(t *testing.T, watched <-chan string, name string) {
 	t.Helper()
 	for len(watched) > 0 {
@@ -88,12 +87,12 @@
 				return
 			}
 		case <-limit:
-			t.Fatalf("%s is not watched", name)
+			t.Fatalf("no request to agent %s within %v", name, testTimeout)
 		}
 	}
 }
 
-// replaceFile puts a configuration in the place of a file's, at once.
+// replaceFile replaces the content of a file atomically.
 func replaceFile(t *testing.T, file, text string) {
 	t.Helper()
 	if err := os.WriteFile(file+".new", []byte(text), 0o600); err != nil {
@@ -104,7 +103,7 @@
 	}
 }
 
-// sendSignal sends this process a signal.
+// sendSignal sends a signal to this process.
 func sendSignal(t *testing.T, signal syscall.Signal) {
 	t.Helper()
 	if err := syscall.Kill(os.Getpid(), signal); err != nil {
