--- a/internal/resp/reader.go
+++ b/internal/resp/reader.go
@@ -21,7 +21,7 @@
 const (
 	MaxValueBytes   = 64 << 10              // of a bulk string
 	MaxMessageBytes = MaxValueBytes + 8<<10 // of a whole command or reply
-	BufferBytes     = 4 << 10               // initial size of a Reader's buffer, which grows only for longer messages
+	BufferBytes     = 4 << 10               // initial size of a Reader's buffer, which grows when it is full
 	maxArrayItems   = 64                    // a command has at most 5 items, a reply 3
 	maxArrayDepth   = 2                     // an array may contain arrays, which redcon parses as well
 	maxLengthBytes  = 32                    // of the header line of a bulk string or an array
@@ -32,7 +32,7 @@
 // Nothing more can be read from the stream, as the start of the next message is unknown.
 var ErrMalformed = errors.New("malformed RESP")
 
-// ErrNoMemory means that the Reader's MemoryBudget refused the bytes for a message longer than its buffer. What has been
+// ErrNoMemory means that the Reader's MemoryBudget refused the memory to grow the buffer for a longer message. What has been
 // read of the message stays buffered, so Next or Fill can be retried.
 var ErrNoMemory = errors.New("no memory left for a message")
 
@@ -52,7 +52,7 @@
 	consumed int // bytes at the start of buffer that Next has returned
 }
 
-// NewReader returns a Reader of source. It reserves buffer memory beyond BufferBytes from budget until Release. If
+// NewReader returns a Reader of source. It reserves buffer memory beyond BufferBytes from budget; Release returns it. If
 // budget is nil, only MaxMessageBytes limits the buffer.
 func NewReader(source io.Reader, budget MemoryBudget) *Reader {
 	return &Reader{source: source, budget: budget}
--- a/internal/simprotocol/settings_test.go
+++ b/internal/simprotocol/settings_test.go
@@ -78,10 +78,10 @@
 	settings, err := ParseSettings(given)
 	if err != nil || settings.Gateways != 3 || settings.GatewayIndex != 2 ||
 		settings.Classes[0].Idempotency != policy.NonIdempotent || len(settings.Plans) != 1 {
-		t.Errorf("%+v, %v", settings, err)
+		t.Errorf("ParseSettings: got %+v, error %v; want the given settings", settings, err)
 	}
 	if transport, err := ParseTransport(given); err != nil || transport.Classes[0] != "scan" || transport.Plans[0] != "only" {
-		t.Errorf("%+v, %v", transport, err)
+		t.Errorf("ParseTransport: got %+v, error %v; want the given names", transport, err)
 	}
 	if _, err := policy.New(settings, 1); err != nil {
 		t.Error(err)
