--- a/internal/policy/tenants_test.go
+++ b/internal/policy/tenants_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// registryOf has tenants that were seen last at the given times.
+// registryOf returns a registry and its tenants, which were last seen at the given times.
 func registryOf(lastSeen ...time.Duration) (tenantRegistry, []*tenant) {
 	registry := newTenantRegistry()
 	var added []*tenant
@@ -18,22 +18,22 @@
 	return registry, added
 }
 
-func TestEvictionForgetsIdleTenantsOnly(t *testing.T) {
+func TestEvictionRemovesOnlyIdleTenants(t *testing.T) {
 	registry, added := registryOf(0, time.Second, 0, 0)
 	added[2].admitted = 1
 	added[3].lease.BeginCall(0, 1, 1)
 	registry.evictIdle(tenantIdleTime)
 	if len(registry.byKey) != 4 {
-		t.Errorf("%d tenants are left of 4 that were seen within the idle time", len(registry.byKey))
+		t.Errorf("%d tenants are left, want all 4: they were seen within the idle time", len(registry.byKey))
 	}
 	registry.evictIdle(tenantIdleTime + 1)
 	if len(registry.byKey) != 3 || len(registry.order) != 3 || registry.byKey[added[0].key] != nil {
-		t.Errorf("left: %v; want all but the first, as one was seen of late, one has a request admitted and one "+
-			"awaits the counter", registry.byKey)
+		t.Errorf("left: %v; want all but the first: one was seen recently, one has an admitted request and one "+
+			"awaits the counter's answer", registry.byKey)
 	}
 }
 
-func TestEvictionLooksAtAFewTenantsEachTime(t *testing.T) {
+func TestEvictionExaminesBoundedNumberOfTenantsPerCheck(t *testing.T) {
 	registry, _ := registryOf(make([]time.Duration, 3*evictionsPerCheck)...)
 	for left := 3 * evictionsPerCheck; left > 0; left -= evictionsPerCheck {
 		if len(registry.byKey) != left {
@@ -46,52 +46,52 @@
 	}
 }
 
-func TestWaitingTenantsAreNotedOnce(t *testing.T) {
+func TestWaitingTenantsAreListedOnce(t *testing.T) {
 	registry, added := registryOf(0, 0)
-	registry.noteWaiting(added[0])
-	registry.noteWaiting(added[1])
-	registry.noteWaiting(added[0])
+	registry.markWaiting(added[0])
+	registry.markWaiting(added[1])
+	registry.markWaiting(added[0])
 	if taken := registry.takeWaiting(); len(taken) != 2 || taken[0] != added[0] || taken[1] != added[1] {
-		t.Errorf("taken: %v", taken)
+		t.Errorf("taken: %v, want both tenants, each once", taken)
 	}
-	registry.noteWaiting(added[0]) // it counts as noted until it is served
-	added[1].noLongerNoted()
-	registry.noteWaiting(added[1])
+	registry.markWaiting(added[0]) // ignored: it stays marked until it is served
+	added[1].clearWaitingMark()
+	registry.markWaiting(added[1])
 	if taken := registry.takeWaiting(); len(taken) != 1 || taken[0] != added[1] {
-		t.Errorf("taken: %v", taken)
+		t.Errorf("taken: %v, want the second tenant only", taken)
 	}
 }
 
-func TestFirstWaitingPassesOverWhatHasEnded(t *testing.T) {
+func TestFirstWaitingSkipsEndedRequests(t *testing.T) {
 	var tenant tenant
 	if tenant.firstWaiting() != nil {
-		t.Error("somebody waits at a new tenant")
+		t.Error("a new tenant has a waiting request")
 	}
-	ended, waits := &request{ended: true}, &request{}
+	ended, waiting := &request{ended: true}, &request{}
 	tenant.addWaiting(ended)
-	tenant.addWaiting(waits)
-	if got := tenant.firstWaiting(); got != waits {
-		t.Errorf("first: %v", got)
+	tenant.addWaiting(waiting)
+	if got := tenant.firstWaiting(); got != waiting {
+		t.Errorf("first waiting request: %v", got)
 	}
 	tenant.removeFirstWaiting()
 	if tenant.firstWaiting() != nil {
-		t.Error("it is still there")
+		t.Error("the removed request still waits")
 	}
 }
 
-// Calls for one number are answered in their order; calls for others don't matter.
-func TestAnswersBelongToCallsInTheirOrder(t *testing.T) {
+// Answers for one counter key belong to its calls in their order, independent of calls for other keys.
+func TestCounterAnswersMatchCallsPerKeyInOrder(t *testing.T) {
 	calls := newCounterCalls(true)
 	first, second, other := &counterCall{}, &counterCall{}, &counterCall{}
-	calls.add(1, first)
-	calls.add(2, other)
-	calls.add(1, second)
+	calls.enqueue(1, first)
+	calls.enqueue(2, other)
+	calls.enqueue(1, second)
 	for i, want := range []*counterCall{first, second, nil} {
-		if got := calls.take(1); got != want {
+		if got := calls.dequeue(1); got != want {
 			t.Errorf("answer %d: %p, want %p", i, got, want)
 		}
 	}
-	if calls.take(2) != other || len(calls.inFlight) != 0 {
-		t.Errorf("in flight: %v", calls.inFlight)
+	if calls.dequeue(2) != other || len(calls.inFlight) != 0 {
+		t.Errorf("calls for the other key do not match, or calls are left in flight: %v", calls.inFlight)
 	}
 }
