--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -178,7 +178,7 @@
 // maxWait returns how long the loop may block until the next task: until the next timer is due, and during a shutdown
 // for shutdownPollInterval at most.
 func (server *Server) maxWait(schedule shutdown) time.Duration {
-	wait := server.timers.Wait(server.now())
+	wait := server.timers.TimeUntilNext(server.now())
 	if schedule.begun() {
 		wait = min(wait, shutdownPollInterval)
 	}
