--- a/internal/gateway/discovery/discoverytest/discoverytest.go
+++ b/internal/gateway/discovery/discoverytest/discoverytest.go
@@ -15,11 +15,11 @@
 	"bellwood/internal/gateway/endpoint"
 )
 
-// Patient bounds every wait; none is expected to take a noticeable part of it.
-const Patient = 20 * time.Second
+// Timeout bounds every wait; none is expected to take a noticeable part of it.
+const Timeout = 20 * time.Second
 
-// OK is the head of an answer whose body comes in chunks.
-const OK = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+// ResponseHead is the head of an answer whose body comes in chunks.
+const ResponseHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 // Chunked is s as one chunk of a body.
 func Chunked(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
@@ -91,19 +91,19 @@
 // Watch takes the next watch, answers with the head, and returns it with the index that it asks from.
 func (a *Agent) Watch() (watch *Watch, index string) {
 	a.t.Helper()
-	a.listener.SetDeadline(time.Now().Add(Patient))
+	a.listener.SetDeadline(time.Now().Add(Timeout))
 	conn, err := a.listener.AcceptTCP()
 	if err != nil {
 		a.t.Fatal(err)
 	}
 	a.t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(Patient))
+	conn.SetDeadline(time.Now().Add(Timeout))
 	request, err := http.ReadRequest(bufio.NewReader(conn))
 	if err != nil {
 		a.t.Fatal(err)
 	}
 	watch = &Watch{t: a.t, Conn: conn}
-	watch.Write(OK)
+	watch.Write(ResponseHead)
 	return watch, request.URL.Query().Get("index")
 }
 
@@ -117,7 +117,7 @@
 		go func() {
 			defer conn.Close()
 			if _, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
-				io.WriteString(conn, OK+Chunked(text))
+				io.WriteString(conn, ResponseHead+Chunked(text))
 				io.Copy(io.Discard, conn) // until the gateway leaves
 			}
 		}()
--- a/internal/gateway/discovery/helpers_test.go
+++ b/internal/gateway/discovery/helpers_test.go
@@ -46,7 +46,7 @@
 // pump runs tasks until a condition holds.
 func (l *testLoop) pump(until func() bool) {
 	l.t.Helper()
-	end := time.After(discoverytest.Patient)
+	end := time.After(discoverytest.Timeout)
 	for !until() {
 		select {
 		case task := <-l.tasks:
@@ -74,7 +74,7 @@
 	t.Helper()
 	loop := &testLoop{t: t, tasks: make(chan func(), 1024), done: make(chan struct{}), pools: map[string]string{}}
 	client := New(loop, Options{Address: "127.0.0.1:1", Zones: []string{"dc1"}, Kinds: []string{"std"},
-		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Silence: discoverytest.Patient})
+		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Silence: discoverytest.Timeout})
 	client.Apply(known, policy.CachedSnapshot)
 	loop.updates = nil
 	t.Cleanup(func() {
--- a/internal/gateway/discovery/receiver_test.go
+++ b/internal/gateway/discovery/receiver_test.go
@@ -19,7 +19,7 @@
 // one task may make only one, and how the reading ended. The lists count where wanted is nil or says so.
 func receive(t testing.TB, client *Client, loop *testLoop, text string, wanted func() bool) (changes [][]policy.Backend, err error) {
 	t.Helper()
-	silence := startSilenceTimer(discoverytest.Patient, func() {})
+	silence := startSilenceTimer(discoverytest.Timeout, func() {})
 	defer silence.suspend()
 	receiver := client.newReceiver(strings.NewReader(text), silence)
 	receiver.applied = client.adopt
@@ -51,7 +51,7 @@
 				(<-loop.tasks)()
 			}
 			return changes, err
-		case <-time.After(discoverytest.Patient):
+		case <-time.After(discoverytest.Timeout):
 			t.Fatal("the list is not read to its end")
 		}
 	}
--- a/internal/gateway/reach_test.go
+++ b/internal/gateway/reach_test.go
@@ -48,16 +48,16 @@
 	"reset":                    resetCall,
 	"ended":                    endCall,
 	"silent":                   staySilent,
-	"silent behind its head":   sayThen(discoverytest.OK, staySilent),
-	"silent within its head":   sayThen(discoverytest.OK[:20], staySilent),
-	"silent within a list":     sayThen(discoverytest.OK+halfList, staySilent),
-	"reset within a list":      sayThen(discoverytest.OK+halfList, resetCall),
+	"silent behind its head":   sayThen(discoverytest.ResponseHead, staySilent),
+	"silent within its head":   sayThen(discoverytest.ResponseHead[:20], staySilent),
+	"silent within a list":     sayThen(discoverytest.ResponseHead+halfList, staySilent),
+	"reset within a list":      sayThen(discoverytest.ResponseHead+halfList, resetCall),
 	"status 500":               sayThen("HTTP/1.1 500 Oh\r\nContent-Length: 2\r\n\r\n{}", staySilent),
 	"status 503":               sayThen("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", endCall),
-	"no JSON":                  sayThen(discoverytest.OK+discoverytest.Chunked("<html>"), staySilent),
+	"no JSON":                  sayThen(discoverytest.ResponseHead+discoverytest.Chunked("<html>"), staySilent),
 	"no HTTP":                  sayThen("hello?\r\n\r\n", staySilent),
-	"a list without its index": sayThen(discoverytest.OK+discoverytest.Chunked(`{"snapshot":true,"endpoints":[]}`), staySilent),
-	"an entry that drips": sayThen(discoverytest.OK+discoverytest.Chunked(`{"index":9,"endpoints":[{"name":"`),
+	"a list without its index": sayThen(discoverytest.ResponseHead+discoverytest.Chunked(`{"snapshot":true,"endpoints":[]}`), staySilent),
+	"an entry that drips": sayThen(discoverytest.ResponseHead+discoverytest.Chunked(`{"index":9,"endpoints":[{"name":"`),
 		keepSaying(discoverytest.Chunked("x"))),
 }
 
@@ -123,7 +123,7 @@
 		a.fail(conn, a.ended)
 		return
 	}
-	io.WriteString(conn, discoverytest.OK+discoverytest.Chunked(a.answer))
+	io.WriteString(conn, discoverytest.ResponseHead+discoverytest.Chunked(a.answer))
 	if a.kind == listCalls {
 		io.WriteString(conn, "0\r\n\r\n")
 		return
--- a/internal/gateway/ready_test.go
+++ b/internal/gateway/ready_test.go
@@ -163,7 +163,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		io.WriteString(watch, discoverytest.OK)
+		io.WriteString(watch, discoverytest.ResponseHead)
 		for i := range lists {
 			list := &lists[i]
 			go io.WriteString(watch, list.text)
--- a/internal/gateway/testgateway_test.go
+++ b/internal/gateway/testgateway_test.go
@@ -19,7 +19,7 @@
 )
 
 // testTimeout bounds every wait of these tests; none is expected to take a noticeable part of it.
-const testTimeout = discoverytest.Patient
+const testTimeout = discoverytest.Timeout
 
 var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
