--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -38,7 +38,7 @@
 	return attempt.request.received.Forward(attempt.deadline - now)
 }
 
-// clientLeft says whether the client has ended its connection, which is then closed on this side too.
-func (attempt *backendAttempt) clientLeft() bool {
+// clientDisconnected says whether the client has ended its connection, which is then closed on this side too.
+func (attempt *backendAttempt) clientDisconnected() bool {
 	return attempt.request.received.conn.closeIfClientLeft()
 }
--- a/internal/gateway/audit.go
+++ b/internal/gateway/audit.go
@@ -236,7 +236,7 @@
 	s.suspended.Store(out)
 	s.emit(policy.Suspend{On: out})
 	if out {
-		s.upstream.takeBackAllDialing()
+		s.upstream.cancelAllDials()
 	}
 }
 
--- a/internal/gateway/backendconn.go
+++ b/internal/gateway/backendconn.go
@@ -19,7 +19,7 @@
 	commandUnsent       int32 = iota // not a byte has gone out: it never ran
 	commandBeingWritten              // a part may have gone out
 	commandWritten                   // all bytes are written: it may have run
-	commandCutOff                    // the connection broke before all were written: it never ran
+	commandWriteFailed                    // the connection broke before all were written: it never ran
 )
 
 // backendConn is a connection to a backend. It carries one thing at a time, an attempt or a health check, and is closed
@@ -44,13 +44,13 @@
 	commandsSent atomic.Int32 // commands given to it; the reader compares its number of replies with this
 }
 
-func (conn *backendConn) dialing() bool { return conn.socket == nil }
+func (conn *backendConn) isDialing() bool { return conn.socket == nil }
 
-// quiet says whether the connection is open and nothing lies unread in it.
-func (conn *backendConn) quiet() bool { return !conn.readEnded.Load() && rawsocket.Quiet(conn.socket) }
+// usable says whether the connection is open and nothing lies unread in it.
+func (conn *backendConn) usable() bool { return !conn.readEnded.Load() && rawsocket.Quiet(conn.socket) }
 
-// takeLoad takes off what the connection carries.
-func (conn *backendConn) takeLoad() (*backendAttempt, *healthCheck) {
+// detachWork takes off what the connection carries.
+func (conn *backendConn) detachWork() (*backendAttempt, *healthCheck) {
 	attempt, check := conn.attempt, conn.healthCheck
 	conn.attempt, conn.healthCheck = nil, nil
 	return attempt, check
@@ -98,7 +98,7 @@
 		return
 	}
 	conn.socket = socket
-	if conn.attempt == nil || !conn.upstream.endIfClientLeft(conn.attempt) {
+	if conn.attempt == nil || !conn.upstream.endIfClientDisconnected(conn.attempt) {
 		conn.writeCommand()
 	}
 }
@@ -155,7 +155,7 @@
 // commandWriteEnded notes how the writing of a command ended. The goroutine that wrote calls it: the loop or writeRest.
 func (conn *backendConn) commandWriteEnded(err error) {
 	if err != nil {
-		conn.writeState.Store(commandCutOff)
+		conn.writeState.Store(commandWriteFailed)
 		conn.socket.Close() // so its reader ends, if it has not
 	} else {
 		conn.writeState.Store(commandWritten)
--- a/internal/gateway/backendpool.go
+++ b/internal/gateway/backendpool.go
@@ -8,7 +8,7 @@
 // backendPool has what is known of one backend's address, and its connections. The loop owns it.
 type backendPool struct {
 	name, addr  string
-	startedAt   time.Duration // of the process at addr, as discovery gives it (Unix time)
+	processStartedAt   time.Duration // of the process at addr, as discovery gives it (Unix time)
 	generation  int           // how often addr or startedAt has changed
 	inService   bool
 	conns       map[*backendConn]bool // all, those being dialed too
@@ -20,14 +20,14 @@
 	return &backendPool{name: name, conns: map[*backendConn]bool{}}
 }
 
-// move takes the address and the start that discovery gives, and says whether the process changed. The connections that
+// updateProcess takes the address and the start that discovery gives, and says whether the process changed. The connections that
 // are there lead to the old one: what is idle or being dialed has to be closed by the caller, what is busy is closed at
 // its reply, as its generation is not the pool's (TestBusyConnectionOfAnOldAddressIsNotKept).
-func (pool *backendPool) move(addr string, startedAt time.Duration) bool {
-	if pool.addr == addr && pool.startedAt == startedAt {
+func (pool *backendPool) updateProcess(addr string, startedAt time.Duration) bool {
+	if pool.addr == addr && pool.processStartedAt == startedAt {
 		return false
 	}
-	pool.addr, pool.startedAt = addr, startedAt
+	pool.addr, pool.processStartedAt = addr, startedAt
 	pool.generation++
 	return true
 }
--- a/internal/gateway/upstream.go
+++ b/internal/gateway/upstream.go
@@ -10,8 +10,8 @@
 	"bellwood/internal/timerqueue"
 )
 
-// healthCheckDialTimes is how long a health check may take, in dial timeouts.
-const healthCheckDialTimes = 2
+// healthCheckTimeoutFactor is how long a health check may take, in dial timeouts.
+const healthCheckTimeoutFactor = 2
 
 // attemptOwner is what upstream needs of the table of requests, whose attempts it carries.
 type attemptOwner interface {
@@ -34,7 +34,7 @@
 	loop           taskLoop
 	owner          attemptOwner
 	dialTimeout    time.Duration
-	backendIdle    time.Duration // after which backends close an idle connection; 0: never
+	backendIdleTimeout    time.Duration // after which backends close an idle connection; 0: never
 	settleTime     time.Duration
 	maxRequestCost float64 // a higher cost in a reply is not believed; 0: no limit
 
@@ -45,7 +45,7 @@
 
 func newUpstream(loop taskLoop, owner attemptOwner, cfg *Config) *upstream {
 	return &upstream{loop: loop, owner: owner, dialTimeout: cfg.Transport.DialTimeout,
-		backendIdle: cfg.Transport.ConnIdleTimeout, settleTime: cmp.Or(cfg.settleFor, settleTime),
+		backendIdleTimeout: cfg.Transport.ConnIdleTimeout, settleTime: cmp.Or(cfg.settleFor, settleTime),
 		maxRequestCost: cfg.Settings.MaxRequestCost, pools: map[string]*backendPool{},
 		maxConns: budget.BackendConns(cfg.Sockets)}
 }
@@ -57,33 +57,33 @@
 		pool = newBackendPool(endpoint.Name)
 		up.pools[endpoint.Name] = pool
 	}
-	if pool.move(addr, endpoint.Started) {
+	if pool.updateProcess(addr, endpoint.Started) {
 		up.closeIdleSince(pool, up.loop.now())
-		up.takeBackDialing(pool)
+		up.cancelDials(pool)
 	}
 	if pool.inService = endpoint.State == policy.InService; !pool.inService {
-		up.stopUsing(pool)
+		up.takeOutOfService(pool)
 	}
 }
 
-// stopUsing makes sure that nothing new reaches a backend that drains or has terminated.
+// takeOutOfService makes sure that nothing new reaches a backend that drains or has terminated.
 //
 // Failure: an attempt waits for its connection, which comes up when sends to the backend must have ended (250 ms after
 // discovery told that it drains). How it shows: the backend gets a request that it may never answer. Why this holds:
 // the dial is given up and the attempt ends as not sent. The engine may then retry the request, and this attempt has
 // used up one of policy.Settings.MaxAttempts. As the result reaches the engine before the EndpointUpdate of the same
 // Step, the retry may even choose the same backend once more. TestPendingDialIsNotWritten.
-func (up *upstream) stopUsing(pool *backendPool) {
+func (up *upstream) takeOutOfService(pool *backendPool) {
 	up.closeIdleSince(pool, up.loop.now())
-	up.takeBackDialing(pool)
-	up.forgetIfUnused(pool)
+	up.cancelDials(pool)
+	up.removeIfUnused(pool)
 }
 
 // startAttempt sends an attempt on the idle connection used last, or on a new one if there is none: a new one costs the
 // backend work.
 func (up *upstream) startAttempt(attempt *backendAttempt) {
 	pool := up.pools[attempt.backend]
-	if pool == nil || !pool.inService || up.endIfClientLeft(attempt) {
+	if pool == nil || !pool.inService || up.endIfClientDisconnected(attempt) {
 		up.owner.attemptEnded(attempt, attemptResult{status: policy.NotSent})
 		return
 	}
@@ -94,7 +94,7 @@
 	}
 	conn.attempt, attempt.conn = attempt, conn
 	attempt.deadlineTimer = up.loop.addTimer(attempt.deadline, func() { up.deadlineExceeded(attempt, conn) })
-	if !conn.dialing() {
+	if !conn.isDialing() {
 		conn.writeCommand()
 	}
 }
@@ -105,29 +105,29 @@
 	if conn.writeState.Load() == commandUnsent { // still dialing: it never ran
 		status = policy.ConnectFailed
 	}
-	up.noReplyInTime(conn.pool, attempt.startedAt)
+	up.closeIdleIfSilent(conn.pool, attempt.startedAt)
 	up.dropConn(conn, status)
 }
 
-// endIfClientLeft ends the request of an attempt if its client has left, and says whether it has.
+// endIfClientDisconnected ends the request of an attempt if its client has left, and says whether it has.
 //
 // Failure: a client has ended its connection, but the end lies unread: behind what it sent before, or because its
 // reader waits for room. How it shows: a backend works on a request that nobody waits for, counted as one forwarded
 // after its client had left. Why this holds: the socket itself is asked, whatever lies unread in it, before an attempt
 // takes a connection and again when a dialed one has come up; wherever the request has waited until then, nothing is
 // written in between. TestUnreadEndStopsTheSend, TestEndBehindReadAheadStopsTheSend.
-func (up *upstream) endIfClientLeft(attempt *backendAttempt) bool {
-	left := attempt.clientLeft()
+func (up *upstream) endIfClientDisconnected(attempt *backendAttempt) bool {
+	left := attempt.clientDisconnected()
 	if left {
 		up.owner.clientGone(attempt.request.received)
 	}
 	return left
 }
 
-// noReplyInTime is called when no reply came in time to what was sent at a time. If the backend has sent no reply at all
+// closeIdleIfSilent is called when no reply came in time to what was sent at a time. If the backend has sent no reply at all
 // since then, its machine may be gone, and the connections that have been idle since with it: they would stay open and
 // silent. They are closed, so that the next attempts dial.
-func (up *upstream) noReplyInTime(pool *backendPool, since time.Duration) {
+func (up *upstream) closeIdleIfSilent(pool *backendPool, since time.Duration) {
 	if pool.lastReplyAt < since {
 		up.closeIdleSince(pool, since)
 	}
@@ -161,7 +161,7 @@
 		return
 	}
 	conn.healthCheck = check
-	check.timer = up.loop.addTimer(up.loop.now()+healthCheckDialTimes*up.dialTimeout,
+	check.timer = up.loop.addTimer(up.loop.now()+healthCheckTimeoutFactor*up.dialTimeout,
 		func() { up.dropConn(conn, policy.TimedOut) })
 }
 
@@ -175,7 +175,7 @@
 	if conn.closed {
 		return
 	}
-	attempt, check := conn.takeLoad()
+	attempt, check := conn.detachWork()
 	if attempt != nil {
 		attempt.conn = nil
 		if reply.Unexpected { // it is no reply to a request, so it is not passed on
@@ -190,19 +190,19 @@
 	} else {
 		conn.pool.removeIdle(conn)
 		up.closeConn(conn)
-		up.forgetIfUnused(conn.pool)
+		up.removeIfUnused(conn.pool)
 	}
 	if check != nil {
 		up.healthCheckEnded(check, reply.Status)
 	}
 	if attempt != nil {
-		up.attemptReplied(attempt, reply)
+		up.endRepliedAttempt(attempt, reply)
 	}
 }
 
-// attemptReplied ends an attempt to which a reply came. A value is passed on to the client first, which ends the request,
+// endRepliedAttempt ends an attempt to which a reply came. A value is passed on to the client first, which ends the request,
 // as the attempt's result then tells.
-func (up *upstream) attemptReplied(attempt *backendAttempt, reply protocol.Reply) {
+func (up *upstream) endRepliedAttempt(attempt *backendAttempt, reply protocol.Reply) {
 	if reply.Status == policy.OK {
 		up.owner.answer(attempt.request, reply.Value)
 	}
--- a/internal/gateway/upstream_test.go
+++ b/internal/gateway/upstream_test.go
@@ -198,7 +198,7 @@
 	server := newIdleServer(t, ln.Addr().String())
 	pool := server.upstream.pools["s-0"]
 	for _, end := range []func(){
-		func() { server.upstream.noReplyInTime(pool, server.now()) },
+		func() { server.upstream.closeIdleIfSilent(pool, server.now()) },
 		func() {
 			m := endpointList(2, pool.addr)
 			m.Endpoints[0].SinceMS = 5
--- a/internal/gateway/upstreamconns.go
+++ b/internal/gateway/upstreamconns.go
@@ -47,7 +47,7 @@
 			continue
 		}
 		pool.removeIdleAt(i)
-		if !conn.quiet() {
+		if !conn.usable() {
 			up.closeConn(conn)
 			continue
 		}
@@ -88,8 +88,8 @@
 
 // closeExpiredIdle closes the connections that have been idle for so long that the backend would close them soon.
 func (up *upstream) closeExpiredIdle() {
-	if up.backendIdle > 0 {
-		since := up.loop.now() - time.Duration(float64(up.backendIdle)*idleTimeoutShare)
+	if up.backendIdleTimeout > 0 {
+		since := up.loop.now() - time.Duration(float64(up.backendIdleTimeout)*idleTimeoutShare)
 		for _, pool := range up.pools {
 			up.closeIdleSince(pool, since)
 		}
@@ -105,7 +105,7 @@
 	conn.closed = true
 	up.connCount--
 	delete(conn.pool.conns, conn)
-	if !conn.dialing() {
+	if !conn.isDialing() {
 		conn.socket.Close()
 	}
 	conn.cancelDial()
@@ -114,7 +114,7 @@
 // dropConn closes a connection and ends what it carried. It closes first: the next attempt must not be sent while this
 // one may still get a reply.
 func (up *upstream) dropConn(conn *backendConn, status policy.Status) {
-	attempt, check := conn.takeLoad()
+	attempt, check := conn.detachWork()
 	up.closeConn(conn)
 	if attempt != nil {
 		up.owner.attemptEnded(attempt, attemptResult{status: status})
@@ -122,26 +122,26 @@
 	if check != nil {
 		up.healthCheckEnded(check, status)
 	}
-	up.forgetIfUnused(conn.pool)
+	up.removeIfUnused(conn.pool)
 }
 
-// takeBackDialing ends the attempts and health checks that wait for a connection to a backend, as not sent.
-func (up *upstream) takeBackDialing(pool *backendPool) {
+// cancelDials ends the attempts and health checks that wait for a connection to a backend, as not sent.
+func (up *upstream) cancelDials(pool *backendPool) {
 	for conn := range pool.conns {
-		if conn.dialing() {
+		if conn.isDialing() {
 			up.dropConn(conn, policy.NotSent)
 		}
 	}
 }
 
-// takeBackAllDialing ends all attempts and health checks that wait for a connection, as the gateway goes out of service.
-func (up *upstream) takeBackAllDialing() {
+// cancelAllDials ends all attempts and health checks that wait for a connection, as the gateway goes out of service.
+func (up *upstream) cancelAllDials() {
 	for _, pool := range up.pools {
-		up.takeBackDialing(pool)
+		up.cancelDials(pool)
 	}
 }
 
-func (up *upstream) forgetIfUnused(pool *backendPool) {
+func (up *upstream) removeIfUnused(pool *backendPool) {
 	if !pool.inService && len(pool.conns) == 0 {
 		delete(up.pools, pool.name)
 	}
