--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -7,38 +7,39 @@
 	"bellwood/internal/timerqueue"
 )
 
-// backendAttempt is one attempt of a request at a backend. The loop owns it. Times are on the loop's clock.
+// backendAttempt is one attempt to have a backend serve a request. It is owned by the event loop; times are on the
+// loop's clock.
 type backendAttempt struct {
 	request       *openRequest
-	number        int    // among the request's attempts, from 0
-	backend       string // its name
+	number        int    // index among the request's attempts
+	backend       string // name
 	startedAt     time.Duration
-	deadline      time.Duration // it is given up then
-	sendBefore    time.Duration // writing may not begin from then on; 0: until the deadline
+	deadline      time.Duration // when the attempt times out
+	sendBefore    time.Duration // the command must not be written at or after this time; 0: no limit but the deadline
 	deadlineTimer *timerqueue.Timer
-	conn          *backendConn // that carries it; nil: none yet, or none any more
+	conn          *backendConn // nil if it has no connection, or the connection has been released
 	ended         bool
 }
 
-// attemptResult is how an attempt ended.
+// attemptResult is the outcome of an attempt.
 type attemptResult struct {
 	status     policy.Status
-	quotaUsage int     // 1 + percent of the quota used, as the backend reported; 0: not reported
-	cost       float64 // in units, as the backend reported; 0: not reported
+	quotaUsage int     // 1 + the percentage of the quota used that the backend reported; 0: not reported
+	cost       float64 // in units, as reported by the backend; 0: not reported
 }
 
-// tooLateToSend says whether the attempt's connection came up too late for it.
+// tooLateToSend reports whether the attempt's command may no longer be written.
 func (attempt *backendAttempt) tooLateToSend(now time.Duration) bool {
 	return attempt.sendBefore > 0 && now >= attempt.sendBefore
 }
 
-// command returns the command for the backend if it is written now. It tells the backend what is left of the deadline
-// at that time, also where the connection has come up late (TestLateConnectionIsToldTheTimeLeft).
+// command returns the attempt's command as it is to be written at time now. It contains the time left until the deadline,
+// which is less if the connection was established late (TestLateConnectionIsToldTheTimeLeft).
 func (attempt *backendAttempt) command(now time.Duration) []byte {
 	return attempt.request.received.Forward(attempt.deadline - now)
 }
 
-// clientDisconnected says whether the client has ended its connection, which is then closed on this side too.
+// clientDisconnected reports whether the client has closed its connection. If so, it closes the gateway's side too.
 func (attempt *backendAttempt) clientDisconnected() bool {
 	return attempt.request.received.conn.closeIfClientLeft()
 }
--- a/internal/gateway/backendconn.go
+++ b/internal/gateway/backendconn.go
@@ -14,51 +14,54 @@
 	"bellwood/internal/resp"
 )
 
-// States of backendConn.writeState: how far the command is that was last given to the connection.
+// States of backendConn.writeState: the write progress of the connection's latest command.
 const (
-	commandUnsent       int32 = iota // not a byte has gone out: it never ran
-	commandBeingWritten              // a part may have gone out
-	commandWritten                   // all bytes are written: it may have run
-	commandWriteFailed                    // the connection broke before all were written: it never ran
+	commandUnsent       int32 = iota // nothing was written: the command never ran
+	commandBeingWritten              // part of it may have been written
+	commandWritten                   // all of it was written: the command may have run
+	commandWriteFailed               // the connection failed before all of it was written: the command never ran
 )
 
-// backendConn is a connection to a backend. It carries one thing at a time, an attempt or a health check, and is closed
-// when that is given up: so no reply is owed on it when it is used again.
+// backendConn is a connection to a backend. It carries one attempt or health check at a time and is closed if that is
+// cancelled or times out, so a connection is never reused while a reply is outstanding on it.
 //
-// The loop owns it. A goroutine dials and then reads (dialAndRead); another one writes what the socket does not take at
-// once (writeRest). Both end when the loop closes the socket or cancels the dial, and share with it the atomic fields.
+// It is owned by the event loop. One goroutine dials and then reads (dialAndRead); another writes what the socket does
+// not accept immediately (writeRest). They share the atomic fields with the loop, and end when the loop closes the
+// socket or cancels the dial.
 type backendConn struct {
 	upstream    *upstream
 	pool        *backendPool
-	socket      net.Conn // nil while it is being dialed
+	socket      net.Conn // nil while dialing
 	cancelDial  context.CancelFunc
-	generation  int             // of the pool when it was dialed
-	attempt     *backendAttempt // that it carries; nil: none
-	healthCheck *healthCheck    // that it carries; nil: none
+	generation  int             // the pool's generation when the connection was dialed
+	attempt     *backendAttempt // in progress on the connection; nil: none
+	healthCheck *healthCheck    // in progress on the connection; nil: none
 	closed      bool
-	idleSince   time.Duration // on the loop's clock, when it last became idle
+	idleSince   time.Duration // when it last became idle, on the loop's clock
 
-	writeState   atomic.Int32 // of the command that was last given to it
+	writeState   atomic.Int32 // of the latest command
 	readEnded    atomic.Bool  // the reader has ended
-	malformed    atomic.Bool  // the reader has ended because what came is no reply
-	commandsSent atomic.Int32 // commands given to it; the reader compares its number of replies with this
+	malformed    atomic.Bool  // the reader has ended because of malformed, unsolicited or stalled data
+	commandsSent atomic.Int32 // the reader compares it with the number of replies
 }
 
 func (conn *backendConn) isDialing() bool { return conn.socket == nil }
 
-// usable says whether the connection is open and nothing lies unread in it.
+// usable reports whether the connection is still open and has no unread data.
 func (conn *backendConn) usable() bool { return !conn.readEnded.Load() && rawsocket.Quiet(conn.socket) }
 
-// detachWork takes off what the connection carries.
+// detachWork removes and returns the attempt or health check that the connection carries.
 func (conn *backendConn) detachWork() (*backendAttempt, *healthCheck) {
 	attempt, check := conn.attempt, conn.healthCheck
 	conn.attempt, conn.healthCheck = nil, nil
 	return attempt, check
 }
 
-// reusableAfter says whether the connection may be used again after a reply: not if it carried nothing, more came than
-// the reply, this is none that the protocol has for what was sent, the command was not wholly written, or the backend
-// is out of service or another process by now.
+// reusableAfter reports whether the connection may be reused after a reply. It may not be if
+//   - it carried neither an attempt nor a health check,
+//   - the reply is not one that the protocol defines for the command,
+//   - further data followed the reply, or the command was not completely written,
+//   - the backend has since gone out of service or been replaced by another process.
 func (conn *backendConn) reusableAfter(reply protocol.Reply, attempt *backendAttempt, check *healthCheck) bool {
 	asked := attempt != nil || check != nil
 	answered := !reply.Unexpected || check != nil && reply.SimpleString
@@ -67,7 +70,7 @@
 	return asked && answered && atRest && sameBackend
 }
 
-// dialAndRead dials and then reads replies until the connection ends. It is the connection's own goroutine.
+// dialAndRead dials and then reads replies until the connection ends. It runs in a goroutine of its own.
 func (conn *backendConn) dialAndRead(ctx context.Context, addr string) {
 	socket, err := (&net.Dialer{}).DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -91,9 +94,10 @@
 	}
 }
 
-// connected takes the socket that was dialed, and writes what waits for it unless the client has left meanwhile.
+// connected handles the end of a successful dial. It writes the waiting command, unless the client has disconnected
+// since.
 func (conn *backendConn) connected(socket net.Conn) {
-	if conn.closed { // given up meanwhile: nothing may be written any more
+	if conn.closed { // cancelled during the dial: nothing may be written
 		socket.Close()
 		return
 	}
@@ -103,14 +107,13 @@
 	}
 }
 
-// readFailed notes how the reading ended, and posts the end to the loop unless a write is under way.
+// readFailed records why reading ended, and posts connectionEnded to the loop unless a write is in progress.
 //
-// Failure: the connection breaks while its command is being written, and the reader sees it first. How it shows: a
-// command that never ran counts as one that may have run and is not retried, or the other way round. Why this holds: as
-// long as the command is being written the end is left to the writer, which knows how far it got. The writer stores the
-// state before it looks whether the reader has ended, and the reader the other way round, so at least one of them posts
-// the end; a second post changes nothing. TestOneResultForEachAttempt,
-// TestNonIdempotentRequestIsNotRetried.
+// If the connection fails during a write, the reader may notice first without knowing how much was written. A command
+// that never ran could then count as one that may have run and not be retried, or vice versa. So during a write,
+// posting is left to the writer. The writer stores writeState before it loads readEnded, and the reader stores
+// readEnded before it loads writeState, so at least one of them posts; a second post has no effect. Tested by
+// TestOneResultForEachAttempt and TestNonIdempotentRequestIsNotRetried.
 func (conn *backendConn) readFailed(socket net.Conn, err error) {
 	conn.malformed.Store(errors.Is(err, resp.ErrMalformed) || errors.Is(err, errUnsolicitedReply) ||
 		errors.Is(err, os.ErrDeadlineExceeded))
@@ -120,14 +123,14 @@
 	}
 }
 
-// writeCommand writes what the connection carries, as far as the socket takes it at once. The rest is written by a
-// goroutine of its own: a backend that takes nothing must not hold up the loop. The loop closes the connection when the
-// time is up.
+// writeCommand writes the command of the connection's attempt or health check, as far as the socket accepts it without
+// blocking. A separate goroutine writes the rest, so that a backend that does not read cannot block the event loop. The
+// loop closes the connection if the attempt or health check times out.
 func (conn *backendConn) writeCommand() {
 	var command []byte
 	switch loop := conn.upstream.loop; {
 	case conn.attempt != nil && conn.attempt.tooLateToSend(loop.now()):
-		conn.upstream.dropConn(conn, policy.NotSent) // the connection came up too late
+		conn.upstream.dropConn(conn, policy.NotSent) // the connection was established too late
 		return
 	case conn.attempt != nil:
 		command = conn.attempt.command(loop.now())
@@ -146,31 +149,32 @@
 	go conn.writeRest(conn.socket, command[n:])
 }
 
-// writeRest writes the rest of a command. It ends with the socket at the latest.
+// writeRest writes the rest of a command. Closing the socket ends it.
 func (conn *backendConn) writeRest(socket net.Conn, rest []byte) {
 	_, err := socket.Write(rest)
 	conn.commandWriteEnded(err)
 }
 
-// commandWriteEnded notes how the writing of a command ended. The goroutine that wrote calls it: the loop or writeRest.
+// commandWriteEnded records the result of writing a command. It is called by the goroutine that wrote: the event loop's
+// or writeRest's.
 func (conn *backendConn) commandWriteEnded(err error) {
 	if err != nil {
 		conn.writeState.Store(commandWriteFailed)
-		conn.socket.Close() // so its reader ends, if it has not
+		conn.socket.Close() // ends the reader
 	} else {
 		conn.writeState.Store(commandWritten)
 	}
 	if conn.readEnded.Load() {
-		go conn.upstream.loop.post(conn.connectionEnded) // not from the loop itself, which would wait for itself
+		go conn.upstream.loop.post(conn.connectionEnded) // not directly: post may block, and this may be the loop
 	}
 }
 
-// connectionEnded takes the end of a connection, on the loop. If it broke before the last byte was written, the command
-// never ran; if what came is no reply, the backend has run it and is alive.
+// connectionEnded handles the end of a connection, on the loop. If the connection failed before the whole command was
+// written, the command never ran. If the data received was malformed, the backend is alive and has run the command.
 func (conn *backendConn) connectionEnded() {
 	conn.pool.removeIdle(conn)
 	if conn.attempt != nil && conn.commandsSent.Load() > 1 {
-		conn.upstream.closeIdleSince(conn.pool, conn.idleSince) // those idle for longer have probably ended, too
+		conn.upstream.closeIdleSince(conn.pool, conn.idleSince) // connections idle for longer have probably ended too
 	}
 	status := policy.ConnectionReset
 	if conn.malformed.Load() {
--- a/internal/gateway/backendpool.go
+++ b/internal/gateway/backendpool.go
@@ -5,24 +5,25 @@
 	"time"
 )
 
-// backendPool has what is known of one backend's address, and its connections. The loop owns it.
+// backendPool holds the address of one backend and the connections to it. It is owned by the event loop.
 type backendPool struct {
-	name, addr  string
-	processStartedAt   time.Duration // of the process at addr, as discovery gives it (Unix time)
-	generation  int           // how often addr or startedAt has changed
-	inService   bool
-	conns       map[*backendConn]bool // all, those being dialed too
-	idle        []*backendConn        // the one used last at the end
-	lastReplyAt time.Duration         // on the loop's clock
+	name, addr       string
+	processStartedAt time.Duration // start of the process at addr, as reported by discovery (Unix time)
+	generation       int           // incremented when addr or processStartedAt changes
+	inService        bool
+	conns            map[*backendConn]bool // all connections, including those being dialed
+	idle             []*backendConn        // least recently used first
+	lastReplyAt      time.Duration         // on the event loop's clock
 }
 
 func newBackendPool(name string) *backendPool {
 	return &backendPool{name: name, conns: map[*backendConn]bool{}}
 }
 
-// updateProcess takes the address and the start that discovery gives, and says whether the process changed. The connections that
-// are there lead to the old one: what is idle or being dialed has to be closed by the caller, what is busy is closed at
-// its reply, as its generation is not the pool's (TestBusyConnectionOfAnOldAddressIsNotKept).
+// updateProcess sets the address and start time of the backend's process, and reports whether either changed. If so, the
+// existing connections lead to the old process. The caller must close those that are idle or being dialed. Busy ones are
+// closed when their reply arrives, because their generation differs from the pool's
+// (TestBusyConnectionOfAnOldAddressIsNotKept).
 func (pool *backendPool) updateProcess(addr string, startedAt time.Duration) bool {
 	if pool.addr == addr && pool.processStartedAt == startedAt {
 		return false
@@ -32,10 +33,10 @@
 	return true
 }
 
-// removeIdleAt takes the i-th idle connection out of those that wait to be used.
+// removeIdleAt removes the i-th connection from the idle list.
 func (pool *backendPool) removeIdleAt(i int) { pool.idle = slices.Delete(pool.idle, i, i+1) }
 
-// removeIdle takes a connection out of those that wait to be used, if it is among them.
+// removeIdle removes a connection from the idle list, if it is in it.
 func (pool *backendPool) removeIdle(conn *backendConn) {
 	pool.idle = slices.DeleteFunc(pool.idle, func(other *backendConn) bool { return other == conn })
 }
--- a/internal/gateway/clientreader.go
+++ b/internal/gateway/clientreader.go
@@ -106,8 +106,8 @@
 //
 // Failure: the client leaves while its reader waits. How it shows: all that it has asked is forwarded though nobody
 // waits for it. Why this holds: as far as the buffer may grow it reads on, and so sees the end; what a client sends
-// beyond that hides its end from the reader, and upstream asks the socket (endIfClientDisconnected). TestLeavingClientIsSeen,
-// TestReadAheadIsTaken.
+// beyond that hides its end from the reader, and upstream asks the socket (endIfClientDisconnected).
+// TestLeavingClientIsSeen, TestReadAheadIsTaken.
 func (conn *clientConn) waitForReplyCapacity() {
 	if conn.commands.ReadAheadLeft() <= 0 {
 		conn.replyCapacityOrClosed.Wait()
--- a/internal/gateway/replyreader.go
+++ b/internal/gateway/replyreader.go
@@ -10,16 +10,17 @@
 	"bellwood/internal/resp"
 )
 
-// replyStallTimeout is after how long a reply that has begun and stops counts as malformed: its length is wrong.
+// replyStallTimeout is the longest pause within a reply. A reply that stalls for longer is treated as malformed, since
+// its declared length must be wrong.
 const replyStallTimeout = 250 * time.Millisecond
 
-// errUnsolicitedReply says that bytes came on a connection on which no reply was owed.
-var errUnsolicitedReply = errors.New("backend connection: a reply to no command")
+// errUnsolicitedReply is returned when data arrives on a connection that has no outstanding command.
+var errUnsolicitedReply = errors.New("backend connection: unsolicited reply")
 
-// replyReader reads a backend's replies. The goroutine that reads the connection owns it.
+// replyReader reads a backend's replies. It is owned by the goroutine that reads the connection.
 type replyReader struct {
 	socket       net.Conn
-	commandsSent *atomic.Int32 // on the connection
+	commandsSent *atomic.Int32 // backendConn.commandsSent
 	messages     *resp.Reader
 	repliesRead  int32
 	deadlineSet  bool // a read deadline is set
@@ -31,8 +32,8 @@
 	return reader
 }
 
-// next returns the next reply. It fails with resp.ErrMalformed, errUnsolicitedReply, os.ErrDeadlineExceeded for a reply
-// that stalls, or an error of the network.
+// next returns the next reply. The error is resp.ErrMalformed, errUnsolicitedReply, os.ErrDeadlineExceeded for a reply
+// that stalls, or a network error.
 func (reader *replyReader) next() (protocol.Reply, error) {
 	message, err := reader.messages.Next()
 	if err != nil {
@@ -44,9 +45,11 @@
 	return reply, nil
 }
 
-// Read reads from the socket for messages. Bytes that come while no reply is owed are an error: they would stand in front
-// of the next reply, and a client would be given another one's value (TestUnsolicitedReplyReachesNobody). And a reply
-// that has begun must go on within replyStallTimeout.
+// Read implements io.Reader for messages, reading from the socket.
+//
+// It returns errUnsolicitedReply for data that arrives while no command is outstanding: that data would precede the next
+// reply, and a client would receive another client's value (TestUnsolicitedReplyReachesNobody). While a reply is
+// incomplete, it sets a read deadline of replyStallTimeout.
 func (reader *replyReader) Read(buffer []byte) (int, error) {
 	if reader.messages.Partial() {
 		reader.socket.SetReadDeadline(time.Now().Add(replyStallTimeout))
--- a/internal/gateway/upstream.go
+++ b/internal/gateway/upstream.go
@@ -10,36 +10,37 @@
 	"bellwood/internal/timerqueue"
 )
 
-// healthCheckTimeoutFactor is how long a health check may take, in dial timeouts.
+// healthCheckTimeoutFactor is the timeout of a health check, in multiples of the dial timeout.
 const healthCheckTimeoutFactor = 2
 
-// attemptOwner is what upstream needs of the table of requests, whose attempts it carries.
+// attemptOwner is the part of requestTable that upstream calls: it owns the requests whose attempts upstream sends.
 type attemptOwner interface {
-	// answer gives a request its final reply, which ends the request.
+	// answer sends a request's final reply to the client, which ends the request.
 	answer(request *openRequest, text []byte)
-	// attemptEnded takes the one result of an attempt.
+	// attemptEnded reports the result of an attempt. There is exactly one result per attempt.
 	attemptEnded(attempt *backendAttempt, result attemptResult)
-	// clientGone ends the request of a client that has left.
+	// clientGone ends the request of a client that has disconnected.
 	clientGone(received *clientRequest)
 }
 
-// healthCheck is a health check of a backend that has not ended.
+// healthCheck is a health check in progress.
 type healthCheck struct {
-	backend string
-	timer   *timerqueue.Timer
+	backend string            // name
+	timer   *timerqueue.Timer // expires when the check times out
 }
 
-// upstream sends attempts and health checks to backends, over a pool of connections for each. The loop owns it.
+// upstream sends attempts and health checks to backends, through one connection pool per backend. It is owned by the
+// event loop.
 type upstream struct {
-	loop           taskLoop
-	owner          attemptOwner
-	dialTimeout    time.Duration
-	backendIdleTimeout    time.Duration // after which backends close an idle connection; 0: never
-	settleTime     time.Duration
-	maxRequestCost float64 // a higher cost in a reply is not believed; 0: no limit
-
-	pools     map[string]*backendPool // by the backend's name
-	connCount int                     // connections in all pools, those being dialed too
+	loop               taskLoop
+	owner              attemptOwner
+	dialTimeout        time.Duration
+	backendIdleTimeout time.Duration // after which backends close an idle connection; 0: never
+	settleTime         time.Duration
+	maxRequestCost     float64 // higher costs in replies are ignored; 0: no limit
+
+	pools     map[string]*backendPool // by backend name
+	connCount int                     // connections in all pools, including those being dialed
 	maxConns  int
 }
 
@@ -50,7 +51,7 @@
 		maxConns: budget.BackendConns(cfg.Sockets)}
 }
 
-// updateEndpoint takes what discovery has of one backend.
+// updateEndpoint applies discovery's current state of one backend to its pool.
 func (up *upstream) updateEndpoint(endpoint policy.Backend, addr string) {
 	pool := up.pools[endpoint.Name]
 	if pool == nil {
@@ -66,21 +67,22 @@
 	}
 }
 
-// takeOutOfService makes sure that nothing new reaches a backend that drains or has terminated.
+// takeOutOfService closes the idle connections of a draining or terminated backend and cancels its dials, so that no
+// new request reaches it.
 //
-// Failure: an attempt waits for its connection, which comes up when sends to the backend must have ended (250 ms after
-// discovery told that it drains). How it shows: the backend gets a request that it may never answer. Why this holds:
-// the dial is given up and the attempt ends as not sent. The engine may then retry the request, and this attempt has
-// used up one of policy.Settings.MaxAttempts. As the result reaches the engine before the EndpointUpdate of the same
-// Step, the retry may even choose the same backend once more. TestPendingDialIsNotWritten.
+// Without the cancellation, an attempt waiting for its connection could be written after the time by which sending to
+// the backend must have stopped (250 ms after discovery reported that it drains), and the backend might never answer.
+// The attempt ends as policy.NotSent. The engine may then retry the request, but this attempt still counts against
+// policy.Settings.MaxAttempts. Because the result reaches the engine before the EndpointUpdate of the same Step, the
+// retry may even select the same backend again. Tested by TestPendingDialIsNotWritten.
 func (up *upstream) takeOutOfService(pool *backendPool) {
 	up.closeIdleSince(pool, up.loop.now())
 	up.cancelDials(pool)
 	up.removeIfUnused(pool)
 }
 
-// startAttempt sends an attempt on the idle connection used last, or on a new one if there is none: a new one costs the
-// backend work.
+// startAttempt sends an attempt on the most recently used idle connection. It dials only if there is none, because a
+// new connection costs the backend work.
 func (up *upstream) startAttempt(attempt *backendAttempt) {
 	pool := up.pools[attempt.backend]
 	if pool == nil || !pool.inService || up.endIfClientDisconnected(attempt) {
@@ -88,7 +90,7 @@
 		return
 	}
 	conn := up.acquire(pool)
-	if conn == nil { // no descriptor is left here, which is no fault of the backend
+	if conn == nil { // this gateway is out of descriptors; not the backend's fault
 		up.owner.attemptEnded(attempt, attemptResult{status: policy.NotSent})
 		return
 	}
@@ -99,41 +101,42 @@
 	}
 }
 
-// deadlineExceeded ends an attempt whose time is up, and its connection.
+// deadlineExceeded ends an attempt at its deadline and closes its connection.
 func (up *upstream) deadlineExceeded(attempt *backendAttempt, conn *backendConn) {
 	status := policy.TimedOut
-	if conn.writeState.Load() == commandUnsent { // still dialing: it never ran
+	if conn.writeState.Load() == commandUnsent { // still dialing, so the command never ran
 		status = policy.ConnectFailed
 	}
 	up.closeIdleIfSilent(conn.pool, attempt.startedAt)
 	up.dropConn(conn, status)
 }
 
-// endIfClientDisconnected ends the request of an attempt if its client has left, and says whether it has.
+// endIfClientDisconnected ends the request of an attempt if its client has disconnected, and reports whether it has.
 //
-// Failure: a client has ended its connection, but the end lies unread: behind what it sent before, or because its
-// reader waits for room. How it shows: a backend works on a request that nobody waits for, counted as one forwarded
-// after its client had left. Why this holds: the socket itself is asked, whatever lies unread in it, before an attempt
-// takes a connection and again when a dialed one has come up; wherever the request has waited until then, nothing is
-// written in between. TestUnreadEndStopsTheSend, TestEndBehindReadAheadStopsTheSend.
+// The connection's reader may not have seen the disconnect yet: unread data may precede it, or the reader may be
+// waiting for buffer space. The backend would then work on a request whose client is gone, and the request would count
+// as forwarded after its client had left. So the state of the socket itself is checked, regardless of unread data,
+// before an attempt takes a connection and again when a dialed connection is established. Nothing is written between
+// these checks, however long the request waits. Tested by TestUnreadEndStopsTheSend and
+// TestEndBehindReadAheadStopsTheSend.
 func (up *upstream) endIfClientDisconnected(attempt *backendAttempt) bool {
-	left := attempt.clientDisconnected()
-	if left {
+	disconnected := attempt.clientDisconnected()
+	if disconnected {
 		up.owner.clientGone(attempt.request.received)
 	}
-	return left
+	return disconnected
 }
 
-// closeIdleIfSilent is called when no reply came in time to what was sent at a time. If the backend has sent no reply at all
-// since then, its machine may be gone, and the connections that have been idle since with it: they would stay open and
-// silent. They are closed, so that the next attempts dial.
+// closeIdleIfSilent handles the timeout of an attempt that was started at the given time. If the backend has sent no
+// reply on any connection since then, its machine may be down without having reset its connections. The connections
+// that have been idle since then are closed, so that the next attempts dial.
 func (up *upstream) closeIdleIfSilent(pool *backendPool, since time.Duration) {
 	if pool.lastReplyAt < since {
 		up.closeIdleSince(pool, since)
 	}
 }
 
-// cancelAttempt gives up an attempt. Its connection is closed, so that a reply still to come reaches nobody.
+// cancelAttempt cancels an attempt. It closes the attempt's connection, so that a late reply is discarded.
 func (up *upstream) cancelAttempt(attempt *backendAttempt) {
 	if attempt.ended || attempt.conn == nil {
 		return
@@ -145,8 +148,8 @@
 	up.dropConn(attempt.conn, status)
 }
 
-// startHealthCheck asks a backend whether it answers. Its idle connections are closed first: the check has to find out
-// whether a new connection to the backend comes up.
+// startHealthCheck sends a health check to a backend. It closes the backend's idle connections first, because the check
+// must also establish whether new connections succeed.
 func (up *upstream) startHealthCheck(name string) {
 	check := &healthCheck{backend: name}
 	pool := up.pools[name]
@@ -165,12 +168,14 @@
 		func() { up.dropConn(conn, policy.TimedOut) })
 }
 
+// healthCheckEnded reports the result of a health check to the engine.
 func (up *upstream) healthCheckEnded(check *healthCheck, status policy.Status) {
 	up.loop.stopTimer(check.timer)
 	up.loop.emit(policy.HealthCheckResult{Backend: check.backend, Status: status})
 }
 
-// replyReceived takes a reply that came on a connection, and ends the attempt or health check that it carries.
+// replyReceived handles a reply: it ends the attempt or health check on the connection, and keeps the connection for
+// reuse or closes it.
 func (up *upstream) replyReceived(conn *backendConn, reply protocol.Reply) {
 	if conn.closed {
 		return
@@ -178,7 +183,7 @@
 	attempt, check := conn.detachWork()
 	if attempt != nil {
 		attempt.conn = nil
-		if reply.Unexpected { // it is no reply to a request, so it is not passed on
+		if reply.Unexpected { // not a valid reply to a request, so it is not forwarded
 			reply.Status = policy.Failed
 		}
 	}
@@ -200,8 +205,8 @@
 	}
 }
 
-// endRepliedAttempt ends an attempt to which a reply came. A value is passed on to the client first, which ends the request,
-// as the attempt's result then tells.
+// endRepliedAttempt ends an attempt that received a reply. A value is forwarded to the client first: this ends the
+// request, so the attempt's result reports the request as closed.
 func (up *upstream) endRepliedAttempt(attempt *backendAttempt, reply protocol.Reply) {
 	if reply.Status == policy.OK {
 		up.owner.answer(attempt.request, reply.Value)
--- a/internal/gateway/upstreamconns.go
+++ b/internal/gateway/upstreamconns.go
@@ -8,19 +8,21 @@
 )
 
 const (
-	// An idle connection is closed here after idleTimeoutShare of the time after which the backend closes it.
+	// idleTimeoutShare is the gateway's idle timeout as a fraction of the backend's, so that the gateway closes an idle
+	// connection before the backend does.
 	idleTimeoutShare = 0.6
 
-	// settleTime is how long a connection rests after a reply before it is used again.
+	// settleTime is the minimum time between a reply on a connection and the next command on it.
 	//
-	// Failure: a backend sends a second reply to one command, and it comes when the next command has been written. How
-	// it shows: a client is given the value of another client's request. Why this holds: a second reply was seen up to
-	// 4 ms behind the first, so by the end of the rest it lies unread, and acquire closes a connection that is not quiet.
-	// One that comes later than the rest would still be taken for the next reply. TestLateSecondReplyReachesNobody.
+	// A faulty backend may send a second reply to one command. If it arrives after the next command has been written,
+	// the next client receives the value of another client's request. Second replies were observed up to 4 ms after the
+	// first; after settleTime such a reply is unread in the socket, and acquireIdle closes the connection. A second
+	// reply that arrives later than that is still mistaken for the next reply. Tested by
+	// TestLateSecondReplyReachesNobody.
 	settleTime = 10 * time.Millisecond
 )
 
-// acquire returns an idle connection or starts to dial one; nil where no descriptor is left.
+// acquire returns an idle connection or starts dialing a new one. It returns nil if no descriptor is available.
 func (up *upstream) acquire(pool *backendPool) *backendConn {
 	if conn := up.acquireIdle(pool); conn != nil {
 		return conn
@@ -32,13 +34,13 @@
 	conn := &backendConn{upstream: up, pool: pool, generation: pool.generation, cancelDial: cancel}
 	up.connCount++
 	pool.conns[conn] = true
-	go conn.dialAndRead(ctx, pool.addr) // closeConn ends it
+	go conn.dialAndRead(ctx, pool.addr) // stopped by closeConn
 	return conn
 }
 
-// acquireIdle returns the idle connection used last that has settled and is quiet; nil: there is none. Those that are not
-// quiet are closed: what came since the last reply would be taken for the next one, and on a connection that has ended
-// nobody would know whether the command has run.
+// acquireIdle returns the most recently used idle connection that has been idle for settleTime and is still usable, or
+// nil if there is none. It closes connections that are not usable: unread data would be taken for the next reply, and
+// if the backend has closed the connection it would be unknown whether a command written to it ran.
 func (up *upstream) acquireIdle(pool *backendPool) *backendConn {
 	settledBy := up.loop.now() - up.settleTime
 	for i := len(pool.idle) - 1; i >= 0; i-- {
@@ -57,7 +59,8 @@
 	return nil
 }
 
-// closeOldestIdle makes room for a new connection, and says whether it did.
+// closeOldestIdle closes the connection that has been idle longest in any pool, to free a descriptor. It reports whether
+// there was one.
 func (up *upstream) closeOldestIdle() bool {
 	var oldest *backendConn
 	for _, pool := range up.pools {
@@ -72,7 +75,7 @@
 	return oldest != nil
 }
 
-// closeIdleSince closes the idle connections of a backend that have not been used since a time.
+// closeIdleSince closes the connections of a backend that have been idle since the given time or longer.
 func (up *upstream) closeIdleSince(pool *backendPool, since time.Duration) {
 	kept := pool.idle[:0]
 	for _, conn := range pool.idle {
@@ -86,7 +89,7 @@
 	pool.idle = kept
 }
 
-// closeExpiredIdle closes the connections that have been idle for so long that the backend would close them soon.
+// closeExpiredIdle closes the connections that have been idle for so long that the backend would soon close them.
 func (up *upstream) closeExpiredIdle() {
 	if up.backendIdleTimeout > 0 {
 		since := up.loop.now() - time.Duration(float64(up.backendIdleTimeout)*idleTimeoutShare)
@@ -96,8 +99,8 @@
 	}
 }
 
-// closeConn closes a connection that carries nothing, or whose load has been taken off. Its goroutines end with the
-// socket or with the dial's context.
+// closeConn closes a connection that carries no attempt or health check, or whose work has been detached. Closing the
+// socket or cancelling the dial ends the connection's goroutines.
 func (up *upstream) closeConn(conn *backendConn) {
 	if conn.closed {
 		return
@@ -111,8 +114,8 @@
 	conn.cancelDial()
 }
 
-// dropConn closes a connection and ends what it carried. It closes first: the next attempt must not be sent while this
-// one may still get a reply.
+// dropConn closes a connection and ends the attempt or health check on it with the given status. It closes the connection
+// first, because the next attempt must not be sent while this one could still receive a reply.
 func (up *upstream) dropConn(conn *backendConn, status policy.Status) {
 	attempt, check := conn.detachWork()
 	up.closeConn(conn)
@@ -125,7 +128,7 @@
 	up.removeIfUnused(conn.pool)
 }
 
-// cancelDials ends the attempts and health checks that wait for a connection to a backend, as not sent.
+// cancelDials cancels the dials to a backend and ends the attempts and health checks waiting for them as policy.NotSent.
 func (up *upstream) cancelDials(pool *backendPool) {
 	for conn := range pool.conns {
 		if conn.isDialing() {
@@ -134,13 +137,14 @@
 	}
 }
 
-// cancelAllDials ends all attempts and health checks that wait for a connection, as the gateway goes out of service.
+// cancelAllDials cancels the dials to all backends. The audit calls it when it takes the gateway out of service.
 func (up *upstream) cancelAllDials() {
 	for _, pool := range up.pools {
 		up.cancelDials(pool)
 	}
 }
 
+// removeIfUnused removes the pool of a backend that is out of service and has no connections left.
 func (up *upstream) removeIfUnused(pool *backendPool) {
 	if !pool.inService && len(pool.conns) == 0 {
 		delete(up.pools, pool.name)
