--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -45,7 +45,7 @@
 	// Audit turns the audit of the fleet on. Default nil: it is off.
 	Audit *Audit
 
-	// Tests alone set these. watchSilence and settleFor replace the times of discovery.Options.Silence and of settleTime;
+	// Tests alone set these. watchSilence and settleFor replace the times of discovery.Options.IdleTimeout and of settleTime;
 	// 0: the usual ones. discoveryDial replaces the network to discovery; nil: TCP.
 	watchSilence, settleFor time.Duration
 	discoveryDial           func(ctx context.Context, network, address string) (net.Conn, error)
--- a/internal/gateway/counter.go
+++ b/internal/gateway/counter.go
@@ -8,14 +8,14 @@
 	"bellwood/internal/timerqueue"
 )
 
-// newCounter returns the client of the counter that the configuration names.
+// newCounter returns a client for the counter in the configuration.
 func newCounter(server *Server) *counter.Client {
 	cfg := server.cfg
 	return counter.New(counterLoop{server}, counter.Options{Enabled: cfg.Settings.SharedCounter, Address: cfg.Counter,
 		Timeout: cfg.Settings.CounterTimeout, DialTimeout: cfg.Transport.DialTimeout})
 }
 
-// addToCounter makes a counter call for the engine.
+// addToCounter makes a counter call for the engine and reports its result to the engine and the audit.
 func (server *Server) addToCounter(call policy.AddToCounter) {
 	server.counter.Add(call.Name, call.Amount, call.TTL, func(result counter.Result) {
 		server.emit(policy.CounterResult{Name: call.Name, Status: result.Status, Total: result.Total})
@@ -23,7 +23,7 @@
 	})
 }
 
-// counterLoop is what the counter client sees of the event loop: a counter.EventLoop.
+// counterLoop implements counter.EventLoop on the server's event loop.
 type counterLoop struct{ server *Server }
 
 func (l counterLoop) Post(task func()) { l.server.post(task) }
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -6,15 +6,15 @@
 	"bellwood/internal/policy"
 )
 
-// newDiscovery returns the client of the discovery agent that the configuration names.
+// newDiscovery returns a client for the discovery agent in the configuration.
 func newDiscovery(server *Server) *discovery.Client {
 	cfg := server.cfg
 	return discovery.New(discoveryLoop{server}, discovery.Options{Address: cfg.Discovery, Index: cfg.Known.Index,
 		Zones: cfg.Transport.Zones, Kinds: cfg.Transport.Kinds, Log: server.log,
-		Silence: cfg.watchSilence, Dial: cfg.discoveryDial})
+		IdleTimeout: cfg.watchSilence, Dial: cfg.discoveryDial})
 }
 
-// discoveryLoop is what discovery sees of the event loop: a discovery.EventLoop.
+// discoveryLoop implements discovery.EventLoop on the server's event loop.
 type discoveryLoop struct{ server *Server }
 
 func (l discoveryLoop) Post(task func()) { l.server.post(task) }
@@ -25,9 +25,9 @@
 	l.server.upstream.updateEndpoint(backend, address)
 }
 
-func (l discoveryLoop) Update(update policy.EndpointUpdate) { l.server.emit(update) }
+func (l discoveryLoop) EmitUpdate(update policy.EndpointUpdate) { l.server.emit(update) }
 
-func (l discoveryLoop) Adopted(index int64, snapshot bool) {
+func (l discoveryLoop) ListApplied(index int64, snapshot bool) {
 	source := audit.FromDelta
 	if snapshot {
 		source = audit.FromSnapshot
@@ -35,4 +35,4 @@
 	l.server.audit.adopted(index, source)
 }
 
-func (l discoveryLoop) Reachable() { l.server.ready.Store(true) }
+func (l discoveryLoop) Ready() { l.server.ready.Store(true) }
--- a/internal/gateway/discovery/client_test.go
+++ b/internal/gateway/discovery/client_test.go
@@ -10,11 +10,11 @@
 	"bellwood/internal/policy"
 )
 
-// serving is one backend in service.
-var serving = endpoint.Entry{Name: "s-0", Address: "127.0.0.1:1", Zone: "dc1", Kind: "std", Status: "SERVING", Weight: 1}
+// inService is a backend in service.
+var inService = endpoint.Entry{Name: "s-0", Address: "127.0.0.1:1", Zone: "dc1", Kind: "std", Status: "SERVING", Weight: 1}
 
-// The whole list of the largest fleet is taken from a watch, on one line or indented.
-func TestSnapshotOfTheLargestFleetIsTaken(t *testing.T) {
+// A watch delivers the full list of the largest fleet, on one line or indented.
+func TestSnapshotOfLargestFleetIsApplied(t *testing.T) {
 	fleet := discoverytest.Fleet(7, discoverytest.FleetSize)
 	for name, text := range map[string]string{
 		"line":     discoverytest.Line(t, fleet),
@@ -27,69 +27,72 @@
 			watch, _ := agent.Watch()
 			t.Logf("%d bytes", len(text))
 			go io.WriteString(watch.Conn, discoverytest.Chunked(text))
-			loop.pump(func() bool { return client.Index() == 7 })
+			loop.runUntil(func() bool { return client.Index() == 7 })
 			if len(loop.pools) != discoverytest.FleetSize {
-				t.Errorf("%d are known", len(loop.pools))
+				t.Errorf("%d backends in the pools, want %d", len(loop.pools), discoverytest.FleetSize)
 			}
 		})
 	}
 }
 
-// The index moves once the whole list has been taken, not before. Else a watch that is moved within a list would ask for
-// the changes behind it, and whoever stands in its unread rest would stay unknown until the next snapshot. A watch that
-// is moved asks from where the last whole list ended, and neither the rest of the list nor its end counts any more. One
-// that is only opened anew costs the changes alone.
-func TestIndexMovesWithTheWholeList(t *testing.T) {
-	client, loop := newTestClient(t, serving)
+// Guards against an index that advances before its list has been applied completely. A client that follows another agent
+// in the middle of a list would then request only the changes after that list, and the backends in its unread rest would
+// stay unknown until the next snapshot.
+//
+// A watch on another agent must start from the index of the last complete list, and the rest of the interrupted list must
+// not be applied. A watch reopened at the same agent must deliver only the changes.
+func TestIndexAdvancesOnlyWithCompleteList(t *testing.T) {
+	client, loop := newTestClient(t, inService)
 	first, second := discoverytest.NewAgent(t), discoverytest.NewAgent(t)
 	list := discoverytest.Chunked(discoverytest.Line(t, discoverytest.Fleet(7, discoverytest.FleetSize)))
 
 	client.Follow(first.Address())
 	watch, from := first.Watch()
 	go io.WriteString(watch.Conn, list)
-	loop.pump(func() bool { return client.Len() > discoverytest.FleetSize/2 })
+	loop.runUntil(func() bool { return client.Len() > discoverytest.FleetSize/2 })
 	if client.Index() != 0 || from != "0" {
-		t.Fatalf("asked from %s; index %d within the list", from, client.Index())
+		t.Fatalf("the watch requested index %s, and the index within the list is %d; want 0 and 0", from, client.Index())
 	}
 
 	client.Follow(second.Address())
-	watch, from = loop.pumpUntilWatch(second)
-	loop.pump(func() bool { return client.table.openLists == 0 }) // the reader of the old list has given up
+	watch, from = loop.runUntilWatch(second)
+	loop.runUntil(func() bool { return client.table.openLists == 0 }) // the old watch has ended
 	if from != "0" {
-		t.Errorf("the moved watch asks from %s", from)
+		t.Errorf("the watch at the second agent requested index %s, want 0", from)
 	}
 	if state := client.table.byName["s-0"].backend.State; client.Index() != 0 ||
 		client.Len() == discoverytest.FleetSize+1 || state != policy.InService {
-		t.Errorf("the old watch's list was taken: index %d, %d known, %v", client.Index(), client.Len(), state)
+		t.Errorf("the interrupted list was applied: index %d, %d backends, s-0 is %v", client.Index(), client.Len(), state)
 	}
 
 	go io.WriteString(watch.Conn, list)
-	loop.pump(func() bool { return client.Index() == 7 })
+	loop.runUntil(func() bool { return client.Index() == 7 })
 	if n := client.Len(); n != discoverytest.FleetSize {
-		t.Errorf("%d are known", n)
+		t.Errorf("%d backends in the table, want %d", n, discoverytest.FleetSize)
 	}
 
 	watch.Conn.Close()
 	loop.updates = nil
-	watch, from = loop.pumpUntilWatch(second)
+	watch, from = loop.runUntilWatch(second)
 	watch.Chunk(drainOf(t, discoverytest.Fleet(8, 1)))
-	loop.pump(func() bool { return client.Index() == 8 })
+	loop.runUntil(func() bool { return client.Index() == 8 })
 	if updates := loop.updates; from != "7" || len(updates) != 1 || len(updates[0].Backends) != 1 {
-		t.Errorf("asked from %s, told %d updates", from, len(updates))
+		t.Errorf("the reopened watch requested index %s, and its change made %d updates: %+v; want 7 and one backend",
+			from, len(updates), updates)
 	}
 }
 
-// drainOf is the change by which the first backend of a list drains.
+// drainOf returns a change in which the first backend of a list is draining.
 func drainOf(t *testing.T, list endpoint.List) string {
 	t.Helper()
 	list.Snapshot, list.Endpoints[0].Status = false, "DRAINING"
 	return discoverytest.Line(t, list)
 }
 
-// A part of a list waits for the loop while the loop moves the client to another agent. Were it applied then, it would
-// come behind what the new agent says, and the index would be that of the old one. Neither a watch nor a fetch that
-// began before the move changes anything after it.
-func TestPartThatCrossesAMoveIsNotApplied(t *testing.T) {
+// A batch of a list is queued for the loop when the client is moved to another agent. If it were applied after that, it
+// could overwrite newer state, and the index would be the old agent's. Neither a watch nor a fetch started before the
+// move may change anything after it.
+func TestBatchQueuedBeforeFollowIsNotApplied(t *testing.T) {
 	snapshot := discoverytest.Line(t, discoverytest.Fleet(7, 3))
 	for name, begin := range map[string]func(client *Client, agent *discoverytest.Agent){
 		"watch": func(client *Client, agent *discoverytest.Agent) {
@@ -101,7 +104,7 @@
 			client.address = agent.Address()
 			client.FetchAndFollow(func(applied bool) {
 				if applied {
-					t.Error("the list of the old agent is said to be applied")
+					t.Error("the old agent's list is reported as applied")
 				}
 			})
 			answer, _ := agent.Watch()
@@ -109,43 +112,46 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			client, loop := newTestClient(t, serving)
+			client, loop := newTestClient(t, inService)
 			first, second := discoverytest.NewAgent(t), discoverytest.NewAgent(t)
 			begin(client, first)
-			part := <-loop.tasks
+			batch := <-loop.tasks
 			client.Follow(second.Address())
-			part()
-			loop.pump(func() bool { return client.table.openLists == 0 })
-			if client.Index() != 0 || client.Len() != 1 || loop.pools[serving.Name] == "" || len(loop.updates) != 0 {
-				t.Errorf("index %d, %d known, told %+v", client.Index(), client.Len(), loop.updates)
+			batch()
+			loop.runUntil(func() bool { return client.table.openLists == 0 })
+			if client.Index() != 0 || client.Len() != 1 || loop.pools[inService.Name] == "" || len(loop.updates) != 0 {
+				t.Errorf("index %d, %d backends, updates %+v; want the initial backend only", client.Index(), client.Len(),
+					loop.updates)
 			}
 		})
 	}
 }
 
-// notifiedWithin is when a change counts as told that discovery has, if it can be reached: the operators' term.
-const notifiedWithin = 6 * time.Second
+// maxNotificationDelay is the operators' limit for the time from when discovery has a change, and is reachable, until the
+// gateway acts on it.
+const maxNotificationDelay = 6 * time.Second
 
-// By the time-outs and pauses alone, two calls of the slowest kind leave time for the third to bring the change.
-func TestCallsAndPausesAreShort(t *testing.T) {
-	const callsThatFail = 2
-	const bring = 500 * time.Millisecond // for the call that is well
-	if worst := callsThatFail*(watchSilence+maxRewatchPause) + bring; worst > notifiedWithin {
-		t.Errorf("by the watch a change may come after %v", worst)
+// Two failed calls with the longest timeouts and delays leave enough time for a third call to deliver a change.
+func TestTimeoutsAllowTwoFailedCalls(t *testing.T) {
+	const failedCalls = 2
+	const successfulCall = 500 * time.Millisecond
+	if worst := failedCalls*(watchIdleTimeout+maxReconnectDelay) + successfulCall; worst > maxNotificationDelay {
+		t.Errorf("a watch may deliver a change after %v, want %v at most", worst, maxNotificationDelay)
 	}
-	const pollPause = 750 * time.Millisecond // the longest that an engine may take to ask again
-	if worst := callsThatFail*(fetchSilence+pollPause) + bring; worst > notifiedWithin {
-		t.Errorf("by calls for the list a change may come after %v", worst)
+	const maxPollDelay = 750 * time.Millisecond // the longest delay before an engine polls again
+	if worst := failedCalls*(fetchIdleTimeout+maxPollDelay) + successfulCall; worst > maxNotificationDelay {
+		t.Errorf("a fetch may deliver a change after %v, want %v at most", worst, maxNotificationDelay)
 	}
-	const sign = 2 * time.Second // between a watch's signs of life
-	if watchSilence < sign+sign/5 {
-		t.Errorf("a watch that gives its signs counts as dead after %v", watchSilence)
+	const keepaliveInterval = 2 * time.Second // of the agent, on a watch
+	if watchIdleTimeout < keepaliveInterval+keepaliveInterval/5 {
+		t.Errorf("the watch idle timeout of %v is too close to the agent's keepalive interval of %v", watchIdleTimeout,
+			keepaliveInterval)
 	}
 	for _, err := range []error{io.EOF, ErrMalformed, ErrSuperseded} {
-		pause := rewatchPause
+		delay := reconnectDelay
 		for range 20 {
-			if pause = nextPause(pause, err); pause > maxRewatchPause {
-				t.Errorf("behind %v a pause of %v", err, pause)
+			if delay = nextReconnectDelay(delay, err); delay > maxReconnectDelay {
+				t.Errorf("delay of %v after %v, want %v at most", delay, err, maxReconnectDelay)
 			}
 		}
 	}
--- a/internal/gateway/discovery/decoder.go
+++ b/internal/gateway/discovery/decoder.go
@@ -12,43 +12,47 @@
 )
 
 const (
-	// maxEntries bounds a list: three times the largest fleet (11,000 backends), for which a gateway holds 1 KB each.
+	// maxEntries is the maximum length of a list: three times the largest fleet (11,000 backends). A gateway holds 1 KB
+	// per backend.
 	maxEntries = 1 << 15
-	// After each yieldEach entries, some 0.2 ms, the decoder lets other goroutines run: the gateway has one thread, and
-	// the event loop must not wait for a list of 11,000 entries.
-	yieldEach = 32
+	// yieldInterval is the number of entries, decoded in about 0.2 ms, after which the decoder yields to other
+	// goroutines. The gateway runs on one thread, and the event loop must not wait for a list of 11,000 entries.
+	yieldInterval = 32
 )
 
-// ErrMalformed says that a response of discovery is no endpoint list, or one beyond the bounds. The reason is wrapped
-// beside it.
+// ErrMalformed is returned if a response of the agent is not a valid endpoint list or exceeds the size limits. The cause
+// is wrapped alongside it.
 var ErrMalformed = errors.New("malformed endpoint list")
 
-// Reasons of an ErrMalformed, beside those of encoding/json.
+// Causes wrapped with ErrMalformed, in addition to the errors of encoding/json, tokenError and errEntryTooLong.
 var (
-	errNoIndex   = errors.New("no index")
-	errNoEntries = errors.New("a snapshot without its entries")
-	errTooLong   = errors.New("too many entries")
+	errNoIndex        = errors.New("list has no index")
+	errNoEndpoints    = errors.New("snapshot has no endpoints")
+	errTooManyEntries = fmt.Errorf("list has more than %d entries", maxEntries)
 )
 
-// tokenError says that a list has another JSON token than its form requires.
+// tokenError is an unexpected JSON token in a list.
 type tokenError struct {
 	got  json.Token
 	want string
 }
 
-func (e *tokenError) Error() string { return fmt.Sprintf("%v in place of %s", e.got, e.want) }
+func (e *tokenError) Error() string {
+	return fmt.Sprintf("unexpected token %v, want %s", e.got, e.want)
+}
 
-// consumer takes what a decoder reads of one list. The calls come from the goroutine that decodes and may block it; an
-// error ends the list and is returned by the decoder.
+// consumer receives the entries of a list from a decoder, on the decoding goroutine, which it may block. If it returns an
+// error, the decoder stops and returns that error.
 type consumer interface {
-	// part takes entries that are not the last of their list. They are valid until it returns.
-	part(entries []endpoint.Entry) error
-	// last takes the entries that remain. list has only the index and the kind, as these may stand behind the entries.
-	last(list endpoint.List, entries []endpoint.Entry) error
+	// batch receives entries other than the last ones of the list. They are valid until it returns.
+	batch(entries []endpoint.Entry) error
+	// lastBatch receives the remaining entries. Of list, only Index and Snapshot are set. They come this late because they
+	// may follow the entries in the response.
+	lastBatch(list endpoint.List, entries []endpoint.Entry) error
 }
 
-// decoder reads endpoint lists and changes, one JSON object behind another, entry by entry: a list of 11,000 entries
-// is never gathered. One goroutine uses it.
+// decoder decodes a sequence of JSON objects, each an endpoint list or changes, entry by entry, so that a list of 11,000
+// entries is never held in memory as a whole. It is used by one goroutine.
 type decoder struct {
 	stream   *stream
 	json     *json.Decoder
@@ -59,10 +63,10 @@
 	return &decoder{stream: stream, json: json.NewDecoder(stream), consumer: consumer}
 }
 
-// next reads one list to its end and returns it without its entries. The error is that of the consumer, or that of the
-// stream where it ended, perhaps within a list, or else wraps ErrMalformed; then nothing further can be read.
+// next reads one complete list and returns it without its entries. The error is ErrSuperseded from the consumer, wraps
+// the error that ended the stream (perhaps within a list), or wraps ErrMalformed. Nothing more can be read after an error.
 func (d *decoder) next() (endpoint.List, error) {
-	list, err := d.object()
+	list, err := d.decodeList()
 	switch {
 	case err == nil || errors.Is(err, ErrSuperseded):
 		return list, err
@@ -72,43 +76,43 @@
 	return list, fmt.Errorf("list: %w: %w", ErrMalformed, err)
 }
 
-// listFields are the fields of a list as far as they have been read.
+// listFields holds the fields of a list that have been read so far.
 type listFields struct {
-	index      *int64 // nil: not read
-	snapshot   bool
-	hasEntries bool
-	remaining  []endpoint.Entry // entries that were not handed on yet
+	index        *int64 // nil: not read yet
+	snapshot     bool
+	hasEndpoints bool
+	lastBatch    []endpoint.Entry // entries not passed to the consumer yet
 }
 
-// object reads one list.
-func (d *decoder) object() (endpoint.List, error) {
-	if err := d.delimiter('{'); err != nil {
+// decodeList reads one list.
+func (d *decoder) decodeList() (endpoint.List, error) {
+	if err := d.expectDelim('{'); err != nil {
 		return endpoint.List{}, err
 	}
 	var fields listFields
 	for d.json.More() {
-		d.stream.entryBegins()
-		if err := d.field(&fields); err != nil {
+		d.stream.beginEntry()
+		if err := d.decodeField(&fields); err != nil {
 			return endpoint.List{}, err
 		}
 	}
-	if err := d.delimiter('}'); err != nil {
+	if err := d.expectDelim('}'); err != nil {
 		return endpoint.List{}, err
 	}
 	switch {
 	case fields.index == nil:
 		return endpoint.List{}, errNoIndex
-	case fields.snapshot && !fields.hasEntries:
-		return endpoint.List{}, errNoEntries
+	case fields.snapshot && !fields.hasEndpoints:
+		return endpoint.List{}, errNoEndpoints
 	}
 	ahead, _ := io.ReadAll(d.json.Buffered())
-	d.stream.listEnded(ahead)
+	d.stream.endList(ahead)
 	list := endpoint.List{Index: *fields.index, Snapshot: fields.snapshot}
-	return list, d.consumer.last(list, fields.remaining)
+	return list, d.consumer.lastBatch(list, fields.lastBatch)
 }
 
-// field reads the next field, whichever comes, without regard to case. Unknown ones are passed over.
-func (d *decoder) field(fields *listFields) error {
+// decodeField reads one field. Fields may come in any order, their names in any case; unknown fields are ignored.
+func (d *decoder) decodeField(fields *listFields) error {
 	key, err := d.json.Token()
 	if err != nil {
 		return err
@@ -118,15 +122,16 @@
 		return d.json.Decode(&fields.index)
 	case strings.EqualFold(name, "snapshot"):
 		return d.json.Decode(&fields.snapshot)
-	case strings.EqualFold(name, "endpoints") && !fields.hasEntries:
-		fields.hasEntries = true
-		fields.remaining, err = d.endpoints()
+	case strings.EqualFold(name, "endpoints") && !fields.hasEndpoints:
+		fields.hasEndpoints = true
+		fields.lastBatch, err = d.decodeEndpoints()
 		return err
 	}
 	return d.json.Decode(new(json.RawMessage))
 }
 
-func (d *decoder) delimiter(want json.Delim) error {
+// expectDelim reads a token and fails if it is not the wanted delimiter.
+func (d *decoder) expectDelim(want json.Delim) error {
 	got, err := d.json.Token()
 	if err == nil && got != want {
 		err = &tokenError{got: got, want: want.String()}
@@ -134,33 +139,33 @@
 	return err
 }
 
-// endpoints hands on the entries in parts, but for the last part, which it returns.
-func (d *decoder) endpoints() (part []endpoint.Entry, err error) {
+// decodeEndpoints passes the entries to the consumer in batches, except for the last batch, which it returns.
+func (d *decoder) decodeEndpoints() (batch []endpoint.Entry, err error) {
 	if begin, err := d.json.Token(); err != nil || begin == nil { // null
 		return nil, err
 	} else if begin != json.Delim('[') {
 		return nil, &tokenError{got: begin, want: "["}
 	}
-	fullAt := partThreshold
+	fullAt := batchThreshold
 	for count := 1; d.json.More(); count++ {
 		if count > maxEntries {
-			return nil, errTooLong
+			return nil, errTooManyEntries
 		}
-		if len(part) == fullAt {
-			if err := d.consumer.part(part); err != nil {
+		if len(batch) == fullAt {
+			if err := d.consumer.batch(batch); err != nil {
 				return nil, err
 			}
-			part, fullAt = part[:0], partSize
+			batch, fullAt = batch[:0], batchSize
 		}
-		d.stream.entryBegins()
-		part = append(part, endpoint.Entry{})
-		if err := d.json.Decode(&part[len(part)-1]); err != nil {
+		d.stream.beginEntry()
+		batch = append(batch, endpoint.Entry{})
+		if err := d.json.Decode(&batch[len(batch)-1]); err != nil {
 			return nil, err
 		}
-		d.stream.silence.signOfLife()
-		if count%yieldEach == 0 {
+		d.stream.idle.reset()
+		if count%yieldInterval == 0 {
 			runtime.Gosched()
 		}
 	}
-	return part, d.delimiter(']')
+	return batch, d.expectDelim(']')
 }
--- a/internal/gateway/discovery/discoverytest/discoverytest.go
+++ b/internal/gateway/discovery/discoverytest/discoverytest.go
@@ -1,4 +1,4 @@
-// Package discoverytest plays the discovery agent byte by byte, for tests of what follows it.
+// Package discoverytest provides a scripted discovery agent, for tests of the discovery client and of the gateway.
 package discoverytest
 
 import (
@@ -15,19 +15,19 @@
 	"bellwood/internal/gateway/endpoint"
 )
 
-// Timeout bounds every wait; none is expected to take a noticeable part of it.
+// Timeout limits every wait in a test. Waits normally end long before it.
 const Timeout = 20 * time.Second
 
 // ResponseHead is the head of an answer whose body comes in chunks.
 const ResponseHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// Chunked is s as one chunk of a body.
+// Chunked returns s as one chunk of a chunked body.
 func Chunked(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
 
-// FleetSize is the largest fleet to carry, in backends.
+// FleetSize is the size of the largest supported fleet, in backends.
 const FleetSize = 11_000
 
-// Fleet is a snapshot of n backends at which nothing listens.
+// Fleet returns a snapshot of n backends in service. Nothing listens on their addresses.
 func Fleet(index int64, n int) endpoint.List {
 	list := endpoint.List{Index: index, Snapshot: true, Endpoints: make([]endpoint.Entry, n)}
 	for i := range list.Endpoints {
@@ -38,7 +38,8 @@
 	return list
 }
 
-// WireForm gives a list discovery's own names. It spells them by itself: names that the code has wrong must not agree.
+// WireForm returns a list as discovery's JSON object. The field names are written out here rather than taken from the
+// struct tags, so that a wrong tag makes a test fail.
 func WireForm(list endpoint.List) map[string]any {
 	endpoints := []map[string]any{}
 	for _, e := range list.Endpoints {
@@ -48,7 +49,7 @@
 	return map[string]any{"index": list.Index, "snapshot": list.Snapshot, "endpoints": endpoints}
 }
 
-// Line is a list as discovery writes it, on one line.
+// Line returns a list as discovery sends it, on one line.
 func Line(t testing.TB, list endpoint.List) string {
 	t.Helper()
 	b, err := json.Marshal(WireForm(list))
@@ -58,7 +59,7 @@
 	return string(b) + "\n"
 }
 
-// Indented is a list on many lines.
+// Indented returns a list as indented JSON on several lines.
 func Indented(t testing.TB, list endpoint.List, indent string) string {
 	t.Helper()
 	b, err := json.MarshalIndent(WireForm(list), "", indent)
@@ -68,13 +69,13 @@
 	return string(b) + "\n"
 }
 
-// Agent is a discovery agent whose every byte the test says.
+// Agent is a discovery agent of which the test controls every byte sent.
 type Agent struct {
 	t        testing.TB
 	listener *net.TCPListener
 }
 
-// NewAgent returns an agent on a free port. It ends with the test.
+// NewAgent returns an agent listening on a free port until the end of the test.
 func NewAgent(t testing.TB) *Agent {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -85,10 +86,10 @@
 	return &Agent{t: t, listener: listener.(*net.TCPListener)}
 }
 
-// Address is the agent's IP address and port.
+// Address returns the agent's IP address and port.
 func (a *Agent) Address() string { return a.listener.Addr().String() }
 
-// Watch takes the next watch, answers with the head, and returns it with the index that it asks from.
+// Watch accepts the next call, sends ResponseHead, and returns the open response and the index in the request.
 func (a *Agent) Watch() (watch *Watch, index string) {
 	a.t.Helper()
 	a.listener.SetDeadline(time.Now().Add(Timeout))
@@ -107,7 +108,7 @@
 	return watch, request.URL.Query().Get("index")
 }
 
-// ServeEach gives each watch the same text and then keeps silent, until the agent ends.
+// ServeEach sends text to each watch and then nothing more. It returns when the agent ends.
 func (a *Agent) ServeEach(text string) {
 	for {
 		conn, err := a.listener.Accept()
@@ -118,19 +119,19 @@
 			defer conn.Close()
 			if _, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
 				io.WriteString(conn, ResponseHead+Chunked(text))
-				io.Copy(io.Discard, conn) // until the gateway leaves
+				io.Copy(io.Discard, conn) // until the gateway closes the connection
 			}
 		}()
 	}
 }
 
-// Watch is an open watch, seen from the agent.
+// Watch is the agent's side of an open call.
 type Watch struct {
 	t    testing.TB
 	Conn *net.TCPConn
 }
 
-// Write writes bytes as they are.
+// Write sends s unchanged.
 func (w *Watch) Write(s string) {
 	w.t.Helper()
 	if _, err := io.WriteString(w.Conn, s); err != nil {
@@ -138,28 +139,28 @@
 	}
 }
 
-// Chunk writes one chunk.
+// Chunk sends s as one chunk.
 func (w *Watch) Chunk(s string) {
 	w.t.Helper()
 	w.Write(Chunked(s))
 }
 
-// Reset ends the connection by a reset.
+// Reset closes the connection with a TCP reset.
 func (w *Watch) Reset() {
 	w.Conn.SetLinger(0)
 	w.Conn.Close()
 }
 
-// WantEnd waits until the client has ended the connection and fails if anything comes before.
-func (w *Watch) WantEnd() {
+// WantClosed waits until the client has closed the connection, and fails the test if it sends anything before.
+func (w *Watch) WantClosed() {
 	w.t.Helper()
 	var b [1]byte
 	n, err := w.Conn.Read(b[:])
 	var timeout net.Error
 	switch {
 	case n > 0:
-		w.t.Fatalf("got %q, want the end of the connection", b[:n])
+		w.t.Fatalf("got %q, want the connection closed", b[:n])
 	case errors.As(err, &timeout) && timeout.Timeout():
-		w.t.Fatal("the connection stays open")
+		w.t.Fatal("the client has not closed the connection")
 	}
 }
--- a/internal/gateway/discovery/doc.go
+++ b/internal/gateway/discovery/doc.go
@@ -1,38 +1,38 @@
-// Package discovery follows the endpoint list of the discovery agent (section "Discovery" of the operators' page
-// PROTOCOL-bellwood, which is not in this repository) and tells the gateway's event loop of its changes. It does three
-// things, each in files of its own:
+// Package discovery follows the endpoint list of the discovery agent and reports its changes to the gateway's event
+// loop. The agent's protocol is described in the section "Discovery" of the operators' page PROTOCOL-bellwood, which is
+// not in this repository. The package has three parts:
 //
-//   - client.go: the HTTP calls. A watch stays open for as long as the agent is followed and is opened anew when it
-//     ends; the whole list is fetched once where it is asked for.
-//   - decoder.go, stream.go: the endpoint lists and changes in a response's body, read entry by entry.
-//   - table.go: the backends that are known. receiver.go brings what a decoder read to it, in parts.
+//   - client.go: the HTTP calls. A watch is a long-lived response with a stream of changes; it is reopened when it ends.
+//     A fetch gets the full list once, on request.
+//   - decoder.go, stream.go: decoding of endpoint lists and changes from a response body, entry by entry.
+//   - table.go: the table of known backends. receiver.go applies decoded entries to it, in batches.
 //
 // # Goroutines
 //
-// The event loop's goroutine owns the Client and its table: all exported methods but the constructor's are called
-// there, and so are the methods of EventLoop but for Post and Done. Each watch and each fetch reads in a goroutine of
-// its own, which knows only what it was given at its start and reaches the table by tasks that it posts, one at a time.
-// A watch's goroutine ends with the next Follow or at Stop; a fetch's with its response or with the silence that bounds
-// it.
+// The event loop's goroutine owns the Client and its table. All exported methods of Client except ReadList are called on
+// it, and so are the methods of EventLoop except Post and Done. Each watch and each fetch reads in a goroutine of its
+// own. It uses only the values passed to it at its start, and accesses the table through tasks that it posts to the
+// loop, one at a time. A watch's goroutine ends at the next Follow or at Stop, a fetch's at the end of its response or
+// at its idle timeout.
 package discovery
 
 import "bellwood/internal/policy"
 
-// EventLoop is what the package needs of the gateway's event loop. Post and Done may be called by any goroutine; the
-// other methods are called on the loop's, within a task that was posted or a method of Client.
+// EventLoop is the part of the gateway's event loop that the package uses. Post and Done may be called from any
+// goroutine; the other methods are called on the loop's goroutine, within a posted task or a method of Client.
 type EventLoop interface {
-	// Post hands the loop a task. It blocks while the loop is behind; when the loop has ended the task is dropped.
+	// Post queues a task for the loop. It blocks while the queue is full; once the loop has ended, the task is dropped.
 	Post(task func())
-	// Done is closed when the loop has ended and runs no further task.
+	// Done returns a channel that is closed when the loop has ended and runs no more tasks.
 	Done() <-chan struct{}
-	// EndpointChanged tells the connection pools what is now known of one backend, and its address. It comes before
-	// the Update that tells the engine.
+	// EndpointChanged reports the new state and address of a backend to its connection pool. It is called before the
+	// EmitUpdate that reports the change to the engine.
 	EndpointChanged(backend policy.Backend, address string)
-	// Update is an event for the engine's next Step.
-	Update(update policy.EndpointUpdate)
-	// Adopted notes that the list or change with this index came from discovery and has been applied to its end.
-	Adopted(index int64, snapshot bool)
-	// Reachable notes that a list has been applied to its end and that a backend has been in service, in this list or
+	// EmitUpdate queues an event for the engine's next Step.
+	EmitUpdate(update policy.EndpointUpdate)
+	// ListApplied reports that the list or change with this index, received from discovery, has been applied completely.
+	ListApplied(index int64, snapshot bool)
+	// Ready reports that a list has been applied completely and that some backend has been in service, in this list or
 	// an earlier one.
-	Reachable()
+	Ready()
 }
--- a/internal/gateway/discovery/helpers_test.go
+++ b/internal/gateway/discovery/helpers_test.go
@@ -11,13 +11,13 @@
 	"bellwood/internal/policy"
 )
 
-// testLoop is an event loop whose tasks run when the test says so, and that keeps what it is told.
+// testLoop is an EventLoop that records the calls to it. The test runs its tasks explicitly.
 type testLoop struct {
 	t       testing.TB
 	tasks   chan func()
 	done    chan struct{}
-	updates []policy.EndpointUpdate // for the next Step
-	pools   map[string]string       // addresses of the backends in service, by their names
+	updates []policy.EndpointUpdate // since the test last cleared it
+	pools   map[string]string       // addresses of the backends in service, by name
 }
 
 func (l *testLoop) Post(task func()) {
@@ -37,44 +37,44 @@
 	}
 }
 
-func (l *testLoop) Update(update policy.EndpointUpdate) { l.updates = append(l.updates, update) }
+func (l *testLoop) EmitUpdate(update policy.EndpointUpdate) { l.updates = append(l.updates, update) }
 
-func (l *testLoop) Adopted(int64, bool) {}
+func (l *testLoop) ListApplied(int64, bool) {}
 
-func (l *testLoop) Reachable() {}
+func (l *testLoop) Ready() {}
 
-// pump runs tasks until a condition holds.
-func (l *testLoop) pump(until func() bool) {
+// runUntil runs tasks until a condition holds.
+func (l *testLoop) runUntil(condition func() bool) {
 	l.t.Helper()
 	end := time.After(discoverytest.Timeout)
-	for !until() {
+	for !condition() {
 		select {
 		case task := <-l.tasks:
 			task()
 		case <-end:
-			l.t.Fatal("it never came to that")
+			l.t.Fatalf("condition not met within %v", discoverytest.Timeout)
 		}
 	}
 }
 
-// pumpUntilWatch runs tasks until an agent has a watch, and returns it with the index that it asks from.
-func (l *testLoop) pumpUntilWatch(agent *discoverytest.Agent) (watch *discoverytest.Watch, index string) {
+// runUntilWatch runs tasks until an agent receives a watch, and returns the watch and the index in its request.
+func (l *testLoop) runUntilWatch(agent *discoverytest.Agent) (watch *discoverytest.Watch, index string) {
 	l.t.Helper()
 	opened := false
 	go func() {
 		watch, index = agent.Watch()
 		l.Post(func() { opened = true })
 	}()
-	l.pump(func() bool { return opened })
+	l.runUntil(func() bool { return opened })
 	return watch, index
 }
 
-// newTestClient returns a client that knows some endpoints, and its loop.
+// newTestClient returns a client whose table has the known endpoints, and its loop.
 func newTestClient(t testing.TB, known ...endpoint.Entry) (*Client, *testLoop) {
 	t.Helper()
 	loop := &testLoop{t: t, tasks: make(chan func(), 1024), done: make(chan struct{}), pools: map[string]string{}}
 	client := New(loop, Options{Address: "127.0.0.1:1", Zones: []string{"dc1"}, Kinds: []string{"std"},
-		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), Silence: discoverytest.Timeout})
+		Log: slog.New(slog.NewTextHandler(io.Discard, nil)), IdleTimeout: discoverytest.Timeout})
 	client.Apply(known, policy.CachedSnapshot)
 	loop.updates = nil
 	t.Cleanup(func() {
--- a/internal/gateway/discovery/receiver.go
+++ b/internal/gateway/discovery/receiver.go
@@ -9,31 +9,33 @@
 	"bellwood/internal/policy"
 )
 
-// ErrSuperseded says that the client follows another agent by now, or that the event loop has ended, so that what an
-// earlier call still reads is not applied.
+// ErrSuperseded is returned if Follow or Stop has been called since a call began, or the event loop has ended. What the
+// call still reads is then not applied.
 var ErrSuperseded = errors.New("superseded by a later watch")
 
-// receiver reads the lists of one response and has the event loop apply them, part by part. The goroutine that reads the
-// response uses it; the tasks that it posts run on the loop while it waits for them.
+// receiver reads the lists of one response and has the event loop apply them in batches. It is used by the goroutine that
+// reads the response. That goroutine waits for each task that it posts to the loop.
 type receiver struct {
-	client  *Client
-	decoder *decoder
-	silence *silenceTimer
-	wanted  func() bool         // whether the list is still to be applied; called on the loop before each part
-	applied func(endpoint.List) // called on the loop when a list was applied to its end, without the entries
-	list    *openList           // being read; nil: it is opened with its first part
+	client      *Client
+	decoder     *decoder
+	idle        *idleTimer
+	stillWanted func() bool         // whether to go on applying the list; called on the loop before each batch
+	onApplied   func(endpoint.List) // called on the loop when a list has been applied; the list has no entries
+	list        *openList           // the list being read; nil: opened with its first batch
 }
 
-// newReceiver returns a receiver that applies all that it reads.
-func (c *Client) newReceiver(body io.Reader, silence *silenceTimer) *receiver {
-	r := &receiver{client: c, silence: silence, wanted: func() bool { return true }, applied: func(endpoint.List) {}}
-	r.decoder = newDecoder(newStream(body, silence), r)
+// newReceiver returns a receiver that applies everything it reads.
+func (c *Client) newReceiver(body io.Reader, idle *idleTimer) *receiver {
+	r := &receiver{client: c, idle: idle, stillWanted: func() bool { return true }, onApplied: func(endpoint.List) {}}
+	r.decoder = newDecoder(newStream(body, idle), r)
 	return r
 }
 
-// next reads one list or change to its end and has it applied. One that is cut off, malformed or superseded terminates
-// no backend by what it doesn't name and moves no index, so the next watch brings all of it again; what it named by
-// then may have been applied. The error is ErrSuperseded or that of the decoder.
+// next reads one complete list or change and has it applied. The error is ErrSuperseded or the decoder's.
+//
+// If the list is truncated, malformed or superseded, the entries read before the failure may have been applied, but no
+// backend is terminated for being absent from it and the index does not advance, so the next watch delivers all of it
+// again.
 func (r *receiver) next() (endpoint.List, error) {
 	list, err := r.decoder.next()
 	if open := r.list; err != nil && open != nil {
@@ -43,10 +45,10 @@
 	return list, err
 }
 
-// part has the loop apply entries that are not the last of their list, for the decoder (consumer).
-func (r *receiver) part(entries []endpoint.Entry) error {
-	for some := range slices.Chunk(entries, partSize) {
-		err := r.onLoop(func() { r.client.update(r.client.table.apply(r.list, some)) })
+// batch implements consumer: it has the loop apply entries other than the last ones of a list.
+func (r *receiver) batch(entries []endpoint.Entry) error {
+	for chunk := range slices.Chunk(entries, batchSize) {
+		err := r.runOnLoop(func() { r.client.update(r.client.table.apply(r.list, chunk)) })
 		if err != nil {
 			return err
 		}
@@ -54,13 +56,13 @@
 	return nil
 }
 
-// last has the loop apply the last entries of a list and then, in parts too, terminate what a snapshot does not name. The
-// decoder calls it (consumer).
-func (r *receiver) last(list endpoint.List, entries []endpoint.Entry) error {
+// lastBatch implements consumer: it has the loop apply the last entries of a list and then, if it is a snapshot, terminate
+// the backends absent from it, in batches too.
+func (r *receiver) lastBatch(list endpoint.List, entries []endpoint.Entry) error {
 	for finished := false; !finished; {
-		err := r.onLoop(func() {
-			finished = r.applyLast(list, entries)
-			entries = nil // applied once, though terminating what is not named may take further tasks
+		err := r.runOnLoop(func() {
+			finished = r.applyLastBatch(list, entries)
+			entries = nil // already applied if terminating absent backends takes further tasks
 		})
 		if err != nil {
 			return err
@@ -69,34 +71,34 @@
 	return nil
 }
 
-// applyLast applies the last entries of a list and a part of what it does not name, and says whether the list has been
-// applied to its end. It runs on the loop.
-func (r *receiver) applyLast(list endpoint.List, entries []endpoint.Entry) (finished bool) {
+// applyLastBatch applies the last entries of a list and terminates a batch of the backends absent from it. It reports
+// whether the list has been applied completely. It runs on the loop.
+func (r *receiver) applyLastBatch(list endpoint.List, entries []endpoint.Entry) (finished bool) {
 	changes := r.client.table.apply(r.list, entries)
 	if list.Snapshot {
-		terminated, last := r.client.table.terminateUnnamed(r.list)
+		terminated, last := r.client.table.terminateMissing(r.list)
 		changes = append(changes, terminated...)
 		if !last {
 			r.client.update(changes)
 			return false
 		}
 	}
-	// Even where nothing has changed: the engine waits for the update to know that the list has come.
-	r.client.loop.Update(policy.EndpointUpdate{Kind: policy.Delta, Backends: changes})
-	r.applied(list)
+	// Sent even if nothing has changed: the engine waits for it to know that the list has arrived.
+	r.client.loop.EmitUpdate(policy.EndpointUpdate{Kind: policy.Delta, Backends: changes})
+	r.onApplied(list)
 	r.client.table.close(r.list)
-	r.client.reportReachable()
+	r.client.reportReady()
 	return true
 }
 
-// onLoop has the loop run a task for the list being read, and waits for it. So one part goes into a Step, and requests
-// are served between the parts.
-func (r *receiver) onLoop(task func()) error {
-	r.silence.suspend() // the loop's time is not discovery's silence
-	defer r.silence.signOfLife()
+// runOnLoop has the loop run a task for the list being read and waits for it. Each Step of the engine therefore takes
+// only one batch, and requests are served between batches.
+func (r *receiver) runOnLoop(task func()) error {
+	r.idle.stop() // time spent waiting for the loop is not idle time of the agent
+	defer r.idle.reset()
 	done := make(chan error, 1)
 	r.client.loop.Post(func() {
-		if !r.wanted() {
+		if !r.stillWanted() {
 			done <- ErrSuperseded
 			return
 		}
--- a/internal/gateway/discovery/stream.go
+++ b/internal/gateway/discovery/stream.go
@@ -2,64 +2,66 @@
 
 import (
 	"bytes"
-	"errors"
+	"fmt"
 	"io"
 	"time"
 )
 
-// maxEntryBytes bounds one entry of a list with the space before it. Entries have some 140 bytes, indented 270.
+// maxEntryBytes is the maximum size of a list entry, including the whitespace before it. Entries have about 140 bytes, or
+// 270 if indented.
 const maxEntryBytes = 8 << 10
 
-var errEntryTooLong = errors.New("an entry is too long")
+var errEntryTooLong = fmt.Errorf("list entry is longer than %d bytes", maxEntryBytes)
 
-// silenceTimer ends a call to discovery that gives no sign of life for a time. It is there for machines that fall
-// silent without a reset, by a lost route or a power cut: TCP alone would let the call wait for hours, and the gateway
-// would go on with an old list. It runs from the start of the call, so a connection or a head that never comes ends
-// the call as well. The goroutine that reads the response uses it.
-type silenceTimer struct {
+// idleTimer ends a call to the agent if nothing is received for too long. It covers machines that become unreachable
+// without resetting their connections, for example after a lost route or a power failure: with TCP alone the call would
+// wait for hours, and the gateway would keep using an outdated list. The timer starts with the call, so it also covers
+// connecting and the response header. It is used by the goroutine that reads the response.
+type idleTimer struct {
 	timer *time.Timer
 	limit time.Duration
 }
 
-// startSilenceTimer calls end, from a goroutine of its own, after limit without a sign of life.
-func startSilenceTimer(limit time.Duration, end func()) *silenceTimer {
-	return &silenceTimer{timer: time.AfterFunc(limit, end), limit: limit}
+// startIdleTimer returns a running timer. It calls end, in a goroutine of its own, once limit has passed without a reset.
+func startIdleTimer(limit time.Duration, end func()) *idleTimer {
+	return &idleTimer{timer: time.AfterFunc(limit, end), limit: limit}
 }
 
-// signOfLife begins the time anew, also after a suspend.
-func (s *silenceTimer) signOfLife() { s.timer.Reset(s.limit) }
+// reset restarts the timer, also after stop.
+func (s *idleTimer) reset() { s.timer.Reset(s.limit) }
 
-// suspend stops the time until the next sign of life.
-func (s *silenceTimer) suspend() { s.timer.Stop() }
+// stop stops the timer until the next reset.
+func (s *idleTimer) stop() { s.timer.Stop() }
 
-// stream is the body of a response on its way to the decoder. Blank lines between lists are signs of life; they are kept
-// from the decoder, whose buffer would grow with them without end. A list may stand on several lines.
+// stream filters a response body for the decoder. Blank lines between lists are the agent's keepalives: they reset the
+// idle timer and are dropped, because the decoder's buffer would grow with them without bound. A list may span several
+// lines.
 type stream struct {
-	source  io.Reader
-	silence *silenceTimer
-	left    int   // bytes that the entry may still have
-	between bool  // the source stands between two lists, or before the first one
-	err     error // by which the source ended
+	source         io.Reader
+	idle           *idleTimer
+	entryBytesLeft int   // bytes that the current entry may still take
+	betweenLists   bool  // the read position is before the first list or between two lists
+	err            error // the error with which the source ended
 }
 
-// newStream returns a stream that stands before its first list.
-func newStream(source io.Reader, silence *silenceTimer) *stream {
-	return &stream{source: source, silence: silence, left: maxEntryBytes, between: true}
+// newStream returns a stream positioned before its first list.
+func newStream(source io.Reader, idle *idleTimer) *stream {
+	return &stream{source: source, idle: idle, entryBytesLeft: maxEntryBytes, betweenLists: true}
 }
 
-// Read is called by the decoder. Within a list a byte is no sign of life, only a whole entry is: a list whose bytes
-// drip in would else hold up all further changes.
+// Read implements io.Reader for the decoder. Within a list it does not reset the idle timer; the decoder does so after
+// each complete entry. Otherwise a list arriving byte by byte could hold up all further changes.
 func (s *stream) Read(b []byte) (int, error) {
 	for {
 		n, err := s.source.Read(b)
-		if s.between {
+		if s.betweenLists {
 			if n > 0 {
-				s.silence.signOfLife()
+				s.idle.reset()
 			}
 			n = copy(b, bytes.TrimLeft(b[:n], " \t\r\n"))
-			s.between = n == 0
+			s.betweenLists = n == 0
 		}
-		if s.left -= n; s.left < 0 {
+		if s.entryBytesLeft -= n; s.entryBytesLeft < 0 {
 			return 0, errEntryTooLong
 		}
 		if err != nil {
@@ -71,11 +73,11 @@
 	}
 }
 
-// entryBegins counts the bytes of an entry anew.
-func (s *stream) entryBegins() { s.left = maxEntryBytes }
+// beginEntry resets the byte limit for the next entry.
+func (s *stream) beginEntry() { s.entryBytesLeft = maxEntryBytes }
 
-// listEnded notes that a list has been read to its end, with the bytes ahead read behind it.
-func (s *stream) listEnded(ahead []byte) {
-	s.entryBegins()
-	s.between = len(bytes.TrimSpace(ahead)) == 0
+// endList records that a complete list has been read. ahead is the data already read after it.
+func (s *stream) endList(ahead []byte) {
+	s.beginEntry()
+	s.betweenLists = len(bytes.TrimSpace(ahead)) == 0
 }
--- a/internal/gateway/discovery/table.go
+++ b/internal/gateway/discovery/table.go
@@ -8,63 +8,63 @@
 )
 
 const (
-	// A list of up to partThreshold entries reaches the engine in one update. A longer one comes in parts of
-	// partSize entries, which the loop applies in under 1 ms, so that requests are served in between.
-	partThreshold = 256
-	partSize      = 64
-	// sweepSize is how many backends the loop looks at in one task for those that a snapshot has not named.
-	sweepSize = 1024
-	// removeSize is how many terminated backends are taken out of the table in one task.
-	removeSize = 256
+	// A list of up to batchThreshold entries reaches the engine in one update. A longer list is applied in batches of
+	// batchSize entries. The loop applies such a batch in under 1 ms and serves requests between batches.
+	batchThreshold = 256
+	batchSize      = 64
+	// scanBatchSize is the number of backends that one task on the loop checks for absence from a snapshot.
+	scanBatchSize = 1024
+	// removeBatchSize is the number of terminated backends that one task on the loop removes from the table.
+	removeBatchSize = 256
 )
 
-// table has what the engine has been told of each backend. The event loop's goroutine owns it.
+// table holds the state of each backend as last reported to the engine. It is owned by the event loop's goroutine.
 //
-// Several lists may be open at the same time: a fetch that was asked for before a change came by the watch may be
-// read after it. If it were applied as it comes, the older list would put a backend that has begun to drain back into
-// service, and requests would go to it. So lists are numbered in the order in which they were asked for or, for the
-// watch, began to come, and a backend keeps the number of the latest list that named it: an older list changes nothing
-// of it.
+// Several lists may be open at the same time: the response to a fetch may be read after a change that the watch received
+// since the fetch was requested. If it were applied regardless, the older list could return a draining backend to
+// service, and requests would be sent to it. Lists are therefore numbered: fetched ones in the order in which they were
+// requested, watched ones when they begin to arrive. Each backend records the number of the latest list containing it,
+// and older lists do not change it.
 type table struct {
-	names   endpoint.Names
-	log     *slog.Logger
-	changed func(backend policy.Backend, address string) // called at each change
+	names    endpoint.Names
+	log      *slog.Logger
+	onChange func(backend policy.Backend, address string) // called for each change
 
-	byName        map[string]*knownBackend
-	backends      []*knownBackend // in no order; each knows its position
-	lastNumber    uint64          // of a list
-	openLists     int             // begun and not closed
-	terminated    []*knownBackend // to be taken out, unless they come back
-	everInService bool            // a backend has been in service
+	byName         map[string]*knownBackend
+	backends       []*knownBackend // unordered; each element records its position
+	lastListNumber uint64          // number of the list opened last
+	openLists      int             // number of open lists
+	terminated     []*knownBackend // to be removed, unless listed again before
+	everInService  bool            // some backend has been in service
 }
 
-// knownBackend has what is known of one backend.
+// knownBackend is a backend in the table.
 type knownBackend struct {
-	backend  policy.Backend
-	address  string
-	namedBy  uint64 // number of the latest list that named it
-	position int    // in table.backends
+	backend    policy.Backend
+	address    string
+	listNumber uint64 // number of the latest list that contained or terminated the backend
+	position   int    // in table.backends
 }
 
-// openList is a list, or a change of it, that is being applied.
+// openList is a list or change that is being applied.
 type openList struct {
-	number uint64
-	swept  int // backends of the table, from the first, of which is known whether the list names them
-	closed bool
+	number  uint64
+	scanned int // number of leading elements of table.backends already checked for absence from the list
+	closed  bool
 }
 
-func newTable(names endpoint.Names, log *slog.Logger, changed func(policy.Backend, string)) *table {
-	return &table{names: names, log: log, changed: changed, byName: map[string]*knownBackend{}}
+func newTable(names endpoint.Names, log *slog.Logger, onChange func(policy.Backend, string)) *table {
+	return &table{names: names, log: log, onChange: onChange, byName: map[string]*knownBackend{}}
 }
 
-// open numbers a list. Until it is closed no backend is taken out or changes its position.
+// open assigns a number to a new list. Until the list is closed, no backend is removed or changes its position.
 func (t *table) open() *openList {
-	t.lastNumber++
+	t.lastListNumber++
 	t.openLists++
-	return &openList{number: t.lastNumber}
+	return &openList{number: t.lastListNumber}
 }
 
-// close ends a list, whether it was applied or not. A second call does nothing.
+// close ends a list, whether it was applied or not. Closing a list again has no effect.
 func (t *table) close(list *openList) {
 	if list.closed {
 		return
@@ -74,8 +74,8 @@
 	t.removeTerminated()
 }
 
-// apply takes entries of a list into the table, and returns the changes that the engine has to be told of.
-// An invalid entry is passed over: the others still hold.
+// apply applies entries of a list to the table and returns the changes to report to the engine. Invalid entries are
+// skipped and logged; they do not invalidate the rest of the list.
 func (t *table) apply(list *openList, endpoints []endpoint.Entry) (changes []policy.Backend) {
 	invalid := 0
 	for i := range endpoints {
@@ -86,7 +86,7 @@
 			}
 			continue
 		}
-		if t.set(list, backend, endpoints[i].Address) {
+		if t.setBackend(list, backend, endpoints[i].Address) {
 			changes = append(changes, backend)
 		}
 	}
@@ -96,17 +96,18 @@
 	return changes
 }
 
-// set keeps what a list has of one backend unless a later list has named it, and says whether that is a change.
-func (t *table) set(list *openList, backend policy.Backend, address string) bool {
+// setBackend stores the state of a backend according to a list, unless a later list contains the backend. It reports
+// whether that changed anything.
+func (t *table) setBackend(list *openList, backend policy.Backend, address string) bool {
 	known := t.byName[backend.Name]
 	if known == nil {
 		known = &knownBackend{position: len(t.backends)}
 		t.byName[backend.Name] = known
 		t.backends = append(t.backends, known)
-	} else if known.namedBy > list.number {
+	} else if known.listNumber > list.number {
 		return false
 	}
-	known.namedBy = list.number
+	known.listNumber = list.number
 	if known.backend == backend && known.address == address {
 		return false
 	}
@@ -117,49 +118,49 @@
 	case policy.Terminated:
 		t.terminated = append(t.terminated, known)
 	}
-	t.changed(backend, address)
+	t.onChange(backend, address)
 	return true
 }
 
-// terminateUnnamed marks the backends that a snapshot has not named as terminated, a part at each call. It returns the
-// changes that the engine has to be told of, and whether that was the last part.
-func (t *table) terminateUnnamed(list *openList) (changes []policy.Backend, last bool) {
-	maxChanges := partThreshold
-	if len(t.backends) > sweepSize {
-		maxChanges = partSize
+// terminateMissing marks the backends absent from a snapshot as terminated, a batch per call. It returns the changes to
+// report to the engine, and whether all backends have been checked.
+func (t *table) terminateMissing(list *openList) (changes []policy.Backend, last bool) {
+	maxChanges := batchThreshold
+	if len(t.backends) > scanBatchSize {
+		maxChanges = batchSize
 	}
-	end := min(len(t.backends), list.swept+sweepSize)
-	for ; list.swept < end && len(changes) < maxChanges; list.swept++ {
-		known := t.backends[list.swept]
-		if known.namedBy >= list.number || known.backend.State == policy.Terminated {
+	end := min(len(t.backends), list.scanned+scanBatchSize)
+	for ; list.scanned < end && len(changes) < maxChanges; list.scanned++ {
+		known := t.backends[list.scanned]
+		if known.listNumber >= list.number || known.backend.State == policy.Terminated {
 			continue
 		}
 		backend := known.backend
 		backend.State = policy.Terminated
-		t.set(list, backend, known.address)
+		t.setBackend(list, backend, known.address)
 		changes = append(changes, backend)
 	}
-	return changes, list.swept == len(t.backends)
+	return changes, list.scanned == len(t.backends)
 }
 
-// removeTerminated takes some of the terminated backends out of the table. While a list is open it does nothing: the
-// list counts on the positions, and may name a terminated backend again.
+// removeTerminated removes up to removeBatchSize terminated backends from the table. It does nothing while a list is open:
+// terminateMissing relies on the positions, and the list may contain a terminated backend again.
 func (t *table) removeTerminated() {
 	if t.openLists > 0 {
 		return
 	}
-	some := t.terminated[:min(len(t.terminated), removeSize)]
-	for _, known := range some {
+	batch := t.terminated[:min(len(t.terminated), removeBatchSize)]
+	for _, known := range batch {
 		if known.backend.State == policy.Terminated && t.byName[known.backend.Name] == known {
 			t.remove(known)
 		}
 	}
-	if t.terminated = t.terminated[len(some):]; len(t.terminated) == 0 {
+	if t.terminated = t.terminated[len(batch):]; len(t.terminated) == 0 {
 		t.terminated = nil
 	}
 }
 
-// remove takes a backend out; the last one takes its position.
+// remove removes a backend and moves the last one to its position.
 func (t *table) remove(known *knownBackend) {
 	last := t.backends[len(t.backends)-1]
 	t.backends[known.position], last.position = last, known.position
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -149,7 +149,7 @@
 		if said != "" {
 			watch.Chunk(said)
 		}
-		watch.WantEnd()
+		watch.WantClosed()
 	}
 	watch, _ := agent.Watch()
 	watch.Chunk(text)
