--- a/internal/gateway/counter/client.go
+++ b/internal/gateway/counter/client.go
@@ -1,21 +1,20 @@
-// Package counter is the client of the counter that all gateways share: it adds amounts to named numbers and reports the
-// totals. The section "The counter" of the operators' page PROTOCOL-bellwood, which is not in this repository, describes
-// the counter.
+// Package counter is a client for the counter service that all gateways share: it adds amounts to named totals and
+// returns the new totals. The protocol is described in the section "The counter" of the operators' page
+// PROTOCOL-bellwood, which is not in this repository.
 //
 // # Order
 //
-// The calls of one name go by one connection, one behind another, and their results are reported in the order of the
-// calls. Replies carry no name: on each connection they belong to the calls in the order in which these were written.
-// So a call that timed out keeps its place among the pending replies until its reply has come or the connection is
-// given up; else the late reply would be taken for that of the next call, and a total of another name would decide a
-// tenant's quota.
+// All calls for a name use the same connection, and their results are reported in the order of the calls. Replies carry
+// no name: on each connection they come in the order in which the calls were written. A call that timed out therefore
+// stays in the queue of pending replies until its reply arrives or the connection is closed. Otherwise its late reply
+// would be taken for the reply to the next call, and the total of another name would decide a tenant's quota.
 //
 // # Goroutines
 //
-// The event loop's goroutine owns the Client and its connections: all methods are called there, and nothing is locked.
-// Each socket has a goroutine that reads and one that writes; both are given what they need at their start and report to
-// the loop by tasks. The loop ends them by closing the socket and the channel of bytes to write, in connection.close.
-// A goroutine that dials ends with the dial timeout.
+// The Client and its connections are owned by the event loop's goroutine: all methods are called on it, without locks.
+// Each socket has one goroutine that reads and one that writes. They use only the values passed to them at their start,
+// and report to the loop by posting tasks. The loop ends them in connection.close, which closes the socket and the
+// channel of writes. A dialing goroutine ends at the dial timeout at the latest.
 package counter
 
 import (
@@ -26,62 +25,62 @@
 	"bellwood/internal/timerqueue"
 )
 
-// MaxConns is how many connections to one address there are at most, as each takes a descriptor. The counter holds 32
-// of one gateway.
+// MaxConns is the maximum number of connections to one address. Each takes a file descriptor. The counter accepts 32
+// connections from one gateway.
 const MaxConns = 4
 
-// EventLoop is what the package needs of the gateway's event loop. Post may be called by any goroutine; the other
-// methods are called on the loop's, within a method of Client or a task.
+// EventLoop is the part of the gateway's event loop that the package uses. Post may be called from any goroutine; the
+// other methods are called on the loop's goroutine, within a posted task or a method of Client.
 type EventLoop interface {
-	// Post hands the loop a task. It blocks while the loop is behind; when the loop has ended the task is dropped.
+	// Post queues a task for the loop. It blocks while the queue is full; once the loop has ended, the task is dropped.
 	Post(task func())
-	// Now is the loop's clock.
+	// Now returns the time on the loop's clock.
 	Now() time.Duration
-	// AddTimer runs a task at a time of the loop's clock, or later.
+	// AddTimer runs a task at the given time of the loop's clock, or later.
 	AddTimer(at time.Duration, task func()) *timerqueue.Timer
-	// StopTimer takes a timer back; nil or one that has run is passed over.
+	// StopTimer cancels a timer. It has no effect if the timer is nil or has run.
 	StopTimer(timer *timerqueue.Timer)
 }
 
-// Result is how a call ended.
+// Result is the outcome of a call.
 type Result struct {
-	// Status is policy.OK where the amount was added; policy.Rejected or policy.ConnectFailed where it was not;
-	// policy.TimedOut where it may have been, or may yet be.
+	// Status is policy.OK if the amount was added, policy.Rejected or policy.ConnectFailed if it was not, and
+	// policy.TimedOut if it may have been or may still be added.
 	Status policy.Status
-	Total  float64 // of the number, with policy.OK
+	Total  float64 // the new total, with policy.OK
 }
 
-// Options say what a Client has at its start.
+// Options configure a Client.
 type Options struct {
-	Enabled     bool          // there is a counter; else every call ends as policy.ConnectFailed at once
+	Enabled     bool          // whether there is a counter; if not, every call ends immediately as policy.ConnectFailed
 	Address     string        // IP address and port
-	Timeout     time.Duration // after which a call without a reply ends
+	Timeout     time.Duration // of a call
 	DialTimeout time.Duration
 }
 
-// Client calls the counter. The event loop's goroutine owns it, see the package comment.
+// Client calls the counter. It is owned by the event loop's goroutine; see the package comment.
 type Client struct {
 	loop        EventLoop
-	options     Options // Address is the one in use
+	options     Options // Address is the current one
 	connections [MaxConns]*connection
-	// undelivered has the calls whose result was not handed to onResult yet, by name in the order of the calls. It is not
-	// the same as the connections' pending replies: after a move two connections may owe replies for one name.
+	// undelivered holds the calls whose result has not been passed to onResult yet, by name, in the order of the calls. It
+	// differs from the connections' pending calls: after Move, two connections may have pending calls for one name.
 	undelivered map[uint64][]*call
 }
 
-// call is one addition.
+// call is one call to the counter, which adds an amount to a total.
 type call struct {
 	name     uint64
 	onResult func(Result)
 	conn     *connection
 	request  []byte
-	written  bool // handed to the socket: it may have reached the counter
+	written  bool // handed to the writing goroutine, so it may have reached the counter
 	ended    bool
-	result   Result // once it has ended
+	result   Result // set when ended is
 	timeout  *timerqueue.Timer
 }
 
-// New returns a Client that makes no connection before the first call.
+// New returns a Client. It does not connect until the first call.
 func New(loop EventLoop, options Options) *Client {
 	c := &Client{loop: loop, options: options, undelivered: map[uint64][]*call{}}
 	now := loop.Now()
@@ -98,18 +97,18 @@
 // Address returns the counter's address.
 func (c *Client) Address() string { return c.options.Address }
 
-// Undelivered returns for how many names there are calls whose result was not handed to onResult yet.
+// Undelivered returns the number of names with calls whose result has not been passed to onResult yet.
 func (c *Client) Undelivered() int { return len(c.undelivered) }
 
-// Move sends further calls, and those not yet written, to another address. The replies to those already written may
-// still come, for movedTimeout.
+// Move directs new calls, and those not yet written, to another address. Replies to calls already written to the old
+// address are still accepted for retireTimeout.
 func (c *Client) Move(address string) {
 	c.options.Address = address
 	now := c.loop.Now()
 	for i, old := range c.connections {
 		next := c.newConnection(now)
 		c.connections[i] = next
-		next.pending = old.leaveAddress(now)
+		next.pending = old.retire(now)
 		for _, call := range next.pending {
 			call.conn = next
 		}
@@ -119,40 +118,41 @@
 	}
 }
 
-// Add adds an amount to a number, which the counter forgets ttl after it was named for the first time. It calls onResult
-// once on the loop, in the order of the calls of one name and perhaps before Add returns. onResult must not call the
-// Client.
+// Add adds an amount to the total of a name. The counter deletes the total when ttl has passed since the first call for
+// the name. Add calls onResult once, on the loop, possibly before it returns; for each name, in the order of the calls.
+// onResult must not call the Client.
 func (c *Client) Add(name uint64, amount float64, ttl time.Duration, onResult func(Result)) {
 	conn := c.connections[name%MaxConns]
 	call := &call{name: name, onResult: onResult, conn: conn}
 	c.undelivered[name] = append(c.undelivered[name], call)
 	if !c.options.Enabled || len(conn.pending) >= maxPending {
-		c.end(call, Result{Status: policy.ConnectFailed})
+		c.complete(call, Result{Status: policy.ConnectFailed})
 		return
 	}
 	call.request = appendRequest(nil, name, amount, ttl)
 	now := c.loop.Now()
 	conn.add(call, now)
-	call.timeout = c.loop.AddTimer(now+c.options.Timeout, func() { c.timedOut(call) })
+	call.timeout = c.loop.AddTimer(now+c.options.Timeout, func() { c.expire(call) })
 	conn.flush()
 }
 
-// timedOut ends a call without a reply. A call that has not been written is taken out: it must not be written any more,
-// as its caller is told that nothing was added. One that has been written keeps its place among the pending replies.
-func (c *Client) timedOut(late *call) {
+// expire ends a call at its timeout. A call that has not been written is removed from the queue: it must not be written
+// later, because its result says that nothing was added. A written call stays in the queue of pending replies.
+func (c *Client) expire(late *call) {
 	if late.written {
-		c.end(late, Result{Status: policy.TimedOut})
+		c.complete(late, Result{Status: policy.TimedOut})
 		return
 	}
 	pending := late.conn.pending
 	if i := slices.Index(pending, late); i >= 0 {
 		late.conn.pending = slices.Delete(pending, i, i+1)
 	}
-	c.end(late, Result{Status: policy.ConnectFailed})
+	c.complete(late, Result{Status: policy.ConnectFailed})
 }
 
-// end gives a call its one result, and hands it to onResult once those of the calls of its name before it have theirs.
-func (c *Client) end(ended *call, result Result) {
+// complete sets the result of a call, unless it has one. The result is passed to onResult once the results of all earlier
+// calls for the same name have been.
+func (c *Client) complete(ended *call, result Result) {
 	if ended.ended {
 		return
 	}
@@ -170,15 +170,15 @@
 	}
 }
 
-// Sweep closes connections that are idle, before the counter closes them, and gives up those that have owed a reply for
-// too long. The loop calls it each second.
+// Sweep closes idle connections, before the counter would, and connections on which a reply is overdue. The event loop
+// calls it every second.
 func (c *Client) Sweep() {
 	now := c.loop.Now()
 	for _, conn := range c.connections {
 		switch {
 		case conn.isIdle(now):
 			conn.close()
-		case conn.isSilent(now):
+		case conn.isStalled(now):
 			conn.fail()
 		}
 	}
--- a/internal/gateway/counter/connection.go
+++ b/internal/gateway/counter/connection.go
@@ -10,44 +10,44 @@
 )
 
 const (
-	// idleTimeout is after how long a connection without calls is closed. The counter closes one after 10 s or less, and a
-	// call that is written just then would end as one that may have been added.
+	// idleTimeout is the time after which a connection without calls is closed. The counter closes idle connections after
+	// 10 s or less; a call written at that moment would end as one that may have been added.
 	idleTimeout = 3 * time.Second
-	// silenceTimeout is after how long a connection that owes a reply is given up, and how long a write may take. Without
-	// it a connection whose counter is gone without a reset would take the calls of a quarter of all names until TCP gives
-	// it up.
-	silenceTimeout = 2 * time.Second
-	// movedTimeout is how long replies of the old address are awaited after a move.
-	movedTimeout = 2 * time.Second
-	// maxPending bounds the calls of a connection whose replies are still to come, those that timed out too.
+	// stallTimeout is the time after which a connection with an overdue reply is closed, and the timeout of a write.
+	// Without it, if the counter's machine went down without a reset, the connection would block the calls for a quarter
+	// of all names until TCP gave up.
+	stallTimeout = 2 * time.Second
+	// retireTimeout is how long the client waits for replies from the old address after Move.
+	retireTimeout = 2 * time.Second
+	// maxPending is the maximum number of pending calls of a connection, including those that timed out.
 	maxPending = 1024
-	// maxUnwritten bounds the blocks of calls that wait for the goroutine that writes. The loop never waits for that
-	// goroutine: where so many blocks wait the counter takes nothing any more, and the connection is given up.
-	maxUnwritten = 64
+	// maxQueuedWrites is the maximum number of blocks of calls queued for the writing goroutine. The event loop never
+	// waits for that goroutine. If the queue is full, the counter is not reading, and the connection is closed.
+	maxQueuedWrites = 64
 )
 
-// connection is one of the places for a connection to the counter, with the calls that go by it. It dials when it has
-// calls and no socket, and closes the socket when it is idle, so socket changes. The event loop's goroutine owns it.
+// connection is one of a Client's connections to the counter, with its calls. It dials when it has calls and no socket,
+// and closes an idle socket, so it may use several sockets over time. It is owned by the event loop's goroutine.
 type connection struct {
-	client      *Client
-	address     string
-	socket      *socket // nil: none, or being dialed
-	dialing     bool
-	addressLeft bool    // calls go to another address now, by other connections
-	pending     []*call // in the order of their replies, those that timed out too; the written ones come first
-
-	lastUsed      time.Duration // when a call or a reply last went by
-	replyDueSince time.Duration // since when the first of pending waits for its reply
+	client  *Client
+	address string
+	socket  *socket // nil: not connected
+	dialing bool
+	retired bool    // the client has moved to another address and uses other connections
+	pending []*call // awaiting replies, in the order of the replies, including calls that timed out; written ones first
+
+	lastUsed      time.Duration // time of the last call or reply
+	replyDueSince time.Duration // since when the first pending call has been awaiting its reply
 }
 
-// socket is one TCP connection with its two goroutines. They name it in what they report, so that the report of an
-// earlier socket is not taken for one of its successor.
+// socket is a TCP connection with two goroutines. They pass it to the tasks that they post, so that a late report about
+// an earlier socket is not taken for one about its successor.
 type socket struct {
-	conn      net.Conn
-	unwritten chan []byte // closed by the loop
+	conn   net.Conn
+	writes chan []byte // closed by the loop
 }
 
-// add puts a call behind the pending ones. It writes nothing; flush does.
+// add appends a call to the pending ones. It writes nothing; see flush.
 func (c *connection) add(call *call, now time.Duration) {
 	if len(c.pending) == 0 {
 		c.replyDueSince = now
@@ -56,27 +56,27 @@
 	c.lastUsed = now
 }
 
-// leaveAddress removes the unwritten calls from a connection whose address is no longer used, and returns them. The
-// replies to the others are awaited for movedTimeout.
-func (c *connection) leaveAddress(now time.Duration) (unwritten []*call) {
+// retire removes and returns the unwritten calls of a connection whose address is no longer used. The connection waits for
+// the replies to the others for retireTimeout, and is then closed.
+func (c *connection) retire(now time.Duration) (unwritten []*call) {
 	written := 0
 	for written < len(c.pending) && c.pending[written].written {
 		written++
 	}
 	unwritten, c.pending = slices.Clone(c.pending[written:]), c.pending[:written]
-	c.addressLeft = true
+	c.retired = true
 	if len(c.pending) == 0 {
 		c.close()
 	} else {
-		c.client.loop.AddTimer(now+movedTimeout, c.fail)
+		c.client.loop.AddTimer(now+retireTimeout, c.fail)
 	}
 	return unwritten
 }
 
-// flush writes the calls that are not written yet, or dials first.
+// flush queues the unwritten calls for writing. Without a socket it starts a dial, after which flush is called again.
 func (c *connection) flush() {
 	if c.socket == nil {
-		if !c.dialing && !c.addressLeft {
+		if !c.dialing && !c.retired {
 			c.dialing = true
 			go c.dial(c.address, c.client.options.DialTimeout)
 		}
@@ -93,42 +93,43 @@
 		return
 	}
 	select {
-	case c.socket.unwritten <- block:
-	default: // the counter takes nothing any more
+	case c.socket.writes <- block:
+	default: // the counter is not reading
 		c.fail()
 	}
 }
 
-// dial connects, in a goroutine of its own. The calls that wait for it end by their own timeouts, or when it fails.
+// dial connects to the counter, in a goroutine of its own. Calls waiting for it end at their own timeouts, or when it
+// fails.
 func (c *connection) dial(address string, timeout time.Duration) {
 	conn, err := net.DialTimeout("tcp", address, timeout)
-	c.client.loop.Post(func() { c.dialed(conn, err) })
+	c.client.loop.Post(func() { c.dialEnded(conn, err) })
 }
 
-// dialed takes the result of a dial.
-func (c *connection) dialed(conn net.Conn, err error) {
+// dialEnded handles the result of a dial.
+func (c *connection) dialEnded(conn net.Conn, err error) {
 	c.dialing = false
 	switch {
-	case c.addressLeft: // its calls have moved
+	case c.retired: // its calls were moved to another connection
 		if err == nil {
 			conn.Close()
 		}
 	case err != nil:
 		c.fail()
 	default:
-		c.socket = &socket{conn: conn, unwritten: make(chan []byte, maxUnwritten)}
+		c.socket = &socket{conn: conn, writes: make(chan []byte, maxQueuedWrites)}
 		go c.write(c.socket)
 		go c.read(c.socket)
 		c.flush()
 	}
 }
 
-// write writes calls, in a goroutine of its own, until the loop closes the socket or a write fails.
+// write writes queued calls, in a goroutine of its own, until the loop closes the socket or a write fails.
 func (c *connection) write(socket *socket) {
-	for block := range socket.unwritten {
-		socket.conn.SetWriteDeadline(time.Now().Add(silenceTimeout))
+	for block := range socket.writes {
+		socket.conn.SetWriteDeadline(time.Now().Add(stallTimeout))
 		if _, err := socket.conn.Write(block); err != nil {
-			c.client.loop.Post(func() { c.broke(socket) })
+			c.client.loop.Post(func() { c.socketFailed(socket) })
 			return
 		}
 	}
@@ -140,19 +141,19 @@
 	for {
 		result, err := readReply(reader)
 		if err != nil {
-			c.client.loop.Post(func() { c.broke(socket) })
+			c.client.loop.Post(func() { c.socketFailed(socket) })
 			return
 		}
-		c.client.loop.Post(func() { c.replied(socket, result) })
+		c.client.loop.Post(func() { c.replyReceived(socket, result) })
 	}
 }
 
-// replied takes the reply to the first of the pending calls.
-func (c *connection) replied(socket *socket, result Result) {
+// replyReceived completes the first pending call with its reply.
+func (c *connection) replyReceived(socket *socket, result Result) {
 	if socket != c.socket {
 		return
 	}
-	if len(c.pending) == 0 || !c.pending[0].written { // a reply to no call
+	if len(c.pending) == 0 || !c.pending[0].written { // unsolicited reply
 		c.fail()
 		return
 	}
@@ -161,20 +162,21 @@
 	c.pending = c.pending[1:]
 	c.lastUsed = c.client.loop.Now()
 	c.replyDueSince = c.lastUsed
-	c.client.end(first, result)
-	if c.addressLeft && len(c.pending) == 0 {
+	c.client.complete(first, result)
+	if c.retired && len(c.pending) == 0 {
 		c.close()
 	}
 }
 
-// broke takes the end of a socket that its goroutines found.
-func (c *connection) broke(socket *socket) {
+// socketFailed handles an error of a socket that one of its goroutines reported.
+func (c *connection) socketFailed(socket *socket) {
 	if socket == c.socket {
 		c.fail()
 	}
 }
 
-// fail closes the socket, if there is one, and ends all pending calls: the unwritten ones as not added.
+// fail closes the socket, if there is one, and ends all pending calls: the unwritten ones as policy.ConnectFailed, the
+// written ones as policy.TimedOut.
 func (c *connection) fail() {
 	c.close()
 	pending := c.pending
@@ -184,25 +186,25 @@
 		if call.written {
 			status = policy.TimedOut
 		}
-		c.client.end(call, Result{Status: status})
+		c.client.complete(call, Result{Status: status})
 	}
 }
 
-// close closes the socket and so ends its goroutines; the pending calls stay.
+// close closes the socket, if there is one, which ends its goroutines. Pending calls are kept.
 func (c *connection) close() {
 	if c.socket != nil {
 		c.socket.conn.Close()
-		close(c.socket.unwritten)
+		close(c.socket.writes)
 		c.socket = nil
 	}
 }
 
-// isIdle says whether the connection has carried nothing for idleTimeout.
+// isIdle reports whether the connection is open and has been unused for idleTimeout.
 func (c *connection) isIdle(now time.Duration) bool {
 	return c.socket != nil && len(c.pending) == 0 && now-c.lastUsed >= idleTimeout
 }
 
-// isSilent says whether a reply has been owed for silenceTimeout.
-func (c *connection) isSilent(now time.Duration) bool {
-	return c.socket != nil && len(c.pending) > 0 && c.pending[0].written && now-c.replyDueSince >= silenceTimeout
+// isStalled reports whether a reply has been outstanding for stallTimeout.
+func (c *connection) isStalled(now time.Duration) bool {
+	return c.socket != nil && len(c.pending) > 0 && c.pending[0].written && now-c.replyDueSince >= stallTimeout
 }
--- a/internal/gateway/counter/helpers_test.go
+++ b/internal/gateway/counter/helpers_test.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// patient bounds every wait of these tests; none is expected to take a noticeable part of it.
-	patient = 20 * time.Second
-	// callTimeout is that of the clients under test. The timers run only where a test runs them.
+	// testTimeout limits every wait in these tests. Waits normally end long before it.
+	testTimeout = 20 * time.Second
+	// callTimeout is the call timeout of most clients under test. Timers run only when a test runs them.
 	callTimeout = 50 * time.Millisecond
 )
 
-// testLoop is an event loop whose tasks and timers run when the test says so.
+// testLoop is an EventLoop whose tasks and timers the test runs explicitly.
 type testLoop struct {
-	begun  time.Time
-	tasks  chan func()
-	done   chan struct{}
-	timers timerqueue.Queue
+	startedAt time.Time
+	tasks     chan func()
+	done      chan struct{}
+	timers    timerqueue.Queue
 }
 
 func (l *testLoop) Post(task func()) {
@@ -34,7 +34,7 @@
 	}
 }
 
-func (l *testLoop) Now() time.Duration { return time.Since(l.begun) }
+func (l *testLoop) Now() time.Duration { return time.Since(l.startedAt) }
 
 func (l *testLoop) AddTimer(at time.Duration, task func()) *timerqueue.Timer {
 	return l.timers.Add(at, task)
@@ -42,14 +42,14 @@
 
 func (l *testLoop) StopTimer(timer *timerqueue.Timer) { l.timers.Stop(timer) }
 
-// namedResult is a result as it was reported.
+// namedResult is a reported result with the name in the call.
 type namedResult struct {
 	name   uint64
 	status policy.Status
 	total  float64
 }
 
-// testClient is a client with the loop it is run by and the results it reported.
+// testClient is a client with its loop and the results it has reported.
 type testClient struct {
 	*Client
 	t       *testing.T
@@ -57,16 +57,16 @@
 	results []namedResult
 }
 
-// newTestClient returns a client of a counter at an address.
+// newTestClient returns a client of the counter at an address.
 func newTestClient(t *testing.T, address string, timeout time.Duration) *testClient {
 	t.Helper()
-	loop := &testLoop{begun: time.Now(), tasks: make(chan func(), 1024), done: make(chan struct{})}
+	loop := &testLoop{startedAt: time.Now(), tasks: make(chan func(), 1024), done: make(chan struct{})}
 	t.Cleanup(func() { close(loop.done) })
 	client := New(loop, Options{Enabled: true, Address: address, Timeout: timeout, DialTimeout: 5 * time.Second})
 	return &testClient{Client: client, t: t, loop: loop}
 }
 
-// add makes a call; its result is kept in results.
+// add makes a call and appends its result to results.
 func (c *testClient) add(name uint64, amount float64) {
 	c.Add(name, amount, 4*time.Second, func(result Result) {
 		c.results = append(c.results, namedResult{name, result.Status, result.Total})
@@ -74,34 +74,34 @@
 }
 
 // runUntil runs the loop's tasks until a condition holds.
-func (c *testClient) runUntil(holds func() bool) {
+func (c *testClient) runUntil(condition func() bool) {
 	c.t.Helper()
-	end := time.After(patient)
-	for !holds() {
+	end := time.After(testTimeout)
+	for !condition() {
 		select {
 		case task := <-c.loop.tasks:
 			task()
 		case <-end:
-			c.t.Fatal("it never came to that")
+			c.t.Fatalf("condition not met within %v", testTimeout)
 		}
 	}
 }
 
-// connects runs the loop until a connection is up.
-func (c *testClient) connects(conn *connection) {
+// waitConnected runs the loop until a connection has a socket.
+func (c *testClient) waitConnected(conn *connection) {
 	c.t.Helper()
 	c.runUntil(func() bool { return conn.socket != nil })
 }
 
-// reports runs the loop until there are so many results, and compares all of them.
-func (c *testClient) reports(want ...namedResult) {
+// waitForResults runs the loop until there are at least len(want) results, and compares all results with want.
+func (c *testClient) waitForResults(want ...namedResult) {
 	c.t.Helper()
 	c.runUntil(func() bool { return len(c.results) >= len(want) })
-	c.reported(want...)
+	c.wantResults(want...)
 }
 
-// reported compares the results up to now.
-func (c *testClient) reported(want ...namedResult) {
+// wantResults compares the results reported so far with want.
+func (c *testClient) wantResults(want ...namedResult) {
 	c.t.Helper()
 	if len(c.results) != len(want) {
 		c.t.Fatalf("got %+v, want %+v", c.results, want)
@@ -113,8 +113,8 @@
 	}
 }
 
-// timeOutCalls lets the time of all calls that are out run out.
-func (c *testClient) timeOutCalls() { c.loop.timers.Run(c.loop.Now() + callTimeout) }
+// expireCalls runs the timeouts of all calls made so far.
+func (c *testClient) expireCalls() { c.loop.timers.Run(c.loop.Now() + callTimeout) }
 
 // listen returns a listener on a free port.
 func listen(t *testing.T) net.Listener {
@@ -134,21 +134,21 @@
 	reader *bufio.Reader
 }
 
-// accept takes the next connection to a counter.
+// accept accepts the next connection.
 func accept(t *testing.T, listener net.Listener) *counterConn {
 	t.Helper()
-	listener.(*net.TCPListener).SetDeadline(time.Now().Add(patient))
+	listener.(*net.TCPListener).SetDeadline(time.Now().Add(testTimeout))
 	conn, err := listener.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	conn.SetDeadline(time.Now().Add(patient))
+	conn.SetDeadline(time.Now().Add(testTimeout))
 	t.Cleanup(func() { conn.Close() })
 	return &counterConn{t: t, conn: conn, reader: bufio.NewReader(conn)}
 }
 
-// reads reads just that text.
-func (c *counterConn) reads(want string) {
+// wantRead reads as many lines as want has and compares them.
+func (c *counterConn) wantRead(want string) {
 	c.t.Helper()
 	for _, line := range strings.SplitAfter(want, "\n") {
 		if line == "" {
@@ -160,21 +160,21 @@
 	}
 }
 
-func (c *counterConn) writes(text string) {
+func (c *counterConn) write(text string) {
 	c.t.Helper()
 	if _, err := io.WriteString(c.conn, text); err != nil {
 		c.t.Fatal(err)
 	}
 }
 
-// wantsEnd reads up to the end of the connection and fails if anything comes before it.
-func (c *counterConn) wantsEnd() {
+// wantClosed waits until the client has closed the connection, and fails the test if it sends anything before.
+func (c *counterConn) wantClosed() {
 	c.t.Helper()
 	b, err := c.reader.ReadByte()
 	if err == nil {
-		c.t.Fatalf("got %q, want the end of the connection", b)
+		c.t.Fatalf("got %q, want the connection closed", b)
 	}
 	if timeout, ok := err.(net.Error); ok && timeout.Timeout() {
-		c.t.Fatal("the connection stays open")
+		c.t.Fatal("the client has not closed the connection")
 	}
 }
