--- a/internal/gateway/endpoint/endpoint.go
+++ b/internal/gateway/endpoint/endpoint.go
@@ -1,6 +1,6 @@
-// Package endpoint has the form in which discovery and the configuration file list the backends, and turns it into that
-// of the engine. The operators' pages PROTOCOL-bellwood ("Discovery") and DEPLOY-bellwood ("known"), which are not in
-// this repository, describe it.
+// Package endpoint defines the JSON endpoint list, as used by discovery and by the configuration file, and converts its
+// entries to policy.Backend. The format is described in the operators' pages PROTOCOL-bellwood ("Discovery") and
+// DEPLOY-bellwood ("known"), which are not in this repository.
 package endpoint
 
 import (
@@ -11,10 +11,10 @@
 	"bellwood/internal/policy"
 )
 
-// List is an endpoint list or changes of it.
+// List is a full endpoint list, or changes to one.
 type List struct {
-	Index     int64 // of the agent's state that it leads to
-	Snapshot  bool  // it is the whole list: a backend that it doesn't name is not in service
+	Index     int64 // index of the agent's state after this list
+	Snapshot  bool  // whether this is the full list; backends absent from it are then out of service
 	Endpoints []Entry
 }
 
@@ -27,26 +27,26 @@
 	Group   int     // policy.Backend.Cell
 	Status  string  // SERVING, DRAINING or DELETED
 	Weight  float64 // relative to the other backends
-	SinceMS int64   `json:"since_ms"` // when the process began, in ms of Unix time
+	SinceMS int64   `json:"since_ms"` // start of the backend's process, in Unix milliseconds
 }
 
 var states = map[string]policy.BackendState{"SERVING": policy.InService, "DRAINING": policy.Draining,
 	"DELETED": policy.Terminated}
 
-// InvalidError says that an entry has no name or no known status.
+// InvalidError is returned for an entry without a name or with an unknown status.
 type InvalidError struct{ Name, Status string }
 
 func (e *InvalidError) Error() string {
 	if e.Name == "" {
-		return fmt.Sprintf("an endpoint with the status %.40q has no name", e.Status)
+		return fmt.Sprintf("endpoint with status %.40q has no name", e.Status)
 	}
-	return fmt.Sprintf("endpoint %.40q has the unknown status %.40q", e.Name, e.Status)
+	return fmt.Sprintf("endpoint %.40q has unknown status %.40q", e.Name, e.Status)
 }
 
-// Names are the zones and kinds of backends, in the order of the numbers that the engine has for them.
+// Names lists the names of zones and kinds. The engine identifies a zone or kind by its position in the list.
 type Names struct{ Zones, Kinds []string }
 
-// Backend is an entry in the engine's form. An unknown zone or kind counts as the first one. The error is an
+// Backend converts an entry to the engine's form. An unknown zone or kind is mapped to the first one. The error is an
 // *InvalidError.
 func (n *Names) Backend(e *Entry) (policy.Backend, error) {
 	state, known := states[e.Status]
--- a/internal/gateway/endpoint/endpoint_test.go
+++ b/internal/gateway/endpoint/endpoint_test.go
@@ -9,8 +9,8 @@
 	"bellwood/internal/policy"
 )
 
-// A list in discovery's form becomes backends in that of the engine.
-func TestBackend(t *testing.T) {
+// The entries of a JSON list are converted to policy.Backend; unknown zones and kinds are mapped to the first ones.
+func TestListIsConvertedToBackends(t *testing.T) {
 	const text = `{"index":41,"snapshot":true,"endpoints":[
 		{"name":"s-1","address":"10.1.0.18:6379","zone":"b","type":"m3","group":3,"status":"SERVING","weight":0.5,"since_ms":1500},
 		{"name":"s-2","address":"10.1.0.19:6379","zone":"unknown","type":"unknown","status":"DRAINING"},
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	if list.Index != 41 || !list.Snapshot || list.Endpoints[0].Address != "10.1.0.18:6379" {
-		t.Errorf("%+v", list)
+		t.Errorf("list %+v, want the index 41, a snapshot and the address 10.1.0.18:6379", list)
 	}
 	names := Names{Zones: []string{"a", "b"}, Kinds: []string{"m2", "m3"}}
 	for i, want := range []policy.Backend{
@@ -29,12 +29,13 @@
 		{Name: "s-3", State: policy.Terminated},
 	} {
 		if got, err := names.Backend(&list.Endpoints[i]); err != nil || got != want {
-			t.Errorf("got %+v and %v, want %+v", got, err, want)
+			t.Errorf("entry %d: got %+v, error %v; want %+v", i, got, err, want)
 		}
 	}
 }
 
-func TestInvalidEntries(t *testing.T) {
+// An entry without a name or with an unknown status is rejected with an InvalidError.
+func TestInvalidEntriesAreRejected(t *testing.T) {
 	for name, entry := range map[string]Entry{
 		"no name":        {Status: "SERVING"},
 		"no status":      {Name: "s-1"},
@@ -44,7 +45,7 @@
 			_, err := new(Names).Backend(&entry)
 			var invalid *InvalidError
 			if !errors.As(err, &invalid) || invalid.Name != entry.Name || invalid.Status != entry.Status {
-				t.Errorf("error %v", err)
+				t.Errorf("error %v, want an InvalidError with the entry's name and status", err)
 			}
 		})
 	}
