--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -34,7 +34,7 @@
 }
 
 // command returns the attempt's command as it is to be written at time now. It contains the time left until the deadline,
-// which is less if the connection was established late (TestLateConnectionIsToldTheTimeLeft).
+// which is less if the connection was established late (TestSlowDialShortensTheForwardedTimeLeft).
 func (attempt *backendAttempt) command(now time.Duration) []byte {
 	return attempt.request.received.Forward(attempt.deadline - now)
 }
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -32,7 +32,7 @@
 	if snapshot {
 		source = audit.FromSnapshot
 	}
-	l.server.audit.adopted(index, source)
+	l.server.audit.versionAdopted(index, source)
 }
 
 func (l discoveryLoop) Ready() { l.server.ready.Store(true) }
--- a/internal/gateway/upstream.go
+++ b/internal/gateway/upstream.go
@@ -117,8 +117,8 @@
 // waiting for buffer space. The backend would then work on a request whose client is gone, and the request would count
 // as forwarded after its client had left. So the state of the socket itself is checked, regardless of unread data,
 // before an attempt takes a connection and again when a dialed connection is established. Nothing is written between
-// these checks, however long the request waits. Tested by TestUnreadEndStopsTheSend and
-// TestEndBehindReadAheadStopsTheSend.
+// these checks, however long the request waits. Tested by TestUnreadCloseOfAClientPreventsForwarding and
+// TestDisconnectBehindReadAheadPreventsForwarding.
 func (up *upstream) endIfClientDisconnected(attempt *backendAttempt) bool {
 	disconnected := attempt.clientDisconnected()
 	if disconnected {
