--- a/internal/gateway/backendpool.go
+++ b/internal/gateway/backendpool.go
@@ -23,7 +23,7 @@
 // updateProcess sets the address and start time of the backend's process, and reports whether either changed. If so, the
 // existing connections lead to the old process. The caller must close those that are idle or being dialed. Busy ones are
 // closed when their reply arrives, because their generation differs from the pool's
-// (TestBusyConnectionOfAnOldAddressIsNotKept).
+// (TestConnectionsToOldAddressAreClosed).
 func (pool *backendPool) updateProcess(addr string, startedAt time.Duration) bool {
 	if pool.addr == addr && pool.processStartedAt == startedAt {
 		return false
--- a/internal/gateway/discovery.go
+++ b/internal/gateway/discovery.go
@@ -11,7 +11,7 @@
 	cfg := server.cfg
 	return discovery.New(discoveryLoop{server}, discovery.Options{Address: cfg.Discovery, Index: cfg.Known.Index,
 		Zones: cfg.Transport.Zones, Kinds: cfg.Transport.Kinds, Log: server.log,
-		IdleTimeout: cfg.watchSilence, Dial: cfg.discoveryDial})
+		IdleTimeout: cfg.watchIdleTimeout, Dial: cfg.discoveryDial})
 }
 
 // discoveryLoop implements discovery.EventLoop on the server's event loop.
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -13,38 +13,38 @@
 	"bellwood/internal/gateway/endpoint"
 )
 
-// endWatch ends the watch that serveWatch serves.
+// endWatch makes serveWatch end its watch.
 var endWatch = endpoint.List{Index: -1}
 
-// wantsWatch waits for the next watch and compares the index that it asks from.
-func (gateway *testGateway) wantsWatch(index string) {
+// wantsWatchFrom waits for the next watch and fails unless it requests the given index.
+func (gateway *testGateway) wantsWatchFrom(index string) {
 	gateway.t.Helper()
 	if from := <-gateway.watches; from != index {
-		gateway.t.Errorf("the watch asks from %s, want %s", from, index)
+		gateway.t.Errorf("the watch requests index %s, want %s", from, index)
 	}
 }
 
-// Changes reach the pools and the engine, and a watch that ends is taken up from the last index.
-func TestWatch(t *testing.T) {
+// Changes reach the pools and the engine. A watch that ends is reopened from the index of the last change.
+func TestWatchDeliversChangesAndResumesFromLastIndex(t *testing.T) {
 	first, second := listen(t), listen(t)
 	gateway := startGateway(t, []string{first.Addr().String()})
-	gateway.wantsWatch("1")
+	gateway.wantsWatchFrom("1")
 	change := endpointList(7, first.Addr().String(), second.Addr().String())
 	change.Snapshot = false
 	change.Endpoints[0].Status = "DRAINING"
 	gateway.listUpdates <- change
 	gateway.listUpdates <- endWatch
-	gateway.wantsWatch("7")
+	gateway.wantsWatchFrom("7")
 	gateway.wantsServed(second, "1")
 }
 
-// An entry that is not valid is passed over, and the others of its list hold. The gateway is ready with the first
-// backend in service.
-func TestInvalidEntriesArePassedOver(t *testing.T) {
+// Invalid entries are skipped without affecting the rest of their list. The gateway becomes ready with the first backend in
+// service.
+func TestInvalidEntriesAreSkipped(t *testing.T) {
 	backend := listen(t)
 	gateway := startGateway(t, nil)
 	client := gateway.dial()
-	client.command("PING") // it can't serve yet
+	client.command("PING") // not ready yet
 	client.wantsPrefix("-LOADING")
 	update := endpointList(3, backend.Addr().String())
 	unknownStatus := update.Endpoints[0]
@@ -59,9 +59,8 @@
 	gateway.wantsServed(backend, "1")
 }
 
-// A new configuration moves the watch, from the index that was reached; what the old agent still says is no
-// longer taken.
-func TestWatchMoves(t *testing.T) {
+// After a reload with another discovery address, the gateway watches the new agent from the index applied last.
+func TestReloadMovesWatchToNewAgent(t *testing.T) {
 	backend := listen(t)
 	gateway := startGateway(t, nil)
 	<-gateway.watches
@@ -70,24 +69,24 @@
 	agent := httptest.NewServer(http.HandlerFunc(next.serveWatch))
 	defer agent.Close()
 	defer agent.CloseClientConnections()
-	gateway.listUpdates <- endWatch // the list was read before the watch ended, and the next begins
-	gateway.wantsWatch("5")
+	gateway.listUpdates <- endWatch // the list was sent before it, so the gateway applies it before the next watch
+	gateway.wantsWatchFrom("5")
 	gateway.server.Reload(strings.TrimPrefix(agent.URL, "http://"), gateway.server.cfg.Counter, "")
-	next.wantsWatch("5")
+	next.wantsWatchFrom("5")
 	next.listUpdates <- endpointList(6, backend.Addr().String())
 	gateway.wantsServed(backend, "1")
 }
 
-// startWatching runs a gateway that follows an agent and takes a watch for dead after so long a silence.
-func startWatching(t *testing.T, silence time.Duration) (*testGateway, *discoverytest.Agent) {
+// startWithAgent runs a gateway that follows a scripted agent and ends a watch after the given idle timeout.
+func startWithAgent(t *testing.T, idleTimeout time.Duration) (*testGateway, *discoverytest.Agent) {
 	t.Helper()
 	agent := discoverytest.NewAgent(t)
 	gateway := startGateway(t, nil, func(c *Config, t *testing.T) { c.Discovery = agent.Address() },
-		func(c *Config, t *testing.T) { c.watchSilence = silence })
+		func(c *Config, t *testing.T) { c.watchIdleTimeout = idleTimeout })
 	return gateway, agent
 }
 
-// wantsServed checks that a request reaches the backend and its value comes back.
+// wantsServed checks that the backend receives a request and that its reply reaches the client.
 func (gateway *testGateway) wantsServed(backend net.Listener, id string) {
 	gateway.t.Helper()
 	client := gateway.dial()
@@ -100,31 +99,32 @@
 	server.socket.Close()
 }
 
-// waitForList waits until the loop has taken a list or change whole: a request that crosses it may go by the one before.
+// waitForList waits until a list or change has been applied completely. Before that, a request may be routed by the
+// previous one.
 func (gateway *testGateway) waitForList(index int64) {
 	gateway.t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
-		now := make(chan int64, 1)
-		gateway.server.post(func() { now <- gateway.server.discovery.Index() })
-		if <-now == index {
+		current := make(chan int64, 1)
+		gateway.server.post(func() { current <- gateway.server.discovery.Index() })
+		if <-current == index {
 			return
 		}
 		if time.Now().After(end) {
-			gateway.t.Fatalf("list %d has not been taken", index)
+			gateway.t.Fatalf("list %d has not been applied within %v", index, testTimeout)
 		}
 	}
 }
 
-// A list may come indented, on many lines and in any pieces, with the signs of life between two lists.
-func TestIndentedLists(t *testing.T) {
+// A list may be indented, span several lines and arrive in arbitrary chunks, with keepalives between lists.
+func TestIndentedListInChunksIsApplied(t *testing.T) {
 	first, second := listen(t), listen(t)
-	gateway, agent := startWatching(t, testTimeout)
+	gateway, agent := startWithAgent(t, testTimeout)
 	watch, _ := agent.Watch()
 	text := discoverytest.Indented(t, endpointList(7, first.Addr().String()), "  ")
-	beginning, half := strings.IndexAny(text, "\n "), len(text)/2
+	firstSpace, half := strings.IndexAny(text, "\n "), len(text)/2
 	watch.Chunk("\r\n")
-	watch.Chunk(text[:beginning])
-	watch.Chunk(text[beginning:half])
+	watch.Chunk(text[:firstSpace])
+	watch.Chunk(text[firstSpace:half])
 	watch.Chunk(text[half:] + "\r\n\r\n")
 	gateway.waitForList(7)
 	gateway.wantsServed(first, "1")
@@ -132,22 +132,22 @@
 	change.Snapshot, change.Endpoints[0].Status = false, "DRAINING"
 	watch.Chunk(discoverytest.Indented(t, change, "\t"))
 	gateway.waitForList(8)
-	gateway.wantsServed(second, "2") // no other watch was opened for it
+	gateway.wantsServed(second, "2") // on the same watch
 }
 
-// The machine of the agent, or the network to it, falls silent without a reset: at once, after a sign of life or within
-// a list. The gateway would go on with the list it has. The watch is opened anew from the last index.
-func TestSilentWatchIsOpenedAnew(t *testing.T) {
+// The agent's machine or the network to it fails without resetting the connection: at the start, after a keepalive or
+// within a list. The gateway would keep using an outdated list. It must reopen the watch from the index applied last.
+func TestIdleWatchIsReopened(t *testing.T) {
 	backend := listen(t)
-	gateway, agent := startWatching(t, 50*time.Millisecond)
+	gateway, agent := startWithAgent(t, 50*time.Millisecond)
 	text := discoverytest.Line(t, endpointList(7, backend.Addr().String()))
-	for _, said := range []string{"", "\r\n", text[:len(text)/2]} {
+	for _, sent := range []string{"", "\r\n", text[:len(text)/2]} {
 		watch, from := agent.Watch()
 		if from != "0" && from != "1" {
-			t.Errorf("the watch begins at %s", from)
+			t.Errorf("the watch requests index %s, want 0 or 1", from)
 		}
-		if said != "" {
-			watch.Chunk(said)
+		if sent != "" {
+			watch.Chunk(sent)
 		}
 		watch.WantClosed()
 	}
@@ -155,31 +155,31 @@
 	watch.Chunk(text)
 	gateway.wantsServed(backend, "1")
 	if _, from := agent.Watch(); from != "7" {
-		t.Errorf("the watch goes on at %s", from)
+		t.Errorf("the watch requests index %s, want 7", from)
 	}
 }
 
-// A watch that is reset, within a list too, is opened anew, and what it had begun to say is not kept.
-func TestResetWatchIsOpenedAnew(t *testing.T) {
+// A watch that is reset, also within a list, is reopened, and the index does not advance by the incomplete list.
+func TestResetWatchIsReopened(t *testing.T) {
 	backend := listen(t)
-	gateway, agent := startWatching(t, testTimeout)
+	gateway, agent := startWithAgent(t, testTimeout)
 	text := discoverytest.Line(t, endpointList(7, backend.Addr().String()))
-	for _, said := range []string{"\r\n", text[:len(text)-len("e}\n")]} {
+	for _, sent := range []string{"\r\n", text[:len(text)-len("e}\n")]} {
 		watch, _ := agent.Watch()
-		watch.Chunk(said)
+		watch.Chunk(sent)
 		watch.Reset()
 	}
 	watch, from := agent.Watch()
 	if from != "1" {
-		t.Errorf("the watch begins at %s", from)
+		t.Errorf("the watch requests index %s, want 1", from)
 	}
 	watch.Chunk(text)
 	gateway.wantsServed(backend, "1")
 }
 
-// A list without end is not gathered: it would take all memory.
-func TestEndlessListEndsTheWatch(t *testing.T) {
-	_, agent := startWatching(t, testTimeout)
+// A list with too many entries ends the watch instead of using up all memory.
+func TestTooLongListEndsWatch(t *testing.T) {
+	_, agent := startWithAgent(t, testTimeout)
 	watch, _ := agent.Watch()
 	watch.Chunk(`{"index":9,"snapshot":true,"endpoints":[`)
 	entries := strings.Repeat(`{"name":"s-0","status":"ASLEEP"},`, 1<<10)
@@ -189,5 +189,5 @@
 			return
 		}
 	}
-	t.Error("all of it was read")
+	t.Error("the gateway read a list of 64 MiB without ending the watch")
 }
--- a/internal/gateway/replyreader.go
+++ b/internal/gateway/replyreader.go
@@ -48,7 +48,7 @@
 // Read implements io.Reader for messages, reading from the socket.
 //
 // It returns errUnsolicitedReply for data that arrives while no command is outstanding: that data would precede the next
-// reply, and a client would receive another client's value (TestUnsolicitedReplyReachesNobody). While a reply is
+// reply, and a client would receive another client's value (TestUnsolicitedReplyIsDiscarded). While a reply is
 // incomplete, it sets a read deadline of replyStallTimeout.
 func (reader *replyReader) Read(buffer []byte) (int, error) {
 	if reader.messages.Partial() {
--- a/internal/gateway/upstream.go
+++ b/internal/gateway/upstream.go
@@ -74,7 +74,7 @@
 // the backend must have stopped (250 ms after discovery reported that it drains), and the backend might never answer.
 // The attempt ends as policy.NotSent. The engine may then retry the request, but this attempt still counts against
 // policy.Settings.MaxAttempts. Because the result reaches the engine before the EndpointUpdate of the same Step, the
-// retry may even select the same backend again. Tested by TestPendingDialIsNotWritten.
+// retry may even select the same backend again. Tested by TestAttemptEndedDuringDialIsNotWritten.
 func (up *upstream) takeOutOfService(pool *backendPool) {
 	up.closeIdleSince(pool, up.loop.now())
 	up.cancelDials(pool)
--- a/internal/gateway/upstream_test.go
+++ b/internal/gateway/upstream_test.go
@@ -8,8 +8,8 @@
 	"bellwood/internal/policy"
 )
 
-// An error from one backend leads to a retry; its connection is good for more. After a reset the value of a request
-// that is idempotent with a key still comes from a backend.
+// A failed attempt is retried. After an error reply the connection is reused. After a connection ends without a reply, a
+// request that is idempotent by its key is retried on a new connection.
 func TestFailedAttemptIsRetried(t *testing.T) {
 	gateway, ln := startWithBackend(t, withoutSettleTime)
 	client := gateway.dial()
@@ -23,7 +23,7 @@
 	client.wants("done")
 }
 
-// A non-idempotent request that may have run is neither retried nor rejected, only failed.
+// A non-idempotent request that may have run is neither retried nor rejected; it fails.
 func TestNonIdempotentRequestIsNotRetried(t *testing.T) {
 	gateway, ln := startWithBackend(t)
 	client := gateway.dial()
@@ -33,11 +33,12 @@
 	client.wants("-ERR failed")
 }
 
-// Replies that no backend makes for a request cost the connection, not the gateway, and are served to nobody.
-func TestMalformedRepliesEndTheConnection(t *testing.T) {
+// A malformed reply, or one that the protocol does not define for a request, is not forwarded and closes the connection.
+// The gateway keeps running.
+func TestMalformedReplyFailsRequestAndClosesConnection(t *testing.T) {
 	for _, malformed := range []string{"+OK\r\n", "*1\r\n$-1\r\n", "nonsense\r\n", "$999999999\r\n", ":1\r\n",
 		"*1\r\n*1\r\n*1\r\n*1\r\n"} {
-		ln := listen(t) // the engine no longer uses a backend that fails twice
+		ln := listen(t) // a new backend each time: the engine stops using a backend that fails twice
 		gateway := startGateway(t, []string{ln.Addr().String()})
 		client := gateway.dial()
 		client.command("Q.DO", tenantID, "1", nonIdempotentFields, "body")
@@ -48,9 +49,9 @@
 	}
 }
 
-// A backend sends two replies to one command. The second one must not be taken for the reply to the next request: its
-// client would be given another one's value.
-func TestUnsolicitedReplyReachesNobody(t *testing.T) {
+// A backend sends two replies to one command. The second one must not be taken for the reply to the next request, whose
+// client would receive the value of another request.
+func TestUnsolicitedReplyIsDiscarded(t *testing.T) {
 	gateway, ln := startWithBackend(t)
 	client := gateway.dial()
 	client.sendRequest("1")
@@ -64,8 +65,8 @@
 	client.wants("two")
 }
 
-// However an attempt ends, the engine is told of one result, and what comes later changes nothing: not a cancel, nor
-// its deadline, nor the end of its connection.
+// However an attempt ends, the engine receives exactly one result. A later cancellation, deadline or end of the connection
+// adds none.
 func TestOneResultForEachAttempt(t *testing.T) {
 	ends := map[string]struct {
 		want policy.Status
@@ -73,14 +74,15 @@
 	}{
 		"cancel":      {policy.Cancelled, cancelAttempt},
 		"timeout":     {policy.TimedOut, exceedDeadline},
-		"client gone": {policy.Cancelled, loseClient},
-		"reset":       {policy.ConnectionReset, func(_ *Server, _ *backendAttempt, backend *peer) { backend.socket.Close() }},
-		"noise":       {policy.Failed, replyWith("\x00\x01\x02\r\n")},
-		"length":      {policy.Failed, replyWith("*1\r\n$3000000000\r\nx")},
-		"short":       {policy.Failed, replyWith("*1\r\n$20\r\nx\r\n")}, // and no more
-		"line":        {policy.Failed, replyWith("-OOPS\r\n")},
-		"busy":        {policy.Rejected, replyWith("-BUSY\r\n")},
-		"served":      {policy.OK, replyWith("*1\r\n$1\r\nx\r\n")},
+		"client gone": {policy.Cancelled, disconnectClient},
+		"closed":      {policy.ConnectionReset, func(_ *Server, _ *backendAttempt, backend *peer) { backend.socket.Close() }},
+
+		"malformed reply":     {policy.Failed, replyWith("\x00\x01\x02\r\n")},
+		"length too large":    {policy.Failed, replyWith("*1\r\n$3000000000\r\nx")},
+		"incomplete reply":    {policy.Failed, replyWith("*1\r\n$20\r\nx\r\n")}, // nothing follows
+		"unknown error reply": {policy.Failed, replyWith("-OOPS\r\n")},
+		"busy reply":          {policy.Rejected, replyWith("-BUSY\r\n")},
+		"value":               {policy.OK, replyWith("*1\r\n$1\r\nx\r\n")},
 	}
 	for name, end := range ends {
 		t.Run(name, func(t *testing.T) {
@@ -108,7 +110,7 @@
 	}
 }
 
-// Ways in which an attempt ends.
+// The following functions end an attempt, each in its own way.
 
 func cancelAttempt(server *Server, attempt *backendAttempt, _ *peer) {
 	server.executeAction(policy.CancelAttempt{ID: attempt.request.id})
@@ -118,7 +120,7 @@
 	server.timers.Run(attempt.deadline)
 }
 
-func loseClient(server *Server, attempt *backendAttempt, _ *peer) {
+func disconnectClient(server *Server, attempt *backendAttempt, _ *peer) {
 	server.requests.clientGone(attempt.request.received)
 }
 
@@ -126,32 +128,33 @@
 	return func(_ *Server, _ *backendAttempt, backend *peer) { backend.write(text) }
 }
 
-// A connection is still being dialed when its backend drains, the attempt is cancelled or the client leaves. When it
-// has come up the request must not be written: the backend may end before it answers, or nobody waits for the answer.
-func TestPendingDialIsNotWritten(t *testing.T) {
+// While a connection is being dialed, its backend starts draining or is terminated, the attempt is cancelled, or the client
+// disconnects. The request must not be written once the connection is established: the backend may end before it replies,
+// or nobody waits for the reply.
+func TestAttemptEndedDuringDialIsNotWritten(t *testing.T) {
 	for name, end := range map[string]func(*Server, *backendAttempt, *peer){
 		"drain": func(server *Server, _ *backendAttempt, _ *peer) {
-			m := endpointList(2, server.upstream.pools["s-0"].addr)
-			m.Endpoints[0].Status = "DRAINING"
-			server.discovery.Apply(m.Endpoints, policy.Delta)
+			change := endpointList(2, server.upstream.pools["s-0"].addr)
+			change.Endpoints[0].Status = "DRAINING"
+			server.discovery.Apply(change.Endpoints, policy.Delta)
 		},
-		"left out": func(server *Server, _ *backendAttempt, _ *peer) {
+		"absent from a snapshot": func(server *Server, _ *backendAttempt, _ *peer) {
 			server.discovery.Apply(endpointList(2).Endpoints, policy.Snapshot)
 		},
 		"cancel":      cancelAttempt,
-		"client gone": loseClient,
+		"client gone": disconnectClient,
 	} {
 		t.Run(name, func(t *testing.T) {
 			ln := listen(t)
 			server := newIdleServer(t, ln.Addr().String())
 			attempt := newAttempt(t, server)
-			backend := accept(t, ln) // the connection is up, but the loop has not heard of it
+			backend := accept(t, ln) // established, but the loop has not run connected yet
 			end(server, attempt, backend)
 			wantResult(t, server, policy.NotSent)
 			for len(server.tasks) > 0 {
 				(<-server.tasks)()
 			}
-			go func() { // whatever the dial still reports
+			go func() { // runs the tasks that the dial still posts
 				for {
 					select {
 					case task := <-server.tasks:
@@ -166,8 +169,9 @@
 	}
 }
 
-// With no descriptor left the connection that was idle longest makes room; with none idle the attempt is not sent.
-func TestConnectionsAreBounded(t *testing.T) {
+// At the limit on connections, a new connection replaces the one that has been idle longest. If none is idle, the attempt
+// is not sent.
+func TestConnectionLimitClosesOldestIdle(t *testing.T) {
 	first, second := listen(t), listen(t)
 	server := newIdleServer(t, first.Addr().String(), second.Addr().String())
 	server.upstream.maxConns = 1
@@ -184,25 +188,26 @@
 	accept(t, second)
 }
 
-func TestConnectFailed(t *testing.T) {
+// An attempt ends as policy.ConnectFailed if the backend refuses the connection.
+func TestRefusedConnectionIsConnectFailed(t *testing.T) {
 	server := newIdleServer(t, freeAddr(t))
 	attempt := newAttempt(t, server)
 	runTasksUntil(t, server, func() bool { return attempt.ended })
 	wantResult(t, server, policy.ConnectFailed)
 }
 
-// A backend that has fallen silent may be a machine that is gone: connections that were idle since then are not
-// used again. One that was started anew has none of its old ones.
-func TestSilentAndRestartedBackendsLoseIdleConnections(t *testing.T) {
+// The idle connections of a backend are closed if it has stopped replying, since its machine may be down, and if it has
+// been restarted.
+func TestIdleConnectionsToSilentOrRestartedBackendAreClosed(t *testing.T) {
 	ln := listen(t)
 	server := newIdleServer(t, ln.Addr().String())
 	pool := server.upstream.pools["s-0"]
 	for _, end := range []func(){
 		func() { server.upstream.closeIdleIfSilent(pool, server.now()) },
 		func() {
-			m := endpointList(2, pool.addr)
-			m.Endpoints[0].SinceMS = 5
-			server.discovery.Apply(m.Endpoints, policy.Delta)
+			change := endpointList(2, pool.addr)
+			change.Endpoints[0].SinceMS = 5
+			server.discovery.Apply(change.Endpoints, policy.Delta)
 		},
 	} {
 		_, backend := newAttemptInFlight(t, server, ln)
@@ -210,13 +215,14 @@
 		runTasksUntil(t, server, func() bool { return len(pool.idle) == 1 })
 		end()
 		if len(pool.idle) != 0 || server.upstream.connCount != 0 {
-			t.Errorf("%d idle connections, %d in all", len(pool.idle), server.upstream.connCount)
+			t.Errorf("%d idle connections, %d in total; want none", len(pool.idle), server.upstream.connCount)
 		}
 		backend.wantsEnd()
 	}
 }
 
-// newAttemptInFlight makes an attempt by a new connection to a backend and waits until it has come there.
+// newAttemptInFlight starts an attempt on a new connection, waits until the backend has received its command, and returns
+// both.
 func newAttemptInFlight(t *testing.T, server *Server, ln net.Listener) (*backendAttempt, *peer) {
 	t.Helper()
 	attempt := newAttempt(t, server)
@@ -226,28 +232,29 @@
 	return attempt, backend
 }
 
-// A backend sends more than it was asked for, some time after its reply. These bytes must not stand before the next
-// reply, nor be taken for it: the connection is not used again, whether its reader has seen them or not.
-func TestLateExtraBytesEndTheConnection(t *testing.T) {
-	for _, surplus := range []string{"*1\r\n$5\r\nstray\r\n", "*1\r\n$5\r\nst", "x"} {
+// A backend sends further data some time after its reply. The data must be neither taken for the next reply nor prepended
+// to it, so the connection is closed.
+func TestDataAfterReplyClosesConnection(t *testing.T) {
+	for _, extra := range []string{"*1\r\n$5\r\nstray\r\n", "*1\r\n$5\r\nst", "x"} {
 		ln := listen(t)
 		server := newIdleServer(t, ln.Addr().String())
 		attempt, backend := newAttemptInFlight(t, server, ln)
 		backend.write("*1\r\n$1\r\nx\r\n")
 		runTasksUntil(t, server, func() bool { return attempt.ended })
 		conn := server.upstream.pools["s-0"].idle[0]
-		backend.write(surplus)
+		backend.write(extra)
 		runTasksUntil(t, server, func() bool { return conn.closed })
 		backend.wantsEnd()
 		if !conn.malformed.Load() || len(server.upstream.pools["s-0"].idle) != 0 {
-			t.Errorf("%q: the connection is kept", surplus)
+			t.Errorf("%q: malformed %v, %d idle connections; want true and none", extra, conn.malformed.Load(),
+				len(server.upstream.pools["s-0"].idle))
 		}
 	}
 }
 
-// A backend moves to another address while a connection to it is busy, and then while one is dialed. Both lead to the
-// old process: the busy one ends with its reply, the other at once.
-func TestBusyConnectionOfAnOldAddressIsNotKept(t *testing.T) {
+// A backend's address changes while one connection to it is busy, and again while another is being dialed. Both
+// connections lead to the old process: the busy one is closed after its reply, the other immediately.
+func TestConnectionsToOldAddressAreClosed(t *testing.T) {
 	ln, next := listen(t), listen(t)
 	server := newIdleServer(t, ln.Addr().String())
 	attempt, backend := newAttemptInFlight(t, server, ln)
@@ -259,16 +266,16 @@
 	server.events = nil
 	attempt = newAttempt(t, server)
 	dialing := attempt.conn
-	// It moves while it is being dialed.
+	// The address changes during the dial.
 	server.discovery.Apply(endpointList(3, ln.Addr().String()).Endpoints, policy.Snapshot)
 	wantResult(t, server, policy.NotSent)
 	if !dialing.closed {
-		t.Error("the dial to the old address goes on")
+		t.Error("the dial to the old address was not cancelled")
 	}
 }
 
-// A backend that is removed must be forgotten with its last attempt, however that ends.
-func TestRemovedBackendIsForgotten(t *testing.T) {
+// The pool of a terminated backend is removed with its last connection, also if that ends by a timeout.
+func TestPoolOfTerminatedBackendIsRemoved(t *testing.T) {
 	ln := listen(t)
 	server := newIdleServer(t, ln.Addr().String())
 	attempt, _ := newAttemptInFlight(t, server, ln)
@@ -276,12 +283,12 @@
 	server.timers.Run(attempt.deadline)
 	wantResult(t, server, policy.TimedOut)
 	if len(server.upstream.pools) != 0 || server.upstream.connCount != 0 {
-		t.Errorf("%d backends and %d connections are kept", len(server.upstream.pools), server.upstream.connCount)
+		t.Errorf("%d pools and %d connections left, want none", len(server.upstream.pools), server.upstream.connCount)
 	}
 }
 
-// Health checks end once, whatever comes back.
-func TestHealthCheck(t *testing.T) {
+// A health check ends as policy.OK after PONG and as policy.Failed after an error reply.
+func TestHealthCheckResultFollowsReply(t *testing.T) {
 	ln := listen(t)
 	server := newIdleServer(t, ln.Addr().String())
 	for text, want := range map[string]policy.Status{"+PONG\r\n": policy.OK, "-ERR no\r\n": policy.Failed} {
@@ -292,17 +299,17 @@
 			return server.upstream.connCount == 1 && len(server.tasks) == 0 && server.upstream.dialed("s-0")
 		})
 		if m := backend.message(); m[0] != "PING" {
-			t.Fatalf("got %q", m)
+			t.Fatalf("the backend received %q, want PING", m)
 		}
 		backend.write(text)
 		runTasksUntil(t, server, func() bool { return len(server.events) > 0 })
 		if got := server.events[0].(policy.HealthCheckResult); got.Status != want {
-			t.Errorf("%q: %+v", text, got)
+			t.Errorf("%q: result %+v, want the status %v", text, got, want)
 		}
 	}
 }
 
-// dialed says whether no connection to a backend is being dialed.
+// dialed reports whether no connection to a backend is being dialed.
 func (up *upstream) dialed(name string) bool {
 	for conn := range up.pools[name].conns {
 		if conn.socket == nil {
@@ -312,10 +319,10 @@
 	return true
 }
 
-// A backend sends a second reply to one command some milliseconds late. Were the connection used again at once,
-// the next request would get it for its own. So a connection rests after a reply, however busy the backend is,
-// and is used again when it has stayed quiet.
-func TestLateSecondReplyReachesNobody(t *testing.T) {
+// A backend sends a second reply to one command some milliseconds after the first. If the connection were reused
+// immediately, the next request would receive the second reply. Therefore a connection is reused only after settleTime
+// and if it has no unread data, even if that requires a new connection.
+func TestLateSecondReplyIsDiscarded(t *testing.T) {
 	ln := listen(t)
 	server := newIdleServer(t, ln.Addr().String())
 	server.upstream.settleTime = time.Hour
@@ -328,24 +335,24 @@
 	second.write("*1\r\n$3\r\ntwo\r\n")
 	runTasksUntil(t, server, func() bool { return attempt.ended })
 	server.upstream.settleTime = 0
-	// The loop hears of the first one's end.
+	// Run the task that reports the end of the first connection.
 	runTasksUntil(t, server, func() bool { return server.upstream.connCount == 1 })
 	pool := server.upstream.pools["s-0"]
 	if attempt = newAttempt(t, server); server.upstream.connCount != 1 || len(pool.idle) != 0 {
-		t.Errorf("%d connections, %d of them idle", server.upstream.connCount, len(pool.idle))
+		t.Errorf("%d connections, %d of them idle; want one that is in use", server.upstream.connCount, len(pool.idle))
 	}
 	if m := second.message(); m[0] != "Q.ASK" {
-		t.Errorf("got %q", m)
+		t.Errorf("the second connection received %q, want Q.ASK", m)
 	}
 }
 
-// A retry of a request that is idempotent with a key waits for its connection, which comes up when the backend no
-// longer drops requests with a key that it has seen. It would run a second time, so it is not written.
-func TestLateRetryIsNotWritten(t *testing.T) {
+// A retry of a request that is idempotent by its key waits for its connection. When the connection is established, the
+// backend no longer deduplicates by that key, so the request would run twice. It must not be written.
+func TestRetryAfterSendBeforeIsNotWritten(t *testing.T) {
 	ln := listen(t)
 	server := newIdleServer(t, ln.Addr().String())
 	attempt := newAttempt(t, server)
-	backend := accept(t, ln) // it is up, but the loop has not heard of it
+	backend := accept(t, ln) // established, but the loop has not run connected yet
 	attempt.sendBefore = server.now()
 	runTasksUntil(t, server, func() bool { return attempt.ended })
 	wantResult(t, server, policy.NotSent)
@@ -354,13 +361,13 @@
 	retry := policy.SendAttempt{ID: attempt.request.id, Backend: "s-0", SendBefore: 5}
 	server.requests.addAttempt(attempt.request, retry)
 	if got := attempt.request.attempts[1].sendBefore; got != 5 {
-		t.Errorf("it may begin until %v", got)
+		t.Errorf("sendBefore is %v, want 5ns", got)
 	}
 }
 
-// Where quotas are settled on the response, the cost comes with a backend's reply and is passed on to the engine; a
-// figure that no request can have is not taken.
-func TestReportedCostIsPassedOn(t *testing.T) {
+// The cost in a backend's reply, by which quotas may be settled, is passed to the engine. A cost that is malformed or above
+// the maximum is ignored.
+func TestReportedCostIsPassedToEngine(t *testing.T) {
 	for figures, want := range map[string]float64{"cost=1": 1, "used=3,cost=0.5": 0.5, "cost=2": 0, "cost=x": 0,
 		"cost=-1": 0, "cost=1e9": 0, "": 0} {
 		ln := listen(t)
@@ -369,7 +376,7 @@
 		backend.write("*3\r\n" + respBulk("x") + respBulk(figures) + "$-1\r\n")
 		runTasksUntil(t, server, func() bool { return attempt.ended })
 		if got := attemptResults(server); len(got) != 1 || got[0].Status != policy.OK || got[0].Cost != want {
-			t.Errorf("%q: %+v", figures, got)
+			t.Errorf("%q: results %+v, want one with the cost %v", figures, got, want)
 		}
 	}
 }
--- a/internal/gateway/upstreamconns.go
+++ b/internal/gateway/upstreamconns.go
@@ -18,7 +18,7 @@
 	// the next client receives the value of another client's request. Second replies were observed up to 4 ms after the
 	// first; after settleTime such a reply is unread in the socket, and acquireIdle closes the connection. A second
 	// reply that arrives later than that is still mistaken for the next reply. Tested by
-	// TestLateSecondReplyReachesNobody.
+	// TestLateSecondReplyIsDiscarded.
 	settleTime = 10 * time.Millisecond
 )
 
