--- a/internal/audit/machine.go
+++ b/internal/audit/machine.go
@@ -5,41 +5,42 @@
 	"time"
 )
 
-// TickInterval is how often Step has to be called even if nothing happens.
+// TickInterval is the longest interval between calls of Step, even if there are no events.
 const TickInterval = 100 * time.Millisecond
 
-// Machine is the audit of one gateway. It owns its parts, and belongs to the goroutine that calls Step.
+// Machine is the audit of one gateway. It owns its parts. It is not safe for concurrent use: the goroutine that calls Step
+// owns it.
 type Machine struct {
 	schedule     schedule
-	out          *output
+	step         *stepContext
 	versions     *versionHistory
-	calls        *counterCalls
+	counter      *counterClient
 	round        *round
 	staleness    *staleness
 	slotLease    *slotLease
-	pauses       *pauseCheck
-	outOfService bool // what the gateway was told last
+	pauseCheck   *pauseCheck
+	outOfService bool // last state requested of the gateway
 }
 
-// New makes a machine that knows no version yet. The seed is for its random numbers. The error is a *SettingsError.
+// New returns a Machine that has no version yet. The seed initializes its random numbers. The error is a *SettingsError.
 func New(settings Settings, seed uint64) (*Machine, error) {
 	if err := settings.Check(); err != nil {
 		return nil, err
 	}
 	m := &Machine{schedule: newSchedule(settings), versions: &versionHistory{}}
-	m.out = &output{versions: m.versions}
-	m.calls = newCounterCalls(m.out, m.schedule.callRate, settings.CounterTimeout)
+	m.step = &stepContext{versions: m.versions}
+	m.counter = newCounterClient(m.step, m.schedule.callRate, settings.CounterTimeout)
 	m.slotLease = &slotLease{
-		out:          m.out,
+		step:         m.step,
 		schedule:     m.schedule,
-		calls:        m.calls,
+		counter:      m.counter,
 		rng:          rand.New(rand.NewPCG(seed, 2)),
 		gatewayIndex: settings.GatewayIndex,
 	}
-	m.staleness = &staleness{out: m.out, versions: m.versions, slotLease: m.slotLease}
-	ballot := newBallot(settings, m.schedule, m.calls, m.versions)
+	m.staleness = &staleness{step: m.step, versions: m.versions, slotLease: m.slotLease}
+	ballot := newBallot(settings, m.schedule, m.counter, m.versions)
 	m.round = &round{
-		out:          m.out,
+		step:         m.step,
 		schedule:     m.schedule,
 		versions:     m.versions,
 		ballot:       ballot,
@@ -48,94 +49,96 @@
 		gateways:     settings.Gateways,
 		gatewayIndex: settings.GatewayIndex,
 	}
-	m.pauses = &pauseCheck{out: m.out, schedule: m.schedule, versions: m.versions, ballot: ballot, staleness: m.staleness}
+	m.pauseCheck = &pauseCheck{step: m.step, schedule: m.schedule, versions: m.versions, ballot: ballot, staleness: m.staleness}
 	return m, nil
 }
 
-// Window is the length of a window: the time of one proposal and its votes.
+// Window returns the length of a window: the time of one proposal and its votes.
 func (m *Machine) Window() time.Duration { return m.schedule.window }
 
-// Records returns the latest records, the oldest first.
-func (m *Machine) Records() []Record { return m.out.latest.list() }
+// Records returns the latest records, oldest first.
+func (m *Machine) Records() []Record { return m.step.recent.list() }
 
-// Step takes what happened up to the time now, in order, and returns what to do, in order. now is Unix time, above 0 and
-// alike at all gateways to within a tenth of an epoch; one before that of the last Step is taken as that one. Step has to
-// be called every TickInterval at least. The slice is the caller's until the next Step.
+// Step processes the events up to the time now, in order, and returns the actions to carry out, in order. It has to be
+// called at least every TickInterval. The returned slice is valid until the next Step.
+//
+// now is Unix time and above 0. The clocks of all gateways have to agree to within a tenth of an epoch. A time before that
+// of the last Step counts as the time of the last Step.
 func (m *Machine) Step(now time.Duration, events []Event) []Action {
-	m.out.actions = m.out.actions[:0]
-	if m.out.now == 0 {
-		m.begin(now)
+	m.step.actions = m.step.actions[:0]
+	if m.step.now == 0 {
+		m.start(now)
 	}
-	m.out.now = max(m.out.now, now)
+	m.step.now = max(m.step.now, now)
 	for _, event := range events {
-		m.take(event)
+		m.handle(event)
 	}
-	if record, ok := m.versions.inForce(m.out.now); ok {
-		m.out.record(record)
+	if record, ok := m.versions.takeSettled(m.step.now); ok {
+		m.step.logRecord(record)
 	}
 	m.round.run()
 	m.staleness.run()
 	m.runSlotLease()
-	m.pauses.run()
-	m.setService()
-	return m.out.actions
+	m.pauseCheck.run()
+	m.updateService()
+	return m.step.actions
 }
 
-// begin is what the first Step does before all else.
-func (m *Machine) begin(now time.Duration) {
-	m.round.begin(now)
-	m.slotLease.begin(now)
-	m.calls.begin(now)
+// start initializes the parts that depend on the time of the first Step.
+func (m *Machine) start(now time.Duration) {
+	m.round.start(now)
+	m.slotLease.start(now)
+	m.counter.start(now)
 }
 
-// take hands an event to the part that it concerns.
-func (m *Machine) take(event Event) {
+// handle passes an event to the part that handles it.
+func (m *Machine) handle(event Event) {
 	switch event := event.(type) {
 	case VersionAdopted:
-		m.recordEnded(m.versions.adopt(m.out.now, event))
+		m.recordReplaced(m.versions.adopt(m.step.now, event))
 	case Configured:
-		m.recordEnded(m.versions.configure(m.out.now, event))
+		m.recordReplaced(m.versions.setConfig(m.step.now, event))
 	case RequestDecided:
 		m.versions.requestDecided(event.ClientID)
 	case AttemptSent:
 		m.versions.attemptSent()
 	case CounterResult:
-		m.calls.settle(event)
+		m.counter.complete(event)
 	case QuotaCallFailed:
-		m.calls.quotaCallFailed()
+		m.counter.quotaCallFailed()
 	case ResumedAfterPause:
-		m.pauses.resumed(event.Pause)
+		m.pauseCheck.start(event.Pause)
 	case SnapshotFetched:
-		m.pauses.snapshotFetched(event.OK)
+		m.pauseCheck.snapshotFetched(event.OK)
 	}
 }
 
-// recordEnded records that a version was replaced, if one was.
-func (m *Machine) recordEnded(ended VersionRecord, ok bool) {
+// recordReplaced logs the record of a version that was replaced, if ok.
+func (m *Machine) recordReplaced(ended VersionRecord, ok bool) {
 	if ok {
-		m.out.record(ended)
+		m.step.logRecord(ended)
 	}
 }
 
-// runSlotLease claims, verifies and ends the lease of a slot, by what the staleness needs a slot for.
+// runSlotLease claims, verifies and ends the lease of a slot, depending on what staleness needs a slot for.
 func (m *Machine) runSlotLease() {
-	if notRenewed := m.slotLease.followEpoch(m.staleness.slotNeed()); notRenewed {
+	if notRenewed := m.slotLease.advanceEpoch(m.staleness.slotNeed()); notRenewed {
 		m.staleness.slotNotRenewed()
 	}
 	m.slotLease.run(m.staleness.slotNeed())
 }
 
-// setService takes the gateway out of service or puts it back.
-func (m *Machine) setService() {
-	out := m.pauses.isRunning() || m.staleness.needsOutOfService()
+// updateService takes the gateway out of service or puts it back if that has changed.
+func (m *Machine) updateService() {
+	out := m.pauseCheck.isRunning() || m.staleness.needsOutOfService()
 	if out == m.outOfService {
 		return
 	}
 	m.outOfService = out
 	if out {
-		m.out.act(LeaveService{})
+		m.step.emit(LeaveService{})
 		return
 	}
-	m.out.act(ReturnToService{})
-	m.out.recordStep(StepBackInService, m.staleness.fleetVersion(), "nothing keeps it out")
+	m.step.emit(ReturnToService{})
+	m.step.recordStep(StepBackInService, m.staleness.fleetVersion(), "nothing keeps it out")
 }
--- a/internal/audit/output.go
+++ b/internal/audit/output.go
@@ -5,25 +5,26 @@
 	"time"
 )
 
-// output is what all parts of a Machine share: the time of the Step that runs, and the way out for its actions and
-// records. The Machine owns it.
-type output struct {
+// stepContext is the state of the current Step that all parts of a Machine share: its time, and its actions and records.
+// The Machine owns it.
+type stepContext struct {
 	now      time.Duration // of the Step; Unix time
-	actions  []Action      // of the Step, so far
-	latest   recordRing
-	versions *versionHistory // tells the version of a StepRecord
+	actions  []Action      // emitted by the Step so far
+	recent   recordRing
+	versions *versionHistory // source of StepRecord.Version
 }
 
-func (o *output) act(action Action) { o.actions = append(o.actions, action) }
+// emit adds an action to those that the Step returns.
+func (c *stepContext) emit(action Action) { c.actions = append(c.actions, action) }
 
-// record puts a record on the log and keeps it among the latest ones.
-func (o *output) record(record Record) {
-	o.latest.add(record)
-	o.act(Log{record})
+// logRecord emits a Log action for a record and keeps the record among the recent ones.
+func (c *stepContext) logRecord(record Record) {
+	c.recent.add(record)
+	c.emit(Log{record})
 }
 
-// recordStep records a step of the audit. target is the version that a quorum was found to act on; 0: none.
-func (o *output) recordStep(kind StepKind, target int64, reason string, args ...any) {
-	o.record(StepRecord{Kind: kind, At: o.now, Reason: fmt.Sprintf(reason, args...), Version: o.versions.index(),
+// recordStep logs a step of the audit. target is the version that a quorum was found to act on; 0: none.
+func (c *stepContext) recordStep(kind StepKind, target int64, reason string, args ...any) {
+	c.logRecord(StepRecord{Kind: kind, At: c.now, Reason: fmt.Sprintf(reason, args...), Version: c.versions.index(),
 		Target: target})
 }
