--- a/internal/gateway/backendconn.go
+++ b/internal/gateway/backendconn.go
@@ -63,11 +63,11 @@
 //   - further data followed the reply, or the command was not completely written,
 //   - the backend has since gone out of service or been replaced by another process.
 func (conn *backendConn) reusableAfter(reply protocol.Reply, attempt *backendAttempt, check *healthCheck) bool {
-	asked := attempt != nil || check != nil
-	answered := !reply.Unexpected || check != nil && reply.SimpleString
-	atRest := !reply.TrailingBytes && conn.writeState.Load() == commandWritten
-	sameBackend := conn.pool.inService && conn.generation == conn.pool.generation
-	return asked && answered && atRest && sameBackend
+	hadWork := attempt != nil || check != nil
+	validReply := !reply.Unexpected || check != nil && reply.SimpleString
+	exchangeComplete := !reply.TrailingBytes && conn.writeState.Load() == commandWritten
+	sameProcess := conn.pool.inService && conn.generation == conn.pool.generation
+	return hadWork && validReply && exchangeComplete && sameProcess
 }
 
 // dialAndRead dials and then reads replies until the connection ends. It runs in a goroutine of its own.
--- a/internal/gateway/upstream.go
+++ b/internal/gateway/upstream.go
@@ -116,9 +116,9 @@
 // The connection's reader may not have seen the disconnect yet: unread data may precede it, or the reader may be
 // waiting for buffer space. The backend would then work on a request whose client is gone, and the request would count
 // as forwarded after its client had left. So the state of the socket itself is checked, regardless of unread data,
-// before an attempt takes a connection and again when a dialed connection is established. Nothing is written between
-// these checks, however long the request waits. Tested by TestUnreadCloseOfAClientPreventsForwarding and
-// TestDisconnectBehindReadAheadPreventsForwarding.
+// before an attempt takes a connection and again when a dialed connection is established. However long the request has
+// waited until then, its command is written directly after one of these checks. Tested by
+// TestUnreadCloseOfAClientPreventsForwarding and TestDisconnectBehindReadAheadPreventsForwarding.
 func (up *upstream) endIfClientDisconnected(attempt *backendAttempt) bool {
 	disconnected := attempt.clientDisconnected()
 	if disconnected {
