--- a/internal/fleettest/audit_test.go
+++ b/internal/fleettest/audit_test.go
@@ -72,15 +72,15 @@
 // do all others.
 func TestAuditMakesNoVerdictWithoutEvidence(t *testing.T) {
 	const stale = 2
-	for name, fault := range map[string]func(f *realAuditFleet){
-		"one gateway is partitioned from the counter": func(f *realAuditFleet) { f.gateways[stale].counterLink.Partition() },
-		"all gateways are partitioned from the counter": func(f *realAuditFleet) {
+	for name, fault := range map[string]func(f *auditFleet){
+		"one gateway is partitioned from the counter": func(f *auditFleet) { f.gateways[stale].counterLink.Partition() },
+		"all gateways are partitioned from the counter": func(f *auditFleet) {
 			for _, g := range f.gateways {
 				g.counterLink.Partition()
 			}
 		},
-		"the counter comes back empty": func(f *realAuditFleet) { f.traffic.Go(f.emptyCounterAgainAndAgain) },
-		"calls arrive and answers do not": func(f *realAuditFleet) {
+		"the counter comes back empty": func(f *auditFleet) { f.traffic.Go(f.clearCounterRepeatedly) },
+		"calls arrive and answers do not": func(f *auditFleet) {
 			f.gateways[stale].counterLink.Set(emulator.ToClient, emulator.Drop)
 		},
 	} {
@@ -93,14 +93,14 @@
 	}
 }
 
-// emptyCounterAgainAndAgain empties the counter's numbers until the traffic is halted.
-func (f *realAuditFleet) emptyCounterAgainAndAgain() {
+// clearCounterRepeatedly empties the counter's numbers until the traffic is halted.
+func (f *auditFleet) clearCounterRepeatedly() {
 	for {
 		select {
-		case <-f.halted:
+		case <-f.stopped:
 			return
 		case <-time.After(50 * time.Millisecond):
-			f.numbers.Clear()
+			f.counterValues.Clear()
 		}
 	}
 }
@@ -131,7 +131,7 @@
 	f.drain(0, 1, 3)
 	holder, other := f.waitSlotHolder(1, 3)
 	g := f.gateways[holder]
-	f.require(g.process.kill())
+	f.requireNoError(g.process.kill())
 	killed := time.Now()
 	at := f.gateways[other].log.waitStep(t, "shut out")
 	if free := at.Sub(killed); free > 4*auditEpoch {
@@ -149,16 +149,16 @@
 }
 
 // waitSlotHolder waits until one of two gateways is out of service, and returns that and the other one.
-func (f *realAuditFleet) waitSlotHolder(first, second int) (holder, other int) {
+func (f *auditFleet) waitSlotHolder(first, second int) (holder, other int) {
 	f.t.Helper()
-	holder, other = nobody, nobody
+	holder, other = noGateway, noGateway
 	eventually(f.t, "one is out of service", func() bool {
 		for _, pair := range [][2]int{{first, second}, {second, first}} {
 			if len(f.gateways[pair[0]].log.timesOutOfService(f.t)) > 0 {
 				holder, other = pair[0], pair[1]
 			}
 		}
-		return holder != nobody
+		return holder != noGateway
 	})
 	return holder, other
 }
@@ -166,7 +166,7 @@
 // One gateway publishes an absurd version, which it got from its configuration, and has no agent. Nobody moves.
 func TestAuditMovesNobodyForAnAbsurdVersion(t *testing.T) {
 	const absurd = 4
-	f := startAuditFleet(t, func(f *realAuditFleet) {
+	f := startAuditFleet(t, func(f *auditFleet) {
 		f.gateways[absurd].knownIndex = 4_000_000
 		f.gateways[absurd].agentLink.Partition()
 	})
--- a/internal/fleettest/drain.go
+++ b/internal/fleettest/drain.go
@@ -16,14 +16,14 @@
 	listReadPoll       = 50 * time.Microsecond  // of a socket's receive queue
 	drainPoll          = time.Millisecond
 	pauseBetweenDrains = 100 * time.Millisecond // from a backend's return to the next drain
-	maxListsNoted      = 1 << 12                // by drain
+	maxListsRecorded   = 1 << 12                // by drain
 	// A large drain takes one of so many backends, and two at least.
-	largeDrainShare = 5
-	minLargeDrain   = 2
+	largeDrainDivisor = 5
+	minLargeDrain     = 2
 )
 
-// drainWatch notes how a drain takes effect. It is safe for concurrent use.
-type drainWatch struct {
+// drainMonitor notes how a drain takes effect. It is safe for concurrent use.
+type drainMonitor struct {
 	realGateways, configuredGateways int
 
 	mu         sync.Mutex // guards all below, and the fields of each drain
@@ -39,25 +39,25 @@
 	lastAttempt map[int]time.Time // the first byte of the last attempt after it, by gateway index
 	attempts    int               // after it
 	listBytes   []float64         // of the line that each real gateway was sent
-	readAfter   []time.Duration   // from a list's being sent to its being read
+	readDelays  []time.Duration   // from a list's being sent to its being read
 }
 
 // drainResults gather what some drains gave.
 type drainResults struct {
-	inForce, inForceReal []float64 // ms, by drain
-	attempts             []float64 // by drain
-	rateBefore           []float64 // attempts/s, by drain
-	readAfter            []float64 // ms, by drain and real gateway
-	listBytes            []float64 // by drain and real gateway
+	effectiveAfter, effectiveAfterReal []float64 // ms, by drain
+	attempts                           []float64 // by drain
+	rateBefore                         []float64 // attempts/s, by drain
+	readDelays                         []float64 // ms, by drain and real gateway
+	listBytes                          []float64 // by drain and real gateway
 }
 
-func newDrainWatch(o Options) *drainWatch {
-	return &drainWatch{realGateways: o.Fleet.RealGateways, configuredGateways: o.Fleet.ConfiguredGateways,
+func newDrainMonitor(o Options) *drainMonitor {
+	return &drainMonitor{realGateways: o.Fleet.RealGateways, configuredGateways: o.Fleet.ConfiguredGateways,
 		attempts: make([]int, dedicatedBackends(o))}
 }
 
 // attemptArrived notes that an attempt of a gateway has come to a backend.
-func (w *drainWatch) attemptArrived(backend, gatewayIndex int, firstByte time.Time) {
+func (w *drainMonitor) attemptArrived(backend, gatewayIndex int, firstByte time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if backend < len(w.attempts) && gatewayIndex < w.realGateways {
@@ -69,10 +69,10 @@
 	}
 }
 
-// listSent notes a change of the endpoint list that a real gateway was sent, and finds out when it is read. An agent
+// watchSent notes a change of the endpoint list that a real gateway was sent, and finds out when it is read. An agent
 // calls it on a goroutine of its own, and goes on once it returns.
-func (w *drainWatch) listSent(sent emulator.WatchSent) {
-	watched := w.noteListSent(sent)
+func (w *drainMonitor) watchSent(sent emulator.WatchSent) {
+	watched := w.recordWatchSent(sent)
 	if watched == nil {
 		return
 	}
@@ -84,19 +84,19 @@
 		if unread == 0 {
 			w.mu.Lock()
 			defer w.mu.Unlock()
-			watched.readAfter, w.readMethod = append(watched.readAfter, time.Since(sent.SentAt)), method
+			watched.readDelays, w.readMethod = append(watched.readDelays, time.Since(sent.SentAt)), method
 			return
 		}
 		time.Sleep(listReadPoll)
 	}
 }
 
-// noteListSent notes a list that was sent and returns the drain that it tells; nil: none that is watched.
-func (w *drainWatch) noteListSent(sent emulator.WatchSent) *drain {
+// recordWatchSent notes a list that was sent and returns the drain that it tells; nil: none that is watched.
+func (w *drainMonitor) recordWatchSent(sent emulator.WatchSent) *drain {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	d := w.current
-	if d == nil || sent.Snapshot || sent.Entries != len(d.backends) || len(d.listBytes) >= maxListsNoted {
+	if d == nil || sent.Snapshot || sent.Entries != len(d.backends) || len(d.listBytes) >= maxListsRecorded {
 		return nil
 	}
 	d.listBytes = append(d.listBytes, float64(sent.Bytes))
@@ -104,7 +104,7 @@
 }
 
 // takeBusiest returns the backends to which real gateways sent most since the last call.
-func (w *drainWatch) takeBusiest(count int) []int {
+func (w *drainMonitor) takeBusiest(count int) []int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	busiest := make([]int, len(w.attempts))
@@ -117,7 +117,7 @@
 }
 
 // begin watches a drain of backends, which the caller pushes next. It returns the time from which is counted.
-func (w *drainWatch) begin(backends []int) time.Time {
+func (w *drainMonitor) start(backends []int) time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.current = &drain{backends: make(map[int]bool, len(backends)), lastAttempt: map[int]time.Time{}}
@@ -129,36 +129,36 @@
 }
 
 // reads returns how many gateways have read of the drain that is being watched; there must be one.
-func (w *drainWatch) reads() int {
+func (w *drainMonitor) readCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return len(w.current.readAfter)
+	return len(w.current.readDelays)
 }
 
 // end ends the watch, which begin began, and adds what it gave.
-func (w *drainWatch) end(results *drainResults) {
+func (w *drainMonitor) finish(results *drainResults) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	d := w.current
 	w.current = nil
-	inForce, inForceReal := time.Duration(0), time.Duration(0)
+	effectiveAfter, effectiveAfterReal := time.Duration(0), time.Duration(0)
 	for gatewayIndex, at := range d.lastAttempt {
-		inForce = max(inForce, at.Sub(d.pushedAt))
+		effectiveAfter = max(effectiveAfter, at.Sub(d.pushedAt))
 		if gatewayIndex < w.realGateways {
-			inForceReal = max(inForceReal, at.Sub(d.pushedAt))
+			effectiveAfterReal = max(effectiveAfterReal, at.Sub(d.pushedAt))
 		}
 	}
-	results.inForce = append(results.inForce, milliseconds(inForce))
-	results.inForceReal = append(results.inForceReal, milliseconds(inForceReal))
+	results.effectiveAfter = append(results.effectiveAfter, milliseconds(effectiveAfter))
+	results.effectiveAfterReal = append(results.effectiveAfterReal, milliseconds(effectiveAfterReal))
 	results.attempts = append(results.attempts, float64(d.attempts))
 	results.listBytes = append(results.listBytes, d.listBytes...)
-	for _, after := range d.readAfter {
-		results.readAfter = append(results.readAfter, milliseconds(after))
+	for _, after := range d.readDelays {
+		results.readDelays = append(results.readDelays, milliseconds(after))
 	}
 }
 
 // method returns how it was found last that a list was read.
-func (w *drainWatch) method() string {
+func (w *drainMonitor) method() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.readMethod
@@ -169,13 +169,13 @@
 // list tells the gateways.
 func (r *fleetRun) drainBackends(ctx context.Context) error {
 	drains := r.options.Changes.Drains
-	largeDrain := min(max(minLargeDrain, r.options.Fleet.Backends/largeDrainShare), dedicatedBackends(r.options)-1)
+	largeDrain := min(max(minLargeDrain, r.options.Fleet.Backends/largeDrainDivisor), dedicatedBackends(r.options)-1)
 	for _, count := range []int{1, largeDrain} {
 		if drains == 0 || count < 1 {
 			continue
 		}
-		r.reporter.phase("%d drains of %d", drains, count)
-		r.reporter.resetNoise()
+		r.reporter.logPhase("%d drains of %d", drains, count)
+		r.reporter.resetSchedulingDelays()
 		var results drainResults
 		for range drains {
 			if err := r.drainOnce(ctx, count, &results); err != nil {
@@ -200,15 +200,15 @@
 		return err
 	}
 	results.rateBefore = append(results.rateBefore, rate)
-	pushedAt := r.drains.begin(backends)
+	pushedAt := r.drains.start(backends)
 	r.emulated.catalog.Apply(drained...)
 	err = r.awaitListReads(ctx, pushedAt)
-	r.drains.end(results)
+	r.drains.finish(results)
 	r.emulated.catalog.Apply(restored...)
 	if err != nil {
 		return err
 	}
-	return pause(ctx, pauseBetweenDrains) // else the two changes could be told as one
+	return sleep(ctx, pauseBetweenDrains) // else the two changes could be told as one
 }
 
 // attemptRate measures how many attempts a second come to backends now. The counts that takeBusiest ranks by are older, so
@@ -216,7 +216,7 @@
 func (r *fleetRun) attemptRate(ctx context.Context, backends []int) (float64, error) {
 	before, _ := r.emulated.model.Attempts()
 	start := time.Now()
-	if err := pause(ctx, attemptRateWindow); err != nil {
+	if err := sleep(ctx, attemptRateWindow); err != nil {
 		return 0, err
 	}
 	after, _ := r.emulated.model.Attempts()
@@ -229,9 +229,9 @@
 
 // awaitListReads waits for a drain's time, and then until all real gateways have read of it or the time for that is up.
 func (r *fleetRun) awaitListReads(ctx context.Context, pushedAt time.Time) error {
-	err := pause(ctx, r.options.Changes.drainDuration)
-	for end := pushedAt.Add(listReadTimeout); err == nil && time.Now().Before(end) && r.drains.reads() < len(r.ready); {
-		err = pause(ctx, drainPoll)
+	err := sleep(ctx, r.options.Changes.drainDuration)
+	for end := pushedAt.Add(listReadTimeout); err == nil && time.Now().Before(end) && r.drains.readCount() < len(r.ready); {
+		err = sleep(ctx, drainPoll)
 	}
 	return err
 }
@@ -242,19 +242,19 @@
 	if count > 1 {
 		drain = fmt.Sprintf("drain of %d backends", count)
 	}
-	inForceHow := fmt.Sprintf("from the push to the last first byte at a drained backend, 0: none came; "+
-		"mean of %d; %.1f attempts/s came there before%s", len(results.inForce), mean(results.rateBefore), r.reporter.takeNoise())
-	real := len(r.ready)
-	r.reporter.row(drain+", in force at all doors", "ms", r.running(), results.inForce, inForceHow)
-	if real > 0 {
-		r.reporter.row(drain+", in force at real doors", "ms", real, results.inForceReal, inForceHow)
+	effectiveHow := fmt.Sprintf("from the push to the last first byte at a drained backend, 0: none came; "+
+		"mean of %d; %.1f attempts/s came there before%s", len(results.effectiveAfter), mean(results.rateBefore), r.reporter.takeNoiseSuffix())
+	realGateways := len(r.ready)
+	r.reporter.addRow(drain+", in force at all doors", "ms", r.runningGateways(), results.effectiveAfter, effectiveHow)
+	if realGateways > 0 {
+		r.reporter.addRow(drain+", in force at real doors", "ms", realGateways, results.effectiveAfterReal, effectiveHow)
 	}
-	r.reporter.row(drain+", attempts after the push", "", r.running(), results.attempts, "of all gateways, by drain")
-	if real > 0 {
-		r.reporter.row(drain+", read by the door", "ms", real, results.readAfter, fmt.Sprintf(
+	r.reporter.addRow(drain+", attempts after the push", "", r.runningGateways(), results.attempts, "of all gateways, by drain")
+	if realGateways > 0 {
+		r.reporter.addRow(drain+", read by the door", "ms", realGateways, results.readDelays, fmt.Sprintf(
 			"from the agent's write until the gateway's socket is empty, by %s, %d seen", r.drains.method(),
-			len(results.readAfter)))
-		r.reporter.row(drain+", line of the watch", "bytes", real, results.listBytes,
+			len(results.readDelays)))
+		r.reporter.addRow(drain+", line of the watch", "bytes", realGateways, results.listBytes,
 			fmt.Sprintf("%d seen", len(results.listBytes)))
 	}
 }
--- a/internal/fleettest/emulated.go
+++ b/internal/fleettest/emulated.go
@@ -24,22 +24,22 @@
 
 // emulatedSystems are the systems outside the gateways of one run, which real and simulated gateways share.
 type emulatedSystems struct {
-	endpoints []emulator.Endpoint // by the backend's index, all in service
-	indexOf   map[string]int      // the backend's index, by its name
-	catalog   *emulator.Catalog
-	numbers   *emulator.Numbers
-	model     *emulator.Model
-	ledger    *emulator.Ledger
-	backends  *emulator.Backends
-	traffic   emulator.TrafficConfig
+	endpoints     []emulator.Endpoint // by the backend's index, all in service
+	indexOf       map[string]int      // the backend's index, by its name
+	catalog       *emulator.Catalog
+	counterValues *emulator.Numbers
+	model         *emulator.Model
+	ledger        *emulator.Ledger
+	backends      *emulator.Backends
+	traffic       emulator.TrafficConfig
 }
 
-// startEmulated starts the backends, which call onCommand, and lists them. The agents and counters are each real
+// startEmulatedSystems starts the backends, which call onCommand, and lists them. The agents and counters are each real
 // gateway's own.
-func startEmulated(o Options, onCommand func(backend int, id string, firstByte time.Time)) (*emulatedSystems, error) {
+func startEmulatedSystems(o Options, onCommand func(backend int, id string, firstByte time.Time)) (*emulatedSystems, error) {
 	fleet, service := &o.Fleet, o.Emulated.MeanServiceTime
 	e := &emulatedSystems{indexOf: make(map[string]int, fleet.Backends), ledger: emulator.NewLedger(),
-		numbers: emulator.NewNumbers(o.Emulated.CounterCallsPerSecond),
+		counterValues: emulator.NewNumbers(o.Emulated.CounterCallsPerSecond),
 		model: emulator.NewModel(emulator.ModelConfig{Backends: fleet.Backends, Concurrency: o.Emulated.BackendConcurrency,
 			MeanService: service, MaxQueueTime: maxQueuedServiceTimes * service, Seed: o.Load.Seed}),
 		traffic: emulator.TrafficConfig{Gateways: fleet.ConfiguredGateways,
--- a/internal/fleettest/histogram.go
+++ b/internal/fleettest/histogram.go
@@ -44,19 +44,19 @@
 	h.times.Reset()
 }
 
-// schedulingDelay measures how late this process's own goroutines are woken. It is safe for concurrent use.
-type schedulingDelay struct {
-	late *histogram
+// schedulingDelayMeter measures how late this process's own goroutines are woken. It is safe for concurrent use.
+type schedulingDelayMeter struct {
+	delays *histogram
 }
 
 // measure measures until the context ends.
-func (s *schedulingDelay) measure(ctx context.Context) {
+func (s *schedulingDelayMeter) measure(ctx context.Context) {
 	next := time.Now()
 	for ctx.Err() == nil {
 		next = next.Add(delayProbeInterval)
 		time.Sleep(time.Until(next))
 		late := time.Since(next)
-		s.late.record(late)
+		s.delays.record(late)
 		if late > delayProbeInterval {
 			next = time.Now()
 		}
@@ -64,8 +64,8 @@
 }
 
 // takeP99 returns the 99th percentile since the last call.
-func (s *schedulingDelay) takeP99() time.Duration {
-	p99, _ := s.late.percentile(99)
-	s.late.reset()
+func (s *schedulingDelayMeter) takeP99() time.Duration {
+	p99, _ := s.delays.percentile(99)
+	s.delays.reset()
 	return time.Duration(p99) * time.Microsecond
 }
--- a/internal/fleettest/load.go
+++ b/internal/fleettest/load.go
@@ -20,33 +20,35 @@
 
 var errRequestsOpen = errors.New("requests are still open")
 
-// loadSwitch tells all gateways when requests begin to come and when no more do.
-type loadSwitch struct {
-	begun, halted chan struct{} // closed by begin and by halt
-	haltOnce      sync.Once
+// loadSignals tells all gateways when requests begin to come and when no more do.
+type loadSignals struct {
+	started, stopped chan struct{} // closed by begin and by halt
+	stopOnce         sync.Once
 }
 
-func newLoadSwitch() *loadSwitch {
-	return &loadSwitch{begun: make(chan struct{}), halted: make(chan struct{})}
+func newLoadSignals() *loadSignals {
+	return &loadSignals{started: make(chan struct{}), stopped: make(chan struct{})}
 }
 
 // begin closes begun; it must not be called again.
-func (l *loadSwitch) begin() { close(l.begun) }
+func (l *loadSignals) start() { close(l.started) }
 
 // halt closes halted; it may be called again.
-func (l *loadSwitch) halt() { l.haltOnce.Do(func() { close(l.halted) }) }
-
-// loadMeter gathers what clients see, from many goroutines.
-type loadMeter struct {
-	measuring atomic.Bool
-	arrivals  atomic.Int64 // requests at all gateways, real and simulated
-	added     *histogram   // the client's time less the backend's, through real gateways
-	direct    *histogram   // the same with no gateway between
+func (l *loadSignals) stop() { l.stopOnce.Do(func() { close(l.stopped) }) }
+
+// loadMetrics gathers what clients see, from many goroutines.
+type loadMetrics struct {
+	measuring     atomic.Bool
+	arrivals      atomic.Int64 // requests at all gateways, real and simulated
+	addedLatency  *histogram   // the client's time less the backend's, through real gateways
+	directLatency *histogram   // the same with no gateway between
 }
 
-func newLoadMeter() *loadMeter { return &loadMeter{added: newHistogram(), direct: newHistogram()} }
+func newLoadMetrics() *loadMetrics {
+	return &loadMetrics{addedLatency: newHistogram(), directLatency: newHistogram()}
+}
 
-func (m *loadMeter) requestArrived() { m.arrivals.Add(1) }
+func (m *loadMetrics) requestArrived() { m.arrivals.Add(1) }
 
 // senders are the goroutines that send requests.
 type senders struct {
@@ -57,19 +59,19 @@
 
 // startSenders lets requests begin at all gateways. A context that ends closes the clients, since an answer would still
 // be awaited otherwise.
-func (r *fleetRun) startSenders(ctx context.Context, load *loadSwitch) *senders {
+func (r *fleetRun) startSenders(ctx context.Context, load *loadSignals) *senders {
 	s := &senders{ended: make(chan struct{})}
-	load.begin()
+	load.start()
 	keepClientsOpen := context.AfterFunc(ctx, func() {
 		for _, gateway := range r.ready {
 			gateway.clients.Close()
 		}
 	})
 	for _, gateway := range r.ready {
-		s.goroutines.Go(func() { r.sendThrough(ctx, gateway, load.halted) })
+		s.goroutines.Go(func() { r.sendViaGateway(ctx, gateway, load.stopped) })
 	}
 	directCtx, cancelDirect := context.WithCancel(ctx)
-	s.goroutines.Go(func() { r.sendDirect(directCtx, load.halted) })
+	s.goroutines.Go(func() { r.sendDirect(directCtx, load.stopped) })
 	go func() { // ends with ctx at the latest
 		defer close(s.ended)
 		s.goroutines.Wait()
@@ -78,16 +80,16 @@
 	s.stop = func() {
 		cancelDirect()
 		keepClientsOpen()
-		load.halt()
+		load.stop()
 		s.goroutines.Wait()
 	}
 	return s
 }
 
-// sendThrough sends a gateway its requests from now on, until halted is closed or there are no more.
-func (r *fleetRun) sendThrough(ctx context.Context, gateway *measuredGateway, halted <-chan struct{}) {
+// sendViaGateway sends a gateway its requests from now on, until halted is closed or there are no more.
+func (r *fleetRun) sendViaGateway(ctx context.Context, gateway *measuredGateway, stopped <-chan struct{}) {
 	schedule := requestSchedule{traffic: emulator.NewTraffic(r.emulated.traffic, gateway.index()),
-		requests: r.options.Load.Requests, halted: halted}
+		requests: r.options.Load.Requests, stopped: stopped}
 	schedule.run(ctx, func(request *emulator.Request) {
 		r.load.requestArrived()
 		ending, took := gateway.clients.Do(ctx, request)
@@ -97,15 +99,15 @@
 		}
 		gateway.requestsEnded.Add(1)
 		if service := r.emulated.ledger.ServiceTime(request.ID); ending == emulator.Served && service > 0 {
-			r.load.added.record(took - service)
-			gateway.added.record(took - service)
+			r.load.addedLatency.record(took - service)
+			gateway.addedLatency.record(took - service)
 		}
 	})
 }
 
 // sendDirect sends requests to a backend with no gateway between, one at a time, as a measure of what the measuring
 // adds. Their ids name the index behind the last gateway's, which no gateway has.
-func (r *fleetRun) sendDirect(ctx context.Context, halted <-chan struct{}) {
+func (r *fleetRun) sendDirect(ctx context.Context, stopped <-chan struct{}) {
 	clients := emulator.NewClients(r.emulated.backends.Addr(0), 1, clientReplyGrace)
 	defer clients.Close()
 	defer context.AfterFunc(ctx, clients.Close)()
@@ -115,7 +117,7 @@
 		gap, request := traffic.Next()
 		select {
 		case <-time.After(gap):
-		case <-halted:
+		case <-stopped:
 			return
 		case <-ctx.Done():
 			return
@@ -123,24 +125,24 @@
 		ending, took := clients.Do(ctx, request)
 		r.emulated.ledger.RequestEnded(request, ending)
 		if service := r.emulated.ledger.ServiceTime(request.ID); ending == emulator.Served && r.load.measuring.Load() {
-			r.load.direct.record(took - service)
+			r.load.directLatency.record(took - service)
 		}
 	}
 }
 
-// applyLoad sends requests, measures, and drains backends while requests go on.
-func (r *fleetRun) applyLoad(ctx context.Context, load *loadSwitch) error {
+// runLoad sends requests, measures, and drains backends while requests go on.
+func (r *fleetRun) runLoad(ctx context.Context, load *loadSignals) error {
 	senders := r.startSenders(ctx, load)
 	defer senders.stop()
 	if r.options.Load.Requests == 0 {
-		if err := pause(ctx, warmUp); err != nil {
+		if err := sleep(ctx, warmUp); err != nil {
 			return err
 		}
 	}
-	r.reporter.phase("load of %.0f requests/s at each gateway", r.options.Load.RequestsPerSecond)
+	r.reporter.logPhase("load of %.0f requests/s at each gateway", r.options.Load.RequestsPerSecond)
 	r.resetTimes()
 	r.load.measuring.Store(true)
-	before := r.read()
+	before := r.readMetrics()
 	if r.options.Load.Requests > 0 {
 		return r.measureRequests(ctx, senders, before)
 	}
@@ -149,20 +151,20 @@
 
 // resetTimes forgets the times that were measured so far.
 func (r *fleetRun) resetTimes() {
-	r.reporter.resetNoise()
+	r.reporter.resetSchedulingDelays()
 	r.simulated.resetTimes()
 	for _, gateway := range r.ready {
-		gateway.added.reset()
+		gateway.addedLatency.reset()
 	}
-	r.load.added.reset()
-	r.load.direct.reset()
+	r.load.addedLatency.reset()
+	r.load.directLatency.reset()
 }
 
 // measureRequests measures until a number of requests has ended at each gateway. Its drains run between the two readings, so
 // the rows of what comes from discovery and of the connections hold what they cause.
-func (r *fleetRun) measureRequests(ctx context.Context, senders *senders, before readings) error {
+func (r *fleetRun) measureRequests(ctx context.Context, senders *senders, before runMetrics) error {
 	var connections connectionSamples
-	connections.take(r.emulated.backends)
+	connections.sample(r.emulated.backends)
 	if err := r.drainBackends(ctx); err != nil {
 		return err
 	}
@@ -173,8 +175,8 @@
 	case <-time.After(r.requestsTimeout()):
 		return errRequestsOpen
 	}
-	connections.take(r.emulated.backends)
-	r.reportLoad(before, r.read(), &connections)
+	connections.sample(r.emulated.backends)
+	r.reportLoad(before, r.readMetrics(), &connections)
 	return nil
 }
 
@@ -186,26 +188,26 @@
 }
 
 // measureDuration measures for a duration. After the second reading it drains backends, and then halts the load.
-func (r *fleetRun) measureDuration(ctx context.Context, senders *senders, load *loadSwitch, before readings) error {
+func (r *fleetRun) measureDuration(ctx context.Context, senders *senders, load *loadSignals, before runMetrics) error {
 	var connections connectionSamples
 	for end := before.readAt.Add(r.options.Load.Duration); time.Now().Before(end); {
-		if err := pause(ctx, min(connectionSampleInterval, time.Until(end))); err != nil {
+		if err := sleep(ctx, min(connectionSampleInterval, time.Until(end))); err != nil {
 			return err
 		}
-		connections.take(r.emulated.backends)
+		connections.sample(r.emulated.backends)
 	}
 	r.load.measuring.Store(false)
-	r.reportLoad(before, r.read(), &connections)
+	r.reportLoad(before, r.readMetrics(), &connections)
 	if err := r.drainBackends(ctx); err != nil {
 		return err
 	}
-	load.halt()
+	load.stop()
 	select {
 	case <-senders.ended:
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-time.After(clientTimeout + clientReplyGrace + time.Second):
-		r.reporter.failure("requests left open", "", r.running(), errRequestsOpen)
+		r.reporter.addFailure("requests left open", "", r.runningGateways(), errRequestsOpen)
 	}
 	return nil
 }
--- a/internal/fleettest/options.go
+++ b/internal/fleettest/options.go
@@ -65,25 +65,25 @@
 	ReadyTimeout time.Duration // of each wait for it to become ready; default 10 s
 }
 
-// defaultCount puts the default in the place of 0, and 0 in that of a negative number.
-func defaultCount(n *int, usual int) { *n = max(0, cmp.Or(*n, usual)) }
+// setDefaultCount puts the default in the place of 0, and 0 in that of a negative number.
+func setDefaultCount(n *int, value int) { *n = max(0, cmp.Or(*n, value)) }
 
 func (o Options) withDefaults() Options {
 	o.Root = cmp.Or(o.Root, ".")
-	defaultCount(&o.Fleet.RealGateways, 3)
-	defaultCount(&o.Fleet.SimulatedGateways, 30)
-	defaultCount(&o.Fleet.Backends, 200)
+	setDefaultCount(&o.Fleet.RealGateways, 3)
+	setDefaultCount(&o.Fleet.SimulatedGateways, 30)
+	setDefaultCount(&o.Fleet.Backends, 200)
 	o.Fleet.ConfiguredGateways = max(o.Fleet.ConfiguredGateways, o.Fleet.RealGateways+o.Fleet.SimulatedGateways)
-	defaultCount(&o.Fleet.Tenants, 60*o.Fleet.ConfiguredGateways)
-	defaultCount(&o.Fleet.Zones, 7)
+	setDefaultCount(&o.Fleet.Tenants, 60*o.Fleet.ConfiguredGateways)
+	setDefaultCount(&o.Fleet.Zones, 7)
 	o.Load.RequestsPerSecond = cmp.Or(o.Load.RequestsPerSecond, 20)
 	o.Load.Duration = cmp.Or(o.Load.Duration, 20*time.Second)
-	defaultCount(&o.Changes.Drains, 5)
-	defaultCount(&o.Changes.Restarts, 3)
+	setDefaultCount(&o.Changes.Drains, 5)
+	setDefaultCount(&o.Changes.Restarts, 3)
 	o.Changes.drainDuration = cmp.Or(o.Changes.drainDuration, defaultDrainDuration)
 	o.Emulated.MeanServiceTime = cmp.Or(o.Emulated.MeanServiceTime, 20*time.Millisecond)
-	defaultCount(&o.Emulated.BackendConcurrency, 8)
-	defaultCount(&o.Process.MemoryMB, 192)
+	setDefaultCount(&o.Emulated.BackendConcurrency, 8)
+	setDefaultCount(&o.Process.MemoryMB, 192)
 	o.Process.ReadyTimeout = cmp.Or(o.Process.ReadyTimeout, 10*time.Second)
 	if o.Progress == nil {
 		o.Progress = io.Discard
@@ -92,7 +92,7 @@
 }
 
 // check says why options, whose defaults are filled in, can't be used.
-func (o *Options) check() error {
+func (o *Options) validate() error {
 	fleet := &o.Fleet
 	switch {
 	case fleet.RealGateways+fleet.SimulatedGateways == 0:
@@ -101,13 +101,13 @@
 		return fmt.Errorf("%d real gateways: at most %d", fleet.RealGateways, maxRealGateways)
 	case fleet.Backends == 0 || fleet.Tenants == 0 || fleet.Zones == 0 || o.Emulated.BackendConcurrency == 0:
 		return errors.New("no backends, tenants or zones, or a backend concurrency of 0")
-	case !o.Load.isPossible() || o.Emulated.MeanServiceTime < 0:
+	case !o.Load.isValid() || o.Emulated.MeanServiceTime < 0:
 		return errors.New("a rate, a time or a number of requests that makes no sense")
 	}
 	return nil
 }
 
-// isPossible says whether requests can come so.
-func (o *LoadOptions) isPossible() bool {
+// isValid says whether requests can come so.
+func (o *LoadOptions) isValid() bool {
 	return o.RequestsPerSecond > 0 && !math.IsInf(o.RequestsPerSecond, 0) && o.Duration >= 0 && o.Requests >= 0
 }
--- a/internal/fleettest/process.go
+++ b/internal/fleettest/process.go
@@ -32,10 +32,10 @@
 
 // startProcess starts a command by the shell, from a folder. It is killed if this process dies. Its standard error goes
 // to log as well, if that is not nil. A goroutine waits for its end and reaps it.
-func startProcess(folder, command string, env []string, log io.Writer) (*childProcess, error) {
+func startProcess(dir, command string, env []string, log io.Writer) (*childProcess, error) {
 	p := &childProcess{cmd: exec.Command("/bin/sh", "-c", command), log: processLog{maxBytes: logTailBytes},
 		done: make(chan struct{})}
-	p.cmd.Dir, p.cmd.Env = folder, env
+	p.cmd.Dir, p.cmd.Env = dir, env
 	p.cmd.Stdout, p.cmd.Stderr = &p.log, &p.log
 	if log != nil {
 		p.cmd.Stderr = io.MultiWriter(&p.log, log)
@@ -136,11 +136,11 @@
 
 // usage reads /proc of the process; see proc(5).
 func (p *childProcess) usage() (usage processUsage, err error) {
-	folder := fmt.Sprintf("/proc/%d/", p.pid())
-	if usage.cpu, err = readProcessorTime(folder + "stat"); err != nil {
+	dir := fmt.Sprintf("/proc/%d/", p.pid())
+	if usage.cpu, err = readProcessorTime(dir + "stat"); err != nil {
 		return usage, err
 	}
-	status, err := os.ReadFile(folder + "status")
+	status, err := os.ReadFile(dir + "status")
 	if err != nil {
 		return usage, err
 	}
@@ -154,7 +154,7 @@
 			usage.peakResident = kilobytes << 10
 		}
 	}
-	descriptors, err := os.ReadDir(folder + "fd")
+	descriptors, err := os.ReadDir(dir + "fd")
 	usage.openDescriptors = len(descriptors)
 	return usage, err
 }
--- a/internal/fleettest/process_test.go
+++ b/internal/fleettest/process_test.go
@@ -39,7 +39,7 @@
 // remainingProcesses returns what runs of a group once there has been time for signals to arrive.
 func remainingProcesses(t *testing.T, group int) (running []string) {
 	t.Helper()
-	end := time.Now().Add(patience)
+	end := time.Now().Add(waitTimeout)
 	for running = groupProcesses(t, group); len(running) > 0 && time.Now().Before(end); running = groupProcesses(t, group) {
 		time.Sleep(time.Millisecond)
 	}
@@ -52,7 +52,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(patience); len(groupProcesses(t, p.pid())) < 2 && time.Now().Before(end); {
+	for end := time.Now().Add(waitTimeout); len(groupProcesses(t, p.pid())) < 2 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	if both := groupProcesses(t, p.pid()); len(both) != 2 {
--- a/internal/fleettest/realgateway.go
+++ b/internal/fleettest/realgateway.go
@@ -37,27 +37,27 @@
 	return strconv.Unquote(string(match[1]))
 }
 
-// program is how the gateways of one fleet are started.
-type program struct {
+// gatewayProgram is how the gateways of one fleet are started.
+type gatewayProgram struct {
 	root    string // the repository's root, or a folder that looks like it
 	command string // of the shell, from there
-	folder  string // for the gateways' files
+	dir     string // for the gateways' files
 }
 
 // realGatewaySetup says what one real gateway is told, and what it finds round it.
 type realGatewaySetup struct {
 	index    int
-	program  *program
+	program  *gatewayProgram
 	settings pathSettings
 	seed     uint64
 	memoryMB int // what it is told of its limit
 
-	listenHost   string // loopback; it gets a port that is free
-	emulatorHost string // loopback, of its agent and its counter
-	catalog      *emulator.Catalog
-	onWatchSent  func(emulator.WatchSent) // see emulator.StartAgent; may be nil
-	numbers      *emulator.Numbers
-	replyGrace   time.Duration // clients wait so long beyond their own time
+	listenHost    string // loopback; it gets a port that is free
+	emulatorHost  string // loopback, of its agent and its counter
+	catalog       *emulator.Catalog
+	onWatchSent   func(emulator.WatchSent) // see emulator.StartAgent; may be nil
+	counterValues *emulator.Numbers
+	replyGrace    time.Duration // clients wait so long beyond their own time
 }
 
 // realGateway is one gateway's process with the agent, the counter and the clients that are its own. It belongs to one
@@ -81,7 +81,7 @@
 	if gateway.agent, err = emulator.StartAgent(emulatorAddr, setup.catalog, setup.onWatchSent); err != nil {
 		return gateway, err
 	}
-	if gateway.counter, err = emulator.StartCounter(emulatorAddr, setup.numbers); err != nil {
+	if gateway.counter, err = emulator.StartCounter(emulatorAddr, setup.counterValues); err != nil {
 		return gateway, err
 	}
 	gateway.agentAddr, gateway.counterAddr = gateway.agent.Addr(), gateway.counter.Addr()
@@ -121,7 +121,7 @@
 
 // start starts the process with a configuration file. Its standard error goes to log as well, if that is not nil.
 func (g *realGateway) start(configFile string, log io.Writer) (err error) {
-	env := []string{"PATH=" + os.Getenv("PATH"), "TMPDIR=" + g.setup.program.folder, "NODE_NAME=" + g.name(),
+	env := []string{"PATH=" + os.Getenv("PATH"), "TMPDIR=" + g.setup.program.dir, "NODE_NAME=" + g.name(),
 		"NODE_LISTEN=" + g.address, "NODE_DISCOVERY=" + g.agentAddr, "NODE_CONFIG=" + configFile}
 	g.process, err = startProcess(g.setup.program.root, g.setup.program.command, env, log)
 	return err
@@ -174,38 +174,38 @@
 type requestSchedule struct {
 	traffic  *emulator.Traffic
 	requests int             // how many; 0: until halted
-	halted   <-chan struct{} // closed: no more
+	stopped  <-chan struct{} // closed: no more
 }
 
 // run calls send for each request at its time, each on a goroutine of its own, until there are no more or the context
 // ends. A request for which there is no connection delays those after it. It returns once all have ended.
 func (s *requestSchedule) run(ctx context.Context, send func(*emulator.Request)) {
 	next := time.Now()
-	places := make(chan struct{}, maxClientConns)
+	slots := make(chan struct{}, maxClientConns)
 	var open sync.WaitGroup
 	defer open.Wait()
-	alarm := time.NewTimer(0)
-	defer alarm.Stop()
+	timer := time.NewTimer(0)
+	defer timer.Stop()
 	for n := 0; s.requests == 0 || n < s.requests; n++ {
 		gap, request := s.traffic.Next()
 		next = next.Add(gap)
-		alarm.Reset(time.Until(next))
+		timer.Reset(time.Until(next))
 		select {
-		case <-alarm.C:
-		case <-s.halted:
+		case <-timer.C:
+		case <-s.stopped:
 			return
 		case <-ctx.Done():
 			return
 		}
 		select {
-		case places <- struct{}{}:
-		case <-s.halted:
+		case slots <- struct{}{}:
+		case <-s.stopped:
 			return
 		case <-ctx.Done():
 			return
 		}
 		open.Go(func() {
-			defer func() { <-places }()
+			defer func() { <-slots }()
 			send(request)
 		})
 	}
--- a/internal/fleettest/report.go
+++ b/internal/fleettest/report.go
@@ -55,7 +55,7 @@
 type Report struct {
 	Setup
 	Seconds float64 `json:"seconds"` // how long was measured
-	Noisy   bool    `json:"noisy"`   // the computer was too busy for some of the figures; see takeNoise
+	Noisy   bool    `json:"noisy"`   // the computer was too busy for some of the figures; see takeNoiseSuffix
 	Totals
 	Rows []Row `json:"rows"`
 
@@ -82,24 +82,24 @@
 // reporter fills in the report and tells how the run proceeds. It belongs to the goroutine of the run, but for
 // processStarted.
 type reporter struct {
-	report   *Report
-	progress io.Writer
-	begun    time.Time
-	delay    schedulingDelay
+	report          *Report
+	progress        io.Writer
+	startedAt       time.Time
+	schedulingDelay schedulingDelayMeter
 
 	processMu sync.Mutex // guards report.processIDs: gateways start side by side
 }
 
-func newReporter(o Options, begun time.Time) *reporter {
-	return &reporter{progress: o.Progress, begun: begun, delay: schedulingDelay{late: newHistogram()},
+func newReporter(o Options, startedAt time.Time) *reporter {
+	return &reporter{progress: o.Progress, startedAt: startedAt, schedulingDelay: schedulingDelayMeter{delays: newHistogram()},
 		report: &Report{Setup: Setup{RealGateways: o.Fleet.RealGateways, SimulatedGateways: o.Fleet.SimulatedGateways,
 			ConfiguredGateways: o.Fleet.ConfiguredGateways, Backends: o.Fleet.Backends, Tenants: o.Fleet.Tenants,
 			RequestsPerSecond: o.Load.RequestsPerSecond, Seed: o.Load.Seed}}}
 }
 
 // phase tells what begins now.
-func (r *reporter) phase(format string, args ...any) {
-	fmt.Fprintf(r.progress, "%6.1f s  %s\n", time.Since(r.begun).Seconds(), fmt.Sprintf(format, args...))
+func (r *reporter) logPhase(format string, args ...any) {
+	fmt.Fprintf(r.progress, "%6.1f s  %s\n", time.Since(r.startedAt).Seconds(), fmt.Sprintf(format, args...))
 }
 
 // processStarted notes a process. It may be called from any goroutine.
@@ -110,7 +110,7 @@
 }
 
 // row adds a figure with the mean of some values and their spread.
-func (r *reporter) row(name, unit string, gateways int, values []float64, how string) {
+func (r *reporter) addRow(name, unit string, gateways int, values []float64, how string) {
 	row := Row{Name: name, Unit: unit, Gateways: gateways, Backends: r.report.Backends, How: how}
 	if len(values) == 0 {
 		row.How = failedPrefix + "nothing to measure: " + how
@@ -121,27 +121,27 @@
 	r.report.Rows = append(r.report.Rows, row)
 }
 
-// rowOfAll adds a figure that was taken over all gateways together, with the spread of the gateways' own values.
-func (r *reporter) rowOfAll(row Row, own []float64) {
+// addPooledRow adds a figure that was taken over all gateways together, with the spread of the gateways' own values.
+func (r *reporter) addPooledRow(row Row, perGateway []float64) {
 	row.Backends = r.report.Backends
-	if len(own) > 0 {
-		row.Spread = slices.Max(own) - slices.Min(own)
+	if len(perGateway) > 0 {
+		row.Spread = slices.Max(perGateway) - slices.Min(perGateway)
 	}
 	r.report.Rows = append(r.report.Rows, row)
 }
 
 // failure adds a row for what has no value.
-func (r *reporter) failure(name, unit string, gateways int, err error) {
+func (r *reporter) addFailure(name, unit string, gateways int, err error) {
 	text := strings.Join(strings.Fields(err.Error()), " ")
 	r.report.Rows = append(r.report.Rows, Row{Name: name, Unit: unit, Gateways: gateways, Backends: r.report.Backends,
 		How: failedPrefix + text})
-	r.phase("%s failed: %s", name, text)
+	r.logPhase("%s failed: %s", name, text)
 }
 
-// takeNoise returns what to add to a row's text, and marks the report as noisy, where this process was woken too late to
-// trust times since takeNoise or resetNoise was called last; it forgets these delays.
-func (r *reporter) takeNoise() string {
-	p99 := r.delay.takeP99()
+// takeNoiseSuffix returns what to add to a row's text, and marks the report as noisy, where this process was woken too late to
+// trust times since takeNoiseSuffix or resetSchedulingDelays was called last; it forgets these delays.
+func (r *reporter) takeNoiseSuffix() string {
+	p99 := r.schedulingDelay.takeP99()
 	if p99 <= noisySchedulingDelay {
 		return ""
 	}
@@ -149,8 +149,8 @@
 	return fmt.Sprintf("; own scheduling delay p99 %.1f ms: noisy", milliseconds(p99))
 }
 
-// resetNoise forgets the delays so far, before what is measured next. They mark the report as noisy all the same.
-func (r *reporter) resetNoise() { r.takeNoise() }
+// resetSchedulingDelays forgets the delays so far, before what is measured next. They mark the report as noisy all the same.
+func (r *reporter) resetSchedulingDelays() { r.takeNoiseSuffix() }
 
 func mean(values []float64) (mean float64) {
 	for _, value := range values {
--- a/internal/fleettest/restart.go
+++ b/internal/fleettest/restart.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// restartGateway kills a real gateway and starts it again: Restarts times with the whole endpoint list known, and as many
+// measureRestarts kills a real gateway and starts it again: Restarts times with the whole endpoint list known, and as many
 // with none.
-func (r *fleetRun) restartGateway(ctx context.Context) error {
+func (r *fleetRun) measureRestarts(ctx context.Context) error {
 	if r.options.Changes.Restarts == 0 || len(r.ready) == 0 {
 		return ctx.Err()
 	}
@@ -20,18 +20,18 @@
 		{wholeListKnown, "time to ready after SIGKILL, list known", "from fork to +PONG, the whole list in known"},
 		{noListKnown, "time to ready after SIGKILL, list unknown", "from fork to +PONG, the whole list from the agent"},
 	} {
-		r.reporter.phase("%d restarts: %s", r.options.Changes.Restarts, restart.how)
-		r.reporter.resetNoise()
+		r.reporter.logPhase("%d restarts: %s", r.options.Changes.Restarts, restart.how)
+		r.reporter.resetSchedulingDelays()
 		times, notReady, err := r.timeRestarts(ctx, r.ready[0], restart.known)
 		if err != nil {
 			return err
 		}
 		if notReady != nil {
-			r.reporter.failure(restart.name, "ms", 1, notReady)
+			r.reporter.addFailure(restart.name, "ms", 1, notReady)
 			continue
 		}
-		r.reporter.row(restart.name, "ms", 1, times,
-			fmt.Sprintf("%s, mean of %d%s", restart.how, len(times), r.reporter.takeNoise()))
+		r.reporter.addRow(restart.name, "ms", 1, times,
+			fmt.Sprintf("%s, mean of %d%s", restart.how, len(times), r.reporter.takeNoiseSuffix()))
 	}
 	return nil
 }
@@ -56,10 +56,10 @@
 	return times, nil, nil
 }
 
-// endGateways ends the real gateways as a planned restart would.
-func (r *fleetRun) endGateways() {
+// terminateGateways ends the real gateways as a planned restart would.
+func (r *fleetRun) terminateGateways() {
 	const rowName = "end after SIGTERM"
-	r.reporter.phase("SIGTERM to the real gateways")
+	r.reporter.logPhase("SIGTERM to the real gateways")
 	times := make([]time.Duration, len(r.ready))
 	errs := make([]error, len(r.ready))
 	var ends sync.WaitGroup
@@ -71,12 +71,12 @@
 	var took []float64 // ms
 	for i, gateway := range r.ready {
 		if errs[i] != nil {
-			r.reporter.failure(rowName, "ms", 1, fmt.Errorf("%s: %w", gateway.name(), errs[i]))
+			r.reporter.addFailure(rowName, "ms", 1, fmt.Errorf("%s: %w", gateway.name(), errs[i]))
 			continue
 		}
 		took = append(took, milliseconds(times[i]))
 	}
 	if len(took) > 0 {
-		r.reporter.row(rowName, "ms", len(took), took, "no request open; new connections are taken for 500 ms")
+		r.reporter.addRow(rowName, "ms", len(took), took, "no request open; new connections are taken for 500 ms")
 	}
 }
--- a/internal/fleettest/run.go
+++ b/internal/fleettest/run.go
@@ -21,10 +21,10 @@
 type fleetRun struct {
 	options   Options
 	reporter  *reporter
-	program   program
+	program   gatewayProgram
 	emulated  *emulatedSystems
-	load      *loadMeter
-	drains    *drainWatch
+	load      *loadMetrics
+	drains    *drainMonitor
 	real      []*measuredGateway // all that were opened
 	ready     []*measuredGateway // of them, those that became ready
 	simulated *simulatedFleet
@@ -34,8 +34,8 @@
 type measuredGateway struct {
 	*realGateway
 	configFiles   map[knownList]string
-	requestsEnded atomic.Int64 // while loadMeter.measuring was set
-	added         *histogram   // the time that it adds to a request
+	requestsEnded atomic.Int64 // while loadMetrics.measuring was set
+	addedLatency  *histogram   // the time that it adds to a request
 }
 
 // knownList says which endpoint list a configuration names as known.
@@ -51,7 +51,7 @@
 // used or what takes part can't be opened.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	o = o.withDefaults()
-	if err := o.check(); err != nil {
+	if err := o.validate(); err != nil {
 		return nil, err
 	}
 	r, err := newFleetRun(o)
@@ -61,24 +61,24 @@
 	}
 	err = r.run(ctx)
 	r.close()
-	r.sumUp()
+	r.fillTotals()
 	return r.reporter.report, err
 }
 
 // newFleetRun opens all that takes part, but starts no gateway. The caller closes the run, also after an error.
 func newFleetRun(o Options) (*fleetRun, error) {
-	begun := time.Now()
-	r := &fleetRun{options: o, reporter: newReporter(o, begun), load: newLoadMeter(), drains: newDrainWatch(o)}
+	startedAt := time.Now()
+	r := &fleetRun{options: o, reporter: newReporter(o, startedAt), load: newLoadMetrics(), drains: newDrainMonitor(o)}
 	command, err := readRunCommand(o.Root)
 	if err != nil && o.Fleet.RealGateways > 0 {
 		return r, err
 	}
-	folder, err := os.MkdirTemp("", "fleettest-")
+	dir, err := os.MkdirTemp("", "fleettest-")
 	if err != nil {
 		return r, err
 	}
-	r.program = program{root: o.Root, command: command, folder: folder}
-	r.emulated, err = startEmulated(o, func(backend int, id string, firstByte time.Time) {
+	r.program = gatewayProgram{root: o.Root, command: command, dir: dir}
+	r.emulated, err = startEmulatedSystems(o, func(backend int, id string, firstByte time.Time) {
 		r.drains.attemptArrived(backend, emulator.GatewayOf(id), firstByte)
 	})
 	if err != nil {
@@ -89,7 +89,7 @@
 			return r, err
 		}
 	}
-	r.simulated = newSimulatedFleet(r.emulated, begun, o.Fleet.Zones)
+	r.simulated = newSimulatedFleet(r.emulated, startedAt, o.Fleet.Zones)
 	r.simulated.onArrival, r.simulated.onAttempt = r.load.requestArrived, r.drains.attemptArrived
 	for i := range o.Fleet.SimulatedGateways {
 		if err := r.simulated.add(o.Fleet.RealGateways+i, o); err != nil {
@@ -105,9 +105,9 @@
 	opened, err := openRealGateway(realGatewaySetup{index: index, program: &r.program,
 		settings: newSettings(index, fleet.ConfiguredGateways, fleet.Zones), seed: r.options.Load.Seed + uint64(index),
 		memoryMB: r.options.Process.MemoryMB, listenHost: gatewayHost, emulatorHost: emulatorHost,
-		catalog: r.emulated.catalog, onWatchSent: r.drains.listSent, numbers: r.emulated.numbers,
+		catalog: r.emulated.catalog, onWatchSent: r.drains.watchSent, counterValues: r.emulated.counterValues,
 		replyGrace: clientReplyGrace})
-	gateway := &measuredGateway{realGateway: opened, configFiles: map[knownList]string{}, added: newHistogram()}
+	gateway := &measuredGateway{realGateway: opened, configFiles: map[knownList]string{}, addedLatency: newHistogram()}
 	r.real = append(r.real, gateway)
 	if err != nil {
 		return err
@@ -116,7 +116,7 @@
 		wholeListKnown: r.emulated.catalog.Snapshot(),
 		noListKnown:    {Snapshot: true, Endpoints: []emulator.Endpoint{}},
 	} {
-		file := filepath.Join(r.program.folder, fmt.Sprintf("%s-%s.json", gateway.name(), known))
+		file := filepath.Join(r.program.dir, fmt.Sprintf("%s-%s.json", gateway.name(), known))
 		config, err := gateway.config(list)
 		if err != nil {
 			return err
@@ -136,34 +136,34 @@
 	defer background.Wait()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	background.Go(func() { r.reporter.delay.measure(ctx) })
+	background.Go(func() { r.reporter.schedulingDelay.measure(ctx) })
 
 	heapBefore := heapAllocated()
-	load := newLoadSwitch()
+	load := newLoadSignals()
 	r.simulated.start(ctx, &background, load)
 	if err := r.startGateways(ctx); err != nil {
 		return err
 	}
 	if n := len(r.simulated.gateways); n > 0 {
-		r.reporter.row("memory of a hollow door", "MB", n, []float64{megabytes(heapAllocated()-heapBefore) / float64(n)},
+		r.reporter.addRow("memory of a hollow door", "MB", n, []float64{megabytes(heapAllocated()-heapBefore) / float64(n)},
 			"of the heap, with the list taken in and no load yet")
 	}
-	if r.running() == 0 {
+	if r.runningGateways() == 0 {
 		return errors.New("no gateway is ready")
 	}
-	r.reporter.phase("%d real and %d simulated gateways are ready", len(r.ready), len(r.simulated.gateways))
-	if err := r.applyLoad(ctx, load); err != nil {
+	r.reporter.logPhase("%d real and %d simulated gateways are ready", len(r.ready), len(r.simulated.gateways))
+	if err := r.runLoad(ctx, load); err != nil {
 		return err
 	}
-	if err := r.restartGateway(ctx); err != nil {
+	if err := r.measureRestarts(ctx); err != nil {
 		return err
 	}
-	r.endGateways()
+	r.terminateGateways()
 	return ctx.Err()
 }
 
 // running is how many gateways run, real and simulated.
-func (r *fleetRun) running() int { return len(r.ready) + len(r.simulated.gateways) }
+func (r *fleetRun) runningGateways() int { return len(r.ready) + len(r.simulated.gateways) }
 
 // heapAllocated returns how many bytes objects on the heap take after a collection.
 func heapAllocated() int64 {
@@ -199,11 +199,11 @@
 				return err
 			}
 		}
-		r.reporter.failure(rowName, "ms", 1, errs[i])
+		r.reporter.addFailure(rowName, "ms", 1, errs[i])
 	}
-	noise := r.reporter.takeNoise()
+	noise := r.reporter.takeNoiseSuffix()
 	if len(ready) > 0 {
-		r.reporter.row(rowName, "ms", len(ready), ready,
+		r.reporter.addRow(rowName, "ms", len(ready), ready,
 			"all real gateways at once, from fork to +PONG, whole list known"+noise)
 	}
 	return r.simulated.awaitReady(ctx)
@@ -228,13 +228,13 @@
 	if r.emulated != nil {
 		r.emulated.backends.Close()
 	}
-	if r.program.folder != "" {
-		os.RemoveAll(r.program.folder)
+	if r.program.dir != "" {
+		os.RemoveAll(r.program.dir)
 	}
 }
 
-// sumUp fills in the totals.
-func (r *fleetRun) sumUp() {
+// fillTotals fills in the totals.
+func (r *fleetRun) fillTotals() {
 	firstSimulated, firstDirect := r.options.Fleet.RealGateways, r.options.Fleet.ConfiguredGateways
 	totals, ledger := &r.reporter.report.Totals, r.emulated.ledger
 	totals.Real = ledger.Sums(func(id string) bool { return emulator.GatewayOf(id) < firstSimulated })
@@ -252,7 +252,7 @@
 }
 
 // pause waits, but not beyond the context's end, whose error it returns.
-func pause(ctx context.Context, d time.Duration) error {
+func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
--- a/internal/fleettest/run_test.go
+++ b/internal/fleettest/run_test.go
@@ -13,10 +13,10 @@
 	"bellwood/internal/emulator"
 )
 
-const patience = 20 * time.Second // bounds the waits; none is expected to take a noticeable part of it
+const waitTimeout = 20 * time.Second // bounds the waits; none is expected to take a noticeable part of it
 
-// smallRun returns the options of a run of seconds.
-func smallRun(t *testing.T) Options {
+// smallRunOptions returns the options of a run of seconds.
+func smallRunOptions(t *testing.T) Options {
 	t.Helper()
 	root := buildRoot(t)
 	t.Setenv("TMPDIR", t.TempDir()) // to see that nothing is left there
@@ -26,12 +26,12 @@
 		Load:     LoadOptions{RequestsPerSecond: 150, Requests: 60, Seed: 7},
 		Changes:  ChangeOptions{Drains: 1, Restarts: 1, drainDuration: 100 * time.Millisecond},
 		Emulated: EmulatedOptions{MeanServiceTime: 2 * time.Millisecond},
-		Process:  ProcessOptions{ReadyTimeout: patience},
+		Process:  ProcessOptions{ReadyTimeout: waitTimeout},
 	}
 }
 
-// expectNothingLeft fails if a process that the run started is there, or a file.
-func expectNothingLeft(t *testing.T, report *Report) {
+// expectCleanedUp fails if a process that the run started is there, or a file.
+func expectCleanedUp(t *testing.T, report *Report) {
 	t.Helper()
 	for _, pid := range report.processIDs {
 		if err := syscall.Kill(pid, 0); !errors.Is(err, syscall.ESRCH) {
@@ -46,8 +46,8 @@
 	}
 }
 
-// expectSums checks that each of so many requests has a final answer, and that backends and clients agree on them.
-func expectSums(t *testing.T, gateways string, sums emulator.Sums, requests int) {
+// expectConsistentSums checks that each of so many requests has a final answer, and that backends and clients agree on them.
+func expectConsistentSums(t *testing.T, gateways string, sums emulator.Sums, requests int) {
 	t.Helper()
 	if sums.Requests != requests || sums.Served+sums.Rejected+sums.Failed != requests || sums.Served == 0 {
 		t.Errorf("of %d requests of %s gateways some have no final answer, or none was served: %+v", requests, gateways, sums)
@@ -79,14 +79,14 @@
 
 // One real gateway beside three simulated ones goes through all phases. No request is lost, and each figure is there.
 func TestRunMeasuresRealBesideSimulatedGateways(t *testing.T) {
-	o := smallRun(t)
+	o := smallRunOptions(t)
 	report, err := Run(context.Background(), o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	expectNothingLeft(t, report)
-	expectSums(t, "real", report.Real, o.Load.Requests)
-	expectSums(t, "simulated", report.Simulated, o.Fleet.SimulatedGateways*o.Load.Requests-int(report.RequestsSkipped))
+	expectCleanedUp(t, report)
+	expectConsistentSums(t, "real", report.Real, o.Load.Requests)
+	expectConsistentSums(t, "simulated", report.Simulated, o.Fleet.SimulatedGateways*o.Load.Requests-int(report.RequestsSkipped))
 	if runs := report.Real.Runs + report.Simulated.Runs + report.Direct.Runs; report.AttemptsStarted != runs {
 		t.Errorf("the backends began %d attempts, but %d by the requests' ids", report.AttemptsStarted, runs)
 	}
@@ -120,19 +120,19 @@
 func TestCancelledRunCleansUp(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	o := smallRun(t)
+	o := smallRunOptions(t)
 	o.Progress = writeHook{"drains", cancel}
 	report, err := Run(ctx, o)
 	if !errors.Is(err, context.Canceled) || len(report.processIDs) != 1 {
 		t.Errorf("cancelled under load: %v, %d processes", err, len(report.processIDs))
 	}
-	expectNothingLeft(t, report)
+	expectCleanedUp(t, report)
 }
 
 // The deploy file starts a program that never answers. A row says so, with the last line of its log, and the others
 // go on.
 func TestGatewayThatIsNotReadyBecomesARow(t *testing.T) {
-	o := smallRun(t)
+	o := smallRunOptions(t)
 	o.Root = t.TempDir()
 	if err := writeDeployFile(o.Root, "run = \"echo \\\"not me\\\" >&2; sleep 60\"\n"); err != nil {
 		t.Fatal(err)
@@ -143,7 +143,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	expectNothingLeft(t, report)
+	expectCleanedUp(t, report)
 	failed := report.Failed()
 	if len(failed) != 1 || !strings.Contains(failed[0].How, "not ready") || !strings.Contains(failed[0].How, "not me") {
 		t.Errorf("failed: %+v", failed)
--- a/internal/fleettest/simulated.go
+++ b/internal/fleettest/simulated.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	simulatedCores        = 2                      // simulated gateways that compute at once
+	maxConcurrentSteps    = 2                      // simulated gateways that compute at once
 	simulatedReadyTimeout = 30 * time.Second       // for all of them to take in the endpoint list
 	counterLatency        = 200 * time.Microsecond // from a counter call to its answer
 	rejectionLatency      = 100 * time.Microsecond // from an attempt to its being rejected
@@ -25,21 +25,21 @@
 
 // simulatedFleet is what the simulated gateways of one run share.
 type simulatedFleet struct {
-	gateways  []*simulatedGateway
-	emulated  *emulatedSystems
-	begun     time.Time     // of the run: their clock starts then
-	cores     chan struct{} // one place for each gateway that may compute
-	zones     int
-	onArrival func()                                               // a request has come to one of them
-	onAttempt func(backend, gatewayIndex int, firstByte time.Time) // an attempt of one of them has come to a backend
-	lateness  *histogram                                           // of what was due in their loops
-	stepTime  *histogram                                           // that one Step takes
+	gateways      []*simulatedGateway
+	emulated      *emulatedSystems
+	startedAt     time.Time     // of the run: their clock starts then
+	computeSlots  chan struct{} // one place for each gateway that may compute
+	zones         int
+	onArrival     func()                                               // a request has come to one of them
+	onAttempt     func(backend, gatewayIndex int, firstByte time.Time) // an attempt of one of them has come to a backend
+	timerLateness *histogram                                           // of what was due in their loops
+	stepTime      *histogram                                           // that one Step takes
 }
 
 // newSimulatedFleet returns a fleet with no gateways. The caller sets onArrival and onAttempt.
-func newSimulatedFleet(emulated *emulatedSystems, begun time.Time, zones int) *simulatedFleet {
-	return &simulatedFleet{emulated: emulated, begun: begun, cores: make(chan struct{}, simulatedCores), zones: zones,
-		lateness: newHistogram(), stepTime: newHistogram()}
+func newSimulatedFleet(emulated *emulatedSystems, startedAt time.Time, zones int) *simulatedFleet {
+	return &simulatedFleet{emulated: emulated, startedAt: startedAt, computeSlots: make(chan struct{}, maxConcurrentSteps), zones: zones,
+		timerLateness: newHistogram(), stepTime: newHistogram()}
 }
 
 // add adds a gateway with an index of its own. It does not run yet.
@@ -58,21 +58,21 @@
 	}
 	gateway := &simulatedGateway{fleet: f, index: index, engine: engine, requests: map[uint64]*simulatedRequest{},
 		inService: make([]bool, len(f.emulated.endpoints)),
-		arrivals:  arrivalSchedule{traffic: emulator.NewTraffic(f.emulated.traffic, index), left: requestsLeft}}
+		arrivals:  arrivalSchedule{traffic: emulator.NewTraffic(f.emulated.traffic, index), remaining: requestsLeft}}
 	f.gateways = append(f.gateways, gateway)
 	return nil
 }
 
 // start starts a goroutine for each gateway, which ends with the context.
-func (f *simulatedFleet) start(ctx context.Context, goroutines *sync.WaitGroup, load *loadSwitch) {
+func (f *simulatedFleet) start(ctx context.Context, goroutines *sync.WaitGroup, load *loadSignals) {
 	for _, gateway := range f.gateways {
-		goroutines.Go(func() { gateway.run(ctx, load.begun, load.halted) })
+		goroutines.Go(func() { gateway.run(ctx, load.started, load.stopped) })
 	}
 }
 
 // now is the gateways' clock: like a real gateway's, the Unix time at the start and what has passed since.
 func (f *simulatedFleet) now() time.Duration {
-	return time.Duration(f.begun.UnixNano()) + time.Since(f.begun)
+	return time.Duration(f.startedAt.UnixNano()) + time.Since(f.startedAt)
 }
 
 // awaitReady waits until each gateway has taken in the endpoint list.
@@ -80,7 +80,7 @@
 	end := time.Now().Add(simulatedReadyTimeout)
 	for _, gateway := range f.gateways {
 		for !gateway.ready.Load() {
-			if err := pause(ctx, statePollInterval); err != nil {
+			if err := sleep(ctx, statePollInterval); err != nil {
 				return err
 			}
 			if time.Now().After(end) {
@@ -119,7 +119,7 @@
 
 // resetTimes forgets the times that were measured so far.
 func (f *simulatedFleet) resetTimes() {
-	f.lateness.reset()
+	f.timerLateness.reset()
 	f.stepTime.reset()
 }
 
@@ -145,32 +145,32 @@
 }
 
 // run serves until the context ends. Requests come from when begun is closed until halted is.
-func (g *simulatedGateway) run(ctx context.Context, begun, halted <-chan struct{}) {
-	alarm := time.NewTimer(0)
-	defer alarm.Stop()
+func (g *simulatedGateway) run(ctx context.Context, started, stopped <-chan struct{}) {
+	timer := time.NewTimer(0)
+	defer timer.Stop()
 	catalog := g.fleet.emulated.catalog
-	g.takeList(catalog.Snapshot(), policy.CachedSnapshot)
+	g.applyEndpointList(catalog.Snapshot(), policy.CachedSnapshot)
 	_, listChanged := catalog.ChangesSince(g.listIndex)
 	for {
 		if !g.step(ctx) {
 			return
 		}
 		g.ready.Store(true)
-		g.idle.Store(g.arrivals.left == 0 && len(g.requests) == 0)
-		alarm.Reset(g.timers.Wait(g.fleet.now()))
+		g.idle.Store(g.arrivals.remaining == 0 && len(g.requests) == 0)
+		timer.Reset(g.timers.Wait(g.fleet.now()))
 		select {
 		case <-ctx.Done():
 			return
-		case <-begun:
-			begun = nil
+		case <-started:
+			started = nil
 			g.arrivals.nextAt = g.fleet.now()
-			g.takeArrivals()
-		case <-halted:
-			halted = nil
-			g.arrivals.left = 0
+			g.handleDueArrivals()
+		case <-stopped:
+			stopped = nil
+			g.arrivals.remaining = 0
 		case <-listChanged:
-			listChanged = g.takeChanges()
-		case <-alarm.C:
+			listChanged = g.applyListChanges()
+		case <-timer.C:
 		}
 		g.runTimers()
 	}
@@ -180,7 +180,7 @@
 func (g *simulatedGateway) runTimers() {
 	now := g.fleet.now()
 	if late := g.timers.Late(now); late > 0 {
-		g.fleet.lateness.record(late)
+		g.fleet.timerLateness.record(late)
 	}
 	g.timers.Run(now)
 }
@@ -192,8 +192,8 @@
 		return ctx.Err() == nil
 	}
 	select {
-	case g.fleet.cores <- struct{}{}:
-		defer func() { <-g.fleet.cores }()
+	case g.fleet.computeSlots <- struct{}{}:
+		defer func() { <-g.fleet.computeSlots }()
 	case <-ctx.Done():
 		return false
 	}
@@ -205,21 +205,21 @@
 		actions := g.engine.Step(g.fleet.now(), events)
 		g.fleet.stepTime.record(time.Since(start))
 		for _, action := range actions {
-			g.carryOut(action)
+			g.execute(action)
 		}
 	}
 	return ctx.Err() == nil
 }
 
 // emit notes an event for the next Step.
-func (g *simulatedGateway) emit(event policy.Event) { g.events = append(g.events, event) }
+func (g *simulatedGateway) queueEvent(event policy.Event) { g.events = append(g.events, event) }
 
 // after runs a task later on this gateway's goroutine.
-func (g *simulatedGateway) after(pause time.Duration, task func()) {
-	g.timers.Add(g.fleet.now()+pause, task)
+func (g *simulatedGateway) after(delay time.Duration, task func()) {
+	g.timers.Add(g.fleet.now()+delay, task)
 }
 
-func (g *simulatedGateway) carryOut(action policy.Action) {
+func (g *simulatedGateway) execute(action policy.Action) {
 	switch action := action.(type) {
 	case policy.SendAttempt:
 		if request := g.requests[action.ID]; request != nil {
@@ -230,40 +230,40 @@
 			g.endAttempt(request.attempts[action.Attempt], policy.Cancelled)
 		}
 	case policy.Reject:
-		g.answer(g.requests[action.ID], emulator.Rejected)
+		g.answerRequest(g.requests[action.ID], emulator.Rejected)
 	case policy.Fail:
-		g.answer(g.requests[action.ID], emulator.Failed)
+		g.answerRequest(g.requests[action.ID], emulator.Failed)
 	case policy.HealthCheck:
 		g.after(healthCheckLatency, func() {
-			g.emit(policy.HealthCheckResult{Backend: action.Backend, Status: policy.OK})
+			g.queueEvent(policy.HealthCheckResult{Backend: action.Backend, Status: policy.OK})
 		})
 	case policy.AddToCounter:
 		g.callCounter(action)
 	case policy.SetTimer:
-		g.timers.Add(action.At, func() { g.emit(policy.Timer{Cookie: action.Cookie}) })
+		g.timers.Add(action.At, func() { g.queueEvent(policy.Timer{Cookie: action.Cookie}) })
 	case policy.FetchEndpoints:
-		g.after(fetchLatency, func() { g.takeList(g.fleet.emulated.catalog.Snapshot(), policy.Snapshot) })
+		g.after(fetchLatency, func() { g.applyEndpointList(g.fleet.emulated.catalog.Snapshot(), policy.Snapshot) })
 	}
 }
 
 // callCounter adds to a number at once and emits the result when the answer would come.
 func (g *simulatedGateway) callCounter(call policy.AddToCounter) {
 	name := strconv.FormatUint(call.Name, 10)
-	total, ok := g.fleet.emulated.numbers.Add(time.Now(), name, call.Amount, call.TTL)
+	total, ok := g.fleet.emulated.counterValues.Add(time.Now(), name, call.Amount, call.TTL)
 	result := policy.CounterResult{Name: call.Name, Status: policy.Rejected}
 	if ok {
 		result = policy.CounterResult{Name: call.Name, Status: policy.OK, Total: total}
 	}
-	g.after(counterLatency, func() { g.emit(result) })
+	g.after(counterLatency, func() { g.queueEvent(result) })
 }
 
-// takeChanges takes in what has changed in the endpoint list, and returns what is closed at the next change.
-func (g *simulatedGateway) takeChanges() (listChanged <-chan struct{}) {
+// applyListChanges takes in what has changed in the endpoint list, and returns what is closed at the next change.
+func (g *simulatedGateway) applyListChanges() (listChanged <-chan struct{}) {
 	members, listChanged := g.fleet.emulated.catalog.ChangesSince(g.listIndex)
 	if members.Snapshot {
-		g.takeList(members, policy.Snapshot)
+		g.applyEndpointList(members, policy.Snapshot)
 	} else if len(members.Endpoints) > 0 {
-		g.takeList(members, policy.Delta)
+		g.applyEndpointList(members, policy.Delta)
 	}
 	return listChanged
 }
@@ -272,8 +272,8 @@
 var backendStates = map[string]policy.BackendState{emulator.Serving: policy.InService,
 	emulator.Draining: policy.Draining, emulator.Deleted: policy.Terminated}
 
-// takeList takes in an endpoint list or its changes.
-func (g *simulatedGateway) takeList(members emulator.Members, kind policy.UpdateKind) {
+// applyEndpointList takes in an endpoint list or its changes.
+func (g *simulatedGateway) applyEndpointList(members emulator.Members, kind policy.UpdateKind) {
 	g.listIndex = members.Index
 	if kind != policy.Delta {
 		clear(g.inService)
@@ -287,5 +287,5 @@
 			Cell: endpoint.Group, State: state, Weight: endpoint.Weight,
 			Started: time.Duration(endpoint.SinceMS) * time.Millisecond})
 	}
-	g.emit(update)
+	g.queueEvent(update)
 }
--- a/internal/fleettest/sockets.go
+++ b/internal/fleettest/sockets.go
@@ -23,11 +23,11 @@
 // unreadBytes returns how many bytes wait to be read by the process that holds the TCP socket with these two ends. It
 // asks the kernel for just that socket, by sock_diag(7); where that can't be, it reads the table of all, which takes
 // tens of milliseconds where there are many thousands. method names what it did.
-func unreadBytes(own, peer netip.AddrPort) (n int, method string, err error) {
-	if n, err = unreadBySockDiag(own, peer); err == nil {
+func unreadBytes(local, remote netip.AddrPort) (n int, method string, err error) {
+	if n, err = unreadBySockDiag(local, remote); err == nil {
 		return n, bySockDiag, nil
 	}
-	n, err = unreadBySocketTable(own, peer)
+	n, err = unreadBySocketTable(local, remote)
 	return n, bySocketTable, err
 }
 
@@ -51,7 +51,7 @@
 )
 
 // unreadBySockDiag asks the kernel for one socket.
-func unreadBySockDiag(own, peer netip.AddrPort) (int, error) {
+func unreadBySockDiag(local, remote netip.AddrPort) (int, error) {
 	fd, err := syscall.Socket(syscall.AF_NETLINK, syscall.SOCK_RAW|syscall.SOCK_CLOEXEC, netlinkSockDiag)
 	if err != nil {
 		return 0, err
@@ -61,7 +61,7 @@
 	if err := syscall.SetsockoptTimeval(fd, syscall.SOL_SOCKET, syscall.SO_RCVTIMEO, timeout); err != nil {
 		return 0, err
 	}
-	request := sockDiagRequest(own, peer)
+	request := sockDiagRequest(local, remote)
 	if err := syscall.Sendto(fd, request, 0, &syscall.SockaddrNetlink{Family: syscall.AF_NETLINK}); err != nil {
 		return 0, err
 	}
@@ -81,7 +81,7 @@
 }
 
 // sockDiagRequest is the netlink message that asks for the socket with these two ends.
-func sockDiagRequest(own, peer netip.AddrPort) []byte {
+func sockDiagRequest(local, remote netip.AddrPort) []byte {
 	message := make([]byte, netlinkHeaderSize+diagRequestSize)
 	native := binary.NativeEndian
 	native.PutUint32(message, uint32(len(message)))
@@ -90,9 +90,9 @@
 	request := message[netlinkHeaderSize:]
 	request[0], request[1] = syscall.AF_INET, syscall.IPPROTO_TCP
 	native.PutUint32(request[diagStates:], anyState)
-	binary.BigEndian.PutUint16(request[diagPorts:], own.Port())
-	binary.BigEndian.PutUint16(request[diagPorts+portSize:], peer.Port())
-	source, destination := own.Addr().Unmap().As4(), peer.Addr().Unmap().As4()
+	binary.BigEndian.PutUint16(request[diagPorts:], local.Port())
+	binary.BigEndian.PutUint16(request[diagPorts+portSize:], remote.Port())
+	source, destination := local.Addr().Unmap().As4(), remote.Addr().Unmap().As4()
 	copy(request[diagSourceAddr:], source[:])
 	copy(request[diagPeerAddr:], destination[:])
 	native.PutUint64(request[diagCookie:], anyCookie)
@@ -100,13 +100,13 @@
 }
 
 // unreadBySocketTable finds the socket in /proc/net/tcp, see proc(5).
-func unreadBySocketTable(own, peer netip.AddrPort) (int, error) {
+func unreadBySocketTable(local, remote netip.AddrPort) (int, error) {
 	table, err := os.Open("/proc/net/tcp")
 	if err != nil {
 		return 0, err
 	}
 	defer table.Close()
-	ends := socketTableAddr(own) + " " + socketTableAddr(peer) + " "
+	ends := socketTableAddr(local) + " " + socketTableAddr(remote) + " "
 	lines := bufio.NewScanner(table)
 	for lines.Scan() {
 		_, rest, ok := strings.Cut(lines.Text(), ends)
--- a/internal/fleettest/sockets_test.go
+++ b/internal/fleettest/sockets_test.go
@@ -27,17 +27,17 @@
 }
 
 // expectUnread checks that both ways of asking tell how many bytes a socket has not been read of.
-func expectUnread(t *testing.T, own, peer netip.AddrPort, want int) {
+func expectUnread(t *testing.T, local, remote netip.AddrPort, want int) {
 	t.Helper()
-	n, err := unreadBySocketTable(own, peer)
-	for end := time.Now().Add(patience); n != want && err == nil && time.Now().Before(end); {
+	n, err := unreadBySocketTable(local, remote)
+	for end := time.Now().Add(waitTimeout); n != want && err == nil && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
-		n, err = unreadBySocketTable(own, peer)
+		n, err = unreadBySocketTable(local, remote)
 	}
 	if n != want || err != nil {
 		t.Errorf("%d bytes by the table, %v; want %d", n, err, want)
 	}
-	if n, err := unreadBySockDiag(own, peer); err == nil && n != want { // the kernel may come without it
+	if n, err := unreadBySockDiag(local, remote); err == nil && n != want { // the kernel may come without it
 		t.Errorf("%d bytes by sock_diag, want %d", n, want)
 	} else if err != nil {
 		t.Log(err)
@@ -46,13 +46,13 @@
 
 func TestUnreadBytesOfASocket(t *testing.T) {
 	client, server := connect(t)
-	own, peer := netip.MustParseAddrPort(client.LocalAddr().String()), netip.MustParseAddrPort(server.LocalAddr().String())
-	expectUnread(t, own, peer, 0)
+	local, remote := netip.MustParseAddrPort(client.LocalAddr().String()), netip.MustParseAddrPort(server.LocalAddr().String())
+	expectUnread(t, local, remote, 0)
 	server.Write([]byte("12345"))
-	expectUnread(t, own, peer, 5)
+	expectUnread(t, local, remote, 5)
 	client.Read(make([]byte, 64))
-	expectUnread(t, own, peer, 0)
-	if _, _, err := unreadBytes(peer, netip.MustParseAddrPort("127.0.0.1:1")); err == nil {
+	expectUnread(t, local, remote, 0)
+	if _, _, err := unreadBytes(remote, netip.MustParseAddrPort("127.0.0.1:1")); err == nil {
 		t.Error("a socket that there is not is found")
 	}
 }
