--- a/internal/fleettest/drain.go
+++ b/internal/fleettest/drain.go
@@ -11,44 +11,44 @@
 )
 
 const (
-	attemptRateWindow  = 300 * time.Millisecond // in which attempts at a backend are counted before it drains
-	listReadTimeout    = 5 * time.Second        // for a gateway to read that a backend drains
-	listReadPoll       = 50 * time.Microsecond  // of a socket's receive queue
-	drainPoll          = time.Millisecond
-	pauseBetweenDrains = 100 * time.Millisecond // from a backend's return to the next drain
-	maxListsRecorded   = 1 << 12                // by drain
-	// A large drain takes one of so many backends, and two at least.
+	attemptRateWindow  = 300 * time.Millisecond // in which attempts at backends are counted before they drain
+	listReadTimeout    = 5 * time.Second        // for the gateways to read the change of the endpoint list
+	listReadPoll       = 50 * time.Microsecond  // interval between checks of a socket's receive queue
+	drainPoll          = time.Millisecond       // interval between checks whether all gateways have read the change
+	pauseBetweenDrains = 100 * time.Millisecond // from restoring the backends to the next drain
+	maxListsRecorded   = 1 << 12                // for each drain
+	// A large drain drains one in largeDrainDivisor backends, and at least minLargeDrain.
 	largeDrainDivisor = 5
 	minLargeDrain     = 2
 )
 
-// drainMonitor notes how a drain takes effect. It is safe for concurrent use.
+// drainMonitor records when a drain takes effect at the gateways. It is safe for concurrent use.
 type drainMonitor struct {
 	realGateways, configuredGateways int
 
-	mu         sync.Mutex // guards all below, and the fields of each drain
-	attempts   []int      // of real gateways since takeBusiest, by backend with a listener of its own
-	current    *drain     // nil: none is watched
-	readMethod string     // how it was found last that a list was read; see unreadBytes
+	mu         sync.Mutex // guards the fields below, and the fields of each drain
+	attempts   []int      // by real gateways since the last takeBusiest, by index of the backend, for dedicatedBackends
+	current    *drain     // the drain being monitored; nil: none
+	readMethod string     // how the last read of a list was detected; see unreadBytes
 }
 
-// drain is one change of the endpoint list by which backends drain, and what came of it.
+// drain is one change of the endpoint list that drains backends, with its observed effects.
 type drain struct {
 	backends    map[int]bool
 	pushedAt    time.Time
-	lastAttempt map[int]time.Time // the first byte of the last attempt after it, by gateway index
-	attempts    int               // after it
-	listBytes   []float64         // of the line that each real gateway was sent
-	readDelays  []time.Duration   // from a list's being sent to its being read
+	lastAttempt map[int]time.Time // arrival of the first byte of the last attempt after the push, by gateway index
+	attempts    int               // after the push
+	listBytes   []float64         // size of the line sent to each real gateway
+	readDelays  []time.Duration   // from the sending of the line to its being read, for each real gateway
 }
 
-// drainResults gather what some drains gave.
+// drainResults accumulates the results of several drains.
 type drainResults struct {
-	effectiveAfter, effectiveAfterReal []float64 // ms, by drain
-	attempts                           []float64 // by drain
-	rateBefore                         []float64 // attempts/s, by drain
-	readDelays                         []float64 // ms, by drain and real gateway
-	listBytes                          []float64 // by drain and real gateway
+	effectiveAfter, effectiveAfterReal []float64 // ms, for each drain; of all gateways, and of the real ones
+	attempts                           []float64 // for each drain
+	rateBefore                         []float64 // attempts/s, for each drain
+	readDelays                         []float64 // ms, for each drain and real gateway
+	listBytes                          []float64 // for each drain and real gateway
 }
 
 func newDrainMonitor(o Options) *drainMonitor {
@@ -56,7 +56,7 @@
 		attempts: make([]int, dedicatedBackends(o))}
 }
 
-// attemptArrived notes that an attempt of a gateway has come to a backend.
+// attemptArrived records that an attempt by a gateway has arrived at a backend.
 func (w *drainMonitor) attemptArrived(backend, gatewayIndex int, firstByte time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -69,8 +69,8 @@
 	}
 }
 
-// watchSent notes a change of the endpoint list that a real gateway was sent, and finds out when it is read. An agent
-// calls it on a goroutine of its own, and goes on once it returns.
+// watchSent records a change of the endpoint list that was sent to a real gateway, and polls the gateway's socket until the
+// change has been read. An agent calls it on a goroutine of its own, which continues when it returns.
 func (w *drainMonitor) watchSent(sent emulator.WatchSent) {
 	watched := w.recordWatchSent(sent)
 	if watched == nil {
@@ -91,7 +91,8 @@
 	}
 }
 
-// recordWatchSent notes a list that was sent and returns the drain that it tells; nil: none that is watched.
+// recordWatchSent records a list that was sent. It returns the monitored drain that the list announces, or nil if there is
+// none.
 func (w *drainMonitor) recordWatchSent(sent emulator.WatchSent) *drain {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -103,7 +104,7 @@
 	return d
 }
 
-// takeBusiest returns the backends to which real gateways sent most since the last call.
+// takeBusiest returns the backends that received the most attempts from real gateways since the last call.
 func (w *drainMonitor) takeBusiest(count int) []int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -116,7 +117,7 @@
 	return busiest[:count]
 }
 
-// begin watches a drain of backends, which the caller pushes next. It returns the time from which is counted.
+// start starts monitoring a drain of backends, which the caller pushes next. It returns the time that counts as the push.
 func (w *drainMonitor) start(backends []int) time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -128,14 +129,14 @@
 	return w.current.pushedAt
 }
 
-// reads returns how many gateways have read of the drain that is being watched; there must be one.
+// readCount returns how many gateways have read the monitored drain; there must be one.
 func (w *drainMonitor) readCount() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return len(w.current.readDelays)
 }
 
-// end ends the watch, which begin began, and adds what it gave.
+// finish stops monitoring the current drain and adds its results.
 func (w *drainMonitor) finish(results *drainResults) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -157,16 +158,16 @@
 	}
 }
 
-// method returns how it was found last that a list was read.
+// method returns how the last read of a list was detected.
 func (w *drainMonitor) method() string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.readMethod
 }
 
-// drainBackends drains backends, first one at a time and then a fifth of all in one push, each time those that the real
-// gateways sent most to, and puts them back. The backends themselves go on serving, so that nothing but the endpoint
-// list tells the gateways.
+// drainBackends drains and restores backends, first one at a time and then a fifth of them in one push. It always drains
+// those that received the most attempts from the real gateways. The backends themselves continue to serve, so that the
+// gateways learn of a drain only from the endpoint list.
 func (r *fleetRun) drainBackends(ctx context.Context) error {
 	drains := r.options.Changes.Drains
 	largeDrain := min(max(minLargeDrain, r.options.Fleet.Backends/largeDrainDivisor), dedicatedBackends(r.options)-1)
@@ -187,7 +188,7 @@
 	return nil
 }
 
-// drainOnce drains so many backends in one push, and puts them back once all gateways must have read it.
+// drainOnce drains a number of backends in one push, and restores them after awaitListReads.
 func (r *fleetRun) drainOnce(ctx context.Context, count int, results *drainResults) error {
 	backends := r.drains.takeBusiest(count)
 	drained, restored := make([]emulator.Endpoint, count), make([]emulator.Endpoint, count)
@@ -208,11 +209,11 @@
 	if err != nil {
 		return err
 	}
-	return sleep(ctx, pauseBetweenDrains) // else the two changes could be told as one
+	return sleep(ctx, pauseBetweenDrains) // otherwise the agents could combine this change and the next drain into one
 }
 
-// attemptRate measures how many attempts a second come to backends now. The counts that takeBusiest ranks by are older, so
-// the rate is measured anew.
+// attemptRate measures the current rate of attempts a second at some backends. takeBusiest's counts are older and can't be
+// used for it.
 func (r *fleetRun) attemptRate(ctx context.Context, backends []int) (float64, error) {
 	before, _ := r.emulated.model.Attempts()
 	start := time.Now()
@@ -227,7 +228,8 @@
 	return float64(attempts) / time.Since(start).Seconds(), nil
 }
 
-// awaitListReads waits for a drain's time, and then until all real gateways have read of it or the time for that is up.
+// awaitListReads waits for the drain duration, and then until all real gateways have read the change or listReadTimeout has
+// passed since the push.
 func (r *fleetRun) awaitListReads(ctx context.Context, pushedAt time.Time) error {
 	err := sleep(ctx, r.options.Changes.drainDuration)
 	for end := pushedAt.Add(listReadTimeout); err == nil && time.Now().Before(end) && r.drains.readCount() < len(r.ready); {
@@ -236,25 +238,27 @@
 	return err
 }
 
-// reportDrains makes rows of some drains of so many backends.
+// reportDrains adds the rows of several drains, each of count backends.
 func (r *fleetRun) reportDrains(count int, results *drainResults) {
 	drain := "drain of one backend"
 	if count > 1 {
 		drain = fmt.Sprintf("drain of %d backends", count)
 	}
-	effectiveHow := fmt.Sprintf("from the push to the last first byte at a drained backend, 0: none came; "+
-		"mean of %d; %.1f attempts/s came there before%s", len(results.effectiveAfter), mean(results.rateBefore), r.reporter.takeNoiseSuffix())
+	effectiveHow := fmt.Sprintf("from the push to the first byte of the last attempt at a drained backend, 0: no attempt; "+
+		"mean of %d; %.1f attempts/s there before the push%s", len(results.effectiveAfter), mean(results.rateBefore),
+		r.reporter.takeNoiseSuffix())
 	realGateways := len(r.ready)
 	r.reporter.addRow(drain+", in force at all doors", "ms", r.runningGateways(), results.effectiveAfter, effectiveHow)
 	if realGateways > 0 {
 		r.reporter.addRow(drain+", in force at real doors", "ms", realGateways, results.effectiveAfterReal, effectiveHow)
 	}
-	r.reporter.addRow(drain+", attempts after the push", "", r.runningGateways(), results.attempts, "of all gateways, by drain")
+	r.reporter.addRow(drain+", attempts after the push", "", r.runningGateways(), results.attempts,
+		"of all gateways, per drain")
 	if realGateways > 0 {
 		r.reporter.addRow(drain+", read by the door", "ms", realGateways, results.readDelays, fmt.Sprintf(
-			"from the agent's write until the gateway's socket is empty, by %s, %d seen", r.drains.method(),
+			"from the agent's write until the gateway's socket is empty, by %s, %d observed", r.drains.method(),
 			len(results.readDelays)))
 		r.reporter.addRow(drain+", line of the watch", "bytes", realGateways, results.listBytes,
-			fmt.Sprintf("%d seen", len(results.listBytes)))
+			fmt.Sprintf("%d observed", len(results.listBytes)))
 	}
 }
--- a/internal/fleettest/load.go
+++ b/internal/fleettest/load.go
@@ -11,18 +11,18 @@
 )
 
 const (
-	warmUp                   = time.Second            // from the load's begin to the first measuring
-	connectionSampleInterval = 100 * time.Millisecond // of the connections that backends hold
-	// requestsTimeoutFactor: a run of a number of requests fails once they have taken so many times the sum of their time at
-	// the rate and the longest time of one request.
+	warmUp                   = time.Second            // from the start of the load to the start of the measurement
+	connectionSampleInterval = 100 * time.Millisecond // between samples of the connections that backends hold
+	// requestsTimeoutFactor bounds a run of a number of requests: it fails when they take longer than this factor times the
+	// sum of their expected duration at the configured rate and the longest duration of one request.
 	requestsTimeoutFactor = 3
 )
 
 var errRequestsOpen = errors.New("requests are still open")
 
-// loadSignals tells all gateways when requests begin to come and when no more do.
+// loadSignals signals to the goroutines that generate requests when to start and when to stop.
 type loadSignals struct {
-	started, stopped chan struct{} // closed by begin and by halt
+	started, stopped chan struct{} // closed by start and by stop
 	stopOnce         sync.Once
 }
 
@@ -30,18 +30,18 @@
 	return &loadSignals{started: make(chan struct{}), stopped: make(chan struct{})}
 }
 
-// begin closes begun; it must not be called again.
+// start closes started. It must be called at most once.
 func (l *loadSignals) start() { close(l.started) }
 
-// halt closes halted; it may be called again.
+// stop closes stopped. It may be called more than once.
 func (l *loadSignals) stop() { l.stopOnce.Do(func() { close(l.stopped) }) }
 
-// loadMetrics gathers what clients see, from many goroutines.
+// loadMetrics records what clients observe. It is safe for concurrent use.
 type loadMetrics struct {
-	measuring     atomic.Bool
-	arrivals      atomic.Int64 // requests at all gateways, real and simulated
-	addedLatency  *histogram   // the client's time less the backend's, through real gateways
-	directLatency *histogram   // the same with no gateway between
+	measuring     atomic.Bool  // whether requests that end are recorded
+	arrivals      atomic.Int64 // requests that reached all gateways, real and simulated
+	addedLatency  *histogram   // the client's latency less the backend's service time, through real gateways
+	directLatency *histogram   // the same without a gateway
 }
 
 func newLoadMetrics() *loadMetrics {
@@ -50,15 +50,15 @@
 
 func (m *loadMetrics) requestArrived() { m.arrivals.Add(1) }
 
-// senders are the goroutines that send requests.
+// senders controls the goroutines that send requests.
 type senders struct {
 	goroutines sync.WaitGroup
-	ended      chan struct{} // closed once all requests have ended, those of simulated gateways as well
-	stop       func()        // stops them and waits for their end
+	ended      chan struct{} // closed when all requests have ended, including those of simulated gateways
+	stop       func()        // stops the goroutines and waits for them to end
 }
 
-// startSenders lets requests begin at all gateways. A context that ends closes the clients, since an answer would still
-// be awaited otherwise.
+// startSenders starts the requests at all gateways. When the context ends, it closes the clients: they would otherwise keep
+// waiting for answers.
 func (r *fleetRun) startSenders(ctx context.Context, load *loadSignals) *senders {
 	s := &senders{ended: make(chan struct{})}
 	load.start()
@@ -72,7 +72,7 @@
 	}
 	directCtx, cancelDirect := context.WithCancel(ctx)
 	s.goroutines.Go(func() { r.sendDirect(directCtx, load.stopped) })
-	go func() { // ends with ctx at the latest
+	go func() { // ends when ctx does, at the latest
 		defer close(s.ended)
 		s.goroutines.Wait()
 		r.simulated.awaitIdle(ctx)
@@ -86,7 +86,7 @@
 	return s
 }
 
-// sendViaGateway sends a gateway its requests from now on, until halted is closed or there are no more.
+// sendViaGateway sends requests through a gateway until stopped is closed or the requested number has been sent.
 func (r *fleetRun) sendViaGateway(ctx context.Context, gateway *measuredGateway, stopped <-chan struct{}) {
 	schedule := requestSchedule{traffic: emulator.NewTraffic(r.emulated.traffic, gateway.index()),
 		requests: r.options.Load.Requests, stopped: stopped}
@@ -105,8 +105,8 @@
 	})
 }
 
-// sendDirect sends requests to a backend with no gateway between, one at a time, as a measure of what the measuring
-// adds. Their ids name the index behind the last gateway's, which no gateway has.
+// sendDirect sends requests to a backend without a gateway, one at a time, to measure the overhead of the measurement
+// itself. The gateway index in their ids is one above the last gateway's, so it belongs to no gateway.
 func (r *fleetRun) sendDirect(ctx context.Context, stopped <-chan struct{}) {
 	clients := emulator.NewClients(r.emulated.backends.Addr(0), 1, clientReplyGrace)
 	defer clients.Close()
@@ -130,7 +130,7 @@
 	}
 }
 
-// runLoad sends requests, measures, and drains backends while requests go on.
+// runLoad sends requests, measures, and drains backends while the load continues.
 func (r *fleetRun) runLoad(ctx context.Context, load *loadSignals) error {
 	senders := r.startSenders(ctx, load)
 	defer senders.stop()
@@ -149,7 +149,7 @@
 	return r.measureDuration(ctx, senders, load, before)
 }
 
-// resetTimes forgets the times that were measured so far.
+// resetTimes discards the times that were measured so far.
 func (r *fleetRun) resetTimes() {
 	r.reporter.resetSchedulingDelays()
 	r.simulated.resetTimes()
@@ -160,8 +160,8 @@
 	r.load.directLatency.reset()
 }
 
-// measureRequests measures until a number of requests has ended at each gateway. Its drains run between the two readings, so
-// the rows of what comes from discovery and of the connections hold what they cause.
+// measureRequests measures until each gateway has ended its number of requests. The drains run within the measurement, so
+// the rows of the traffic from discovery and of the connections include what the drains cause.
 func (r *fleetRun) measureRequests(ctx context.Context, senders *senders, before runMetrics) error {
 	var connections connectionSamples
 	connections.sample(r.emulated.backends)
@@ -180,14 +180,14 @@
 	return nil
 }
 
-// requestsTimeout is how long a number of requests may take at the worst.
+// requestsTimeout returns how long measureRequests waits for the requests to end.
 func (r *fleetRun) requestsTimeout() time.Duration {
 	load := &r.options.Load
 	atRate := requestsTimeoutFactor * float64(load.Requests) / load.RequestsPerSecond * float64(time.Second)
 	return time.Duration(atRate) + requestsTimeoutFactor*(clientTimeout+clientReplyGrace)
 }
 
-// measureDuration measures for a duration. After the second reading it drains backends, and then halts the load.
+// measureDuration measures for a fixed duration, then drains backends under load, and then stops the load.
 func (r *fleetRun) measureDuration(ctx context.Context, senders *senders, load *loadSignals, before runMetrics) error {
 	var connections connectionSamples
 	for end := before.readAt.Add(r.options.Load.Duration); time.Now().Before(end); {
--- a/internal/fleettest/measure.go
+++ b/internal/fleettest/measure.go
@@ -7,28 +7,28 @@
 	"bellwood/internal/emulator"
 )
 
-// reportedPercentiles: of each time that is measured at many requests or Steps, these percentiles have a row.
+// reportedPercentiles are the percentiles that are reported, in one row each, of times measured over many requests or Steps.
 var reportedPercentiles = []float64{50, 99}
 
-// readings are what all counts of the run were at some time.
+// runMetrics holds the values of all metrics of the run at one time.
 type runMetrics struct {
 	readAt                        time.Time
 	gateways                      []gatewayMetrics // of the real gateways that became ready
 	counterCalls, counterRejected int64            // of all gateways
-	arrivals                      int64            // requests at all gateways
-	connectionsOpened             int64            // at the backends
+	arrivals                      int64            // requests that reached all gateways
+	connectionsOpened             int64            // accepted by the backends
 	simulatedSteps                int64
 }
 
-// gatewayMetrics are what the counts of one real gateway were.
+// gatewayMetrics holds the values of one real gateway's metrics at one time.
 type gatewayMetrics struct {
 	agentReceived, agentSent     int64 // bytes
 	counterReceived, counterSent int64 // bytes
-	requestsEnded                int64 // while loadMetrics.measuring was set
+	requestsEnded                int64 // requests that ended while loadMetrics.measuring was set
 	usage                        processUsage
 }
 
-// read reads all counts.
+// readMetrics reads all metrics of the run.
 func (r *fleetRun) readMetrics() runMetrics {
 	now := runMetrics{readAt: time.Now(), arrivals: r.load.arrivals.Load(),
 		connectionsOpened: r.emulated.backends.ConnectionsAccepted()}
@@ -40,7 +40,7 @@
 	return now
 }
 
-// read reads the counts of one gateway.
+// readMetrics reads the metrics of one gateway.
 func (g *measuredGateway) readMetrics() gatewayMetrics {
 	now := gatewayMetrics{
 		agentReceived:   g.agent.Meter.Received.Load(),
@@ -48,18 +48,19 @@
 		counterReceived: g.counter.Meter.Received.Load(),
 		counterSent:     g.counter.Meter.Sent.Load(),
 	}
-	now.usage, _ = g.process.usage() // a gateway that has ended is found out by reportExitedGateways
+	now.usage, _ = g.process.usage() // fails if the process has ended, which reportExitedGateways reports
 	now.requestsEnded = g.requestsEnded.Load()
 	return now
 }
 
-// connectionSamples gather how many connections backends hold.
+// connectionSamples accumulates samples of the number of connections that the backends hold.
 type connectionSamples struct {
 	samples int64
-	sum     int64 // over the samples, of all backends
-	max     int64 // of one backend
+	sum     int64 // of the connections of all backends, over all samples
+	max     int64 // of the connections of one backend in one sample
 }
 
+// sample adds one sample.
 func (c *connectionSamples) sample(backends *emulator.Backends) {
 	dedicated, all := backends.OpenConnections()
 	c.samples++
@@ -69,21 +70,22 @@
 	}
 }
 
+// mean returns the mean number of connections of one backend, given the number of backends.
 func (c *connectionSamples) mean(backends int) float64 {
 	return float64(c.sum) / float64(max(1, c.samples)) / float64(backends)
 }
 
-// loadMeasurement is what lies between two readings.
+// loadMeasurement is the difference between the metrics at the start and at the end of the load.
 type loadMeasurement struct {
 	before, after runMetrics
 	seconds       float64
 	noise         string // see reporter.takeNoiseSuffix
 }
 
-// rate is how fast a count grew, in units of its own a second.
+// rate returns how much a metric grew a second.
 func (m *loadMeasurement) rate(before, after int64) float64 { return float64(after-before) / m.seconds }
 
-// rates are those of one count of each real gateway.
+// rates returns the rate of one metric for each real gateway.
 func (m *loadMeasurement) rates(metric func(*gatewayMetrics) int64) (rates []float64) {
 	for i := range m.after.gateways {
 		rates = append(rates, m.rate(metric(&m.before.gateways[i]), metric(&m.after.gateways[i])))
@@ -91,7 +93,7 @@
 	return rates
 }
 
-// reportLoad makes rows of what lies between two readings.
+// reportLoad adds the rows of the load that was measured between two readings of the metrics.
 func (r *fleetRun) reportLoad(before, after runMetrics, connections *connectionSamples) {
 	m := &loadMeasurement{before: before, after: after, seconds: after.readAt.Sub(before.readAt).Seconds(),
 		noise: r.reporter.takeNoiseSuffix()}
@@ -111,7 +113,7 @@
 	r.reportExitedGateways()
 }
 
-// reportTraffic makes rows of what goes between real gateways and discovery and the counter.
+// reportTraffic adds the rows of the traffic between real gateways and their discovery agents and counters.
 func (r *fleetRun) reportTraffic(m *loadMeasurement) {
 	n := len(r.ready)
 	r.reporter.addRow("whole list", "bytes", 1, []float64{float64(len(r.emulated.catalog.SnapshotJSON()))},
@@ -120,19 +122,21 @@
 		name, how string
 		metric    func(*gatewayMetrics) int64
 	}{
-		{"from discovery", "TCP payload at each gateway's agent; no backend drains meanwhile, " +
+		{"from discovery", "TCP payload sent by each gateway's agent; no backend drains during the measurement, " +
 			"unless a number of requests is measured",
 			func(g *gatewayMetrics) int64 { return g.agentSent }},
-		{"to discovery", "TCP payload at each gateway's agent", func(g *gatewayMetrics) int64 { return g.agentReceived }},
-		{"to the counter", "TCP payload by gateway", func(g *gatewayMetrics) int64 { return g.counterReceived }},
-		{"from the counter", "TCP payload by gateway", func(g *gatewayMetrics) int64 { return g.counterSent }},
+		{"to discovery", "TCP payload received by each gateway's agent",
+			func(g *gatewayMetrics) int64 { return g.agentReceived }},
+		{"to the counter", "TCP payload per gateway", func(g *gatewayMetrics) int64 { return g.counterReceived }},
+		{"from the counter", "TCP payload per gateway", func(g *gatewayMetrics) int64 { return g.counterSent }},
 	} {
 		r.reporter.addRow(row.name, "bytes/s", n, m.rates(row.metric), row.how)
 	}
 }
 
-// reportAddedLatency makes rows of a percentile of the time that the real gateways add to a request: of all their requests
-// together, with the spread of the gateways' own; and of the same without a gateway.
+// reportAddedLatency adds two rows of a percentile of the latency added to a request. The first is the latency that the real
+// gateways add, over all their requests together, with the spread between the gateways. The second is the same for requests
+// that were sent to a backend without a gateway.
 func (r *fleetRun) reportAddedLatency(percent float64, noise string) {
 	name := fmt.Sprintf("added by the door, p%.0f", percent)
 	if value, count := r.load.addedLatency.percentile(percent); count == 0 {
@@ -145,15 +149,17 @@
 			}
 		}
 		r.reporter.addPooledRow(Row{Name: name, Unit: "us", Gateways: len(r.ready), Value: value, How: fmt.Sprintf(
-			"client's time less the backend's, %d served requests of all real gateways%s", count, noise)}, perGateway)
+			"client's latency less the backend's service time, %d served requests of all real gateways%s", count, noise)},
+			perGateway)
 	}
 	if value, count := r.load.directLatency.percentile(percent); count > 0 {
 		r.reporter.addRow(fmt.Sprintf("added without a door, p%.0f", percent), "us", 0, []float64{value}, fmt.Sprintf(
-			"the same for %d requests from the clients to a backend: what sockets and this process add%s", count, noise))
+			"the same for %d requests sent directly to a backend: the overhead of sockets and of this process%s", count,
+			noise))
 	}
 }
 
-// reportProcesses makes rows of what the real gateways' processes use.
+// reportProcesses adds the rows of the resource usage of the real gateways' processes.
 func (r *fleetRun) reportProcesses(m *loadMeasurement) {
 	var perRequest, perSecond, resident, peak, descriptors []float64
 	for i := range r.ready {
@@ -169,28 +175,28 @@
 	}
 	n := len(r.ready)
 	ended := m.rates(func(g *gatewayMetrics) int64 { return g.requestsEnded })
-	r.reporter.addRow("requests ended", "1/s", n, ended, "by gateway")
+	r.reporter.addRow("requests ended", "1/s", n, ended, "per gateway")
 	r.reporter.addRow("processor time for a request", "us", n, perRequest,
-		"utime and stime in /proc/PID/stat, all that the gateway did"+m.noise)
-	r.reporter.addRow("processor time", "ms/s", n, perSecond, "the same, whatever the requests"+m.noise)
+		"utime and stime in /proc/PID/stat, including work not caused by requests"+m.noise)
+	r.reporter.addRow("processor time", "ms/s", n, perSecond, "utime and stime in /proc/PID/stat, per second"+m.noise)
 	r.reporter.addRow("resident memory", "MB", n, resident, "VmRSS at the end of the load")
-	r.reporter.addRow("resident memory, most", "MB", n, peak, "VmHWM since the start")
+	r.reporter.addRow("resident memory, most", "MB", n, peak, "VmHWM, the peak since the process's start")
 	r.reporter.addRow("open descriptors", "", n, descriptors, "/proc/PID/fd at the end of the load")
 }
 
-// reportConnections makes rows of the connections from real gateways to backends.
+// reportConnections adds the rows of the connections from real gateways to backends.
 func (r *fleetRun) reportConnections(m *loadMeasurement, connections *connectionSamples) {
 	n := len(r.ready)
 	r.reporter.addRow("connections held by a backend, mean", "", n, []float64{connections.mean(r.options.Fleet.Backends)},
-		fmt.Sprintf("of the real gateways alone, %d samples", connections.samples))
+		fmt.Sprintf("from real gateways only, %d samples", connections.samples))
 	r.reporter.addRow("connections held by a backend, most", "", n, []float64{float64(connections.max)},
-		fmt.Sprintf("of the real gateways alone, over the %d backends with an address of their own",
+		fmt.Sprintf("from real gateways only, maximum over the %d backends with their own address",
 			dedicatedBackends(r.options)))
 	r.reporter.addRow("connections opened to backends", "1/s", n,
-		[]float64{m.rate(m.before.connectionsOpened, m.after.connectionsOpened)}, "by all real gateways")
+		[]float64{m.rate(m.before.connectionsOpened, m.after.connectionsOpened)}, "by all real gateways together")
 }
 
-// reportCounterCalls makes rows of the calls that all gateways made.
+// reportCounterCalls adds the rows of the counter calls of all gateways.
 func (r *fleetRun) reportCounterCalls(m *loadMeasurement) {
 	calls, requests := float64(m.after.counterCalls-m.before.counterCalls), float64(m.after.arrivals-m.before.arrivals)
 	r.reporter.addRow("counter calls", "1/s", r.runningGateways(), []float64{calls / m.seconds},
@@ -201,21 +207,23 @@
 	}
 }
 
-// reportSimulated makes rows of how the simulated gateways keep up.
+// reportSimulated adds the rows that show whether the simulated gateways keep up with real time.
 func (r *fleetRun) reportSimulated(m *loadMeasurement) {
 	n := len(r.simulated.gateways)
 	for _, percent := range reportedPercentiles {
 		value, steps := r.simulated.stepTime.percentile(percent)
 		r.reporter.addRow(fmt.Sprintf("Step of a hollow door, p%.0f", percent), "us", n, []float64{value}, fmt.Sprintf(
-			"%d steps with all that came since the one before, %d gateways at a time%s", steps, maxConcurrentSteps, m.noise))
+			"%d Steps, each with all events since the last one, of at most %d gateways concurrently%s", steps,
+			maxConcurrentSteps, m.noise))
 	}
 	late, _ := r.simulated.timerLateness.percentile(99)
-	r.reporter.addRow("hollow doors' lateness, p99", "us", n, []float64{late}, "of what was due in their loops"+m.noise)
+	r.reporter.addRow("hollow doors' lateness, p99", "us", n, []float64{late},
+		"lateness of the timers of their event loops"+m.noise)
 	r.reporter.addRow("hollow doors' steps", "1/s", n, []float64{m.rate(m.before.simulatedSteps, m.after.simulatedSteps)},
-		"all together")
+		"of all simulated gateways together")
 }
 
-// reportExitedGateways makes a row of each real gateway that has ended, which none should.
+// reportExitedGateways adds a failed row for each real gateway whose process has ended; none should end under load.
 func (r *fleetRun) reportExitedGateways() {
 	for _, gateway := range r.ready {
 		if gateway.process.ended() {
--- a/internal/fleettest/restart.go
+++ b/internal/fleettest/restart.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// measureRestarts kills a real gateway and starts it again: Restarts times with the whole endpoint list known, and as many
-// with none.
+// measureRestarts kills a real gateway and starts it again: Restarts times with the whole endpoint list in its
+// configuration, and as many times with an empty one.
 func (r *fleetRun) measureRestarts(ctx context.Context) error {
 	if r.options.Changes.Restarts == 0 || len(r.ready) == 0 {
 		return ctx.Err()
@@ -36,8 +36,8 @@
 	return nil
 }
 
-// timeRestarts returns how many milliseconds a gateway took to become ready after each restart. notReady says that it
-// did not once; err, that the run can't go on.
+// timeRestarts returns the times, in milliseconds, that a gateway took to become ready after each restart. notReady is the
+// error of the first restart after which it did not become ready. err means that the run can't continue.
 func (r *fleetRun) timeRestarts(ctx context.Context, gateway *measuredGateway, known knownList) (times []float64,
 	notReady, err error) {
 	for range r.options.Changes.Restarts {
@@ -56,7 +56,7 @@
 	return times, nil, nil
 }
 
-// terminateGateways ends the real gateways as a planned restart would.
+// terminateGateways sends SIGTERM to the real gateways, as a planned restart does, and reports how long they take to end.
 func (r *fleetRun) terminateGateways() {
 	const rowName = "end after SIGTERM"
 	r.reporter.logPhase("SIGTERM to the real gateways")
@@ -77,6 +77,6 @@
 		took = append(took, milliseconds(times[i]))
 	}
 	if len(took) > 0 {
-		r.reporter.addRow(rowName, "ms", len(took), took, "no request open; new connections are taken for 500 ms")
+		r.reporter.addRow(rowName, "ms", len(took), took, "no request is open; new connections are accepted for 500 ms")
 	}
 }
