--- a/internal/fleettest/process.go
+++ b/internal/fleettest/process.go
@@ -15,23 +15,24 @@
 )
 
 const (
-	// From SIGTERM to SIGKILL. A gateway ends after 3.75 s at the latest: its loop within 3.65 s, its log within 0.1 s more.
+	// terminateTimeout is the time from SIGTERM to SIGKILL. A gateway ends within 3.75 s of SIGTERM: its event loop within
+	// 3.65 s, and its log within another 0.1 s.
 	terminateTimeout    = 5 * time.Second
-	killTimeout         = 5 * time.Second // from SIGKILL; what still runs then is stuck in the kernel
-	logTailBytes        = 16 << 10        // of a process's log that are kept
-	clockTicksPerSecond = 100             // of the processor times in /proc/PID/stat, by proc(5) USER_HZ
+	killTimeout         = 5 * time.Second // from SIGKILL; a process that still exists then is stuck in the kernel
+	logTailBytes        = 16 << 10        // kept of the end of a process's log
+	clockTicksPerSecond = 100             // unit of the processor times in /proc/PID/stat; USER_HZ in proc(5)
 )
 
-// childProcess is a shell's command in a process group of its own. It is safe for concurrent use.
+// childProcess is a shell command that runs in its own process group. It is safe for concurrent use.
 type childProcess struct {
 	cmd     *exec.Cmd
 	log     processLog
 	started time.Time
-	done    chan struct{} // closed once it and its group have ended
+	done    chan struct{} // closed when the process has been reaped and its group killed
 }
 
-// startProcess starts a command by the shell, from a folder. It is killed if this process dies. Its standard error goes
-// to log as well, if that is not nil. A goroutine waits for its end and reaps it.
+// startProcess starts a shell command in a working directory. The process is killed if this process dies. Its standard error
+// is also written to log, unless that is nil. A goroutine waits for the process to end and reaps it.
 func startProcess(dir, command string, env []string, log io.Writer) (*childProcess, error) {
 	p := &childProcess{cmd: exec.Command("/bin/sh", "-c", command), log: processLog{maxBytes: logTailBytes},
 		done: make(chan struct{})}
@@ -50,19 +51,19 @@
 	return p, nil
 }
 
-// reap waits for the end of the process, and ends what is left of its group.
+// reap waits until the process ends, kills the rest of its group and reaps the process.
 func (p *childProcess) reap() {
 	defer close(p.done)
 	awaitExit(p.pid())
-	syscall.Kill(-p.pid(), syscall.SIGKILL) // while the leader is unreaped nobody else can have its group's number
+	syscall.Kill(-p.pid(), syscall.SIGKILL) // the group's id can't be reused while its leader is unreaped
 	p.cmd.Wait()
 }
 
 func (p *childProcess) pid() int { return p.cmd.Process.Pid }
 
-// awaitExit waits until a child has ended and leaves it to be reaped.
+// awaitExit waits until a child process ends, without reaping it.
 func awaitExit(pid int) {
-	const idTypePID, onExit, keepUnreaped = 1, 4, 0x01000000 // P_PID, WEXITED and WNOWAIT of waitid(2)
+	const idTypePID, onExit, keepUnreaped = 1, 4, 0x01000000 // P_PID, WEXITED and WNOWAIT, see waitid(2)
 	var info [128]byte                                       // siginfo_t
 	for {
 		_, _, errno := syscall.Syscall6(syscall.SYS_WAITID, idTypePID, uintptr(pid), uintptr(unsafe.Pointer(&info)),
@@ -73,6 +74,7 @@
 	}
 }
 
+// ended reports whether the process has ended and been reaped.
 func (p *childProcess) ended() bool {
 	select {
 	case <-p.done:
@@ -82,25 +84,25 @@
 	}
 }
 
-// signal signals the group, if the process has not ended.
+// signal sends a signal to the process group, unless the process has ended.
 func (p *childProcess) signal(s syscall.Signal) {
 	if !p.ended() {
 		syscall.Kill(-p.pid(), s)
 	}
 }
 
-// terminate sends SIGTERM and, after a timeout, SIGKILL. It returns how long the process took to end, and an error if
-// it had to be killed, ended by something else, or still runs.
+// terminate sends SIGTERM and, after a timeout, SIGKILL. It returns how long the process took to end. It returns an error
+// if the process had ended before, exited with a failure or needed SIGKILL, or if it still exists.
 func (p *childProcess) terminate(timeout time.Duration) (time.Duration, error) {
 	start := time.Now()
 	if p.ended() {
-		return 0, fmt.Errorf("had ended before (%v)", p.cmd.ProcessState)
+		return 0, fmt.Errorf("process %d had already ended: %v", p.pid(), p.cmd.ProcessState)
 	}
 	p.signal(syscall.SIGTERM)
 	select {
 	case <-p.done:
 		if !p.cmd.ProcessState.Success() {
-			return time.Since(start), fmt.Errorf("ended with %v", p.cmd.ProcessState)
+			return time.Since(start), fmt.Errorf("process %d ended with %v", p.pid(), p.cmd.ProcessState)
 		}
 		return time.Since(start), nil
 	case <-time.After(timeout):
@@ -108,33 +110,33 @@
 	if err := p.kill(); err != nil {
 		return time.Since(start), err
 	}
-	return time.Since(start), fmt.Errorf("SIGKILL was needed %v after SIGTERM", timeout)
+	return time.Since(start), fmt.Errorf("process %d did not end on SIGTERM: SIGKILL was needed after %v", p.pid(), timeout)
 }
 
-// kill sends SIGKILL and waits for the end.
+// kill sends SIGKILL and waits until the process has ended.
 func (p *childProcess) kill() error {
 	p.signal(syscall.SIGKILL)
 	select {
 	case <-p.done:
 		return nil
 	case <-time.After(killTimeout):
-		return fmt.Errorf("process %d is there %v after SIGKILL", p.pid(), killTimeout)
+		return fmt.Errorf("process %d still exists %v after SIGKILL", p.pid(), killTimeout)
 	}
 }
 
-// endError says how a process that has ended did so.
+// endError returns an error with the exit status and the last log line of a process that has ended.
 func (p *childProcess) endError() error {
 	return fmt.Errorf("%v: %s", p.cmd.ProcessState, p.log.lastLine())
 }
 
-// processUsage is what a process used so far.
+// processUsage is the resource usage of a process.
 type processUsage struct {
-	cpu                         time.Duration // processor time, in steps of 10 ms
-	residentBytes, peakResident int64         // bytes, now and at most
+	cpu                         time.Duration // user and system time, with a resolution of 10 ms
+	residentBytes, peakResident int64         // in bytes, current and peak
 	openDescriptors             int
 }
 
-// usage reads /proc of the process; see proc(5).
+// usage reads the process's resource usage from /proc; see proc(5).
 func (p *childProcess) usage() (usage processUsage, err error) {
 	dir := fmt.Sprintf("/proc/%d/", p.pid())
 	if usage.cpu, err = readProcessorTime(dir + "stat"); err != nil {
@@ -159,16 +161,16 @@
 	return usage, err
 }
 
-// readProcessorTime sums utime and stime in a file /proc/PID/stat.
+// readProcessorTime returns the sum of utime and stime in a /proc/PID/stat file.
 func readProcessorTime(file string) (sum time.Duration, err error) {
-	const userTime, systemTime = 11, 12 // of the fields behind the command's name, which may hold anything
+	const userTime, systemTime = 11, 12 // indexes of the fields after the command name, which may contain any character
 	stat, err := os.ReadFile(file)
 	if err != nil {
 		return 0, err
 	}
 	fields := strings.Fields(string(stat[bytes.LastIndexByte(stat, ')')+1:]))
 	if len(fields) <= systemTime {
-		return 0, fmt.Errorf("%s: %q", file, stat)
+		return 0, fmt.Errorf("%s has too few fields: %q", file, stat)
 	}
 	for _, field := range fields[userTime : systemTime+1] {
 		ticks, _ := strconv.ParseInt(field, 10, 64)
@@ -177,9 +179,9 @@
 	return sum, nil
 }
 
-// processLog keeps what is written to it. It is safe for concurrent use.
+// processLog keeps the text that is written to it. It is safe for concurrent use.
 type processLog struct {
-	maxBytes int // of the end that are kept; 0: all
+	maxBytes int // only the last maxBytes are kept; 0: everything
 
 	mu   sync.Mutex // guards text
 	text []byte
--- a/internal/fleettest/sockets.go
+++ b/internal/fleettest/sockets.go
@@ -12,7 +12,7 @@
 	"syscall"
 )
 
-// The ways to ask the kernel for a socket's receive queue, as rows name them.
+// The methods of reading the size of a socket's receive queue, as the How texts of rows name them.
 const (
 	bySockDiag    = "sock_diag"
 	bySocketTable = "/proc/net/tcp"
@@ -20,9 +20,9 @@
 
 var errNoSuchSocket = errors.New("no such socket")
 
-// unreadBytes returns how many bytes wait to be read by the process that holds the TCP socket with these two ends. It
-// asks the kernel for just that socket, by sock_diag(7); where that can't be, it reads the table of all, which takes
-// tens of milliseconds where there are many thousands. method names what it did.
+// unreadBytes returns the number of bytes in the receive queue of the TCP socket with these two addresses. It asks the
+// kernel for this one socket through sock_diag(7). If that fails, it reads the table of all sockets, which takes tens of
+// milliseconds when there are many thousands. method names the method that was used.
 func unreadBytes(local, remote netip.AddrPort) (n int, method string, err error) {
 	if n, err = unreadBySockDiag(local, remote); err == nil {
 		return n, bySockDiag, nil
@@ -31,26 +31,31 @@
 	return n, bySocketTable, err
 }
 
-// Figures of <linux/sock_diag.h>, <linux/inet_diag.h> and <linux/netlink.h>: sizes and offsets in bytes.
+// Constants from <linux/sock_diag.h>, <linux/inet_diag.h> and <linux/netlink.h>. Sizes and offsets are in bytes.
 const (
-	netlinkSockDiag    = 4
-	sockDiagByFamily   = 20
-	netlinkHeaderSize  = 16
-	diagRequestSize    = 56 // struct inet_diag_req_v2
-	diagStates         = 4  // in it
-	diagPorts          = 8  // in it
-	diagSourceAddr     = 12 // in it
-	diagPeerAddr       = 28 // in it
-	diagCookie         = 48 // in it
-	diagReplyPorts     = 4  // in struct inet_diag_msg
-	diagReceiveQueue   = 56 // in it
+	netlinkSockDiag   = 4  // NETLINK_SOCK_DIAG
+	sockDiagByFamily  = 20 // SOCK_DIAG_BY_FAMILY
+	netlinkHeaderSize = 16 // struct nlmsghdr
+
+	// In struct inet_diag_req_v2.
+	diagRequestSize = 56
+	diagStates      = 4
+	diagPorts       = 8
+	diagSourceAddr  = 12
+	diagPeerAddr    = 28
+	diagCookie      = 48
+
+	// In struct inet_diag_msg.
+	diagReplyPorts   = 4
+	diagReceiveQueue = 56
+
 	portSize           = 2
-	anyState           = 0xffffffff
-	anyCookie          = 0xffffffffffffffff
+	anyState           = 0xffffffff         // matches sockets in every state
+	anyCookie          = 0xffffffffffffffff // matches sockets with every cookie
 	sockDiagTimeoutSec = 1
 )
 
-// unreadBySockDiag asks the kernel for one socket.
+// unreadBySockDiag reads the size of a socket's receive queue through sock_diag(7).
 func unreadBySockDiag(local, remote netip.AddrPort) (int, error) {
 	fd, err := syscall.Socket(syscall.AF_NETLINK, syscall.SOCK_RAW|syscall.SOCK_CLOEXEC, netlinkSockDiag)
 	if err != nil {
@@ -71,7 +76,7 @@
 		return 0, err
 	}
 	if n < netlinkHeaderSize+diagReceiveQueue+4 || binary.NativeEndian.Uint16(reply[4:]) != sockDiagByFamily {
-		return 0, errors.New("sock_diag: no such socket, or no answer of use")
+		return 0, errors.New("sock_diag: no such socket, or unexpected reply")
 	}
 	wantPorts := request[netlinkHeaderSize+diagPorts:][:portSize+portSize]
 	if !bytes.Equal(reply[netlinkHeaderSize+diagReplyPorts:][:len(wantPorts)], wantPorts) { // a listener on the same port
@@ -80,7 +85,7 @@
 	return int(binary.NativeEndian.Uint32(reply[netlinkHeaderSize+diagReceiveQueue:])), nil
 }
 
-// sockDiagRequest is the netlink message that asks for the socket with these two ends.
+// sockDiagRequest returns the netlink message that requests the socket with these two addresses.
 func sockDiagRequest(local, remote netip.AddrPort) []byte {
 	message := make([]byte, netlinkHeaderSize+diagRequestSize)
 	native := binary.NativeEndian
@@ -99,7 +104,7 @@
 	return message
 }
 
-// unreadBySocketTable finds the socket in /proc/net/tcp, see proc(5).
+// unreadBySocketTable reads the size of a socket's receive queue from /proc/net/tcp; see proc(5).
 func unreadBySocketTable(local, remote netip.AddrPort) (int, error) {
 	table, err := os.Open("/proc/net/tcp")
 	if err != nil {
@@ -125,7 +130,7 @@
 	return 0, fmt.Errorf("/proc/net/tcp: %w", errNoSuchSocket)
 }
 
-// socketTableAddr writes an IPv4 address and port as /proc/net/tcp does, the address in the computer's order of bytes.
+// socketTableAddr formats an IPv4 address and port as /proc/net/tcp does, with the address in native byte order.
 func socketTableAddr(addr netip.AddrPort) string {
 	ip := addr.Addr().Unmap().As4()
 	return fmt.Sprintf("%08X:%04X", binary.NativeEndian.Uint32(ip[:]), addr.Port())
