--- a/internal/fleettest/emulated.go
+++ b/internal/fleettest/emulated.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	// Loopback hosts, one for each kind of listener, so that a port is never taken by another kind.
+	// The loopback addresses of each kind of listener. They differ so that listeners of different kinds never compete for a
+	// port.
 	backendHost  = "127.0.0.2"
-	emulatorHost = "127.0.0.3" // of agents and counters
+	emulatorHost = "127.0.0.3" // agents and counters
 	gatewayHost  = "127.0.0.4"
 
-	// A backend lets an attempt wait for so many mean service times.
-	maxQueuedServiceTimes = 10
-	maxDedicatedListeners = 1024 // backends with a listener of their own
-	sharedListeners       = 16   // for all further backends
-	gatewaysPerTenant     = 8
-	backendType           = "std" // of all backends; settings name it
-	backendGroups         = 64    // into which each zone's backends are dealt out
+	maxQueuedServiceTimes = 10    // how long an attempt may wait at a backend, in mean service times
+	maxDedicatedListeners = 1024  // backends with their own listener
+	sharedListeners       = 16    // for all other backends
+	gatewaysPerTenant     = 8     // gateways that receive a tenant's requests
+	backendType           = "std" // of all backends; the settings name it in "kinds"
+	backendGroups         = 64    // over which the backends of each zone are distributed
 )
 
-// emulatedSystems are the systems outside the gateways of one run, which real and simulated gateways share.
+// emulatedSystems holds the systems outside the gateways of one run that real and simulated gateways share.
 type emulatedSystems struct {
-	endpoints     []emulator.Endpoint // by the backend's index, all in service
-	indexOf       map[string]int      // the backend's index, by its name
+	endpoints     []emulator.Endpoint // by index of the backend, all in service
+	indexOf       map[string]int      // index of the backend, by name
 	catalog       *emulator.Catalog
 	counterValues *emulator.Numbers
 	model         *emulator.Model
@@ -34,8 +34,8 @@
 	traffic       emulator.TrafficConfig
 }
 
-// startEmulatedSystems starts the backends, which call onCommand, and lists them. The agents and counters are each real
-// gateway's own.
+// startEmulatedSystems starts the backends and creates the catalog that lists them. The dedicated backends call onCommand
+// for each command. Agents and counters are not started here, since each real gateway has its own.
 func startEmulatedSystems(o Options, onCommand func(backend int, id string, firstByte time.Time)) (*emulatedSystems, error) {
 	fleet, service := &o.Fleet, o.Emulated.MeanServiceTime
 	e := &emulatedSystems{indexOf: make(map[string]int, fleet.Backends), ledger: emulator.NewLedger(),
@@ -53,7 +53,7 @@
 	}
 	zones := zoneNames(fleet.Zones)
 	for i := range fleet.Backends {
-		name := fmt.Sprintf("s-%08x", uint32(i)*0x9e3779b1) // the golden ratio's multiples: no order in the names
+		name := fmt.Sprintf("s-%08x", uint32(i)*0x9e3779b1) // multiplicative hashing: the names have no order
 		e.indexOf[name] = i
 		e.endpoints = append(e.endpoints, emulator.Endpoint{Name: name, Address: e.backends.Addr(i),
 			Zone: zones[i%fleet.Zones], Type: backendType, Group: i / fleet.Zones % backendGroups, Status: emulator.Serving,
@@ -63,5 +63,5 @@
 	return e, nil
 }
 
-// dedicatedBackends is how many backends, the first ones, have a listener of their own.
+// dedicatedBackends returns the number of backends, starting with the first, that have their own listener.
 func dedicatedBackends(o Options) int { return min(o.Fleet.Backends, maxDedicatedListeners) }
--- a/internal/fleettest/gatewayconfig.go
+++ b/internal/fleettest/gatewayconfig.go
@@ -16,28 +16,28 @@
 )
 
 const (
-	clientTimeout     = 4 * time.Second // of all classes
+	clientTimeout     = 4 * time.Second // of requests of every class
 	connIdleTimeout   = 30 * time.Second
-	maxGatewaySockets = 1024 // what a real gateway is told of its limit
+	maxGatewaySockets = 1024 // the socket limit in a real gateway's configuration
 )
 
-// pathSettings are settings by their paths in the simulator's protocol. Real gateways read them nested, as JSON, and
-// simulated gateways read the very same as text.
+// pathSettings maps the paths of settings in the simulator's protocol to their values. Real gateways read them as nested
+// JSON; simulated gateways read the same settings as text.
 type pathSettings map[string]any
 
-// classes are the classes of requests, as clients know them.
+// classes are the classes of requests that the clients send. addClasses adds the gateways' settings of the same classes.
 var classes = []emulator.Class{
 	{Name: "lookup", Idempotency: emulator.Idempotent, Share: 0.6, ClientTimeout: clientTimeout},
 	{Name: "order", Idempotency: emulator.IdempotentWithKey, Share: 0.25, ClientTimeout: clientTimeout},
 	{Name: "settle", Idempotency: emulator.NonIdempotent, Share: 0.15, ClientTimeout: clientTimeout},
 }
 
-// plans are the names of the tenants' plans, in the order of addPlans. Tenants are dealt out among them by number.
+// plans are the names of the tenants' plans, in the order of addPlans. Tenants are assigned to them by tenant number.
 var plans = []string{"open", "starter", "team", "capped"}
 
-// newSettings returns the settings of the gateway with an index, among so many. They are as complete as a deployment's:
-// six of them no code reads (family, weights, limits.max-streams, specifics.count-fee, specifics.meter-us and, in addPlans,
-// ceiling-slack).
+// newSettings returns the settings of the gateway with an index in a fleet of the given size. They are as complete as those
+// of a deployment, so they include six settings that no code reads: family, weights, limits.max-streams,
+// specifics.count-fee, specifics.meter-us and, in addPlans, ceiling-slack.
 func newSettings(index, gateways, zones int) pathSettings {
 	p := pathSettings{
 		"peers-total": gateways, "rank": index, "locality": index % zones, "resolution-us": 4000, "discovery": "pushed",
@@ -56,7 +56,7 @@
 	return p
 }
 
-// addClasses adds what gateways are told of the classes.
+// addClasses adds the settings of the request classes.
 func (p pathSettings) addClasses() {
 	timeout := clientTimeout.Microseconds()
 	p.addList("classes",
@@ -67,7 +67,7 @@
 		map[string]any{"name": "settle", "effect": "unsafe", "worth": 2.0, "target-us": 2_000_000, "give-up-us": timeout})
 }
 
-// addPlans adds what gateways are told of the plans.
+// addPlans adds the settings of the tenants' plans.
 func (p pathSettings) addPlans() {
 	p.addList("tiers-of-service",
 		map[string]any{"name": "open", "value-factor": 1.0},
@@ -84,7 +84,7 @@
 	return names
 }
 
-// addList adds a list of objects.
+// addList adds a list of objects, under the indexed paths and the count that the simulator's protocol uses for lists.
 func (p pathSettings) addList(path string, objects ...map[string]any) {
 	for i, object := range objects {
 		for key, value := range object {
@@ -94,7 +94,7 @@
 	p[path+".count"] = len(objects)
 }
 
-// asText returns the settings as the simulator's protocol has them.
+// asText returns the settings as the simulator's protocol encodes them.
 func (p pathSettings) asText() map[string]string {
 	texts := make(map[string]string, len(p))
 	for path, value := range p {
@@ -106,7 +106,7 @@
 	return texts
 }
 
-// policySettings returns the settings as simulated gateways use them.
+// policySettings parses the settings for simulated gateways, with the parser of the simulator's protocol.
 func (p pathSettings) policySettings() (policy.Settings, error) {
 	texts := p.asText()
 	if _, err := simprotocol.ParseTransport(texts); err != nil {
@@ -115,7 +115,7 @@
 	return simprotocol.ParseSettings(texts)
 }
 
-// asJSON returns the settings as a real gateway's configuration has them: nested, and counted lists as arrays.
+// asJSON returns the settings in the form of a real gateway's configuration: nested objects, and counted lists as arrays.
 func (p pathSettings) asJSON() map[string]any {
 	root := map[string]any{}
 	for _, path := range slices.Sorted(maps.Keys(p)) {
@@ -136,7 +136,7 @@
 	return root
 }
 
-// countedList returns the objects "0", "1", ... of an object with a "count". ok is false where it has none.
+// countedList converts an object with the keys "count", "0", "1", ... to a list. ok is false if it has no "count".
 func countedList(value any) (list []any, ok bool) {
 	object, _ := value.(map[string]any)
 	count, ok := object["count"].(int)
@@ -150,7 +150,7 @@
 	return list, true
 }
 
-// gatewayConfig is the file that NODE_CONFIG names.
+// gatewayConfig is the content of the configuration file that NODE_CONFIG names.
 type gatewayConfig struct {
 	Name      string          `json:"name"`
 	Listen    string          `json:"listen"`
@@ -169,7 +169,7 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// write writes the configuration to a file, which a reader sees whole or not at all.
+// write writes the configuration to a file atomically: a reader sees the whole file or none.
 func (c *gatewayConfig) write(file string) error {
 	text, err := json.Marshal(c)
 	if err != nil {
--- a/internal/fleettest/realgateway.go
+++ b/internal/fleettest/realgateway.go
@@ -18,13 +18,14 @@
 )
 
 const (
-	maxClientConns    = 256 // of the clients to one gateway
+	maxClientConns    = 256 // from the clients to one gateway
 	readyPollInterval = 2 * time.Millisecond
 )
 
+// runLine matches the run command in deploy/balancer.toml, a quoted string.
 var runLine = regexp.MustCompile(`(?m)^run\s*=\s*("(?:[^"\\]|\\.)*")`)
 
-// readRunCommand reads how a gateway is started from deploy/balancer.toml under the repository's root.
+// readRunCommand reads the shell command that starts a gateway from deploy/balancer.toml under the repository's root.
 func readRunCommand(root string) (string, error) {
 	text, err := os.ReadFile(filepath.Join(root, "deploy", "balancer.toml"))
 	if err != nil {
@@ -32,49 +33,51 @@
 	}
 	match := runLine.FindSubmatch(text)
 	if match == nil {
-		return "", errors.New("deploy/balancer.toml: no run")
+		return "", errors.New("deploy/balancer.toml has no run command")
 	}
 	return strconv.Unquote(string(match[1]))
 }
 
-// gatewayProgram is how the gateways of one fleet are started.
+// gatewayProgram says how the real gateways of one fleet are started.
 type gatewayProgram struct {
-	root    string // the repository's root, or a folder that looks like it
-	command string // of the shell, from there
+	root    string // working directory: the repository's root or a directory with the same layout
+	command string // shell command
 	dir     string // for the gateways' files
 }
 
-// realGatewaySetup says what one real gateway is told, and what it finds round it.
+// realGatewaySetup holds the configuration of one real gateway and the emulated systems that it uses.
 type realGatewaySetup struct {
 	index    int
 	program  *gatewayProgram
 	settings pathSettings
 	seed     uint64
-	memoryMB int // what it is told of its limit
+	memoryMB int // the memory limit in its configuration
 
-	listenHost    string // loopback; it gets a port that is free
-	emulatorHost  string // loopback, of its agent and its counter
+	listenHost    string // loopback address; a free port is chosen
+	emulatorHost  string // loopback address of its agent and its counter
 	catalog       *emulator.Catalog
-	onWatchSent   func(emulator.WatchSent) // see emulator.StartAgent; may be nil
+	onWatchSent   func(emulator.WatchSent) // passed to emulator.StartAgent; may be nil
 	counterValues *emulator.Numbers
-	replyGrace    time.Duration // clients wait so long beyond their own time
+	replyGrace    time.Duration // how long clients wait beyond their request's timeout
 }
 
-// realGateway is one gateway's process with the agent, the counter and the clients that are its own. It belongs to one
-// goroutine at a time, but for what is emulated.
+// realGateway is one gateway process with its own agent, counter and clients. Apart from these emulated systems it is not
+// safe for concurrent use.
 type realGateway struct {
 	setup   realGatewaySetup
 	address string
 	agent   *emulator.Agent
 	counter *emulator.Counter
 	clients *emulator.Clients
-	// Where it is told that these are: a test may put a link between.
+	// The addresses of the agent and the counter in the gateway's configuration. A test may replace them by those of an
+	// emulator.Link.
 	agentAddr, counterAddr string
 
-	process *childProcess // nil: not started yet
+	process *childProcess // nil until the first start
 }
 
-// openRealGateway starts what stands round a gateway, but not its process. The caller closes it, also after an error.
+// openRealGateway starts the agent, the counter and the clients of a gateway, but not its process. The caller closes the
+// gateway, even after an error.
 func openRealGateway(setup realGatewaySetup) (gateway *realGateway, err error) {
 	gateway = &realGateway{setup: setup}
 	emulatorAddr := net.JoinHostPort(setup.emulatorHost, "0")
@@ -92,7 +95,8 @@
 	return gateway, nil
 }
 
-// freeAddr returns an address whose port is free now; nothing but gateways may listen on the host.
+// freeAddr returns an address on the host whose port is currently free. To keep the port free until the gateway listens on
+// it, only gateways may listen on the host.
 func freeAddr(host string) (string, error) {
 	listener, err := net.Listen("tcp", net.JoinHostPort(host, "0"))
 	if err != nil {
@@ -102,12 +106,12 @@
 	return listener.Addr().String(), nil
 }
 
-// index is the gateway's index in its fleet.
+// index returns the gateway's index in its fleet.
 func (g *realGateway) index() int { return g.setup.index }
 
 func (g *realGateway) name() string { return fmt.Sprint("n", g.index()) }
 
-// config is the gateway's configuration, with an endpoint list as known.
+// config returns the gateway's configuration with an endpoint list in its known field.
 func (g *realGateway) config(known emulator.Members) (*gatewayConfig, error) {
 	list, err := json.Marshal(known)
 	if err != nil {
@@ -119,7 +123,7 @@
 		Settings: g.setup.settings.asJSON()}, nil
 }
 
-// start starts the process with a configuration file. Its standard error goes to log as well, if that is not nil.
+// start starts the process with a configuration file. Its standard error is also written to log, unless that is nil.
 func (g *realGateway) start(configFile string, log io.Writer) (err error) {
 	env := []string{"PATH=" + os.Getenv("PATH"), "TMPDIR=" + g.setup.program.dir, "NODE_NAME=" + g.name(),
 		"NODE_LISTEN=" + g.address, "NODE_DISCOVERY=" + g.agentAddr, "NODE_CONFIG=" + configFile}
@@ -127,14 +131,14 @@
 	return err
 }
 
-// awaitReady waits until the gateway answers PING with +PONG, for so long after its start. It returns the time from the
-// start to the answer.
+// awaitReady waits until the gateway answers PING with +PONG. The timeout starts at the process's start. It returns the time
+// from that start to the answer.
 func (g *realGateway) awaitReady(ctx context.Context, timeout time.Duration) (time.Duration, error) {
 	end := g.process.started.Add(timeout)
 	lastAnswer := ""
 	for ctx.Err() == nil && time.Now().Before(end) {
 		if g.process.ended() {
-			return 0, fmt.Errorf("%s ended before it was ready: %w", g.name(), g.process.endError())
+			return 0, fmt.Errorf("%s ended before it became ready: %w", g.name(), g.process.endError())
 		}
 		pingCtx, cancel := context.WithDeadline(ctx, end)
 		answer, err := g.clients.Ping(pingCtx)
@@ -150,11 +154,11 @@
 	if err := ctx.Err(); err != nil {
 		return 0, err
 	}
-	return 0, fmt.Errorf("%s is not ready %v after its start: %s; its log ends with: %s", g.name(), timeout, lastAnswer,
-		g.process.log.lastLine())
+	return 0, fmt.Errorf("%s is not ready %v after its start: last answer to PING: %s; last log line: %s", g.name(), timeout,
+		lastAnswer, g.process.log.lastLine())
 }
 
-// close ends all that was opened and still runs.
+// close closes the clients, ends the process if it still runs, and stops the agent and the counter.
 func (g *realGateway) close() {
 	if g.clients != nil {
 		g.clients.Close()
@@ -170,15 +174,16 @@
 	}
 }
 
-// requestSchedule is when requests are sent to one gateway.
+// requestSchedule determines when requests are sent to one gateway.
 type requestSchedule struct {
 	traffic  *emulator.Traffic
-	requests int             // how many; 0: until halted
-	stopped  <-chan struct{} // closed: no more
+	requests int             // how many to send; 0: until stopped
+	stopped  <-chan struct{} // closed to stop sending
 }
 
-// run calls send for each request at its time, each on a goroutine of its own, until there are no more or the context
-// ends. A request for which there is no connection delays those after it. It returns once all have ended.
+// run calls send for each request at its scheduled time, on a goroutine for each, until all requests have been sent, stopped
+// is closed or the context ends. At most maxClientConns requests are open; a request that has to wait delays all later ones.
+// run returns when all calls of send have returned.
 func (s *requestSchedule) run(ctx context.Context, send func(*emulator.Request)) {
 	next := time.Now()
 	slots := make(chan struct{}, maxClientConns)
--- a/internal/fleettest/simulated.go
+++ b/internal/fleettest/simulated.go
@@ -14,35 +14,35 @@
 )
 
 const (
-	maxConcurrentSteps    = 2                      // simulated gateways that compute at once
-	simulatedReadyTimeout = 30 * time.Second       // for all of them to take in the endpoint list
+	maxConcurrentSteps    = 2                      // simulated gateways that run their engines concurrently
+	simulatedReadyTimeout = 30 * time.Second       // for all simulated gateways to apply the endpoint list
 	counterLatency        = 200 * time.Microsecond // from a counter call to its answer
-	rejectionLatency      = 100 * time.Microsecond // from an attempt to its being rejected
+	rejectionLatency      = 100 * time.Microsecond // from an attempt to its rejection
 	healthCheckLatency    = 100 * time.Microsecond // from a health check to its answer
 	fetchLatency          = 100 * time.Microsecond // from a fetch of the endpoint list to its snapshot
-	statePollInterval     = time.Millisecond       // while somebody waits for the gateways to be ready, or idle
+	statePollInterval     = time.Millisecond       // between checks whether the gateways are ready or idle
 )
 
-// simulatedFleet is what the simulated gateways of one run share.
+// simulatedFleet holds the simulated gateways of one run and what they share.
 type simulatedFleet struct {
 	gateways      []*simulatedGateway
 	emulated      *emulatedSystems
-	startedAt     time.Time     // of the run: their clock starts then
-	computeSlots  chan struct{} // one place for each gateway that may compute
+	startedAt     time.Time     // start of the run, and of the gateways' clock
+	computeSlots  chan struct{} // semaphore of maxConcurrentSteps
 	zones         int
-	onArrival     func()                                               // a request has come to one of them
-	onAttempt     func(backend, gatewayIndex int, firstByte time.Time) // an attempt of one of them has come to a backend
-	timerLateness *histogram                                           // of what was due in their loops
-	stepTime      *histogram                                           // that one Step takes
+	onArrival     func()                                               // called when a request reaches a gateway
+	onAttempt     func(backend, gatewayIndex int, firstByte time.Time) // called when an attempt reaches a backend
+	timerLateness *histogram                                           // of the gateways' event loops
+	stepTime      *histogram                                           // duration of a Step
 }
 
-// newSimulatedFleet returns a fleet with no gateways. The caller sets onArrival and onAttempt.
+// newSimulatedFleet returns a fleet without gateways. The caller sets onArrival and onAttempt.
 func newSimulatedFleet(emulated *emulatedSystems, startedAt time.Time, zones int) *simulatedFleet {
-	return &simulatedFleet{emulated: emulated, startedAt: startedAt, computeSlots: make(chan struct{}, maxConcurrentSteps), zones: zones,
-		timerLateness: newHistogram(), stepTime: newHistogram()}
+	return &simulatedFleet{emulated: emulated, startedAt: startedAt, computeSlots: make(chan struct{}, maxConcurrentSteps),
+		zones: zones, timerLateness: newHistogram(), stepTime: newHistogram()}
 }
 
-// add adds a gateway with an index of its own. It does not run yet.
+// add adds a gateway with a unique index, without starting it.
 func (f *simulatedFleet) add(index int, o Options) error {
 	settings, err := newSettings(index, o.Fleet.ConfiguredGateways, f.zones).policySettings()
 	if err != nil {
@@ -63,19 +63,20 @@
 	return nil
 }
 
-// start starts a goroutine for each gateway, which ends with the context.
+// start starts a goroutine for each gateway. The goroutines end when the context does.
 func (f *simulatedFleet) start(ctx context.Context, goroutines *sync.WaitGroup, load *loadSignals) {
 	for _, gateway := range f.gateways {
 		goroutines.Go(func() { gateway.run(ctx, load.started, load.stopped) })
 	}
 }
 
-// now is the gateways' clock: like a real gateway's, the Unix time at the start and what has passed since.
+// now returns the time of the gateways' clock, which, like a real gateway's, is the Unix time at the start plus the
+// monotonic time since.
 func (f *simulatedFleet) now() time.Duration {
 	return time.Duration(f.startedAt.UnixNano()) + time.Since(f.startedAt)
 }
 
-// awaitReady waits until each gateway has taken in the endpoint list.
+// awaitReady waits until every gateway has applied the endpoint list.
 func (f *simulatedFleet) awaitReady(ctx context.Context) error {
 	end := time.Now().Add(simulatedReadyTimeout)
 	for _, gateway := range f.gateways {
@@ -84,7 +85,7 @@
 				return err
 			}
 			if time.Now().After(end) {
-				return fmt.Errorf("simulated gateway %d has not taken in the endpoint list in %v", gateway.index,
+				return fmt.Errorf("simulated gateway %d did not apply the endpoint list within %v", gateway.index,
 					simulatedReadyTimeout)
 			}
 		}
@@ -92,7 +93,7 @@
 	return nil
 }
 
-// awaitIdle waits until no gateway has a request or gets a further one.
+// awaitIdle waits until no gateway has an open request or expects another one.
 func (f *simulatedFleet) awaitIdle(ctx context.Context) {
 	for _, gateway := range f.gateways {
 		for !gateway.idle.Load() && ctx.Err() == nil {
@@ -101,7 +102,7 @@
 	}
 }
 
-// steps is how many Steps all took.
+// steps returns the number of Steps of all gateways.
 func (f *simulatedFleet) steps() (sum int64) {
 	for _, gateway := range f.gateways {
 		sum += gateway.steps.Load()
@@ -109,7 +110,7 @@
 	return sum
 }
 
-// requestsSkipped is how many requests the gateways skipped, as they came to them too late.
+// requestsSkipped returns the number of requests that the gateways skipped because they were too far behind schedule.
 func (f *simulatedFleet) requestsSkipped() (sum int64) {
 	for _, gateway := range f.gateways {
 		sum += gateway.skipped.Load()
@@ -117,34 +118,35 @@
 	return sum
 }
 
-// resetTimes forgets the times that were measured so far.
+// resetTimes discards the times that were measured so far.
 func (f *simulatedFleet) resetTimes() {
 	f.timerLateness.reset()
 	f.stepTime.reset()
 }
 
-// simulatedGateway is a gateway without sockets: an engine, fed in real time by the same endpoint list, numbers
-// and model of the backends as the real gateways. The goroutine that runs it owns it, but for what is atomic.
+// simulatedGateway is a gateway without sockets: an engine that works in real time with the same endpoint list, counter
+// values and model of the backends as the real gateways. Only the goroutine of run uses it, except for the atomic fields.
 type simulatedGateway struct {
 	fleet     *simulatedFleet
 	index     int
 	engine    *policy.Engine
 	events    []policy.Event // for the next Step
 	timers    timerqueue.Queue
-	listIndex int64  // of the endpoint list as this gateway has it
-	inService []bool // by backend, as this gateway's list says
+	listIndex int64  // index of the endpoint list that this gateway has applied
+	inService []bool // by index of the backend, according to that list
 
 	requests      map[uint64]*simulatedRequest
 	lastRequestID uint64
 	arrivals      arrivalSchedule
 
-	ready   atomic.Bool // it has had its first Step
-	idle    atomic.Bool // no further request comes and none is open
+	ready   atomic.Bool // the first Step has been executed
+	idle    atomic.Bool // no request is open and none is to come
 	steps   atomic.Int64
-	skipped atomic.Int64 // requests that it came to too late; see arrive
+	skipped atomic.Int64 // requests skipped by handleArrival
 }
 
-// run serves until the context ends. Requests come from when begun is closed until halted is.
+// run is the gateway's event loop, which runs until the context ends. Requests arrive from the time at which started is
+// closed until stopped is closed.
 func (g *simulatedGateway) run(ctx context.Context, started, stopped <-chan struct{}) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -176,7 +178,7 @@
 	}
 }
 
-// runTimers runs what is due.
+// runTimers runs the timers that are due.
 func (g *simulatedGateway) runTimers() {
 	now := g.fleet.now()
 	if late := g.timers.Late(now); late > 0 {
@@ -185,8 +187,8 @@
 	g.timers.Run(now)
 }
 
-// step gives the engine what has happened and carries out its actions, until there are no more events; only so many
-// gateways as the run may use cores do so at a time. It returns false at the context's end.
+// step passes the queued events to the engine and executes its actions, until no events are left. At most
+// maxConcurrentSteps gateways do so at a time. It returns false if the context has ended.
 func (g *simulatedGateway) step(ctx context.Context) bool {
 	if len(g.events) == 0 {
 		return ctx.Err() == nil
@@ -211,14 +213,15 @@
 	return ctx.Err() == nil
 }
 
-// emit notes an event for the next Step.
+// queueEvent queues an event for the next Step.
 func (g *simulatedGateway) queueEvent(event policy.Event) { g.events = append(g.events, event) }
 
-// after runs a task later on this gateway's goroutine.
+// after runs a task on this gateway's goroutine after a delay.
 func (g *simulatedGateway) after(delay time.Duration, task func()) {
 	g.timers.Add(g.fleet.now()+delay, task)
 }
 
+// execute executes an action of the engine.
 func (g *simulatedGateway) execute(action policy.Action) {
 	switch action := action.(type) {
 	case policy.SendAttempt:
@@ -246,7 +249,7 @@
 	}
 }
 
-// callCounter adds to a number at once and emits the result when the answer would come.
+// callCounter adds to a counter value immediately and queues the result after counterLatency.
 func (g *simulatedGateway) callCounter(call policy.AddToCounter) {
 	name := strconv.FormatUint(call.Name, 10)
 	total, ok := g.fleet.emulated.counterValues.Add(time.Now(), name, call.Amount, call.TTL)
@@ -257,7 +260,8 @@
 	g.after(counterLatency, func() { g.queueEvent(result) })
 }
 
-// applyListChanges takes in what has changed in the endpoint list, and returns what is closed at the next change.
+// applyListChanges applies the changes of the endpoint list since listIndex. It returns a channel that is closed at the next
+// change.
 func (g *simulatedGateway) applyListChanges() (listChanged <-chan struct{}) {
 	members, listChanged := g.fleet.emulated.catalog.ChangesSince(g.listIndex)
 	if members.Snapshot {
@@ -268,11 +272,11 @@
 	return listChanged
 }
 
-// backendStates are the states of the policy by discovery's.
+// backendStates maps discovery's endpoint statuses to the policy's backend states.
 var backendStates = map[string]policy.BackendState{emulator.Serving: policy.InService,
 	emulator.Draining: policy.Draining, emulator.Deleted: policy.Terminated}
 
-// applyEndpointList takes in an endpoint list or its changes.
+// applyEndpointList applies an endpoint list or a delta, and queues it as an event for the engine.
 func (g *simulatedGateway) applyEndpointList(members emulator.Members, kind policy.UpdateKind) {
 	g.listIndex = members.Index
 	if kind != policy.Delta {
--- a/internal/fleettest/simulatedrequest.go
+++ b/internal/fleettest/simulatedrequest.go
@@ -9,40 +9,41 @@
 )
 
 const (
-	unlimitedRequests  = -1
+	unlimitedRequests  = -1          // as arrivalSchedule.remaining
 	maxBehindSchedule  = time.Second // a gateway that is later than this for a request skips it
 	maxArrivalsPerStep = 64
 )
 
-// arrivalSchedule is when requests come to a simulated gateway, on the gateways' clock.
+// arrivalSchedule determines when requests arrive at a simulated gateway, on the gateways' clock.
 type arrivalSchedule struct {
 	traffic   *emulator.Traffic
-	remaining int // requests still to come; unlimitedRequests, or less: without end
+	remaining int // requests still to arrive; unlimitedRequests or below: no limit
 	nextAt    time.Duration
 }
 
 // simulatedRequest is an open request.
 type simulatedRequest struct {
-	id           uint64 // the engine's
+	id           uint64 // in the engine's events and actions
 	request      *emulator.Request
 	deadline     time.Duration // when its client gives up
 	clientTimer  *timerqueue.Timer
-	attempts     []*simulatedAttempt // all, by number
-	openAttempts int                 // attempts that have no result
-	ended        bool                // for its client
+	attempts     []*simulatedAttempt // all attempts, by number
+	openAttempts int                 // attempts without a result
+	ended        bool                // the client has its answer or has given up
 }
 
-// simulatedAttempt is one attempt at a backend.
+// simulatedAttempt is one attempt of a request at a backend.
 type simulatedAttempt struct {
 	request     *simulatedRequest
 	number      int
 	backend     string
 	sentAt      time.Duration
-	resultTimer *timerqueue.Timer // nil: it was not sent
+	resultTimer *timerqueue.Timer // nil: the attempt was not sent
 	ended       bool
 }
 
-// handleDueArrivals takes in the requests that are due, and sets a timer for the next.
+// handleDueArrivals handles the requests that are due, at most maxArrivalsPerStep before the next Step, and sets a timer for
+// the next request.
 func (g *simulatedGateway) handleDueArrivals() {
 	now := g.fleet.now()
 	for n := 0; g.arrivals.remaining != 0; n++ {
@@ -65,7 +66,7 @@
 	}
 }
 
-// arrive takes in a request that is due, or skips it where the gateway is too far behind.
+// handleArrival passes a due request to the engine, or skips it if the gateway is too far behind schedule.
 func (g *simulatedGateway) handleArrival(q *emulator.Request) {
 	g.arrivals.remaining--
 	now := g.fleet.now()
@@ -86,7 +87,7 @@
 		Cost: 1, Gateways: q.Gateways})
 }
 
-// sendAttempt starts an attempt where a real gateway would send it; else it ends as not sent.
+// sendAttempt starts an attempt if a real gateway would send it; otherwise the attempt ends as not sent.
 func (g *simulatedGateway) sendAttempt(request *simulatedRequest, action policy.SendAttempt) {
 	wallTime, now := time.Now(), g.fleet.now()
 	attempt := &simulatedAttempt{request: request, number: len(request.attempts), backend: action.Backend, sentAt: now}
@@ -117,15 +118,15 @@
 	attempt.resultTimer = g.timers.Add(now+serviceTime, func() { g.attemptServed(attempt, serviceTime) })
 }
 
-// attemptServed answers the request with what the backend answered. The attempt ends after the request: nothing else
-// can be out then, since the settings allow no hedged requests.
+// attemptServed answers the request and then ends its attempt. No other attempt can be open, since the settings allow no
+// hedged requests.
 func (g *simulatedGateway) attemptServed(attempt *simulatedAttempt, serviceTime time.Duration) {
 	g.fleet.emulated.ledger.AttemptServed(attempt.request.request.ID, serviceTime)
 	g.answerRequest(attempt.request, emulator.Served)
 	g.endAttempt(attempt, policy.OK)
 }
 
-// endAttempt emits the one result of an attempt; a second one is passed over.
+// endAttempt queues the result of an attempt. It ignores an attempt that has already ended.
 func (g *simulatedGateway) endAttempt(attempt *simulatedAttempt, status policy.Status) {
 	if attempt.ended {
 		return
@@ -133,19 +134,19 @@
 	attempt.ended = true
 	g.timers.Stop(attempt.resultTimer)
 	attempt.request.openAttempts--
-	g.queueEvent(policy.AttemptResult{ID: attempt.request.id, Attempt: attempt.number, Backend: attempt.backend, Status: status,
-		Latency: g.fleet.now() - attempt.sentAt, RequestClosed: attempt.request.ended})
+	g.queueEvent(policy.AttemptResult{ID: attempt.request.id, Attempt: attempt.number, Backend: attempt.backend,
+		Status: status, Latency: g.fleet.now() - attempt.sentAt, RequestClosed: attempt.request.ended})
 	g.removeIfDone(attempt.request)
 }
 
-// answer gives a request its final answer; nil or one that has ended is passed over.
+// answerRequest gives a request its final answer. It ignores nil and a request that has already ended.
 func (g *simulatedGateway) answerRequest(request *simulatedRequest, ending emulator.Ending) {
 	if request != nil && !request.ended {
 		g.endRequest(request, ending)
 	}
 }
 
-// endRequest ends a request for its client and cancels the attempts that are still out.
+// endRequest ends a request for its client and, unless it was served, cancels its open attempts.
 func (g *simulatedGateway) endRequest(request *simulatedRequest, ending emulator.Ending) {
 	request.ended = true
 	g.timers.Stop(request.clientTimer)
@@ -158,6 +159,7 @@
 	g.removeIfDone(request)
 }
 
+// removeIfDone forgets a request that has ended and has no open attempts.
 func (g *simulatedGateway) removeIfDone(request *simulatedRequest) {
 	if request.ended && request.openAttempts == 0 {
 		delete(g.requests, request.id)
