--- a/internal/fleettest/audit_test.go
+++ b/internal/fleettest/audit_test.go
@@ -9,11 +9,12 @@
 	"bellwood/internal/emulator"
 )
 
-// Tests of the audit with several processes of the program and faults between them. docs/AUDIT.md says what the steps
-// mean.
+// These tests run the audit in a fleet of gateway processes, with faults on the links between them and the emulated
+// systems. docs/AUDIT.md describes the audit's steps.
 
-// One agent goes on with its heartbeats but tells no changes. Its gateway is found stale, reopens its watch, fetches the
-// whole list and leaves service. It comes back when the changes flow, and never sends by the old list.
+// One agent still sends heartbeats but no changes. Its gateway detects that it is stale, reopens its watch, fetches the
+// whole list and leaves service. It returns once it receives changes again, and never sends attempts according to the old
+// list.
 func TestAuditTakesAStaleGatewayOutOfServiceUntilItCatchesUp(t *testing.T) {
 	f := startAuditFleet(t, nil)
 	const stale = 2
@@ -24,11 +25,11 @@
 	g.log.waitStep(t, "list asked for")
 	out := g.log.waitStep(t, "shut out")
 	if answer := g.ping(); !strings.HasPrefix(answer, "-LOADING") {
-		t.Errorf("PING is answered %q", answer)
+		t.Errorf("PING was answered with %q while the gateway was out of service, want -LOADING", answer)
 	}
 	time.Sleep(auditEpoch / 2) // with some 40 requests
 	if all, _ := f.attemptsAfter(stale, 0, out.Add(drainGrace)); all > 0 {
-		t.Errorf("%d attempts while it was out of service", all)
+		t.Errorf("the gateway sent %d attempts while it was out of service, want 0", all)
 	}
 	g.drain(0)
 	g.log.waitStep(t, "caught up")
@@ -36,23 +37,23 @@
 	g.waitReady()
 	f.waitServing(stale, back)
 	if _, atDrained := f.attemptsAfter(stale, 0, out.Add(drainGrace)); atDrained > 0 {
-		t.Errorf("%d attempts at the backend that drains", atDrained)
+		t.Errorf("the gateway sent %d attempts to the draining backend, want 0", atDrained)
 	}
 	f.expectNoSteps(0, 1, 3, 4)
 	f.endAndCheck()
 }
 
-// Two agents of five tell no changes. One of their gateways is out of service at a time, and the fleet serves.
+// Two of five agents send no changes. At most one of their gateways is out of service at a time, and the fleet serves.
 func TestAuditTakesOneGatewayOutOfServiceAtATime(t *testing.T) {
 	f := startAuditFleet(t, nil)
 	f.drain(0, 1, 3)
 	for _, stale := range []int{1, 3} {
 		f.gateways[stale].log.waitStep(t, "list asked for")
 	}
-	eventually(t, "one is out of service", func() bool {
+	eventually(t, "a stale gateway is out of service", func() bool {
 		return len(f.gateways[1].log.timesOutOfService(t))+len(f.gateways[3].log.timesOutOfService(t)) > 0
 	})
-	time.Sleep(2 * auditEpoch) // in which the other asks too
+	time.Sleep(2 * auditEpoch) // the other stale gateway asks for the slot too in this time
 	for _, upToDate := range []int{0, 2, 4} {
 		f.waitServing(upToDate, time.Now())
 		f.expectNoSteps(upToDate)
@@ -60,7 +61,7 @@
 	f.endAndCheck()
 }
 
-// Four agents of five tell no changes. What one gateway says makes no quorum, and all serve.
+// Four of five agents send no changes. The one gateway with the new list is no quorum, so all gateways stay in service.
 func TestAuditLeavesAMostlyStaleFleetInService(t *testing.T) {
 	f := startAuditFleet(t, nil)
 	f.drain(0, 0, 1, 2, 3)
@@ -68,9 +69,9 @@
 	f.expectAllStayInService()
 }
 
-// One gateway is stale, and the counter tells too little of the others. No verdict is made: it stays in service, and so
-// do all others.
-func TestAuditMakesNoVerdictWithoutEvidence(t *testing.T) {
+// One gateway is stale, but a fault at the counter hides the versions of the other gateways. The audit takes no step, and
+// all gateways stay in service.
+func TestAuditTakesNoStepWithoutEvidenceFromTheCounter(t *testing.T) {
 	const stale = 2
 	for name, fault := range map[string]func(f *auditFleet){
 		"one gateway is partitioned from the counter": func(f *auditFleet) { f.gateways[stale].counterLink.Partition() },
@@ -79,8 +80,8 @@
 				g.counterLink.Partition()
 			}
 		},
-		"the counter comes back empty": func(f *auditFleet) { f.traffic.Go(f.clearCounterRepeatedly) },
-		"calls arrive and answers do not": func(f *auditFleet) {
+		"the counter repeatedly loses its values": func(f *auditFleet) { f.traffic.Go(f.clearCounterRepeatedly) },
+		"calls arrive at the counter but its answers are lost": func(f *auditFleet) {
 			f.gateways[stale].counterLink.Set(emulator.ToClient, emulator.Drop)
 		},
 	} {
@@ -93,7 +94,7 @@
 	}
 }
 
-// clearCounterRepeatedly empties the counter's numbers until the traffic is halted.
+// clearCounterRepeatedly deletes the counter's values every 50 ms until the traffic is stopped.
 func (f *auditFleet) clearCounterRepeatedly() {
 	for {
 		select {
@@ -105,8 +106,8 @@
 	}
 }
 
-// A process is stopped while a backend drains. Once it is resumed it sends nothing by the old version.
-func TestAuditLetsAResumedGatewaySendNothingByTheOldVersion(t *testing.T) {
+// A process is stopped by SIGSTOP while a backend drains. After SIGCONT it sends no attempts according to the old version.
+func TestAuditKeepsAResumedGatewayFromSendingByTheOldVersion(t *testing.T) {
 	f := startAuditFleet(t, nil)
 	const stopped = 1
 	g := f.gateways[stopped]
@@ -119,13 +120,13 @@
 	g.log.waitStep(t, "checked after waking")
 	f.waitServing(stopped, time.Now())
 	if _, atDrained := f.attemptsAfter(stopped, 0, resumed); atDrained > 0 {
-		t.Errorf("%d attempts by the old version after it was resumed", atDrained)
+		t.Errorf("the gateway sent %d attempts according to the old version after it was resumed, want 0", atDrained)
 	}
 	f.endAndCheck()
 }
 
-// Two gateways are stale, and the one that is out of service is killed. The other one gets its slot. Started again with
-// its old configuration and an agent that tells changes, the killed one comes up to date.
+// Two gateways are stale, and the one that is out of service is killed. The other one gets its slot. The killed gateway is
+// started again with its old configuration and an agent that sends changes, and becomes up to date.
 func TestAuditFreesTheSlotOfAKilledGateway(t *testing.T) {
 	f := startAuditFleet(t, nil)
 	f.drain(0, 1, 3)
@@ -135,9 +136,9 @@
 	killed := time.Now()
 	at := f.gateways[other].log.waitStep(t, "shut out")
 	if free := at.Sub(killed); free > 4*auditEpoch {
-		t.Errorf("the slot is free %v after its holder died", free)
+		t.Errorf("the slot became free %v after its holder was killed, want at most %v", free, 4*auditEpoch)
 	}
-	g.startProcess() // its configuration still has the old list
+	g.startProcess() // its configuration still contains the old list
 	g.waitReady()
 	g.drain(0)
 	g.log.wait(t, "version in force", func(fields logFields) bool {
@@ -148,11 +149,12 @@
 	f.stopTraffic()
 }
 
-// waitSlotHolder waits until one of two gateways is out of service, and returns that and the other one.
+// waitSlotHolder waits until one of two gateways is out of service and so holds the slot. It returns the indexes of the
+// holder and of the other gateway.
 func (f *auditFleet) waitSlotHolder(first, second int) (holder, other int) {
 	f.t.Helper()
 	holder, other = noGateway, noGateway
-	eventually(f.t, "one is out of service", func() bool {
+	eventually(f.t, "a stale gateway is out of service", func() bool {
 		for _, pair := range [][2]int{{first, second}, {second, first}} {
 			if len(f.gateways[pair[0]].log.timesOutOfService(f.t)) > 0 {
 				holder, other = pair[0], pair[1]
@@ -163,19 +165,20 @@
 	return holder, other
 }
 
-// One gateway publishes an absurd version, which it got from its configuration, and has no agent. Nobody moves.
-func TestAuditMovesNobodyForAnAbsurdVersion(t *testing.T) {
-	const absurd = 4
+// One gateway reports a version far above all others: its configuration contains it, and no agent corrects it. The audit
+// takes no step, and all gateways stay in service.
+func TestAuditTakesNoStepForOneImplausiblyHighVersion(t *testing.T) {
+	const implausible = 4
 	f := startAuditFleet(t, func(f *auditFleet) {
-		f.gateways[absurd].knownIndex = 4_000_000
-		f.gateways[absurd].agentLink.Partition()
+		f.gateways[implausible].knownIndex = 4_000_000
+		f.gateways[implausible].agentLink.Partition()
 	})
 	f.expectAllStayInService()
 }
 
-// Discovery starts anew with a lower index, at some agents later than at others. Gateways that were told early seem
-// stale for a while; in the end all serve.
-func TestAuditSurvivesDiscoveryStartingAnewWithALowerIndex(t *testing.T) {
+// Discovery restarts with a lower index, at some agents later than at others. The gateways whose agents restart early seem
+// stale for a while. In the end all gateways serve.
+func TestAllGatewaysServeAfterDiscoveryRestartsWithALowerIndex(t *testing.T) {
 	f := startAuditFleet(t, nil)
 	f.drain(0)
 	f.drain(1)
@@ -187,7 +190,7 @@
 	for _, index := range early {
 		f.gateways[index].catalog.Restart()
 	}
-	f.gateways[0].log.waitStep(t, "behind") // three act on a version that was higher
+	f.gateways[0].log.waitStep(t, "behind") // the other three still use the higher version
 	for _, index := range late {
 		f.gateways[index].catalog.Restart()
 	}
@@ -202,14 +205,13 @@
 	}
 	f.stopTraffic()
 	if sums := f.ledger.Sums(nil); sums.Unanswered > 0 || sums.Wrong > 0 {
-		t.Errorf("requests: %+v", sums)
+		t.Errorf("requests were left unanswered or got another request's answer: %+v", sums)
 	}
 	f.expectOneOutOfServiceAtATime()
 }
 
-// All gateways but one get a new configuration and a SIGHUP. The log of that one says that the others act on another
-// configuration.
-func TestAuditNamesAGatewayThatMissedAReload(t *testing.T) {
+// All gateways but one get a new configuration and a SIGHUP. That one logs that the others use another configuration.
+func TestAuditLogsThatAGatewayMissedAReload(t *testing.T) {
 	f := startAuditFleet(t, nil)
 	const missed = 3
 	for index, g := range f.gateways {
@@ -226,7 +228,7 @@
 			want = 1
 		}
 		if got := len(g.log.revisions()); got != want {
-			t.Errorf("n%d acted on %d configurations, want %d", index, got, want)
+			t.Errorf("gateway n%d used %d configurations, want %d", index, got, want)
 		}
 		if index != missed {
 			f.expectNoSteps(index)
@@ -235,7 +237,7 @@
 	f.endAndCheck()
 }
 
-// revisions returns the configurations that the gateway acted on.
+// revisions returns the revisions of the configurations that the gateway used, according to its log.
 func (l *gatewayLog) revisions() map[string]bool {
 	all := map[string]bool{}
 	for _, fields := range l.lines("version in force") {
--- a/internal/fleettest/auditfleet_test.go
+++ b/internal/fleettest/auditfleet_test.go
@@ -20,54 +20,57 @@
 	auditZones         = 2
 	requestRate        = 20.0 // requests a second at each gateway
 	eventualTimeout    = 90 * time.Second
-	eventualInterval   = 20 * time.Millisecond  // between two looks
-	staleDetectionTime = 16 * time.Second       // a stale gateway would have been found: AUDIT.md's bound is 13.4 s
-	auditEpoch         = 4 * time.Second        // in which the fleet's slot is given once
-	drainGrace         = 300 * time.Millisecond // in which attempts at a backend that drains may still come
-	auditReplyGrace    = 20 * time.Second       // clients wait so long beyond their own time
-	noGateway          = -1                     // no gateway's index
-	loopback           = "127.0.0.1"            // of agents, counters and links
+	eventualInterval   = 20 * time.Millisecond  // between checks of a condition
+	staleDetectionTime = 16 * time.Second       // in which a stale gateway is detected: AUDIT.md's bound is 13.4 s
+	auditEpoch         = 4 * time.Second        // in which the fleet's slot is granted once
+	drainGrace         = 300 * time.Millisecond // in which attempts may still arrive at a draining backend
+	auditReplyGrace    = 20 * time.Second       // how long clients wait beyond their request's timeout
+	noGateway          = -1                     // an index that no gateway has
+	loopback           = "127.0.0.1"            // address of agents, counters and links
 )
 
-// auditFleet is five real gateways with audits, what stands round them, and a link before each agent and counter. Each
-// test plays its own; they run beside one another. What a test waits for is a line in a gateway's log or an answer,
-// never a time, but for the times in which nothing may happen.
+// auditFleet is a fleet of auditGateways real gateways with audits, the emulated systems, and a link in front of each agent
+// and each counter.
+//
+// Each test starts its own fleet, and the tests run in parallel. Tests wait for a log line or an answer of a gateway. They
+// wait for a fixed time only to check that nothing happens in it.
 type auditFleet struct {
 	t             *testing.T
 	program       gatewayProgram
 	counterValues *emulator.Numbers
 	backends      *emulator.Backends
 	ledger        *emulator.Ledger
-	endpoints     []emulator.Endpoint // by the backend's index, all in service
+	endpoints     []emulator.Endpoint // by index of the backend, all in service
 	gateways      []*auditGateway
 
 	traffic  sync.WaitGroup
-	stopped  chan struct{} // closed: no more requests
+	stopped  chan struct{} // closed to stop the requests
 	stopOnce sync.Once
 
 	mu       sync.Mutex // guards attempts
 	attempts []observedAttempt
 }
 
-// observedAttempt is an attempt as a backend saw it.
+// observedAttempt is an attempt that arrived at a backend.
 type observedAttempt struct {
 	gateway, backend int
 	at               time.Time
 }
 
-// auditGateway is one gateway with the links to its agent and its counter, and the list and revision that it is told.
+// auditGateway is one gateway with the links to its agent and its counter, and with its own endpoint list and configuration
+// revision.
 type auditGateway struct {
 	*realGateway
 	fleet                  *auditFleet
 	catalog                *emulator.Catalog
 	agentLink, counterLink *emulator.Link
 	revision               string
-	knownIndex             int64 // of the known list; 0: that of the catalog
+	knownIndex             int64 // index of the list in its configuration; 0: the catalog's index
 	log                    gatewayLog
 }
 
-// startAuditFleet starts the gateways and their clients, once prepare, if not nil, has changed what they are told. It
-// returns when each gateway acts on a version.
+// startAuditFleet calls prepare, unless it is nil, and then starts the gateways and their clients. It returns when every
+// gateway has a version in force.
 func startAuditFleet(t *testing.T, prepare func(*auditFleet)) *auditFleet {
 	t.Helper()
 	t.Parallel()
@@ -97,6 +100,7 @@
 	return f
 }
 
+// requireNoError ends the test if there is an error.
 func (f *auditFleet) requireNoError(err error) {
 	f.t.Helper()
 	if err != nil {
@@ -119,21 +123,21 @@
 	}
 }
 
-// attemptArrived notes an attempt.
+// attemptArrived records an attempt.
 func (f *auditFleet) attemptArrived(backend int, id string, firstByte time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.attempts = append(f.attempts, observedAttempt{emulator.GatewayOf(id), backend, firstByte})
 }
 
-// openGateway opens a gateway that reaches its agent and its counter by links.
+// openGateway opens a gateway that reaches its agent and its counter through links.
 func (f *auditFleet) openGateway(index int) *auditGateway {
 	f.t.Helper()
 	g := &auditGateway{fleet: f, catalog: emulator.NewCatalog(f.endpoints), revision: "a"}
 	opened, err := openRealGateway(realGatewaySetup{index: index, program: &f.program,
 		settings: newSettings(index, auditGateways, auditZones), seed: uint64(index) + 1, memoryMB: 64,
-		listenHost: fmt.Sprintf("127.0.5.%d", index+1), emulatorHost: loopback, catalog: g.catalog, counterValues: f.counterValues,
-		replyGrace: auditReplyGrace})
+		listenHost: fmt.Sprintf("127.0.5.%d", index+1), emulatorHost: loopback, catalog: g.catalog,
+		counterValues: f.counterValues, replyGrace: auditReplyGrace})
 	f.t.Cleanup(opened.close)
 	f.requireNoError(err)
 	g.realGateway = opened
@@ -154,7 +158,7 @@
 	return filepath.Join(g.setup.program.dir, g.name()+".json")
 }
 
-// writeConfig writes the gateway's configuration, with the list that its agent has now as known.
+// writeConfig writes the gateway's configuration, with its agent's current list in the known field.
 func (g *auditGateway) writeConfig() {
 	g.fleet.t.Helper()
 	known := g.catalog.Snapshot()
@@ -167,7 +171,8 @@
 	g.fleet.requireNoError(config.write(g.configFile()))
 }
 
-// startProcess starts the gateway's process with a new configuration. The test's end kills it, also where it is stopped.
+// startProcess writes the configuration and starts the gateway's process. The process is killed at the end of the test, even
+// if it is stopped by SIGSTOP.
 func (g *auditGateway) startProcess() {
 	g.fleet.t.Helper()
 	g.writeConfig()
@@ -189,23 +194,23 @@
 	return answer
 }
 
-// waitReady waits until the gateway takes requests.
+// waitReady waits until the gateway is ready, that is, answers PING with +PONG.
 func (g *auditGateway) waitReady() {
 	g.fleet.t.Helper()
 	eventually(g.fleet.t, g.name()+" is ready", func() bool { return g.ping() == "+PONG" })
 }
 
-// eventually waits until a condition holds.
+// eventually waits until a condition holds, and ends the test if it doesn't within eventualTimeout.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	for end := time.Now().Add(eventualTimeout); !condition(); time.Sleep(eventualInterval) {
 		if time.Now().After(end) {
-			t.Fatalf("it never came to this: %s", what)
+			t.Fatalf("condition not met within %v: %s", eventualTimeout, what)
 		}
 	}
 }
 
-// sendRequests sends requests until the fleet's traffic is halted, and waits for their answers.
+// sendRequests sends requests until the fleet's traffic is stopped, and waits for their answers.
 func (g *auditGateway) sendRequests() {
 	schedule := requestSchedule{stopped: g.fleet.stopped, traffic: emulator.NewTraffic(emulator.TrafficConfig{
 		Gateways: auditGateways, GatewaysPerTenant: auditGateways, Tenants: 40, Plans: plans, Classes: classes,
@@ -216,13 +221,13 @@
 	})
 }
 
-// stopTraffic halts the requests and waits for the open ones. It may be called again.
+// stopTraffic stops the requests and waits for the open ones. It may be called more than once.
 func (f *auditFleet) stopTraffic() {
 	f.stopOnce.Do(func() { close(f.stopped) })
 	f.traffic.Wait()
 }
 
-// drain tells the agents of all gateways, except for some, that a backend drains.
+// drain makes the agents of all gateways, with some exceptions, announce that a backend drains.
 func (f *auditFleet) drain(backend int, except ...int) {
 	for index, g := range f.gateways {
 		if !slices.Contains(except, index) {
@@ -231,14 +236,14 @@
 	}
 }
 
-// drain tells the gateway's agent that a backend drains.
+// drain makes the gateway's agent announce that a backend drains.
 func (g *auditGateway) drain(backend int) {
 	endpoint := g.fleet.endpoints[backend]
 	endpoint.Status = emulator.Draining
 	g.catalog.Apply(endpoint)
 }
 
-// attemptsAfter returns how many attempts of a gateway came after a time, in all and at one backend.
+// attemptsAfter returns the number of attempts of a gateway that arrived after a time, at all backends and at one of them.
 func (f *auditFleet) attemptsAfter(gateway, backend int, at time.Time) (all, atBackend int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -253,7 +258,7 @@
 	return all, atBackend
 }
 
-// waitServing waits until a gateway has had an attempt after a time.
+// waitServing waits until an attempt of a gateway has arrived after a time.
 func (f *auditFleet) waitServing(gateway int, after time.Time) {
 	f.t.Helper()
 	eventually(f.t, fmt.Sprintf("n%d serves", gateway), func() bool {
@@ -262,18 +267,18 @@
 	})
 }
 
-// expectNoSteps fails if the audit of one of these gateways took a step.
+// expectNoSteps checks that the audits of some gateways took no steps.
 func (f *auditFleet) expectNoSteps(gateways ...int) {
 	f.t.Helper()
 	for _, index := range gateways {
 		if steps := f.gateways[index].log.steps(); len(steps) > 0 {
-			f.t.Errorf("n%d took steps %v", index, steps)
+			f.t.Errorf("the audit of gateway n%d took steps %v, want none", index, steps)
 		}
 	}
 }
 
-// expectAllStayInService lets the time pass in which a stale gateway would have been found, and ends the fleet: no
-// audit may have taken a step, and all gateways serve.
+// expectAllStayInService waits for staleDetectionTime and then ends the fleet. It checks that no audit has taken a step by
+// then, and that all gateways serve.
 func (f *auditFleet) expectAllStayInService() {
 	f.t.Helper()
 	time.Sleep(staleDetectionTime)
@@ -284,24 +289,27 @@
 	f.endAndCheck()
 }
 
-// endAndCheck ends the traffic and checks that no request was lost and none answered with another's answer, that each
-// attempt went by a version in force, and that one gateway at most was out of service at a time.
+// endAndCheck stops the traffic and checks that:
+//
+//   - no request was lost or got another request's answer
+//   - each attempt was sent according to a version that was in force
+//   - at most one gateway was out of service at a time
 func (f *auditFleet) endAndCheck() {
 	f.t.Helper()
 	f.stopTraffic()
 	sums := f.ledger.Sums(nil)
 	if sums.Unanswered > 0 || sums.Wrong > 0 || sums.Phantom > 0 || sums.Doubled > 0 || sums.RejectedRan > 0 {
-		f.t.Errorf("requests: %+v", sums)
+		f.t.Errorf("requests were lost or got wrong answers: %+v", sums)
 	}
 	if sums.Served == 0 {
-		f.t.Error("nothing was served")
+		f.t.Error("no request was served")
 	}
 	f.expectAttemptsMatchVersions()
 	f.expectOneOutOfServiceAtATime()
 }
 
-// expectAttemptsMatchVersions checks by the records of each gateway that every attempt went to a backend of a version that
-// was in force.
+// expectAttemptsMatchVersions checks, against the versions in each gateway's log, that every attempt went to a backend that
+// a version in force had in service.
 func (f *auditFleet) expectAttemptsMatchVersions() {
 	f.t.Helper()
 	f.mu.Lock()
@@ -310,15 +318,17 @@
 		versions := g.log.versions(f.t)
 		for _, attempt := range f.attempts {
 			if attempt.gateway == index && !attempt.isAllowed(versions) {
-				f.t.Errorf("n%d sent to s-%d at %v, acting on %v", index, attempt.backend, attempt.at, versions)
+				f.t.Errorf("gateway n%d sent an attempt to s-%d at %v, which no version in force allowed: %v", index,
+					attempt.backend, attempt.at, versions)
 				return
 			}
 		}
 	}
 }
 
-// isAllowed says whether one of the versions that were in force then has the attempt's backend in service. In these
-// tests version 1 has all backends, and each later one drains one more, from the first on. Versions beyond are absurd.
+// isAllowed reports whether a version that was in force at the attempt's time had its backend in service. In these tests,
+// version 1 has all backends in service, and each later version drains one more, starting with the first. Higher versions
+// than that come only from a configuration with an implausible version, which has all backends in service.
 func (a *observedAttempt) isAllowed(versions []versionInForce) bool {
 	return slices.ContainsFunc(versions, func(version versionInForce) bool {
 		inForce := !a.at.Before(version.from) && !a.at.After(version.to.Add(drainGrace))
@@ -326,7 +336,7 @@
 	})
 }
 
-// expectOneOutOfServiceAtATime checks that at no time more than one gateway was out of service.
+// expectOneOutOfServiceAtATime checks that at most one gateway was out of service at any time.
 func (f *auditFleet) expectOneOutOfServiceAtATime() {
 	f.t.Helper()
 	var all []interval
@@ -336,7 +346,7 @@
 	for i, a := range all {
 		for _, b := range all[:i] {
 			if a.from.Before(b.to) && b.from.Before(a.to) {
-				f.t.Errorf("out of service at the same time: %v and %v", a, b)
+				f.t.Errorf("two gateways were out of service at the same time: %v and %v", a, b)
 			}
 		}
 	}
--- a/internal/fleettest/gatewayconfig_test.go
+++ b/internal/fleettest/gatewayconfig_test.go
@@ -10,6 +10,7 @@
 	"bellwood/internal/gateway"
 )
 
+// The settings of real gateways (JSON) and of simulated ones (text) must be equal, and agree with what the clients use.
 func TestRealAndSimulatedGatewaysGetTheSameSettings(t *testing.T) {
 	for _, index := range []int{0, 9} {
 		t.Run(fmt.Sprint("gateway ", index), func(t *testing.T) {
@@ -21,15 +22,16 @@
 			}
 			simulated, err := paths.policySettings()
 			if err != nil || !reflect.DeepEqual(real.Settings, simulated) {
-				t.Errorf("real gateways are told %+v, simulated ones %+v (%v)", real.Settings, simulated, err)
+				t.Errorf("real gateways get the settings %+v, simulated ones %+v (%v)", real.Settings, simulated, err)
 			}
 			if simulated.GatewayIndex != index || simulated.Zone != index%7 || len(simulated.Classes) != len(classes) ||
 				!reflect.DeepEqual(real.Transport.Plans, plans) || len(real.Transport.Zones) != 7 {
-				t.Errorf("gateway %d is told %+v and %+v", index, simulated, real.Transport)
+				t.Errorf("gateway %d: wrong index, zone, classes, plans or zones in %+v and %+v", index, simulated,
+					real.Transport)
 			}
 			for i, class := range classes {
 				if real.Transport.Classes[i] != class.Name || int(simulated.Classes[i].Idempotency) != int(class.Idempotency) {
-					t.Errorf("class %s is told as %+v", class.Name, simulated.Classes[i])
+					t.Errorf("class %s of the clients is configured as %+v", class.Name, simulated.Classes[i])
 				}
 			}
 		})
--- a/internal/fleettest/main_test.go
+++ b/internal/fleettest/main_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// builtRoot is a folder that looks like the repository's root, with the deploy file and the program.
+// builtRoot creates, once, a directory with the layout of the repository's root that contains the deploy file and the built
+// program.
 var builtRoot = sync.OnceValues(func() (string, error) {
 	root, err := os.MkdirTemp("", "built-")
 	if err != nil {
@@ -29,7 +30,7 @@
 	return root, nil
 })
 
-// writeDeployFile writes a deploy file under a root.
+// writeDeployFile writes deploy/balancer.toml under a root directory.
 func writeDeployFile(root, text string) error {
 	if err := os.Mkdir(filepath.Join(root, "deploy"), 0o700); err != nil {
 		return err
@@ -37,7 +38,7 @@
 	return os.WriteFile(filepath.Join(root, "deploy", "balancer.toml"), []byte(text), 0o600)
 }
 
-// buildRoot returns a folder from which gateways can be started.
+// buildRoot returns a directory from which gateways can be started; see builtRoot.
 func buildRoot(t *testing.T) string {
 	t.Helper()
 	root, err := builtRoot()
--- a/internal/fleettest/process_test.go
+++ b/internal/fleettest/process_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// groupProcesses returns the processes of a group. Those that only wait to be reaped by whoever inherited them do not
-// count.
+// groupProcesses returns the /proc/PID/stat lines of the processes in a group. It leaves out zombies, which only wait to be
+// reaped by the process that inherited them.
 func groupProcesses(t *testing.T, group int) (running []string) {
 	t.Helper()
 	files, err := filepath.Glob("/proc/[0-9]*/stat")
@@ -20,14 +20,14 @@
 	}
 	for _, file := range files {
 		stat, err := os.ReadFile(file)
-		if err != nil { // it has just ended
+		if err != nil { // the process has just ended
 			continue
 		}
 		var state string
 		var parent, leader int
 		_, err = fmt.Sscan(string(stat[bytes.LastIndexByte(stat, ')')+1:]), &state, &parent, &leader)
 		if err != nil {
-			t.Fatalf("%s: %q", file, stat)
+			t.Fatalf("%s can't be parsed: %q", file, stat)
 		}
 		if leader == group && state != "Z" && state != "X" {
 			running = append(running, string(stat))
@@ -36,7 +36,7 @@
 	return running
 }
 
-// remainingProcesses returns what runs of a group once there has been time for signals to arrive.
+// remainingProcesses waits until a group has no running processes, for at most waitTimeout, and returns those that are left.
 func remainingProcesses(t *testing.T, group int) (running []string) {
 	t.Helper()
 	end := time.Now().Add(waitTimeout)
@@ -46,7 +46,7 @@
 	return running
 }
 
-// A gateway's shell does not heed SIGTERM, and what it started runs on. Both are killed.
+// The shell ignores SIGTERM, and the process that it started keeps running. Both must be killed after the timeout.
 func TestProcessThatIgnoresSIGTERMIsKilledWithItsGroup(t *testing.T) {
 	p, err := startProcess(t.TempDir(), "trap '' TERM; sleep 60 & wait; wait", nil, nil)
 	if err != nil {
@@ -56,16 +56,16 @@
 		time.Sleep(time.Millisecond)
 	}
 	if both := groupProcesses(t, p.pid()); len(both) != 2 {
-		t.Errorf("the group is %q", both)
+		t.Errorf("processes of the group: %q, want 2", both)
 	}
 	usage, err := p.usage()
 	if err != nil || usage.residentBytes <= 0 || usage.peakResident < usage.residentBytes || usage.openDescriptors < 3 {
-		t.Errorf("it uses %+v, %v", usage, err)
+		t.Errorf("implausible resource usage %+v, %v", usage, err)
 	}
 	if _, err := p.terminate(50 * time.Millisecond); err == nil || !strings.Contains(err.Error(), "SIGKILL was needed") {
-		t.Errorf("it ended with %v", err)
+		t.Errorf("terminate returned %v, want that SIGKILL was needed", err)
 	}
 	if running := remainingProcesses(t, p.pid()); len(running) > 0 {
-		t.Errorf("of the group run: %q", running)
+		t.Errorf("processes of the group still run: %q", running)
 	}
 }
--- a/internal/fleettest/run_test.go
+++ b/internal/fleettest/run_test.go
@@ -13,13 +13,14 @@
 	"bellwood/internal/emulator"
 )
 
-const waitTimeout = 20 * time.Second // bounds the waits; none is expected to take a noticeable part of it
+// waitTimeout bounds every wait of the tests. It is generous: no wait is expected to take a noticeable part of it.
+const waitTimeout = 20 * time.Second
 
-// smallRunOptions returns the options of a run of seconds.
+// smallRunOptions returns the options of a run that takes seconds.
 func smallRunOptions(t *testing.T) Options {
 	t.Helper()
 	root := buildRoot(t)
-	t.Setenv("TMPDIR", t.TempDir()) // to see that nothing is left there
+	t.Setenv("TMPDIR", t.TempDir()) // expectCleanedUp checks that it is empty
 	return Options{
 		Root:     root,
 		Fleet:    FleetOptions{RealGateways: 1, SimulatedGateways: 3, Backends: 14, Tenants: 60},
@@ -30,34 +31,36 @@
 	}
 }
 
-// expectCleanedUp fails if a process that the run started is there, or a file.
+// expectCleanedUp checks that no process that the run started still exists, and that no temporary files are left.
 func expectCleanedUp(t *testing.T, report *Report) {
 	t.Helper()
 	for _, pid := range report.processIDs {
 		if err := syscall.Kill(pid, 0); !errors.Is(err, syscall.ESRCH) {
-			t.Errorf("process %d is left: %v", pid, err)
+			t.Errorf("process %d still exists after the run: kill returned %v", pid, err)
 		}
 		if running := remainingProcesses(t, pid); len(running) > 0 {
-			t.Errorf("of group %d are left: %q", pid, running)
+			t.Errorf("processes of group %d still run after the run: %q", pid, running)
 		}
 	}
 	if left, err := os.ReadDir(os.Getenv("TMPDIR")); len(left) > 0 || err != nil {
-		t.Errorf("left in the temporary folder: %v, %v", left, err)
+		t.Errorf("files left in the temporary directory: %v, %v", left, err)
 	}
 }
 
-// expectConsistentSums checks that each of so many requests has a final answer, and that backends and clients agree on them.
+// expectConsistentSums checks that a number of requests all have a final answer, and that the backends and the clients agree
+// on them.
 func expectConsistentSums(t *testing.T, gateways string, sums emulator.Sums, requests int) {
 	t.Helper()
 	if sums.Requests != requests || sums.Served+sums.Rejected+sums.Failed != requests || sums.Served == 0 {
-		t.Errorf("of %d requests of %s gateways some have no final answer, or none was served: %+v", requests, gateways, sums)
+		t.Errorf("some of %d requests to %s gateways have no final answer, or none was served: %+v", requests, gateways,
+			sums)
 	}
 	if sums.Phantom+sums.Doubled+sums.RejectedRan+sums.Wrong+sums.NotKept != 0 || sums.Ran != sums.Served+sums.RanNotServed {
-		t.Errorf("the backends of %s gateways and their clients do not agree: %+v", gateways, sums)
+		t.Errorf("the backends and the clients of %s gateways disagree: %+v", gateways, sums)
 	}
 }
 
-// expectRows checks that the report has a value above 0 in each row that a run with all phases has.
+// expectRows checks that the report has rows of all phases, with values above 0.
 func expectRows(t *testing.T, report *Report) {
 	t.Helper()
 	values := map[string]float64{}
@@ -72,13 +75,13 @@
 		"time to ready after SIGKILL, list unknown", "end after SIGTERM", "hollow doors' steps",
 	} {
 		if values[name] <= 0 {
-			t.Errorf("%s is %v", name, values[name])
+			t.Errorf("row %q has the value %v, want above 0", name, values[name])
 		}
 	}
 }
 
-// One real gateway beside three simulated ones goes through all phases. No request is lost, and each figure is there.
-func TestRunMeasuresRealBesideSimulatedGateways(t *testing.T) {
+// A run with one real and three simulated gateways goes through all phases. No request is lost, and all rows are reported.
+func TestRunMeasuresRealAndSimulatedGatewaysTogether(t *testing.T) {
 	o := smallRunOptions(t)
 	report, err := Run(context.Background(), o)
 	if err != nil {
@@ -86,24 +89,25 @@
 	}
 	expectCleanedUp(t, report)
 	expectConsistentSums(t, "real", report.Real, o.Load.Requests)
-	expectConsistentSums(t, "simulated", report.Simulated, o.Fleet.SimulatedGateways*o.Load.Requests-int(report.RequestsSkipped))
+	expectConsistentSums(t, "simulated", report.Simulated,
+		o.Fleet.SimulatedGateways*o.Load.Requests-int(report.RequestsSkipped))
 	if runs := report.Real.Runs + report.Simulated.Runs + report.Direct.Runs; report.AttemptsStarted != runs {
-		t.Errorf("the backends began %d attempts, but %d by the requests' ids", report.AttemptsStarted, runs)
+		t.Errorf("the backends started %d attempts, but the ledger has %d", report.AttemptsStarted, runs)
 	}
 	if failed := report.Failed(); len(failed) > 0 {
-		t.Errorf("failed: %+v", failed)
+		t.Errorf("failed rows: %+v", failed)
 	}
 	if len(report.processIDs) != 3 {
-		t.Errorf("%d processes for a start and two restarts", len(report.processIDs))
+		t.Errorf("%d processes were started for a start and two restarts, want 3", len(report.processIDs))
 	}
 	expectRows(t, report)
 	var text bytes.Buffer
 	if err := report.WriteJSON(&text); err != nil || !strings.Contains(text.String(), `"name": "whole list"`) {
-		t.Errorf("as JSON: %v, %s", err, text.Bytes())
+		t.Errorf("WriteJSON failed or left out the row \"whole list\": %v, %s", err, text.Bytes())
 	}
 }
 
-// writeHook calls a function when some text is written.
+// writeHook is a writer that calls a function when a given text is written.
 type writeHook struct {
 	text string
 	call func()
@@ -116,7 +120,7 @@
 	return len(b), nil
 }
 
-// The run is cancelled under load, when the first drains begin.
+// A run that is cancelled under load, when the first drains start, ends its processes and removes its files.
 func TestCancelledRunCleansUp(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
@@ -124,14 +128,14 @@
 	o.Progress = writeHook{"drains", cancel}
 	report, err := Run(ctx, o)
 	if !errors.Is(err, context.Canceled) || len(report.processIDs) != 1 {
-		t.Errorf("cancelled under load: %v, %d processes", err, len(report.processIDs))
+		t.Errorf("cancelled run: error %v, %d processes started; want context.Canceled and 1", err, len(report.processIDs))
 	}
 	expectCleanedUp(t, report)
 }
 
-// The deploy file starts a program that never answers. A row says so, with the last line of its log, and the others
-// go on.
-func TestGatewayThatIsNotReadyBecomesARow(t *testing.T) {
+// The deploy file starts a program that never answers. The run reports it in a failed row, with the last line of its log,
+// and continues with the other gateways.
+func TestGatewayThatDoesNotBecomeReadyIsReportedAsAFailedRow(t *testing.T) {
 	o := smallRunOptions(t)
 	o.Root = t.TempDir()
 	if err := writeDeployFile(o.Root, "run = \"echo \\\"not me\\\" >&2; sleep 60\"\n"); err != nil {
@@ -146,11 +150,11 @@
 	expectCleanedUp(t, report)
 	failed := report.Failed()
 	if len(failed) != 1 || !strings.Contains(failed[0].How, "not ready") || !strings.Contains(failed[0].How, "not me") {
-		t.Errorf("failed: %+v", failed)
+		t.Errorf("failed rows %+v, want one of the gateway that is not ready", failed)
 	}
 	if report.ConfiguredGateways != 50 || report.Real.Requests != 0 || report.Direct.Served != 10 ||
 		report.Simulated.Requests != 30-int(report.RequestsSkipped) {
-		t.Errorf("of %d gateways %d requests of real and %d of simulated ones, %d past them", report.ConfiguredGateways,
-			report.Real.Requests, report.Simulated.Requests, report.Direct.Served)
+		t.Errorf("%d configured gateways, %d requests through real and %d through simulated gateways, %d served directly",
+			report.ConfiguredGateways, report.Real.Requests, report.Simulated.Requests, report.Direct.Served)
 	}
 }
--- a/internal/fleettest/sockets_test.go
+++ b/internal/fleettest/sockets_test.go
@@ -26,7 +26,8 @@
 	return client, server
 }
 
-// expectUnread checks that both ways of asking tell how many bytes a socket has not been read of.
+// expectUnread checks that both methods return the number of unread bytes of a socket, after waiting for the first one to do
+// so.
 func expectUnread(t *testing.T, local, remote netip.AddrPort, want int) {
 	t.Helper()
 	n, err := unreadBySocketTable(local, remote)
@@ -35,24 +36,25 @@
 		n, err = unreadBySocketTable(local, remote)
 	}
 	if n != want || err != nil {
-		t.Errorf("%d bytes by the table, %v; want %d", n, err, want)
+		t.Errorf("%d unread bytes according to /proc/net/tcp, %v; want %d", n, err, want)
 	}
-	if n, err := unreadBySockDiag(local, remote); err == nil && n != want { // the kernel may come without it
-		t.Errorf("%d bytes by sock_diag, want %d", n, want)
+	if n, err := unreadBySockDiag(local, remote); err == nil && n != want { // the kernel may lack sock_diag
+		t.Errorf("%d unread bytes according to sock_diag, want %d", n, want)
 	} else if err != nil {
 		t.Log(err)
 	}
 }
 
-func TestUnreadBytesOfASocket(t *testing.T) {
+func TestUnreadBytesFollowsWritesAndReads(t *testing.T) {
 	client, server := connect(t)
-	local, remote := netip.MustParseAddrPort(client.LocalAddr().String()), netip.MustParseAddrPort(server.LocalAddr().String())
+	local := netip.MustParseAddrPort(client.LocalAddr().String())
+	remote := netip.MustParseAddrPort(server.LocalAddr().String())
 	expectUnread(t, local, remote, 0)
 	server.Write([]byte("12345"))
 	expectUnread(t, local, remote, 5)
 	client.Read(make([]byte, 64))
 	expectUnread(t, local, remote, 0)
 	if _, _, err := unreadBytes(remote, netip.MustParseAddrPort("127.0.0.1:1")); err == nil {
-		t.Error("a socket that there is not is found")
+		t.Error("unreadBytes returned no error for a socket that does not exist")
 	}
 }
