--- a/internal/fleettest/drain.go
+++ b/internal/fleettest/drain.go
@@ -57,22 +57,22 @@
 }
 
 // attemptArrived records that an attempt by a gateway has arrived at a backend.
-func (w *drainMonitor) attemptArrived(backend, gatewayIndex int, firstByte time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if backend < len(w.attempts) && gatewayIndex < w.realGateways {
-		w.attempts[backend]++
+func (m *drainMonitor) attemptArrived(backend, gatewayIndex int, firstByte time.Time) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if backend < len(m.attempts) && gatewayIndex < m.realGateways {
+		m.attempts[backend]++
 	}
-	if d := w.current; d != nil && gatewayIndex < w.configuredGateways && d.backends[backend] && firstByte.After(d.pushedAt) {
+	if d := m.current; d != nil && gatewayIndex < m.configuredGateways && d.backends[backend] && firstByte.After(d.pushedAt) {
 		d.lastAttempt[gatewayIndex] = firstByte
 		d.attempts++
 	}
 }
 
 // watchSent records a change of the endpoint list that was sent to a real gateway, and polls the gateway's socket until the
-// change has been read. An agent calls it on a goroutine of its own, which continues when it returns.
-func (w *drainMonitor) watchSent(sent emulator.WatchSent) {
-	watched := w.recordWatchSent(sent)
+// change has been read. An agent calls it on the goroutine of the watch, which continues when it returns.
+func (m *drainMonitor) watchSent(sent emulator.WatchSent) {
+	watched := m.recordWatchSent(sent)
 	if watched == nil {
 		return
 	}
@@ -82,9 +82,9 @@
 			return
 		}
 		if unread == 0 {
-			w.mu.Lock()
-			defer w.mu.Unlock()
-			watched.readDelays, w.readMethod = append(watched.readDelays, time.Since(sent.SentAt)), method
+			m.mu.Lock()
+			defer m.mu.Unlock()
+			watched.readDelays, m.readMethod = append(watched.readDelays, time.Since(sent.SentAt)), method
 			return
 		}
 		time.Sleep(listReadPoll)
@@ -93,10 +93,10 @@
 
 // recordWatchSent records a list that was sent. It returns the monitored drain that the list announces, or nil if there is
 // none.
-func (w *drainMonitor) recordWatchSent(sent emulator.WatchSent) *drain {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	d := w.current
+func (m *drainMonitor) recordWatchSent(sent emulator.WatchSent) *drain {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	d := m.current
 	if d == nil || sent.Snapshot || sent.Entries != len(d.backends) || len(d.listBytes) >= maxListsRecorded {
 		return nil
 	}
@@ -105,47 +105,47 @@
 }
 
 // takeBusiest returns the backends that received the most attempts from real gateways since the last call.
-func (w *drainMonitor) takeBusiest(count int) []int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	busiest := make([]int, len(w.attempts))
+func (m *drainMonitor) takeBusiest(count int) []int {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	busiest := make([]int, len(m.attempts))
 	for i := range busiest {
 		busiest[i] = i
 	}
-	slices.SortStableFunc(busiest, func(a, b int) int { return w.attempts[b] - w.attempts[a] })
-	clear(w.attempts)
+	slices.SortStableFunc(busiest, func(a, b int) int { return m.attempts[b] - m.attempts[a] })
+	clear(m.attempts)
 	return busiest[:count]
 }
 
 // start starts monitoring a drain of backends, which the caller pushes next. It returns the time that counts as the push.
-func (w *drainMonitor) start(backends []int) time.Time {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.current = &drain{backends: make(map[int]bool, len(backends)), lastAttempt: map[int]time.Time{}}
+func (m *drainMonitor) start(backends []int) time.Time {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.current = &drain{backends: make(map[int]bool, len(backends)), lastAttempt: map[int]time.Time{}}
 	for _, backend := range backends {
-		w.current.backends[backend] = true
+		m.current.backends[backend] = true
 	}
-	w.current.pushedAt = time.Now()
-	return w.current.pushedAt
+	m.current.pushedAt = time.Now()
+	return m.current.pushedAt
 }
 
 // readCount returns how many gateways have read the monitored drain; there must be one.
-func (w *drainMonitor) readCount() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return len(w.current.readDelays)
+func (m *drainMonitor) readCount() int {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return len(m.current.readDelays)
 }
 
 // finish stops monitoring the current drain and adds its results.
-func (w *drainMonitor) finish(results *drainResults) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	d := w.current
-	w.current = nil
+func (m *drainMonitor) finish(results *drainResults) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	d := m.current
+	m.current = nil
 	effectiveAfter, effectiveAfterReal := time.Duration(0), time.Duration(0)
 	for gatewayIndex, at := range d.lastAttempt {
 		effectiveAfter = max(effectiveAfter, at.Sub(d.pushedAt))
-		if gatewayIndex < w.realGateways {
+		if gatewayIndex < m.realGateways {
 			effectiveAfterReal = max(effectiveAfterReal, at.Sub(d.pushedAt))
 		}
 	}
@@ -159,10 +159,10 @@
 }
 
 // method returns how the last read of a list was detected.
-func (w *drainMonitor) method() string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.readMethod
+func (m *drainMonitor) method() string {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.readMethod
 }
 
 // drainBackends drains and restores backends, first one at a time and then a fifth of them in one push. It always drains
--- a/internal/fleettest/run.go
+++ b/internal/fleettest/run.go
@@ -164,7 +164,7 @@
 	return ctx.Err()
 }
 
-// running is how many gateways run, real and simulated.
+// runningGateways returns the number of running gateways, real and simulated.
 func (r *fleetRun) runningGateways() int { return len(r.ready) + len(r.simulated.gateways) }
 
 // heapAllocated runs a garbage collection and returns the size of the heap's objects in bytes.
--- a/internal/fleettest/simulatedrequest.go
+++ b/internal/fleettest/simulatedrequest.go
@@ -23,13 +23,13 @@
 
 // simulatedRequest is an open request.
 type simulatedRequest struct {
-	id           uint64 // in the engine's events and actions
-	request      *emulator.Request
-	deadline     time.Duration // when its client gives up
-	clientTimer  *timerqueue.Timer
-	attempts     []*simulatedAttempt // all attempts, by number
-	openAttempts int                 // attempts without a result
-	ended        bool                // the client has its answer or has given up
+	id            uint64 // in the engine's events and actions
+	clientRequest *emulator.Request
+	deadline      time.Duration // when its client gives up
+	clientTimer   *timerqueue.Timer
+	attempts      []*simulatedAttempt // all attempts, by number
+	openAttempts  int                 // attempts without a result
+	ended         bool                // the client has its answer or has given up
 }
 
 // simulatedAttempt is one attempt of a request at a backend.
@@ -67,7 +67,7 @@
 }
 
 // handleArrival passes a due request to the engine, or skips it if the gateway is too far behind schedule.
-func (g *simulatedGateway) handleArrival(q *emulator.Request) {
+func (g *simulatedGateway) handleArrival(clientRequest *emulator.Request) {
 	g.arrivals.remaining--
 	now := g.fleet.now()
 	if now-g.arrivals.nextAt > maxBehindSchedule {
@@ -77,14 +77,15 @@
 	}
 	g.fleet.onArrival()
 	g.lastRequestID++
-	request := &simulatedRequest{id: g.lastRequestID, request: q, deadline: now + q.ClientTimeout}
+	request := &simulatedRequest{id: g.lastRequestID, clientRequest: clientRequest,
+		deadline: now + clientRequest.ClientTimeout}
 	g.requests[request.id] = request
 	request.clientTimer = g.timers.Add(request.deadline, func() {
 		g.endRequest(request, emulator.Failed)
 		g.queueEvent(policy.ClientGone{ID: request.id})
 	})
-	g.queueEvent(policy.Request{ID: request.id, Class: q.Class, Plan: q.Plan, Tenant: q.Tenant, TimeLeft: q.ClientTimeout,
-		Cost: 1, Gateways: q.Gateways})
+	g.queueEvent(policy.Request{ID: request.id, Class: clientRequest.Class, Plan: clientRequest.Plan,
+		Tenant: clientRequest.Tenant, TimeLeft: clientRequest.ClientTimeout, Cost: 1, Gateways: clientRequest.Gateways})
 }
 
 // sendAttempt starts an attempt if a real gateway would send it; otherwise the attempt ends as not sent.
@@ -109,7 +110,7 @@
 		attempt.resultTimer = g.timers.Add(now+rejectionLatency, func() { g.endAttempt(attempt, policy.Rejected) })
 		return
 	}
-	g.fleet.emulated.ledger.AttemptStarted(request.request.ID)
+	g.fleet.emulated.ledger.AttemptStarted(request.clientRequest.ID)
 	serviceTime := done.Sub(wallTime)
 	if now+serviceTime >= deadline {
 		attempt.resultTimer = g.timers.Add(deadline, func() { g.endAttempt(attempt, policy.TimedOut) })
@@ -121,7 +122,7 @@
 // attemptServed answers the request and then ends its attempt. No other attempt can be open, since the settings allow no
 // hedged requests.
 func (g *simulatedGateway) attemptServed(attempt *simulatedAttempt, serviceTime time.Duration) {
-	g.fleet.emulated.ledger.AttemptServed(attempt.request.request.ID, serviceTime)
+	g.fleet.emulated.ledger.AttemptServed(attempt.request.clientRequest.ID, serviceTime)
 	g.answerRequest(attempt.request, emulator.Served)
 	g.endAttempt(attempt, policy.OK)
 }
@@ -150,7 +151,7 @@
 func (g *simulatedGateway) endRequest(request *simulatedRequest, ending emulator.Ending) {
 	request.ended = true
 	g.timers.Stop(request.clientTimer)
-	g.fleet.emulated.ledger.RequestEnded(request.request, ending)
+	g.fleet.emulated.ledger.RequestEnded(request.clientRequest, ending)
 	if ending != emulator.Served {
 		for _, attempt := range request.attempts {
 			g.endAttempt(attempt, policy.Cancelled)
