--- a/internal/audit/pausecheck_test.go
+++ b/internal/audit/pausecheck_test.go
@@ -5,12 +5,13 @@
 	"time"
 )
 
-// A gateway whose process was paused forwards nothing until it has heard from discovery, or its time for that is over.
-func TestPausedGatewayWaitsForItsList(t *testing.T) {
+// Guards against a gateway that forwards requests by an old list after its process was paused. It has to wait until
+// discovery has answered or the check has timed out.
+func TestPausedGatewayWaitsForDiscoveryOrTimeout(t *testing.T) {
 	for name, discoveryAnswers := range map[string]bool{"discovery answers": true, "discovery is silent": false} {
 		t.Run(name, func(t *testing.T) {
 			f := newSimFleet(t, 1, 5)
-			f.play(10 * time.Second)
+			f.advance(10 * time.Second)
 			g := f.gateways[1]
 			g.agentCut = !discoveryAnswers
 			g.pausedAt, g.pausedUntil = f.now, f.now+8*time.Second
@@ -19,14 +20,14 @@
 			}
 			resumedAt := f.now
 			if !g.outOfService {
-				t.Fatal("it serves at once")
+				t.Fatal("the gateway is in service right after the pause")
 			}
-			for g.outOfService && f.now < resumedAt+2*maxPauseCheck {
+			for g.outOfService && f.now < resumedAt+2*pauseCheckTimeout {
 				f.step(0)
 			}
 			waited := f.now - resumedAt
-			if discoveryAnswers != (waited < time.Second) || waited > maxPauseCheck+time.Second {
-				t.Errorf("it served after %v", waited)
+			if discoveryAnswers != (waited < time.Second) || waited > pauseCheckTimeout+time.Second {
+				t.Errorf("the gateway was back in service after %v", waited)
 			}
 		})
 	}
--- a/internal/fleettest/simulated.go
+++ b/internal/fleettest/simulated.go
@@ -159,7 +159,7 @@
 		}
 		g.ready.Store(true)
 		g.idle.Store(g.arrivals.remaining == 0 && len(g.requests) == 0)
-		timer.Reset(g.timers.Wait(g.fleet.now()))
+		timer.Reset(g.timers.TimeUntilNext(g.fleet.now()))
 		select {
 		case <-ctx.Done():
 			return
@@ -181,7 +181,7 @@
 // runTimers runs the timers that are due.
 func (g *simulatedGateway) runTimers() {
 	now := g.fleet.now()
-	if late := g.timers.Late(now); late > 0 {
+	if late := g.timers.Lateness(now); late > 0 {
 		g.fleet.timerLateness.record(late)
 	}
 	g.timers.Run(now)
