--- a/internal/fleettest/auditfleet_test.go
+++ b/internal/fleettest/auditfleet_test.go
@@ -29,7 +29,7 @@
 	loopback           = "127.0.0.1"            // address of agents, counters and links
 )
 
-// auditFleet is a fleet of auditGateways real gateways with audits, the emulated systems, and a link in front of each agent
+// auditFleet is a fleet of five real gateways with audits, the emulated systems, and a link in front of each agent
 // and each counter.
 //
 // Each test starts its own fleet, and the tests run in parallel. Tests wait for a log line or an answer of a gateway. They
