--- a/internal/fleettest/drain.go
+++ b/internal/fleettest/drain.go
@@ -11,68 +11,68 @@
 )
 
 const (
-	attemptRateWindow  = 300 * time.Millisecond // in which attempts at a backend are counted before it drains
-	listReadTimeout    = 5 * time.Second        // for a gateway to read that a backend drains
-	listReadPoll       = 50 * time.Microsecond  // of a socket's receive queue
-	drainPoll          = time.Millisecond
-	pauseBetweenDrains = 100 * time.Millisecond // from a backend's return to the next drain
-	maxListsNoted      = 1 << 12                // by drain
-	// A large drain takes one of so many backends, and two at least.
-	largeDrainShare = 5
-	minLargeDrain   = 2
+	attemptRateWindow  = 300 * time.Millisecond // in which attempts at backends are counted before they drain
+	listReadTimeout    = 5 * time.Second        // for the gateways to read the change of the endpoint list
+	listReadPoll       = 50 * time.Microsecond  // interval between checks of a socket's receive queue
+	drainPoll          = time.Millisecond       // interval between checks whether all gateways have read the change
+	pauseBetweenDrains = 100 * time.Millisecond // from restoring the backends to the next drain
+	maxListsRecorded   = 1 << 12                // for each drain
+	// A large drain drains one in largeDrainDivisor backends, and at least minLargeDrain.
+	largeDrainDivisor = 5
+	minLargeDrain     = 2
 )
 
-// drainWatch notes how a drain takes effect. It is safe for concurrent use.
-type drainWatch struct {
+// drainMonitor records when a drain takes effect at the gateways. It is safe for concurrent use.
+type drainMonitor struct {
 	realGateways, configuredGateways int
 
-	mu         sync.Mutex // guards all below, and the fields of each drain
-	attempts   []int      // of real gateways since takeBusiest, by backend with a listener of its own
-	current    *drain     // nil: none is watched
-	readMethod string     // how it was found last that a list was read; see unreadBytes
+	mu         sync.Mutex // guards the fields below, and the fields of each drain
+	attempts   []int      // by real gateways since the last takeBusiest, by index of the backend, for dedicatedBackends
+	current    *drain     // the drain being monitored; nil: none
+	readMethod string     // how the last read of a list was detected; see unreadBytes
 }
 
-// drain is one change of the endpoint list by which backends drain, and what came of it.
+// drain is one change of the endpoint list that drains backends, with its observed effects.
 type drain struct {
 	backends    map[int]bool
 	pushedAt    time.Time
-	lastAttempt map[int]time.Time // the first byte of the last attempt after it, by gateway index
-	attempts    int               // after it
-	listBytes   []float64         // of the line that each real gateway was sent
-	readAfter   []time.Duration   // from a list's being sent to its being read
+	lastAttempt map[int]time.Time // arrival of the first byte of the last attempt after the push, by gateway index
+	attempts    int               // after the push
+	listBytes   []float64         // size of the line sent to each real gateway
+	readDelays  []time.Duration   // from the sending of the line to its being read, for each real gateway
 }
 
-// drainResults gather what some drains gave.
+// drainResults accumulates the results of several drains.
 type drainResults struct {
-	inForce, inForceReal []float64 // ms, by drain
-	attempts             []float64 // by drain
-	rateBefore           []float64 // attempts/s, by drain
-	readAfter            []float64 // ms, by drain and real gateway
-	listBytes            []float64 // by drain and real gateway
+	effectiveAfter, effectiveAfterReal []float64 // ms, for each drain; of all gateways, and of the real ones
+	attempts                           []float64 // for each drain
+	rateBefore                         []float64 // attempts/s, for each drain
+	readDelays                         []float64 // ms, for each drain and real gateway
+	listBytes                          []float64 // for each drain and real gateway
 }
 
-func newDrainWatch(o Options) *drainWatch {
-	return &drainWatch{realGateways: o.Fleet.RealGateways, configuredGateways: o.Fleet.ConfiguredGateways,
+func newDrainMonitor(o Options) *drainMonitor {
+	return &drainMonitor{realGateways: o.Fleet.RealGateways, configuredGateways: o.Fleet.ConfiguredGateways,
 		attempts: make([]int, dedicatedBackends(o))}
 }
 
-// attemptArrived notes that an attempt of a gateway has come to a backend.
-func (w *drainWatch) attemptArrived(backend, gatewayIndex int, firstByte time.Time) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if backend < len(w.attempts) && gatewayIndex < w.realGateways {
-		w.attempts[backend]++
+// attemptArrived records that an attempt by a gateway has arrived at a backend.
+func (m *drainMonitor) attemptArrived(backend, gatewayIndex int, firstByte time.Time) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if backend < len(m.attempts) && gatewayIndex < m.realGateways {
+		m.attempts[backend]++
 	}
-	if d := w.current; d != nil && gatewayIndex < w.configuredGateways && d.backends[backend] && firstByte.After(d.pushedAt) {
+	if d := m.current; d != nil && gatewayIndex < m.configuredGateways && d.backends[backend] && firstByte.After(d.pushedAt) {
 		d.lastAttempt[gatewayIndex] = firstByte
 		d.attempts++
 	}
 }
 
-// listSent notes a change of the endpoint list that a real gateway was sent, and finds out when it is read. An agent
-// calls it on a goroutine of its own, and goes on once it returns.
-func (w *drainWatch) listSent(sent emulator.WatchSent) {
-	watched := w.noteListSent(sent)
+// watchSent records a change of the endpoint list that was sent to a real gateway, and polls the gateway's socket until the
+// change has been read. An agent calls it on the goroutine of the watch, which continues when it returns.
+func (m *drainMonitor) watchSent(sent emulator.WatchSent) {
+	watched := m.recordWatchSent(sent)
 	if watched == nil {
 		return
 	}
@@ -82,100 +82,101 @@
 			return
 		}
 		if unread == 0 {
-			w.mu.Lock()
-			defer w.mu.Unlock()
-			watched.readAfter, w.readMethod = append(watched.readAfter, time.Since(sent.SentAt)), method
+			m.mu.Lock()
+			defer m.mu.Unlock()
+			watched.readDelays, m.readMethod = append(watched.readDelays, time.Since(sent.SentAt)), method
 			return
 		}
 		time.Sleep(listReadPoll)
 	}
 }
 
-// noteListSent notes a list that was sent and returns the drain that it tells; nil: none that is watched.
-func (w *drainWatch) noteListSent(sent emulator.WatchSent) *drain {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	d := w.current
-	if d == nil || sent.Snapshot || sent.Entries != len(d.backends) || len(d.listBytes) >= maxListsNoted {
+// recordWatchSent records a list that was sent. It returns the monitored drain that the list announces, or nil if there is
+// none.
+func (m *drainMonitor) recordWatchSent(sent emulator.WatchSent) *drain {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	d := m.current
+	if d == nil || sent.Snapshot || sent.Entries != len(d.backends) || len(d.listBytes) >= maxListsRecorded {
 		return nil
 	}
 	d.listBytes = append(d.listBytes, float64(sent.Bytes))
 	return d
 }
 
-// takeBusiest returns the backends to which real gateways sent most since the last call.
-func (w *drainWatch) takeBusiest(count int) []int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	busiest := make([]int, len(w.attempts))
+// takeBusiest returns the backends that received the most attempts from real gateways since the last call.
+func (m *drainMonitor) takeBusiest(count int) []int {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	busiest := make([]int, len(m.attempts))
 	for i := range busiest {
 		busiest[i] = i
 	}
-	slices.SortStableFunc(busiest, func(a, b int) int { return w.attempts[b] - w.attempts[a] })
-	clear(w.attempts)
+	slices.SortStableFunc(busiest, func(a, b int) int { return m.attempts[b] - m.attempts[a] })
+	clear(m.attempts)
 	return busiest[:count]
 }
 
-// begin watches a drain of backends, which the caller pushes next. It returns the time from which is counted.
-func (w *drainWatch) begin(backends []int) time.Time {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.current = &drain{backends: make(map[int]bool, len(backends)), lastAttempt: map[int]time.Time{}}
+// start starts monitoring a drain of backends, which the caller pushes next. It returns the time that counts as the push.
+func (m *drainMonitor) start(backends []int) time.Time {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.current = &drain{backends: make(map[int]bool, len(backends)), lastAttempt: map[int]time.Time{}}
 	for _, backend := range backends {
-		w.current.backends[backend] = true
+		m.current.backends[backend] = true
 	}
-	w.current.pushedAt = time.Now()
-	return w.current.pushedAt
+	m.current.pushedAt = time.Now()
+	return m.current.pushedAt
 }
 
-// reads returns how many gateways have read of the drain that is being watched; there must be one.
-func (w *drainWatch) reads() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return len(w.current.readAfter)
+// readCount returns how many gateways have read the monitored drain; there must be one.
+func (m *drainMonitor) readCount() int {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return len(m.current.readDelays)
 }
 
-// end ends the watch, which begin began, and adds what it gave.
-func (w *drainWatch) end(results *drainResults) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	d := w.current
-	w.current = nil
-	inForce, inForceReal := time.Duration(0), time.Duration(0)
+// finish stops monitoring the current drain and adds its results.
+func (m *drainMonitor) finish(results *drainResults) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	d := m.current
+	m.current = nil
+	effectiveAfter, effectiveAfterReal := time.Duration(0), time.Duration(0)
 	for gatewayIndex, at := range d.lastAttempt {
-		inForce = max(inForce, at.Sub(d.pushedAt))
-		if gatewayIndex < w.realGateways {
-			inForceReal = max(inForceReal, at.Sub(d.pushedAt))
+		effectiveAfter = max(effectiveAfter, at.Sub(d.pushedAt))
+		if gatewayIndex < m.realGateways {
+			effectiveAfterReal = max(effectiveAfterReal, at.Sub(d.pushedAt))
 		}
 	}
-	results.inForce = append(results.inForce, milliseconds(inForce))
-	results.inForceReal = append(results.inForceReal, milliseconds(inForceReal))
+	results.effectiveAfter = append(results.effectiveAfter, milliseconds(effectiveAfter))
+	results.effectiveAfterReal = append(results.effectiveAfterReal, milliseconds(effectiveAfterReal))
 	results.attempts = append(results.attempts, float64(d.attempts))
 	results.listBytes = append(results.listBytes, d.listBytes...)
-	for _, after := range d.readAfter {
-		results.readAfter = append(results.readAfter, milliseconds(after))
+	for _, after := range d.readDelays {
+		results.readDelays = append(results.readDelays, milliseconds(after))
 	}
 }
 
-// method returns how it was found last that a list was read.
-func (w *drainWatch) method() string {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.readMethod
+// method returns how the last read of a list was detected.
+func (m *drainMonitor) method() string {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.readMethod
 }
 
-// drainBackends drains backends, first one at a time and then a fifth of all in one push, each time those that the real
-// gateways sent most to, and puts them back. The backends themselves go on serving, so that nothing but the endpoint
-// list tells the gateways.
+// drainBackends drains and restores backends, first one at a time and then a fifth of them in one push. It always drains
+// those that received the most attempts from the real gateways. The backends themselves continue to serve, so that the
+// gateways learn of a drain only from the endpoint list.
 func (r *fleetRun) drainBackends(ctx context.Context) error {
 	drains := r.options.Changes.Drains
-	largeDrain := min(max(minLargeDrain, r.options.Fleet.Backends/largeDrainShare), dedicatedBackends(r.options)-1)
+	largeDrain := min(max(minLargeDrain, r.options.Fleet.Backends/largeDrainDivisor), dedicatedBackends(r.options)-1)
 	for _, count := range []int{1, largeDrain} {
 		if drains == 0 || count < 1 {
 			continue
 		}
-		r.reporter.phase("%d drains of %d", drains, count)
-		r.reporter.resetNoise()
+		r.reporter.logPhase("%d drains of %d", drains, count)
+		r.reporter.resetSchedulingDelays()
 		var results drainResults
 		for range drains {
 			if err := r.drainOnce(ctx, count, &results); err != nil {
@@ -187,7 +188,7 @@
 	return nil
 }
 
-// drainOnce drains so many backends in one push, and puts them back once all gateways must have read it.
+// drainOnce drains a number of backends in one push, and restores them after awaitListReads.
 func (r *fleetRun) drainOnce(ctx context.Context, count int, results *drainResults) error {
 	backends := r.drains.takeBusiest(count)
 	drained, restored := make([]emulator.Endpoint, count), make([]emulator.Endpoint, count)
@@ -200,23 +201,23 @@
 		return err
 	}
 	results.rateBefore = append(results.rateBefore, rate)
-	pushedAt := r.drains.begin(backends)
+	pushedAt := r.drains.start(backends)
 	r.emulated.catalog.Apply(drained...)
 	err = r.awaitListReads(ctx, pushedAt)
-	r.drains.end(results)
+	r.drains.finish(results)
 	r.emulated.catalog.Apply(restored...)
 	if err != nil {
 		return err
 	}
-	return pause(ctx, pauseBetweenDrains) // else the two changes could be told as one
+	return sleep(ctx, pauseBetweenDrains) // otherwise the agents could combine this change and the next drain into one
 }
 
-// attemptRate measures how many attempts a second come to backends now. The counts that takeBusiest ranks by are older, so
-// the rate is measured anew.
+// attemptRate measures the current rate of attempts a second at some backends. takeBusiest's counts are older and can't be
+// used for it.
 func (r *fleetRun) attemptRate(ctx context.Context, backends []int) (float64, error) {
 	before, _ := r.emulated.model.Attempts()
 	start := time.Now()
-	if err := pause(ctx, attemptRateWindow); err != nil {
+	if err := sleep(ctx, attemptRateWindow); err != nil {
 		return 0, err
 	}
 	after, _ := r.emulated.model.Attempts()
@@ -227,34 +228,37 @@
 	return float64(attempts) / time.Since(start).Seconds(), nil
 }
 
-// awaitListReads waits for a drain's time, and then until all real gateways have read of it or the time for that is up.
+// awaitListReads waits for the drain duration, and then until all real gateways have read the change or listReadTimeout has
+// passed since the push.
 func (r *fleetRun) awaitListReads(ctx context.Context, pushedAt time.Time) error {
-	err := pause(ctx, r.options.Changes.drainDuration)
-	for end := pushedAt.Add(listReadTimeout); err == nil && time.Now().Before(end) && r.drains.reads() < len(r.ready); {
-		err = pause(ctx, drainPoll)
+	err := sleep(ctx, r.options.Changes.drainDuration)
+	for end := pushedAt.Add(listReadTimeout); err == nil && time.Now().Before(end) && r.drains.readCount() < len(r.ready); {
+		err = sleep(ctx, drainPoll)
 	}
 	return err
 }
 
-// reportDrains makes rows of some drains of so many backends.
+// reportDrains adds the rows of several drains, each of count backends.
 func (r *fleetRun) reportDrains(count int, results *drainResults) {
 	drain := "drain of one backend"
 	if count > 1 {
 		drain = fmt.Sprintf("drain of %d backends", count)
 	}
-	inForceHow := fmt.Sprintf("from the push to the last first byte at a drained backend, 0: none came; "+
-		"mean of %d; %.1f attempts/s came there before%s", len(results.inForce), mean(results.rateBefore), r.reporter.takeNoise())
-	real := len(r.ready)
-	r.reporter.row(drain+", in force at all doors", "ms", r.running(), results.inForce, inForceHow)
-	if real > 0 {
-		r.reporter.row(drain+", in force at real doors", "ms", real, results.inForceReal, inForceHow)
+	effectiveHow := fmt.Sprintf("from the push to the first byte of the last attempt at a drained backend, 0: no attempt; "+
+		"mean of %d; %.1f attempts/s there before the push%s", len(results.effectiveAfter), mean(results.rateBefore),
+		r.reporter.takeNoiseSuffix())
+	realGateways := len(r.ready)
+	r.reporter.addRow(drain+", in force at all doors", "ms", r.runningGateways(), results.effectiveAfter, effectiveHow)
+	if realGateways > 0 {
+		r.reporter.addRow(drain+", in force at real doors", "ms", realGateways, results.effectiveAfterReal, effectiveHow)
 	}
-	r.reporter.row(drain+", attempts after the push", "", r.running(), results.attempts, "of all gateways, by drain")
-	if real > 0 {
-		r.reporter.row(drain+", read by the door", "ms", real, results.readAfter, fmt.Sprintf(
-			"from the agent's write until the gateway's socket is empty, by %s, %d seen", r.drains.method(),
-			len(results.readAfter)))
-		r.reporter.row(drain+", line of the watch", "bytes", real, results.listBytes,
-			fmt.Sprintf("%d seen", len(results.listBytes)))
+	r.reporter.addRow(drain+", attempts after the push", "", r.runningGateways(), results.attempts,
+		"of all gateways, per drain")
+	if realGateways > 0 {
+		r.reporter.addRow(drain+", read by the door", "ms", realGateways, results.readDelays, fmt.Sprintf(
+			"from the agent's write until the gateway's socket is empty, by %s, %d observed", r.drains.method(),
+			len(results.readDelays)))
+		r.reporter.addRow(drain+", line of the watch", "bytes", realGateways, results.listBytes,
+			fmt.Sprintf("%d observed", len(results.listBytes)))
 	}
 }
--- a/internal/fleettest/load.go
+++ b/internal/fleettest/load.go
@@ -11,66 +11,68 @@
 )
 
 const (
-	warmUp                   = time.Second            // from the load's begin to the first measuring
-	connectionSampleInterval = 100 * time.Millisecond // of the connections that backends hold
-	// requestsTimeoutFactor: a run of a number of requests fails once they have taken so many times the sum of their time at
-	// the rate and the longest time of one request.
+	warmUp                   = time.Second            // from the start of the load to the start of the measurement
+	connectionSampleInterval = 100 * time.Millisecond // between samples of the connections that backends hold
+	// requestsTimeoutFactor bounds a run of a number of requests: it fails when they take longer than this factor times the
+	// sum of their expected duration at the configured rate and the longest duration of one request.
 	requestsTimeoutFactor = 3
 )
 
 var errRequestsOpen = errors.New("requests are still open")
 
-// loadSwitch tells all gateways when requests begin to come and when no more do.
-type loadSwitch struct {
-	begun, halted chan struct{} // closed by begin and by halt
-	haltOnce      sync.Once
+// loadSignals signals to the goroutines that generate requests when to start and when to stop.
+type loadSignals struct {
+	started, stopped chan struct{} // closed by start and by stop
+	stopOnce         sync.Once
 }
 
-func newLoadSwitch() *loadSwitch {
-	return &loadSwitch{begun: make(chan struct{}), halted: make(chan struct{})}
+func newLoadSignals() *loadSignals {
+	return &loadSignals{started: make(chan struct{}), stopped: make(chan struct{})}
 }
 
-// begin closes begun; it must not be called again.
-func (l *loadSwitch) begin() { close(l.begun) }
+// start closes started. It must be called at most once.
+func (l *loadSignals) start() { close(l.started) }
 
-// halt closes halted; it may be called again.
-func (l *loadSwitch) halt() { l.haltOnce.Do(func() { close(l.halted) }) }
+// stop closes stopped. It may be called more than once.
+func (l *loadSignals) stop() { l.stopOnce.Do(func() { close(l.stopped) }) }
 
-// loadMeter gathers what clients see, from many goroutines.
-type loadMeter struct {
-	measuring atomic.Bool
-	arrivals  atomic.Int64 // requests at all gateways, real and simulated
-	added     *histogram   // the client's time less the backend's, through real gateways
-	direct    *histogram   // the same with no gateway between
+// loadMetrics records what clients observe. It is safe for concurrent use.
+type loadMetrics struct {
+	measuring     atomic.Bool  // whether requests that end are recorded
+	arrivals      atomic.Int64 // requests that reached all gateways, real and simulated
+	addedLatency  *histogram   // the client's latency less the backend's service time, through real gateways
+	directLatency *histogram   // the same without a gateway
 }
 
-func newLoadMeter() *loadMeter { return &loadMeter{added: newHistogram(), direct: newHistogram()} }
+func newLoadMetrics() *loadMetrics {
+	return &loadMetrics{addedLatency: newHistogram(), directLatency: newHistogram()}
+}
 
-func (m *loadMeter) requestArrived() { m.arrivals.Add(1) }
+func (m *loadMetrics) requestArrived() { m.arrivals.Add(1) }
 
-// senders are the goroutines that send requests.
+// senders controls the goroutines that send requests.
 type senders struct {
 	goroutines sync.WaitGroup
-	ended      chan struct{} // closed once all requests have ended, those of simulated gateways as well
-	stop       func()        // stops them and waits for their end
+	ended      chan struct{} // closed when all requests have ended, including those of simulated gateways
+	stop       func()        // stops the goroutines and waits for them to end
 }
 
-// startSenders lets requests begin at all gateways. A context that ends closes the clients, since an answer would still
-// be awaited otherwise.
-func (r *fleetRun) startSenders(ctx context.Context, load *loadSwitch) *senders {
+// startSenders starts the requests at all gateways. When the context ends, it closes the clients: they would otherwise keep
+// waiting for answers.
+func (r *fleetRun) startSenders(ctx context.Context, load *loadSignals) *senders {
 	s := &senders{ended: make(chan struct{})}
-	load.begin()
+	load.start()
 	keepClientsOpen := context.AfterFunc(ctx, func() {
 		for _, gateway := range r.ready {
 			gateway.clients.Close()
 		}
 	})
 	for _, gateway := range r.ready {
-		s.goroutines.Go(func() { r.sendThrough(ctx, gateway, load.halted) })
+		s.goroutines.Go(func() { r.sendViaGateway(ctx, gateway, load.stopped) })
 	}
 	directCtx, cancelDirect := context.WithCancel(ctx)
-	s.goroutines.Go(func() { r.sendDirect(directCtx, load.halted) })
-	go func() { // ends with ctx at the latest
+	s.goroutines.Go(func() { r.sendDirect(directCtx, load.stopped) })
+	go func() { // ends when ctx does, at the latest
 		defer close(s.ended)
 		s.goroutines.Wait()
 		r.simulated.awaitIdle(ctx)
@@ -78,16 +80,16 @@
 	s.stop = func() {
 		cancelDirect()
 		keepClientsOpen()
-		load.halt()
+		load.stop()
 		s.goroutines.Wait()
 	}
 	return s
 }
 
-// sendThrough sends a gateway its requests from now on, until halted is closed or there are no more.
-func (r *fleetRun) sendThrough(ctx context.Context, gateway *measuredGateway, halted <-chan struct{}) {
+// sendViaGateway sends requests through a gateway until stopped is closed or the requested number has been sent.
+func (r *fleetRun) sendViaGateway(ctx context.Context, gateway *measuredGateway, stopped <-chan struct{}) {
 	schedule := requestSchedule{traffic: emulator.NewTraffic(r.emulated.traffic, gateway.index()),
-		requests: r.options.Load.Requests, halted: halted}
+		requests: r.options.Load.Requests, stopped: stopped}
 	schedule.run(ctx, func(request *emulator.Request) {
 		r.load.requestArrived()
 		ending, took := gateway.clients.Do(ctx, request)
@@ -97,15 +99,15 @@
 		}
 		gateway.requestsEnded.Add(1)
 		if service := r.emulated.ledger.ServiceTime(request.ID); ending == emulator.Served && service > 0 {
-			r.load.added.record(took - service)
-			gateway.added.record(took - service)
+			r.load.addedLatency.record(took - service)
+			gateway.addedLatency.record(took - service)
 		}
 	})
 }
 
-// sendDirect sends requests to a backend with no gateway between, one at a time, as a measure of what the measuring
-// adds. Their ids name the index behind the last gateway's, which no gateway has.
-func (r *fleetRun) sendDirect(ctx context.Context, halted <-chan struct{}) {
+// sendDirect sends requests to a backend without a gateway, one at a time, to measure the overhead of the measurement
+// itself. The gateway index in their ids is one above the last gateway's, so it belongs to no gateway.
+func (r *fleetRun) sendDirect(ctx context.Context, stopped <-chan struct{}) {
 	clients := emulator.NewClients(r.emulated.backends.Addr(0), 1, clientReplyGrace)
 	defer clients.Close()
 	defer context.AfterFunc(ctx, clients.Close)()
@@ -115,7 +117,7 @@
 		gap, request := traffic.Next()
 		select {
 		case <-time.After(gap):
-		case <-halted:
+		case <-stopped:
 			return
 		case <-ctx.Done():
 			return
@@ -123,46 +125,46 @@
 		ending, took := clients.Do(ctx, request)
 		r.emulated.ledger.RequestEnded(request, ending)
 		if service := r.emulated.ledger.ServiceTime(request.ID); ending == emulator.Served && r.load.measuring.Load() {
-			r.load.direct.record(took - service)
+			r.load.directLatency.record(took - service)
 		}
 	}
 }
 
-// applyLoad sends requests, measures, and drains backends while requests go on.
-func (r *fleetRun) applyLoad(ctx context.Context, load *loadSwitch) error {
+// runLoad sends requests, measures, and drains backends while the load continues.
+func (r *fleetRun) runLoad(ctx context.Context, load *loadSignals) error {
 	senders := r.startSenders(ctx, load)
 	defer senders.stop()
 	if r.options.Load.Requests == 0 {
-		if err := pause(ctx, warmUp); err != nil {
+		if err := sleep(ctx, warmUp); err != nil {
 			return err
 		}
 	}
-	r.reporter.phase("load of %.0f requests/s at each gateway", r.options.Load.RequestsPerSecond)
+	r.reporter.logPhase("load of %.0f requests/s at each gateway", r.options.Load.RequestsPerSecond)
 	r.resetTimes()
 	r.load.measuring.Store(true)
-	before := r.read()
+	before := r.readMetrics()
 	if r.options.Load.Requests > 0 {
 		return r.measureRequests(ctx, senders, before)
 	}
 	return r.measureDuration(ctx, senders, load, before)
 }
 
-// resetTimes forgets the times that were measured so far.
+// resetTimes discards the times that were measured so far.
 func (r *fleetRun) resetTimes() {
-	r.reporter.resetNoise()
+	r.reporter.resetSchedulingDelays()
 	r.simulated.resetTimes()
 	for _, gateway := range r.ready {
-		gateway.added.reset()
+		gateway.addedLatency.reset()
 	}
-	r.load.added.reset()
-	r.load.direct.reset()
+	r.load.addedLatency.reset()
+	r.load.directLatency.reset()
 }
 
-// measureRequests measures until a number of requests has ended at each gateway. Its drains run between the two readings, so
-// the rows of what comes from discovery and of the connections hold what they cause.
-func (r *fleetRun) measureRequests(ctx context.Context, senders *senders, before readings) error {
+// measureRequests measures until each gateway has ended its number of requests. The drains run within the measurement, so
+// the rows of the traffic from discovery and of the connections include what the drains cause.
+func (r *fleetRun) measureRequests(ctx context.Context, senders *senders, before runMetrics) error {
 	var connections connectionSamples
-	connections.take(r.emulated.backends)
+	connections.sample(r.emulated.backends)
 	if err := r.drainBackends(ctx); err != nil {
 		return err
 	}
@@ -173,39 +175,39 @@
 	case <-time.After(r.requestsTimeout()):
 		return errRequestsOpen
 	}
-	connections.take(r.emulated.backends)
-	r.reportLoad(before, r.read(), &connections)
+	connections.sample(r.emulated.backends)
+	r.reportLoad(before, r.readMetrics(), &connections)
 	return nil
 }
 
-// requestsTimeout is how long a number of requests may take at the worst.
+// requestsTimeout returns how long measureRequests waits for the requests to end.
 func (r *fleetRun) requestsTimeout() time.Duration {
 	load := &r.options.Load
 	atRate := requestsTimeoutFactor * float64(load.Requests) / load.RequestsPerSecond * float64(time.Second)
 	return time.Duration(atRate) + requestsTimeoutFactor*(clientTimeout+clientReplyGrace)
 }
 
-// measureDuration measures for a duration. After the second reading it drains backends, and then halts the load.
-func (r *fleetRun) measureDuration(ctx context.Context, senders *senders, load *loadSwitch, before readings) error {
+// measureDuration measures for a fixed duration, then drains backends under load, and then stops the load.
+func (r *fleetRun) measureDuration(ctx context.Context, senders *senders, load *loadSignals, before runMetrics) error {
 	var connections connectionSamples
 	for end := before.readAt.Add(r.options.Load.Duration); time.Now().Before(end); {
-		if err := pause(ctx, min(connectionSampleInterval, time.Until(end))); err != nil {
+		if err := sleep(ctx, min(connectionSampleInterval, time.Until(end))); err != nil {
 			return err
 		}
-		connections.take(r.emulated.backends)
+		connections.sample(r.emulated.backends)
 	}
 	r.load.measuring.Store(false)
-	r.reportLoad(before, r.read(), &connections)
+	r.reportLoad(before, r.readMetrics(), &connections)
 	if err := r.drainBackends(ctx); err != nil {
 		return err
 	}
-	load.halt()
+	load.stop()
 	select {
 	case <-senders.ended:
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-time.After(clientTimeout + clientReplyGrace + time.Second):
-		r.reporter.failure("requests left open", "", r.running(), errRequestsOpen)
+		r.reporter.addFailure("requests left open", "", r.runningGateways(), errRequestsOpen)
 	}
 	return nil
 }
--- a/internal/fleettest/simulated.go
+++ b/internal/fleettest/simulated.go
@@ -14,35 +14,35 @@
 )
 
 const (
-	simulatedCores        = 2                      // simulated gateways that compute at once
-	simulatedReadyTimeout = 30 * time.Second       // for all of them to take in the endpoint list
+	maxConcurrentSteps    = 2                      // simulated gateways that run their engines concurrently
+	simulatedReadyTimeout = 30 * time.Second       // for all simulated gateways to apply the endpoint list
 	counterLatency        = 200 * time.Microsecond // from a counter call to its answer
-	rejectionLatency      = 100 * time.Microsecond // from an attempt to its being rejected
+	rejectionLatency      = 100 * time.Microsecond // from an attempt to its rejection
 	healthCheckLatency    = 100 * time.Microsecond // from a health check to its answer
 	fetchLatency          = 100 * time.Microsecond // from a fetch of the endpoint list to its snapshot
-	statePollInterval     = time.Millisecond       // while somebody waits for the gateways to be ready, or idle
+	statePollInterval     = time.Millisecond       // between checks whether the gateways are ready or idle
 )
 
-// simulatedFleet is what the simulated gateways of one run share.
+// simulatedFleet holds the simulated gateways of one run and what they share.
 type simulatedFleet struct {
-	gateways  []*simulatedGateway
-	emulated  *emulatedSystems
-	begun     time.Time     // of the run: their clock starts then
-	cores     chan struct{} // one place for each gateway that may compute
-	zones     int
-	onArrival func()                                               // a request has come to one of them
-	onAttempt func(backend, gatewayIndex int, firstByte time.Time) // an attempt of one of them has come to a backend
-	lateness  *histogram                                           // of what was due in their loops
-	stepTime  *histogram                                           // that one Step takes
+	gateways      []*simulatedGateway
+	emulated      *emulatedSystems
+	startedAt     time.Time     // start of the run, and of the gateways' clock
+	computeSlots  chan struct{} // semaphore of maxConcurrentSteps
+	zones         int
+	onArrival     func()                                               // called when a request reaches a gateway
+	onAttempt     func(backend, gatewayIndex int, firstByte time.Time) // called when an attempt reaches a backend
+	timerLateness *histogram                                           // of the gateways' event loops
+	stepTime      *histogram                                           // duration of a Step
 }
 
-// newSimulatedFleet returns a fleet with no gateways. The caller sets onArrival and onAttempt.
-func newSimulatedFleet(emulated *emulatedSystems, begun time.Time, zones int) *simulatedFleet {
-	return &simulatedFleet{emulated: emulated, begun: begun, cores: make(chan struct{}, simulatedCores), zones: zones,
-		lateness: newHistogram(), stepTime: newHistogram()}
+// newSimulatedFleet returns a fleet without gateways. The caller sets onArrival and onAttempt.
+func newSimulatedFleet(emulated *emulatedSystems, startedAt time.Time, zones int) *simulatedFleet {
+	return &simulatedFleet{emulated: emulated, startedAt: startedAt, computeSlots: make(chan struct{}, maxConcurrentSteps),
+		zones: zones, timerLateness: newHistogram(), stepTime: newHistogram()}
 }
 
-// add adds a gateway with an index of its own. It does not run yet.
+// add adds a gateway with a unique index, without starting it.
 func (f *simulatedFleet) add(index int, o Options) error {
 	settings, err := newSettings(index, o.Fleet.ConfiguredGateways, f.zones).policySettings()
 	if err != nil {
@@ -58,33 +58,34 @@
 	}
 	gateway := &simulatedGateway{fleet: f, index: index, engine: engine, requests: map[uint64]*simulatedRequest{},
 		inService: make([]bool, len(f.emulated.endpoints)),
-		arrivals:  arrivalSchedule{traffic: emulator.NewTraffic(f.emulated.traffic, index), left: requestsLeft}}
+		arrivals:  arrivalSchedule{traffic: emulator.NewTraffic(f.emulated.traffic, index), remaining: requestsLeft}}
 	f.gateways = append(f.gateways, gateway)
 	return nil
 }
 
-// start starts a goroutine for each gateway, which ends with the context.
-func (f *simulatedFleet) start(ctx context.Context, goroutines *sync.WaitGroup, load *loadSwitch) {
+// start starts a goroutine for each gateway. The goroutines end when the context does.
+func (f *simulatedFleet) start(ctx context.Context, goroutines *sync.WaitGroup, load *loadSignals) {
 	for _, gateway := range f.gateways {
-		goroutines.Go(func() { gateway.run(ctx, load.begun, load.halted) })
+		goroutines.Go(func() { gateway.run(ctx, load.started, load.stopped) })
 	}
 }
 
-// now is the gateways' clock: like a real gateway's, the Unix time at the start and what has passed since.
+// now returns the time of the gateways' clock, which, like a real gateway's, is the Unix time at the start plus the
+// monotonic time since.
 func (f *simulatedFleet) now() time.Duration {
-	return time.Duration(f.begun.UnixNano()) + time.Since(f.begun)
+	return time.Duration(f.startedAt.UnixNano()) + time.Since(f.startedAt)
 }
 
-// awaitReady waits until each gateway has taken in the endpoint list.
+// awaitReady waits until every gateway has applied the endpoint list.
 func (f *simulatedFleet) awaitReady(ctx context.Context) error {
 	end := time.Now().Add(simulatedReadyTimeout)
 	for _, gateway := range f.gateways {
 		for !gateway.ready.Load() {
-			if err := pause(ctx, statePollInterval); err != nil {
+			if err := sleep(ctx, statePollInterval); err != nil {
 				return err
 			}
 			if time.Now().After(end) {
-				return fmt.Errorf("simulated gateway %d has not taken in the endpoint list in %v", gateway.index,
+				return fmt.Errorf("simulated gateway %d did not apply the endpoint list within %v", gateway.index,
 					simulatedReadyTimeout)
 			}
 		}
@@ -92,7 +93,7 @@
 	return nil
 }
 
-// awaitIdle waits until no gateway has a request or gets a further one.
+// awaitIdle waits until no gateway has an open request or expects another one.
 func (f *simulatedFleet) awaitIdle(ctx context.Context) {
 	for _, gateway := range f.gateways {
 		for !gateway.idle.Load() && ctx.Err() == nil {
@@ -101,7 +102,7 @@
 	}
 }
 
-// steps is how many Steps all took.
+// steps returns the number of Steps of all gateways.
 func (f *simulatedFleet) steps() (sum int64) {
 	for _, gateway := range f.gateways {
 		sum += gateway.steps.Load()
@@ -109,7 +110,7 @@
 	return sum
 }
 
-// requestsSkipped is how many requests the gateways skipped, as they came to them too late.
+// requestsSkipped returns the number of requests that the gateways skipped because they were too far behind schedule.
 func (f *simulatedFleet) requestsSkipped() (sum int64) {
 	for _, gateway := range f.gateways {
 		sum += gateway.skipped.Load()
@@ -117,83 +118,84 @@
 	return sum
 }
 
-// resetTimes forgets the times that were measured so far.
+// resetTimes discards the times that were measured so far.
 func (f *simulatedFleet) resetTimes() {
-	f.lateness.reset()
+	f.timerLateness.reset()
 	f.stepTime.reset()
 }
 
-// simulatedGateway is a gateway without sockets: an engine, fed in real time by the same endpoint list, numbers
-// and model of the backends as the real gateways. The goroutine that runs it owns it, but for what is atomic.
+// simulatedGateway is a gateway without sockets: an engine that works in real time with the same endpoint list, counter
+// values and model of the backends as the real gateways. Only the goroutine of run uses it, except for the atomic fields.
 type simulatedGateway struct {
 	fleet     *simulatedFleet
 	index     int
 	engine    *policy.Engine
 	events    []policy.Event // for the next Step
 	timers    timerqueue.Queue
-	listIndex int64  // of the endpoint list as this gateway has it
-	inService []bool // by backend, as this gateway's list says
+	listIndex int64  // index of the endpoint list that this gateway has applied
+	inService []bool // by index of the backend, according to that list
 
 	requests      map[uint64]*simulatedRequest
 	lastRequestID uint64
 	arrivals      arrivalSchedule
 
-	ready   atomic.Bool // it has had its first Step
-	idle    atomic.Bool // no further request comes and none is open
+	ready   atomic.Bool // the first Step has been executed
+	idle    atomic.Bool // no request is open and none is to come
 	steps   atomic.Int64
-	skipped atomic.Int64 // requests that it came to too late; see arrive
+	skipped atomic.Int64 // requests skipped by handleArrival
 }
 
-// run serves until the context ends. Requests come from when begun is closed until halted is.
-func (g *simulatedGateway) run(ctx context.Context, begun, halted <-chan struct{}) {
-	alarm := time.NewTimer(0)
-	defer alarm.Stop()
+// run is the gateway's event loop, which runs until the context ends. Requests arrive from the time at which started is
+// closed until stopped is closed.
+func (g *simulatedGateway) run(ctx context.Context, started, stopped <-chan struct{}) {
+	timer := time.NewTimer(0)
+	defer timer.Stop()
 	catalog := g.fleet.emulated.catalog
-	g.takeList(catalog.Snapshot(), policy.CachedSnapshot)
+	g.applyEndpointList(catalog.Snapshot(), policy.CachedSnapshot)
 	_, listChanged := catalog.ChangesSince(g.listIndex)
 	for {
 		if !g.step(ctx) {
 			return
 		}
 		g.ready.Store(true)
-		g.idle.Store(g.arrivals.left == 0 && len(g.requests) == 0)
-		alarm.Reset(g.timers.TimeUntilNext(g.fleet.now()))
+		g.idle.Store(g.arrivals.remaining == 0 && len(g.requests) == 0)
+		timer.Reset(g.timers.TimeUntilNext(g.fleet.now()))
 		select {
 		case <-ctx.Done():
 			return
-		case <-begun:
-			begun = nil
+		case <-started:
+			started = nil
 			g.arrivals.nextAt = g.fleet.now()
-			g.takeArrivals()
-		case <-halted:
-			halted = nil
-			g.arrivals.left = 0
+			g.handleDueArrivals()
+		case <-stopped:
+			stopped = nil
+			g.arrivals.remaining = 0
 		case <-listChanged:
-			listChanged = g.takeChanges()
-		case <-alarm.C:
+			listChanged = g.applyListChanges()
+		case <-timer.C:
 		}
 		g.runTimers()
 	}
 }
 
-// runTimers runs what is due.
+// runTimers runs the timers that are due.
 func (g *simulatedGateway) runTimers() {
 	now := g.fleet.now()
 	if late := g.timers.Lateness(now); late > 0 {
-		g.fleet.lateness.record(late)
+		g.fleet.timerLateness.record(late)
 	}
 	g.timers.Run(now)
 }
 
-// step gives the engine what has happened and carries out its actions, until there are no more events; only so many
-// gateways as the run may use cores do so at a time. It returns false at the context's end.
+// step passes the queued events to the engine and executes its actions, until no events are left. At most
+// maxConcurrentSteps gateways do so at a time. It returns false if the context has ended.
 func (g *simulatedGateway) step(ctx context.Context) bool {
 	if len(g.events) == 0 {
 		return ctx.Err() == nil
 	}
 	select {
-	case g.fleet.cores <- struct{}{}:
-		defer func() { <-g.fleet.cores }()
+	case g.fleet.computeSlots <- struct{}{}:
+		defer func() { <-g.fleet.computeSlots }()
 	case <-ctx.Done():
 		return false
 	}
@@ -205,21 +207,22 @@
 		actions := g.engine.Step(g.fleet.now(), events)
 		g.fleet.stepTime.record(time.Since(start))
 		for _, action := range actions {
-			g.carryOut(action)
+			g.execute(action)
 		}
 	}
 	return ctx.Err() == nil
 }
 
-// emit notes an event for the next Step.
-func (g *simulatedGateway) emit(event policy.Event) { g.events = append(g.events, event) }
+// queueEvent queues an event for the next Step.
+func (g *simulatedGateway) queueEvent(event policy.Event) { g.events = append(g.events, event) }
 
-// after runs a task later on this gateway's goroutine.
-func (g *simulatedGateway) after(pause time.Duration, task func()) {
-	g.timers.Add(g.fleet.now()+pause, task)
+// after runs a task on this gateway's goroutine after a delay.
+func (g *simulatedGateway) after(delay time.Duration, task func()) {
+	g.timers.Add(g.fleet.now()+delay, task)
 }
 
-func (g *simulatedGateway) carryOut(action policy.Action) {
+// execute executes an action of the engine.
+func (g *simulatedGateway) execute(action policy.Action) {
 	switch action := action.(type) {
 	case policy.SendAttempt:
 		if request := g.requests[action.ID]; request != nil {
@@ -230,50 +233,51 @@
 			g.endAttempt(request.attempts[action.Attempt], policy.Cancelled)
 		}
 	case policy.Reject:
-		g.answer(g.requests[action.ID], emulator.Rejected)
+		g.answerRequest(g.requests[action.ID], emulator.Rejected)
 	case policy.Fail:
-		g.answer(g.requests[action.ID], emulator.Failed)
+		g.answerRequest(g.requests[action.ID], emulator.Failed)
 	case policy.HealthCheck:
 		g.after(healthCheckLatency, func() {
-			g.emit(policy.HealthCheckResult{Backend: action.Backend, Status: policy.OK})
+			g.queueEvent(policy.HealthCheckResult{Backend: action.Backend, Status: policy.OK})
 		})
 	case policy.AddToCounter:
 		g.callCounter(action)
 	case policy.SetTimer:
-		g.timers.Add(action.At, func() { g.emit(policy.Timer{Cookie: action.Cookie}) })
+		g.timers.Add(action.At, func() { g.queueEvent(policy.Timer{Cookie: action.Cookie}) })
 	case policy.FetchEndpoints:
-		g.after(fetchLatency, func() { g.takeList(g.fleet.emulated.catalog.Snapshot(), policy.Snapshot) })
+		g.after(fetchLatency, func() { g.applyEndpointList(g.fleet.emulated.catalog.Snapshot(), policy.Snapshot) })
 	}
 }
 
-// callCounter adds to a number at once and emits the result when the answer would come.
+// callCounter adds to a counter value immediately and queues the result after counterLatency.
 func (g *simulatedGateway) callCounter(call policy.AddToCounter) {
 	name := strconv.FormatUint(call.Name, 10)
-	total, ok := g.fleet.emulated.numbers.Add(time.Now(), name, call.Amount, call.TTL)
+	total, ok := g.fleet.emulated.counterValues.Add(time.Now(), name, call.Amount, call.TTL)
 	result := policy.CounterResult{Name: call.Name, Status: policy.Rejected}
 	if ok {
 		result = policy.CounterResult{Name: call.Name, Status: policy.OK, Total: total}
 	}
-	g.after(counterLatency, func() { g.emit(result) })
+	g.after(counterLatency, func() { g.queueEvent(result) })
 }
 
-// takeChanges takes in what has changed in the endpoint list, and returns what is closed at the next change.
-func (g *simulatedGateway) takeChanges() (listChanged <-chan struct{}) {
+// applyListChanges applies the changes of the endpoint list since listIndex. It returns a channel that is closed at the next
+// change.
+func (g *simulatedGateway) applyListChanges() (listChanged <-chan struct{}) {
 	members, listChanged := g.fleet.emulated.catalog.ChangesSince(g.listIndex)
 	if members.Snapshot {
-		g.takeList(members, policy.Snapshot)
+		g.applyEndpointList(members, policy.Snapshot)
 	} else if len(members.Endpoints) > 0 {
-		g.takeList(members, policy.Delta)
+		g.applyEndpointList(members, policy.Delta)
 	}
 	return listChanged
 }
 
-// backendStates are the states of the policy by discovery's.
+// backendStates maps discovery's endpoint statuses to the policy's backend states.
 var backendStates = map[string]policy.BackendState{emulator.Serving: policy.InService,
 	emulator.Draining: policy.Draining, emulator.Deleted: policy.Terminated}
 
-// takeList takes in an endpoint list or its changes.
-func (g *simulatedGateway) takeList(members emulator.Members, kind policy.UpdateKind) {
+// applyEndpointList applies an endpoint list or a delta, and queues it as an event for the engine.
+func (g *simulatedGateway) applyEndpointList(members emulator.Members, kind policy.UpdateKind) {
 	g.listIndex = members.Index
 	if kind != policy.Delta {
 		clear(g.inService)
@@ -287,5 +291,5 @@
 			Cell: endpoint.Group, State: state, Weight: endpoint.Weight,
 			Started: time.Duration(endpoint.SinceMS) * time.Millisecond})
 	}
-	g.emit(update)
+	g.queueEvent(update)
 }
