--- a/internal/policy/action.go
+++ b/internal/policy/action.go
@@ -32,11 +32,11 @@
 // HealthCheck checks the health of a backend. A HealthCheckResult follows.
 type HealthCheck struct{ Backend string }
 
-// AddToCounter adds Amount to a number on the counter that all gateways share. A CounterResult follows.
+// AddToCounter adds Amount to the total that the shared counter keeps under Name. A CounterResult follows.
 type AddToCounter struct {
 	Name   uint64
 	Amount float64
-	TTL    time.Duration // lifetime of a number that this call creates
+	TTL    time.Duration // lifetime of the total, if this call creates it
 }
 
 // SetTimer requests a Timer event with the same Cookie at time At or later.
--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -3,9 +3,9 @@
 // Admission: processing a request from its arrival until it is dispatched, rejected or made to wait for
 // its tenant's quota or limits.
 //
-// In the paper, a token bucket promotes the traffic that the contract guarantees (stage 2). Stages 3 and
-// 4 are in dispatch.go. See doc.go for the whole request path, and the head of rejection.go for the
-// order in which rules can reject a request, here and later.
+// In the paper, a token bucket promotes the traffic that the contract guarantees (stage 2). Stage 3
+// is in selection.go, stage 4 in dispatch.go. See doc.go for the whole request path, and the head of
+// rejection.go for the order in which rules can reject a request, here and later.
 
 import (
 	"maps"
@@ -151,9 +151,9 @@
 	return proceed
 }
 
-// checkLimits checks a request against the two limits of its plan that tokens can't replace: the number
-// of concurrently admitted requests and the rate of the hard limit. If only the hard limit is exceeded,
-// it also calls the counter to borrow units, where that is allowed.
+// checkLimits checks a request against the two limits of its plan that apply even if there are tokens to
+// pay for it: the number of concurrently admitted requests and the rate of the hard limit. If only the
+// hard limit is exceeded, it also calls the counter to borrow units, where that is allowed.
 func (e *Engine) checkLimits(r *request) quotaDecision {
 	full := e.concurrencyLimitReached(r)
 	shortfall := r.tenant.hardLimit.Shortfall(e.now, r.cost)
@@ -200,11 +200,11 @@
 	return proceed
 }
 
-// placeOverQuota dispatches a request that exceeds a limit or its quota at the lowest level, provided
-// that its plan earns something for such requests and the hard limit's share holds the cost. Otherwise
-// the request is rejected, for what it exceeds or for the hard limit. At the lowest level a first
-// attempt goes only to a backend with a free slot (waitsTooLong); it is queued at that backend only if
-// the backend's slow-start budget is spent.
+// placeOverQuota dispatches, at the lowest priority level, a request that exceeds a limit or its quota,
+// provided that its plan earns something for such requests and the hard limit's share holds the cost.
+// Otherwise the request is rejected, for what it exceeds or for the hard limit. At the lowest level a
+// first attempt goes only to a backend with a free slot (waitsTooLong); it is queued at that backend only
+// if the backend's slow-start budget is spent.
 //
 // The retry-after advice always comes from the quota, whichever limit was exceeded: it is the time until
 // the quota's bucket is expected to hold the cost (lease.TimeUntil). For a plan without a rate, the
--- a/internal/policy/attempt.go
+++ b/internal/policy/attempt.go
@@ -13,7 +13,7 @@
 		e.reject(r, rejection{reason: reason})
 		return
 	}
-	if len(r.attempts) == 0 && !e.spendHardLimit(r) { // advice: see placeOverQuota
+	if len(r.attempts) == 0 && !e.spendHardLimit(r) { // retry-after: see placeOverQuota
 		e.reject(r, rejection{OverHardLimit, r.tenant.lease.TimeUntil(e.now, r.cost)})
 		return
 	}
--- a/internal/policy/callshare/callshare_test.go
+++ b/internal/policy/callshare/callshare_test.go
@@ -18,10 +18,10 @@
 func TestControllerZeroValueAllowsNoCalls(t *testing.T) {
 	c := &callshare.Controller{}
 	if c.Share() != 0 || c.Responds() {
-		t.Errorf("zero value: share %v, responds %v", c.Share(), c.Responds())
+		t.Errorf("zero value: share %v, responds %v; want 0 and false", c.Share(), c.Responds())
 	}
 	if c = fullShare(); c.Share() != 1 || !c.Responds() {
-		t.Errorf("initial share of 1: share %v, responds %v", c.Share(), c.Responds())
+		t.Errorf("initial share of 1: share %v, responds %v; want 1 and true", c.Share(), c.Responds())
 	}
 }
 
@@ -29,7 +29,7 @@
 	c := fullShare()
 	for range 14 {
 		if c.Failed(); c.Share() >= 1 {
-			t.Fatalf("share %v after a failure", c.Share())
+			t.Fatalf("share %v after a failure, want less than 1", c.Share())
 		}
 	}
 	if c.Responds() {
@@ -89,7 +89,7 @@
 	}
 	c.Failed()
 	if c.Probability(1) != c.Share() || c.Probability(2) >= c.Probability(1) || c.Probability(0.5) <= c.Probability(1) {
-		t.Errorf("share %v: probabilities %v, %v, %v for ranks 0.5, 1, 2", c.Share(), c.Probability(0.5), c.Probability(1),
-			c.Probability(2))
+		t.Errorf("share %v: probabilities %v, %v, %v for ranks 0.5, 1, 2; want them to fall and rank 1 to have the share",
+			c.Share(), c.Probability(0.5), c.Probability(1), c.Probability(2))
 	}
 }
--- a/internal/policy/clientgone_test.go
+++ b/internal/policy/clientgone_test.go
@@ -2,11 +2,11 @@
 
 import "testing"
 
-// waitingCase plays events at an engine until request 99 waits, and returns the events that would
+// waitingCase feeds events to an engine until request 99 waits, and returns the events that would
 // release the request.
 type waitingCase struct {
 	name string
-	play func(t *testing.T) (engine *Engine, release []Event)
+	run  func(t *testing.T) (engine *Engine, release []Event)
 }
 
 var waitingCases = []waitingCase{
@@ -62,7 +62,7 @@
 func TestWaitingRequestIsNotSentAfterItsClientDisconnects(t *testing.T) {
 	for _, c := range waitingCases {
 		t.Run(c.name+", client gone", func(t *testing.T) {
-			engine, release := c.play(t)
+			engine, release := c.run(t)
 			checkWaits(t, engine)
 			engine.Step(3*ms, []Event{ClientGone{99}})
 			if isSent(engine, release) {
@@ -73,7 +73,7 @@
 			}
 		})
 		t.Run(c.name+", client stays", func(t *testing.T) {
-			engine, release := c.play(t)
+			engine, release := c.run(t)
 			checkWaits(t, engine)
 			if !isSent(engine, release) {
 				t.Error("the request is not sent though its client stays connected")
@@ -89,7 +89,7 @@
 	}
 }
 
-// isSent plays the release events and then periodic checks until 400 ms, and reports whether request 99 is
+// isSent feeds the release events and then periodic checks until 400 ms, and reports whether request 99 is
 // sent.
 func isSent(engine *Engine, release []Event) bool {
 	sent := false
--- a/internal/policy/concurrency/concurrency.go
+++ b/internal/policy/concurrency/concurrency.go
@@ -80,7 +80,7 @@
 // latency is high, that is, above a share of the request's time or above a multiple of an idle fleet's
 // latency.
 //
-// The second bound departs from the paper. With the paper's time limit alone, queues would form inside
+// Unlike the paper, RecordAnswer applies the second bound: with the first alone, queues would form inside
 // the backends, where priorities have no effect and where work continues that no client waits for any
 // more.
 func (l *Limiter) RecordAnswer(a Answer) {
--- a/internal/policy/concurrency/concurrency_test.go
+++ b/internal/policy/concurrency/concurrency_test.go
@@ -49,10 +49,10 @@
 	partlyUsed := fast
 	partlyUsed.InFlight = 2
 	if l.RecordAnswer(partlyUsed); l.Limit() != startLimit {
-		t.Errorf("limit grew to %v with three of four slots in use", l.Limit())
+		t.Errorf("limit %v with three of four slots in use, want %v as before", l.Limit(), startLimit)
 	}
 	if l.RecordAnswer(fast); l.Limit() != startLimit+additiveIncrease/startLimit {
-		t.Errorf("limit %v after one fast answer", l.Limit())
+		t.Errorf("limit %v after one fast answer, want %v", l.Limit(), startLimit+additiveIncrease/startLimit)
 	}
 	for range 10000 {
 		l.RecordAnswer(fast)
@@ -65,7 +65,7 @@
 func TestHighLatencyLowersTheLimitOnlyWhileWaitingCanBeTheCause(t *testing.T) {
 	l := startedLimiter(1)
 	if l.RecordAnswer(slow); l.Limit() != startLimit*lateFactor {
-		t.Errorf("limit %v after one slow answer", l.Limit())
+		t.Errorf("limit %v after one slow answer, want %v", l.Limit(), startLimit*lateFactor)
 	}
 	for range 1000 {
 		l.RecordAnswer(slow)
@@ -80,7 +80,7 @@
 	late := fast
 	late.Budget = 0.2
 	if l.RecordAnswer(late); l.Limit() >= startLimit {
-		t.Errorf("limit %v after an answer that took half of its budget", l.Limit())
+		t.Errorf("limit %v after an answer that took half of its budget, want less than %v", l.Limit(), startLimit)
 	}
 }
 
--- a/internal/policy/countercalls.go
+++ b/internal/policy/countercalls.go
@@ -58,7 +58,8 @@
 	probeIntervalPerGateway = 5 * time.Millisecond
 )
 
-// counterCalls tracks this gateway's calls of the shared counter: those in flight, and how many it can bear.
+// counterCalls tracks this gateway's calls of the shared counter: those in flight, and what share of the
+// requests may call without overloading the counter.
 type counterCalls struct {
 	inFlight      map[uint64][]*counterCall // by counter key, oldest call first
 	share         callshare.Controller      // share of requests without tokens that may call; 0: no counter
@@ -144,8 +145,8 @@
 	e.callCounter(quotaCounterKey(t.key, window), amount, quotaTTL, call)
 }
 
-// callCounter calls the counter. All of the engine's counter calls go through it. The counter keeps a new key
-// for the TTL.
+// callCounter calls the counter. All of the engine's counter calls go through it. If the call creates the
+// key, the counter keeps it for the TTL.
 func (e *Engine) callCounter(key uint64, amount float64, ttl time.Duration, call *counterCall) {
 	call.calledAt = e.now
 	e.counter.enqueue(key, call)
--- a/internal/policy/countercalls_test.go
+++ b/internal/policy/countercalls_test.go
@@ -26,13 +26,13 @@
 		if len(calls) != 1 || calls[0].Amount != 1 {
 			t.Fatalf("calls: %v, want one for one unit", calls)
 		}
-		acts := engine.Step(3*ms, []Event{CounterResult{calls[0].Name, OK, total}})
-		if n := len(sendsOf(acts)); n != want {
+		actions := engine.Step(3*ms, []Event{CounterResult{calls[0].Name, OK, total}})
+		if n := len(sendsOf(actions)); n != want {
 			t.Errorf("total %v: %d sent, want %d", total, n, want)
 		}
 		if want == 0 {
-			if corrections := callsOf(acts); len(corrections) != 1 || corrections[0].Amount != -1 {
-				t.Errorf("the unit that the bucket did not hold was not returned: %v", acts)
+			if corrections := callsOf(actions); len(corrections) != 1 || corrections[0].Amount != -1 {
+				t.Errorf("the unit that the bucket did not hold was not returned: %v", actions)
 			}
 			if more := callsOf(engine.Step(4*ms, []Event{testRequest(2, idempotentClass, hardPlan)})); len(more) != 0 {
 				t.Errorf("the counter was called again for a bucket just found empty: %v", more)
@@ -48,8 +48,8 @@
 	lateCalls := 0
 	for i := range 2000 {
 		now := time.Duration(i+1) * 10 * ms
-		acts := engine.Step(now, []Event{requestOf(fmt.Sprint("c", i), uint64(i)), Timer{checkCookie}})
-		for _, call := range callsOf(acts) {
+		actions := engine.Step(now, []Event{requestOf(fmt.Sprint("c", i), uint64(i)), Timer{checkCookie}})
+		for _, call := range callsOf(actions) {
 			if i > 1000 {
 				lateCalls++
 			}
@@ -66,10 +66,10 @@
 	engine := newTestEngine(t, manyGateways(100), testBackends(8)...)
 	now := 20 * time.Second
 	calls := callsOf(engine.Step(now, []Event{testRequest(1, idempotentClass, hardPlan)}))
-	acts := engine.Step(now+2*ms, []Event{CounterResult{calls[0].Name, OK, 1}})
-	corrections := callsOf(acts)
-	if len(corrections) != 1 || corrections[0].Amount < 30 || len(sendsOf(acts)) != 1 {
-		t.Errorf("after 20 s of overflow at 2 units per second: %v; want one correction of at least 30 and one attempt", acts)
+	actions := engine.Step(now+2*ms, []Event{CounterResult{calls[0].Name, OK, 1}})
+	corrections := callsOf(actions)
+	if len(corrections) != 1 || corrections[0].Amount < 30 || len(sendsOf(actions)) != 1 {
+		t.Errorf("after 20 s of overflow at 2 units per second: %v; want one correction of at least 30 and one attempt", actions)
 	}
 }
 
@@ -125,11 +125,11 @@
 // If no plan has a penalty for being over the quota, no call saves more than another. Requests must then call with equal
 // probability, so that some call and some do not.
 func TestCallsWithoutSavingsHaveEqualProbability(t *testing.T) {
-	set := manyGateways(80)
-	for plan := range set.Plans {
-		set.Plans[plan].OverQuotaPenalty = 0
+	settings := manyGateways(80)
+	for plan := range settings.Plans {
+		settings.Plans[plan].OverQuotaPenalty = 0
 	}
-	engine := newTestEngine(t, set, testBackends(30)...)
+	engine := newTestEngine(t, settings, testBackends(30)...)
 	for i := range 8 { // after a few failed calls not all requests may call
 		now := time.Duration(i+1) * ms
 		for _, call := range callsOf(engine.Step(now, []Event{requestOf(fmt.Sprint("c", i), uint64(i))})) {
@@ -161,8 +161,8 @@
 // empty and being over the quota has a penalty, all requests if there is no penalty or the counter does not respond.
 func TestCreditFollowsResultsOfPlansCalls(t *testing.T) {
 	const freePlan = noQuotaPlan // here with a quota, but without a penalty for exceeding it
-	set := testSettings()
-	set.Plans[freePlan] = Plan{Rate: 2, Burst: 8, WeightFactor: 1, OverQuotaValue: 0.1}
+	settings := testSettings()
+	settings.Plans[freePlan] = Plan{Rate: 2, Burst: 8, WeightFactor: 1, OverQuotaValue: 0.1}
 	for _, c := range []struct {
 		name      string
 		plan      int
@@ -175,12 +175,12 @@
 		{"no penalty over the quota", freePlan, 0, 0.5, 1000},
 		{"the counter is unresponsive", hardPlan, 0, callshare.MinShare, 1000},
 	} {
-		engine := newTestEngine(t, set, testBackends(8)...)
+		engine := newTestEngine(t, settings, testBackends(8)...)
 		for i := range 60 {
 			tenant := engine.newTenant(tenantKey{fmt.Sprint(i), c.plan}, 2)
 			call := lease.Call{Cost: 1, Block: 1, Amount: 1}
 			engine.counter.enqueue(1, &counterCall{tenant: tenant, tokenCall: call})
-			engine.Step(ms, []Event{CounterResult{Name: 1, Status: OK, Total: 1 + set.Plans[c.plan].Burst - c.level}})
+			engine.Step(ms, []Event{CounterResult{Name: 1, Status: OK, Total: 1 + settings.Plans[c.plan].Burst - c.level}})
 		}
 		engine.counter.share = callshare.New(c.callShare)
 		if n := creditsOf1000(engine, c.plan); n != c.want {
@@ -188,7 +188,7 @@
 		}
 	}
 
-	engine := newTestEngine(t, set, testBackends(8)...)
+	engine := newTestEngine(t, settings, testBackends(8)...)
 	engine.callEstimates.emptyShare[hardPlan] = 0.15
 	if n := creditsOf1000(engine, hardPlan); n < 500 || n > 800 { // 1 - 0.15 x 0.5 / (0.85 x 0.25) = 0.65
 		t.Errorf("%d of 1000 went on credit, want 500 to 800 if an expected 15%% are over the quota", n)
@@ -203,7 +203,7 @@
 	engine.Step(2*ms, []Event{testRequest(50, idempotentClass, softPlan)})
 	onHard, onSoft := engine.tenants.byKey[tenantKey{"c", hardPlan}], engine.tenants.byKey[tenantKey{"c", softPlan}]
 	if onHard == nil || onSoft == nil || onHard.key.plan != hardPlan || onSoft.key.plan != softPlan {
-		t.Fatalf("tenant on the hard plan %+v, on the soft plan %+v", onHard, onSoft)
+		t.Fatalf("want one tenant on each plan, got %+v on the hard plan and %+v on the soft plan", onHard, onSoft)
 	}
 	engine.Step(3*ms, []Event{CounterResult{call.Name, OK, call.Amount}})
 	level, known := onHard.lease.KnownLevel()
--- a/internal/policy/dispatch.go
+++ b/internal/policy/dispatch.go
@@ -16,14 +16,14 @@
 	maxQueueShare = 0.5
 
 	// If the backends' latency indicates queues inside the backends, requests are rejected at random. No
-	// request is rejected while those queues take less than minShedShare of the deadline budget. From
-	// there the probability rises linearly up to fullShedShare, where it would reach 1, but it is capped
+	// request is rejected while those queues take less than minShedShare of the time that is left for
+	// waiting (see shedByLatency). From there the probability rises linearly up to fullShedShare, where it would reach 1, but it is capped
 	// at maxShedChance: the answers to the remaining requests show when the overload is over.
 	minShedShare  = 0.25
 	fullShedShare = 0.6
 	maxShedChance = 0.97
-	// shedLevelSlope is how much that share is scaled up for lower levels: by a factor of 1 at level 0,
-	// rising to 1 + shedLevelSlope at the lowest level.
+	// shedLevelSlope scales the share up for lower levels before it is compared with these bounds: by a
+	// factor of 1 at level 0, rising to 1 + shedLevelSlope at the lowest level.
 	shedLevelSlope = 1.5
 )
 
@@ -68,11 +68,11 @@
 
 // shedByLatency decides at random whether to reject a request because of the latency of all backends.
 // Unlike in the paper, which has one load balancer, the queues of many gateways form inside the
-// backends. The latency in excess of an idle fleet's is measured as a share of the time left beside an
-// idle answer.
+// backends. Their length is measured by the latency in excess of an idle fleet's, as a share of what an
+// idle fleet's latency leaves of the deadline budget (times deadlineMargin).
 //
-// A gateway that receives half an answer a second or more from each backend rejects fewer requests, and
-// one that receives an answer a second rejects none (see sparseness): it knows its backends well and
+// A gateway that receives over half an answer a second from each backend rejects fewer requests, and one
+// that receives an answer a second or more rejects none (see sparseness): it knows its backends well and
 // queues requests itself. Each call draws exactly one random number, whatever the result.
 func (e *Engine) shedByLatency(r *request) bool {
 	latency := e.expectedLatency(r) * max(1, e.latencies.FleetPressure())
--- a/internal/policy/doc.go
+++ b/internal/policy/doc.go
@@ -19,8 +19,8 @@
 //
 //	Request
 //	  admit           admission.go      computes the deadline budget; checks that the gateway is in service,
-//	  |                                 that an answer can be in time, and that the tenant's queue for its
-//	  |                                 hard limit is short enough
+//	  |                                 that an answer can arrive in time, and that the tenant's queue for
+//	  |                                 its hard limit is short enough
 //	  serve           admission.go      takes the tenant's requests in order until one must wait
 //	  decideQuota     admission.go      checks the concurrency limit and the hard limit, sets the priority
 //	  |                                 level; then payCost (quota.go) pays from the lease, from fallback
@@ -74,5 +74,5 @@
 //
 // The algorithm follows J. Andersson and M. Kihl, "Load Balancing and Admission Control of a Parlay X
 // Application Server", NTS 17, 2004, sections 3.1 and 4, adapted from one load balancer to many gateways.
-// Comments note where a rule departs from the paper.
+// Where a rule differs from the paper, its comment says "Unlike the paper" or "Unlike in the paper", and why.
 package policy
--- a/internal/policy/endpoints.go
+++ b/internal/policy/endpoints.go
@@ -223,8 +223,8 @@
 // retried records that the pause is over.
 func (p *endpointPolling) retried() { p.retryPending = false }
 
-// pollIfDue reports whether it is time to call for the list again: it is older than half the interval. If so,
-// pollIfDue records that the caller makes the call now.
+// pollIfDue reports whether to call for the list again: the last call or update was longer ago than half the
+// interval. If so, it records a call at the present time, which the caller must make.
 func (p *endpointPolling) pollIfDue(now, interval time.Duration) bool {
 	if interval <= 0 || now-p.lastPoll <= interval/2 {
 		return false
--- a/internal/policy/endpoints_test.go
+++ b/internal/policy/endpoints_test.go
@@ -75,7 +75,7 @@
 			}
 		}
 		if at == 0 || at > now+maxPause {
-			t.Fatalf("after failure %d the call is retried after %v", i+1, at-now)
+			t.Fatalf("after failure %d the call is retried after %v, want a retry within %v", i+1, at-now, maxPause)
 		}
 		now = at + 2*time.Second
 		if actions := engine.Step(at, []Event{Timer{pollCookie}}); len(actionsOf[WatchEndpoints](actions)) != 1 {
--- a/internal/policy/engine.go
+++ b/internal/policy/engine.go
@@ -10,7 +10,7 @@
 )
 
 // Engine makes the decisions of one gateway by calling its parts in the order of events. It owns the
-// requests, the clock and whether it is suspended; all other state belongs to the parts.
+// requests, the clock and the suspended state; all other state belongs to the parts.
 type Engine struct {
 	settings Settings
 	rng      *rand.Rand // the only source of random numbers, drawn in the order of events
@@ -56,27 +56,27 @@
 
 // New returns an engine that has seen no events. The seed is for its random numbers. An error names the
 // field of Settings that is invalid.
-func New(set Settings, seed uint64) (*Engine, error) {
-	if err := set.validate(); err != nil {
+func New(settings Settings, seed uint64) (*Engine, error) {
+	if err := settings.validate(); err != nil {
 		return nil, err
 	}
-	objectives := make([]time.Duration, len(set.Classes))
-	for i, c := range set.Classes {
+	objectives := make([]time.Duration, len(settings.Classes))
+	for i, c := range settings.Classes {
 		objectives[i] = cmp.Or(c.LatencyObjective, c.ClientTimeout)
 	}
 	return &Engine{
-		settings:      set,
+		settings:      settings,
 		rng:           rand.New(rand.NewPCG(seed, 1)),
 		requests:      map[uint64]*request{},
-		weights:       newRequestWeights(&set),
+		weights:       newRequestWeights(&settings),
 		tenants:       newTenantRegistry(),
-		counter:       newCounterCalls(set.SharedCounter),
-		callEstimates: newCallEstimates(&set),
+		counter:       newCounterCalls(settings.SharedCounter),
+		callEstimates: newCallEstimates(&settings),
 		endpoints:     newEndpointRegistry(),
-		subset:        newBackendSubset(&set),
+		subset:        newBackendSubset(&settings),
 		latencies:     latency.NewEstimator(objectives),
-		slowStarts:    newSlowStarts(&set),
-		maxTimeLeft:   make([]time.Duration, len(set.Classes)),
+		slowStarts:    newSlowStarts(&settings),
+		maxTimeLeft:   make([]time.Duration, len(settings.Classes)),
 	}, nil
 }
 
--- a/internal/policy/event.go
+++ b/internal/policy/event.go
@@ -5,14 +5,14 @@
 // Event is something that happened. Only the types of this file implement it.
 type Event interface{ event() }
 
-// Request reports a request that has reached this gateway, which now owes it one final answer. IDs are
-// never reused.
+// Request reports a request that has reached this gateway. The engine must give it exactly one final
+// answer. IDs are never reused.
 type Request struct {
 	ID          uint64
 	Class       int // index into Settings.Classes
 	Plan        int // index into Settings.Plans
 	Tenant      string
-	TimeLeft    time.Duration // until the client gives up on this try
+	TimeLeft    time.Duration // until the client stops waiting for this request
 	Cost        float64       // in units of the quota
 	Gateways    int           // number of gateways that receive this tenant's requests; 0: all
 	ClientRetry bool          // a client's retry, if clients mark their retries
@@ -33,16 +33,16 @@
 // Status is the outcome of an attempt, a health check or a counter call.
 type Status int
 
-// The outcomes of an attempt.
+// The outcomes of an attempt, and whether the backend may have run the request.
 const (
-	Failed          Status = iota // the backend returned an error; it may have run
-	OK                            // the request was served
-	Rejected                      // the backend rejected it without processing; it never ran
-	TimedOut                      // no answer in time; it may have run
-	ConnectFailed                 // no connection, or it broke before all was written; it never ran
-	ConnectionReset               // the connection broke; it may have run
-	Cancelled                     // this gateway cancelled it; it may have run
-	NotSent                       // it was not sent; it never ran
+	Failed          Status = iota // the backend returned an error; may have run
+	OK                            // the backend served the request
+	Rejected                      // the backend rejected the request without processing it; has not run
+	TimedOut                      // no answer in time; may have run
+	ConnectFailed                 // no connection, or it broke before all was written; has not run
+	ConnectionReset               // the connection broke; may have run
+	Cancelled                     // this gateway cancelled the attempt; may have run
+	NotSent                       // nothing was sent; has not run
 )
 
 // mayHaveRun reports whether a backend may have acted on an attempt with this outcome.
@@ -61,8 +61,8 @@
 // calls.
 type CounterResult struct {
 	Name   uint64
-	Status Status // OK; Rejected, ConnectFailed: not added; TimedOut: perhaps added
-	Total  float64
+	Status Status  // OK: added; Rejected, ConnectFailed: not added; TimedOut: perhaps added
+	Total  float64 // after the addition; valid only if Status is OK
 }
 
 // Timer reports that a timer is due; see SetTimer.
--- a/internal/policy/hardlimit.go
+++ b/internal/policy/hardlimit.go
@@ -28,8 +28,8 @@
 	return r.deadlineBudget.Seconds() * hardLimitWaitShare * weight / e.weights.maxClass
 }
 
-// hardLimitQueueWait returns the time in seconds until the share covers a request that would join the end of
-// its tenant's waiting requests.
+// hardLimitQueueWait returns the time in seconds until the share would cover a request if it joined the end
+// of its tenant's waiting requests.
 func (e *Engine) hardLimitQueueWait(r *request) float64 {
 	t := r.tenant
 	if !t.hardLimit.Limited() {
@@ -91,8 +91,8 @@
 // pool that is not known to be exhausted, the request has not tried yet, and the counter responds.
 //
 // Only a share of clients' retries may borrow, namely callShare, because most retries follow a rejection for
-// lack of units. For these it draws a random number. It can be called twice for a request, on arrival (admit)
-// and on the request's turn (checkLimits), with a new draw each time.
+// lack of units. For these it draws a random number. It can be called several times for a request, on
+// arrival (admit) and whenever checkLimits finds too few units, with a new draw each time.
 func (e *Engine) mayBorrow(r *request) bool {
 	limit := &r.tenant.hardLimit
 	if !limit.HasSharedPool() || r.hardLimit.borrowRequested {
--- a/internal/policy/hardlimit/hardlimit_test.go
+++ b/internal/policy/hardlimit/hardlimit_test.go
@@ -23,10 +23,11 @@
 func TestShareWithoutLimitHoldsUnlimitedUnits(t *testing.T) {
 	s := hardlimit.New(hardlimit.Config{LargestCost: 1, SharedCounter: true}, 2, 0)
 	if s.Limited() || s.HasSharedPool() || !math.IsInf(s.Available(time.Second), 1) || !s.HoldsUnreserved(time.Second, 1e9) {
-		t.Errorf("without a limit: shared pool %v, available %v", s.HasSharedPool(), s.Available(time.Second))
+		t.Errorf("without a limit: limited %v, shared pool %v, available %v; want no limit, no pool and infinite units",
+			s.Limited(), s.HasSharedPool(), s.Available(time.Second))
 	}
 	if short := s.Shortfall(time.Second, 1e9); short > 0 {
-		t.Errorf("without a limit: short of %v units", short)
+		t.Errorf("without a limit: short of %v units, want none", short)
 	}
 }
 
@@ -103,7 +104,7 @@
 	} {
 		s := hardlimit.New(c.config, c.gateways, 0)
 		if got := s.HasSharedPool(); got != c.want {
-			t.Errorf("%s: shared pool %v", c.name, got)
+			t.Errorf("%s: shared pool %v, want %v", c.name, got, c.want)
 		}
 		want := c.config.Limit.Rate / c.gateways
 		if c.want {
@@ -143,7 +144,7 @@
 		}
 	}
 	if ttl := s.CounterTTL(50 * ms); ttl < 2*window+50*ms {
-		t.Errorf("the counter keeps a total for %v, with a window of %v", ttl, window)
+		t.Errorf("the counter keeps a total for %v, want at least two windows of %v and the time-out of 50 ms", ttl, window)
 	}
 }
 
@@ -153,7 +154,7 @@
 		t.Error("exhausted before anything was borrowed")
 	}
 	if _, granted := s.Borrow(0, 1e6); granted || !s.SharedPoolExhausted(0) {
-		t.Errorf("granted %v, exhausted %v", granted, s.SharedPoolExhausted(0))
+		t.Errorf("granted %v, exhausted %v; want false and true", granted, s.SharedPoolExhausted(0))
 	}
 	until, _ := s.Borrow(1, 1)
 	if s.SharedPoolExhausted(until) {
--- a/internal/policy/hardlimitshare_test.go
+++ b/internal/policy/hardlimitshare_test.go
@@ -15,12 +15,12 @@
 
 // runHardLimit simulates 20 s of a tenant's requests through 13 gateways, one request per interval. The first gateway
 // gets 7 of 19 requests.
-func runHardLimit(t *testing.T, set Settings, interval time.Duration) hardLimitOutcome {
+func runHardLimit(t *testing.T, settings Settings, interval time.Duration) hardLimitOutcome {
 	t.Helper()
 	const gateways, step = 13, ms
-	set.Gateways = gateways
-	s := newCounterSimulation(t, set, ms, step)
-	plan := set.Plans[softPlan]
+	settings.Gateways = gateways
+	s := newCounterSimulation(t, settings, ms, step)
+	plan := settings.Plans[softPlan]
 	outcome := hardLimitOutcome{minLevel: plan.HardLimitBurst}
 	level, levelAt := plan.HardLimitBurst, time.Duration(0)
 	s.onSend = func(now time.Duration) {
@@ -54,14 +54,14 @@
 // hold under overload. A tenant that stays within it must be served even if one gateway gets more than a third of the
 // traffic.
 func TestHardLimitWithSmallSharesHoldsAndServesUnevenTraffic(t *testing.T) {
-	set := manyGateways(13)
-	set.MaxRequestCost = 1
-	set.Plans[softPlan] = Plan{Rate: 8, Burst: 20, WeightFactor: 1, OverQuotaValue: 1,
+	settings := manyGateways(13)
+	settings.MaxRequestCost = 1
+	settings.Plans[softPlan] = Plan{Rate: 8, Burst: 20, WeightFactor: 1, OverQuotaValue: 1,
 		HardLimitRate: 11, HardLimitBurst: 27}
-	if got := runHardLimit(t, set, 10*ms); got.minLevel < 0 {
+	if got := runHardLimit(t, settings, 10*ms); got.minLevel < 0 {
 		t.Errorf("at 100 requests per second, %d were sent and the hard limit's bucket fell to %.1f", got.sent, got.minLevel)
 	}
-	if got := runHardLimit(t, set, 180*ms); got.sent < 100 || got.minLevel < 0 {
+	if got := runHardLimit(t, settings, 180*ms); got.sent < 100 || got.minLevel < 0 {
 		t.Errorf("of 111 requests, at half the hard limit, %d were sent; the bucket fell to %.1f", got.sent, got.minLevel)
 	}
 }
@@ -69,13 +69,13 @@
 // If three quarters of an even share of a hard limit hold no request, there is no shared pool: the whole limit is
 // divided among the gateways, and nothing is borrowed from the counter.
 func TestLowHardLimitIsDividedWithoutCounterCalls(t *testing.T) {
-	set := manyGateways(13)
-	set.MaxRequestCost = 1
-	set.Plans[softPlan] = Plan{Rate: 100, Burst: 100, WeightFactor: 1, OverQuotaPenalty: 0.5,
+	settings := manyGateways(13)
+	settings.MaxRequestCost = 1
+	settings.Plans[softPlan] = Plan{Rate: 100, Burst: 100, WeightFactor: 1, OverQuotaPenalty: 0.5,
 		HardLimitRate: 13, HardLimitBurst: 13}
-	engine := newTestEngine(t, set, testBackends(30)...)
-	acts := engine.Step(2*time.Second, []Event{testRequest(1, idempotentClass, softPlan)})
-	if len(sendsOf(acts)) != 1 || len(callsOf(acts)) != 0 {
-		t.Errorf("the share of one unit is full; want one attempt and no counter call: %v", acts)
+	engine := newTestEngine(t, settings, testBackends(30)...)
+	actions := engine.Step(2*time.Second, []Event{testRequest(1, idempotentClass, softPlan)})
+	if len(sendsOf(actions)) != 1 || len(callsOf(actions)) != 0 {
+		t.Errorf("the share of one unit is full; want one attempt and no counter call: %v", actions)
 	}
 }
--- a/internal/policy/helpers_test.go
+++ b/internal/policy/helpers_test.go
@@ -56,9 +56,9 @@
 // manyGateways returns testSettings for the given number of gateways; the tests use more of them than a
 // tenant's burst has units.
 func manyGateways(gateways int) Settings {
-	set := testSettings()
-	set.Gateways = gateways
-	return set
+	settings := testSettings()
+	settings.Gateways = gateways
+	return settings
 }
 
 // newTestEngine returns an engine that received the given backends at time 0.
--- a/internal/policy/latency/latency.go
+++ b/internal/policy/latency/latency.go
@@ -23,7 +23,7 @@
 	maxRatio = 8.0
 	// factorGain is the weight of a latency in the factor of its backend.
 	factorGain = 0.15
-	// minFactor is the lowest factor that answers alone result in.
+	// minFactor is the lower bound of a backend's factor after an answer.
 	minFactor = 0.2
 
 	// pressureSeconds is the time over which the fleet's pressure is averaged.
--- a/internal/policy/lease/lease.go
+++ b/internal/policy/lease/lease.go
@@ -251,17 +251,17 @@
 func (l *Lease) Settle(now time.Duration, call Call, total float64, sinceWindow time.Duration,
 	callShare float64) Settlement {
 	l.awaitingAnswer = false
-	var s Settlement
+	var settlement Settlement
 	held := l.bucket.Burst + l.bucket.Rate*sinceWindow.Seconds() - total + call.Amount // before this call
-	held, s.Overflow = l.splitOverflow(now, held, callShare)
+	held, settlement.Overflow = l.splitOverflow(now, held, callShare)
 	granted := min(call.Block, held-call.Unreported)
-	s.CostCovered = granted >= call.Cost
-	if !s.CostCovered {
+	settlement.CostCovered = granted >= call.Cost
+	if !settlement.CostCovered {
 		granted = 0 // a grant that pays for no request is left to the other gateways
 	}
 	added := call.Amount
 	if granted < call.Block {
-		s.Reduced, s.Correction = true, granted+call.Unreported-call.Amount
+		settlement.Reduced, settlement.Correction = true, granted+call.Unreported-call.Amount
 		added = granted + call.Unreported
 		l.backOff(now, call.Block-held)
 	}
@@ -270,7 +270,7 @@
 	}
 	l.level, l.levelAt = max(held-added, -l.bucket.Burst/2), now
 	l.tokens, l.grantedAt = l.tokens+granted, now
-	return s
+	return settlement
 }
 
 // splitOverflow splits a level into the highest that the bucket can have now and the excess, if the excess is
--- a/internal/policy/lease/lease_test.go
+++ b/internal/policy/lease/lease_test.go
@@ -83,7 +83,8 @@
 	paid := spendFallback(l)
 	call := l.BeginCall(ms, 1, 1)
 	if call.Unreported != float64(paid) || call.Amount != call.Block+call.Unreported || !l.AwaitsAnswer() {
-		t.Errorf("call %+v after %d requests paid with fallback tokens", call, paid)
+		t.Errorf("call %+v after %d requests paid with fallback tokens, want one that reports them and awaits an answer",
+			call, paid)
 	}
 	if again := l.BeginCall(ms, 1, 1); again.Unreported != 0 {
 		t.Errorf("the same usage was reported twice: %+v", again)
@@ -139,15 +140,17 @@
 	} {
 		l := newLease(100)
 		call := l.BeginCall(0, 1, 1)
-		s := l.Settle(ms, call, c.total, 0, 1)
-		if s.CostCovered != c.granted || s.Reduced != !c.granted || s.Correction != c.correction || s.Overflow != c.overflow {
-			t.Errorf("%s: %+v", c.name, s)
+		got := l.Settle(ms, call, c.total, 0, 1)
+		want := lease.Settlement{CostCovered: c.granted, Reduced: !c.granted, Correction: c.correction, Overflow: c.overflow}
+		if got != want {
+			t.Errorf("%s: settlement %+v, want %+v", c.name, got, want)
 		}
 		if paid := l.TakeTokens(1); paid != c.granted || l.AwaitsAnswer() {
-			t.Errorf("%s: request paid for %v, awaits an answer %v", c.name, paid, l.AwaitsAnswer())
+			t.Errorf("%s: request paid for %v, awaits an answer %v; want %v and false", c.name, paid, l.AwaitsAnswer(),
+				c.granted)
 		}
 		if l.SeemsEmpty(2*ms) == c.granted {
-			t.Errorf("%s: seems empty %v", c.name, l.SeemsEmpty(2*ms))
+			t.Errorf("%s: seems empty %v, want %v", c.name, l.SeemsEmpty(2*ms), !c.granted)
 		}
 	}
 }
@@ -159,8 +162,8 @@
 		call := l.BeginCall(0, 1, 1)
 		l.Settle(0, call, 8+call.Amount, 0, 1) // the bucket is empty; it gains one token in 500 ms
 		if !l.SeemsEmpty(want-1) || l.SeemsEmpty(want) {
-			t.Errorf("%v gateways: seems empty %v just before %v, %v then", gateways, l.SeemsEmpty(want-1), want,
-				l.SeemsEmpty(want))
+			t.Errorf("%v gateways: seems empty %v just before %v and %v at that time; want true and false", gateways,
+				l.SeemsEmpty(want-1), want, l.SeemsEmpty(want))
 		}
 	}
 }
@@ -206,7 +209,8 @@
 	}
 	rare.RecordDemand(0, 1)
 	if !frequent.RunsLow(1) || rare.RunsLow(1) {
-		t.Errorf("runs low: %v at 20 requests per second, %v after a single request", frequent.RunsLow(1), rare.RunsLow(1))
+		t.Errorf("runs low: %v at 20 requests per second, %v after a single request; want true and false",
+			frequent.RunsLow(1), rare.RunsLow(1))
 	}
 	if frequent.BeginCall(2*time.Second, 1, 1); frequent.RunsLow(1) {
 		t.Error("the lease asks for another call while it awaits an answer")
--- a/internal/policy/maxconcurrent.go
+++ b/internal/policy/maxconcurrent.go
@@ -34,7 +34,8 @@
 
 // maxAdmitted returns how many of a tenant's requests may be admitted at this gateway: its even share of
 // the limit, or, if the counter shows that the other gateways use less than theirs, whatever their
-// demand leaves. This departs from the paper because traffic is spread unevenly over the gateways.
+// demand leaves. Unlike the paper, it is not always the even share, because traffic is spread unevenly
+// over the gateways.
 //
 // The other gateways' demand, in tokens a second, is converted to requests of this one's cost, each
 // admitted for the expected latency. The plan's OverQuotaPenalty, a share of a request's value, is
--- a/internal/policy/outlier/outlier_test.go
+++ b/internal/policy/outlier/outlier_test.go
@@ -110,7 +110,8 @@
 	now := 10 * time.Second
 	d.Eject(now, 1, random())
 	if !d.Ejected() || d.ProbeDue(now+minFirstProbePause-1) || !d.ProbeDue(now+minFirstProbePause) {
-		t.Errorf("state %v, the first probe is due after %v", d.State(), d.probeAt-now)
+		t.Errorf("state %v, the first probe is due after %v; want state %v and %v", d.State(), d.probeAt-now, Ejected,
+			minFirstProbePause)
 	}
 	for range 20 {
 		now = d.probeAt
@@ -134,7 +135,7 @@
 		var d Detector
 		d.Eject(0, gateways, rng)
 		if d.probeAt < minFirstProbePause || d.probeAt > gateways*pausePerGateway {
-			t.Errorf("the first probe is due after %v", d.probeAt)
+			t.Errorf("the first probe is due after %v, want %v to %v", d.probeAt, minFirstProbePause, gateways*pausePerGateway)
 		}
 		seen[d.probeAt] = true
 		for range 20 {
@@ -162,6 +163,6 @@
 	d.Reset(5 * time.Second)
 	if d.State() != Serving || d.MayHaveRestarted(5*time.Second) || d.RecordBrokenConnection() != 1 ||
 		d.Silent(6*time.Second, inFlight()) {
-		t.Errorf("after Reset: %+v", d)
+		t.Errorf("after Reset: %+v, want state Serving without failures or silence", d)
 	}
 }
--- a/internal/policy/overload_test.go
+++ b/internal/policy/overload_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// countRejectionsAtLowLoad plays 20 s with five requests a second at one of many gateways, over backends
+// countRejectionsAtLowLoad simulates 20 s with five requests a second at one of many gateways, over backends
 // that answer in 60 ms on average, some of which reject everything, and returns the number of rejected
 // requests.
 func countRejectionsAtLowLoad(t *testing.T, seed uint64, rejects func(backend string) bool) (rejected int) {
@@ -53,9 +53,9 @@
 		if len(events) == 0 {
 			continue
 		}
-		acts := engine.Step(now, events)
-		rejected += len(rejectsOf(acts))
-		for _, sent := range sendsOf(acts) {
+		actions := engine.Step(now, events)
+		rejected += len(rejectsOf(actions))
+		for _, sent := range sendsOf(actions) {
 			took := max(ms, time.Duration(rng.ExpFloat64()*60)*ms)
 			result := servedResult(sent, attempts[sent.ID], took)
 			if rejects(sent.Backend) {
@@ -79,7 +79,8 @@
 		some += countRejectionsAtLowLoad(t, seed, func(name string) bool { return name[len(name)-1] < '2' })
 	}
 	if some > none+300 {
-		t.Errorf("of 2000 requests, %d are rejected, but %d if 12 of 60 backends reject everything", none, some)
+		t.Errorf("of 2000 requests, %d are rejected, but %d if 12 of 60 backends reject everything; want at most 300 more",
+			none, some)
 	}
 }
 
--- a/internal/policy/priority.go
+++ b/internal/policy/priority.go
@@ -24,11 +24,11 @@
 	maxClass   float64 // of a class alone
 }
 
-func newRequestWeights(set *Settings) (w requestWeights) {
-	for _, c := range set.Classes {
+func newRequestWeights(settings *Settings) (w requestWeights) {
+	for _, c := range settings.Classes {
 		w.maxClass = max(w.maxClass, c.PriorityWeight)
-		for _, p := range set.Plans {
-			w.maxRequest = max(w.maxRequest, c.PriorityWeight*p.WeightFactor*max(1, set.MaxRequestCost))
+		for _, p := range settings.Plans {
+			w.maxRequest = max(w.maxRequest, c.PriorityWeight*p.WeightFactor*max(1, settings.MaxRequestCost))
 		}
 	}
 	return w
--- a/internal/policy/quota.go
+++ b/internal/policy/quota.go
@@ -93,32 +93,32 @@
 // the counter for more and lets the request wait for the answer.
 //
 // Only a share of the requests may call, as many as the counter can bear. Each call also accounts for the
-// requests that may not, and these go on credit (a departure from the paper: with many gateways the fallback
-// tokens of one gateway are less than the cost of one request).
+// requests that may not, and these go on credit. Unlike the paper, the engine gives credit, because with many
+// gateways the fallback tokens of one gateway are less than the cost of one request.
 //
-// After finding a bucket empty, a gateway does not call for it again until the bucket should have refilled
-// for it, given that the tenant's other gateways wait for the same tokens.
+// After finding a bucket empty, a gateway does not call again until the bucket should have gained enough
+// tokens for this gateway and for the tenant's other gateways, which wait for them as well.
 //
 // The decisions to call and to go on credit may each draw a random number.
 func (e *Engine) payCost(r *request) quotaDecision {
-	l := &r.tenant.lease
-	l.Refresh(e.now, e.counter.callShare())
+	tenantLease := &r.tenant.lease
+	tenantLease.Refresh(e.now, e.counter.callShare())
 	switch {
-	case l.TakeTokens(r.cost):
-		if e.mayRequestTokens(r) && l.RunsLow(r.cost) {
+	case tenantLease.TakeTokens(r.cost):
+		if e.mayRequestTokens(r) && tenantLease.RunsLow(r.cost) {
 			e.requestTokens(r)
 		}
 		return proceed
-	case l.TakeFallback(r.cost):
+	case tenantLease.TakeFallback(r.cost):
 		return proceed
-	case l.AwaitsAnswer():
+	case tenantLease.AwaitsAnswer():
 		return mustWait
 	case e.mayRequestTokens(r) && e.rng.Float64() < e.callProbability(r):
 		r.quota.calledCounter = true
 		e.requestTokens(r)
 		return mustWait
 	case e.mayUseCredit(r):
-		l.TakeOnCredit(r.cost)
+		tenantLease.TakeOnCredit(r.cost)
 		r.quota.onCredit = true
 		return proceed
 	}
@@ -143,17 +143,18 @@
 	return e.counter.callProbability(rank)
 }
 
-// mayUseCredit reports whether a request may go on without tokens. The bucket must not be known to be empty.
-// The tenant must have credit left or, while the counter does not respond, some fallback tokens. Credit must
-// also be worthwhile for the plan. With a shared counter a client's retry never goes on credit: it must call.
+// mayUseCredit reports whether a request may proceed on credit, that is, without tokens. The bucket must not
+// be known to be empty. The tenant must have credit left or, while the counter does not respond, some
+// fallback tokens. Credit must also be worthwhile for the plan. With a shared counter a client's retry never
+// goes on credit: it must call.
 func (e *Engine) mayUseCredit(r *request) bool {
-	l := &r.tenant.lease
-	if l.SeemsEmpty(e.now) || r.clientRetry && e.settings.SharedCounter {
+	tenantLease := &r.tenant.lease
+	if tenantLease.SeemsEmpty(e.now) || r.clientRetry && e.settings.SharedCounter {
 		return false
 	}
-	hasCredit := l.HasFallback()
+	hasCredit := tenantLease.HasFallback()
 	if e.counterResponds() {
-		hasCredit = l.HasCredit(r.cost)
+		hasCredit = tenantLease.HasCredit(r.cost)
 	}
 	return hasCredit && e.creditWorthwhile(r.plan)
 }
--- a/internal/policy/quota_test.go
+++ b/internal/policy/quota_test.go
@@ -81,7 +81,8 @@
 			again := callAfterRefill(t, engine, now)
 			actions := engine.Step(now+2*ms, []Event{CounterResult{again.Name, OK, again.Amount + c.others}})
 			if c.granted != (len(sendsOf(actions)) > 0) {
-				t.Errorf("others added %v after the counter lost its totals: %v", c.others, actions)
+				t.Errorf("others added %v after the counter lost its totals: got %v, want a request to be sent: %v", c.others,
+					actions, c.granted)
 			}
 		})
 	}
--- a/internal/policy/randomevents_test.go
+++ b/internal/policy/randomevents_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// randomRun plays a random but valid sequence of events and checks invariants after each step. It acts
-// as the caller: it ends the attempts that the engine sends, answers its counter calls and fires its
+// randomRun feeds a random but valid sequence of events to an engine and checks invariants after each
+// step. It acts as the caller: it ends the attempts that the engine sends, answers its counter calls and fires its
 // timers. It never sends ClientGone.
 type randomRun struct {
 	t         testing.TB
@@ -48,8 +48,8 @@
 	lastArrivalStep = 400 // requests arrive up to this step
 )
 
-// playRandomEvents runs the events of a seed to the end and returns all actions.
-func playRandomEvents(t testing.TB, seed uint64) []Action {
+// runRandomEvents runs the events of a seed to the end and returns all actions.
+func runRandomEvents(t testing.TB, seed uint64) []Action {
 	t.Helper()
 	settings, list := testSettings(), testBackends(5)
 	run := &randomRun{t: t, seed: seed, rng: rand.New(rand.NewPCG(seed, 2)), settings: settings, list: list,
@@ -268,7 +268,7 @@
 // Two runs with the same settings, seed and events return the same actions.
 func TestSameEventsGiveTheSameActions(t *testing.T) {
 	for seed := range uint64(30) {
-		if !reflect.DeepEqual(playRandomEvents(t, seed), playRandomEvents(t, seed)) {
+		if !reflect.DeepEqual(runRandomEvents(t, seed), runRandomEvents(t, seed)) {
 			t.Errorf("seed %d: two runs differ", seed)
 		}
 	}
@@ -278,5 +278,5 @@
 	for seed := range uint64(100) {
 		f.Add(seed + 1000)
 	}
-	f.Fuzz(func(t *testing.T, seed uint64) { playRandomEvents(t, seed) })
+	f.Fuzz(func(t *testing.T, seed uint64) { runRandomEvents(t, seed) })
 }
--- a/internal/policy/rejection_test.go
+++ b/internal/policy/rejection_test.go
@@ -6,50 +6,50 @@
 	"time"
 )
 
-// rejectionCase plays events at a new engine until requests are rejected for a single reason.
+// rejectionCase feeds events to a new engine until requests are rejected for a single reason.
 type rejectionCase struct {
 	name   string
 	reason RejectReason
 	fails  bool // the answer is Fail because the request may have run
-	play   func(t *testing.T) (*Engine, []Action)
+	run    func(t *testing.T) (*Engine, []Action)
 }
 
 var rejectionCases = []rejectionCase{
 	{name: "unknown class", reason: UnknownClassOrPlan,
-		play: func(t *testing.T) (*Engine, []Action) {
+		run: func(t *testing.T) (*Engine, []Action) {
 			engine := newTestEngine(t, testSettings(), testBackends(1)...)
 			return engine, engine.Step(ms, []Event{Request{ID: 1, Class: 99, TimeLeft: time.Second}})
 		}},
 	{name: "arrival while suspended", reason: OutOfService,
-		play: func(t *testing.T) (*Engine, []Action) {
+		run: func(t *testing.T) (*Engine, []Action) {
 			engine := newTestEngine(t, testSettings(), testBackends(1)...)
 			return engine, engine.Step(ms, []Event{Suspend{On: true}, testRequest(1, idempotentClass, noQuotaPlan)})
 		}},
 	{name: "suspended while it waits for a backend", reason: OutOfService,
-		play: func(t *testing.T) (*Engine, []Action) {
+		run: func(t *testing.T) (*Engine, []Action) {
 			engine := newTestEngine(t, testSettings())
 			return engine, engine.Step(ms, []Event{testRequest(1, idempotentClass, noQuotaPlan), Suspend{On: true}})
 		}},
 	{name: "no time left on arrival", reason: DeadlineCannotBeMet,
-		play: func(t *testing.T) (*Engine, []Action) {
+		run: func(t *testing.T) (*Engine, []Action) {
 			engine := newTestEngine(t, testSettings(), testBackends(1)...)
 			r := testRequest(1, idempotentClass, noQuotaPlan)
 			r.TimeLeft = 0
 			return engine, engine.Step(ms, []Event{r})
 		}},
 	{name: "many requests wait for the hard limit", reason: HardLimitQueueTooLong,
-		play: func(t *testing.T) (*Engine, []Action) {
+		run: func(t *testing.T) (*Engine, []Action) {
 			engine := newTestEngine(t, withoutCounter(), testBackends(8)...)
 			return engine, engine.Step(ms, testRequests(1, 20, idempotentClass, softPlan))
 		}},
 	{name: "too late while the concurrency limit is reached", reason: OverConcurrencyLimit,
-		play: func(t *testing.T) (*Engine, []Action) {
+		run: func(t *testing.T) (*Engine, []Action) {
 			engine := newTestEngine(t, testSettings(), testBackends(8)...)
 			engine.Step(ms, testRequests(1, 3, idempotentClass, concurrentPlan))
 			return engine, engine.Step(480*ms, []Event{Timer{checkCookie}})
 		}},
 	{name: "too late to wait for a hard limit's share that holds no request", reason: OverHardLimit,
-		play: func(t *testing.T) (*Engine, []Action) {
+		run: func(t *testing.T) (*Engine, []Action) {
 			settings := withoutCounter()
 			settings.Plans[softPlan].HardLimitBurst, settings.Plans[softPlan].OverQuotaPenalty = 1, 0.5
 			engine := newTestEngine(t, settings, testBackends(8)...)
@@ -57,7 +57,7 @@
 			return engine, engine.Step(540*ms, []Event{Timer{checkCookie}})
 		}},
 	{name: "the hard limit's share does not refill in time", reason: OverHardLimit,
-		play: func(t *testing.T) (*Engine, []Action) {
+		run: func(t *testing.T) (*Engine, []Action) {
 			settings := withoutCounter()
 			settings.Plans[softPlan].HardLimitBurst = 1
 			engine := newTestEngine(t, settings, testBackends(8)...)
@@ -65,12 +65,12 @@
 			return engine, engine.Step(540*ms, []Event{Timer{checkCookie}})
 		}},
 	{name: "a new tenant exceeds its burst", reason: OverQuota,
-		play: func(t *testing.T) (*Engine, []Action) {
+		run: func(t *testing.T) (*Engine, []Action) {
 			engine := newTestEngine(t, withoutCounter(), testBackends(8)...)
 			return engine, engine.Step(ms, testRequests(1, 8, idempotentClass, hardPlan))
 		}},
 	{name: "backends reject attempts for 5 seconds", reason: BackendsOverloaded,
-		play: func(t *testing.T) (*Engine, []Action) {
+		run: func(t *testing.T) (*Engine, []Action) {
 			engine := newTestEngine(t, manyGateways(80), testBackends(60)...)
 			first := sendsOf(engine.Step(ms, []Event{testRequest(1, idempotentClass, noQuotaPlan)}))[0]
 			engine.Step(51*ms, []Event{servedResult(first, 0, 50*ms)})
@@ -80,24 +80,24 @@
 			return engine, engine.Step(5*time.Second, testRequests(2, 20, idempotentClass, noQuotaPlan))
 		}},
 	{name: "a long queue at the only backend", reason: QueueTooLong,
-		play: func(t *testing.T) (*Engine, []Action) {
+		run: func(t *testing.T) (*Engine, []Action) {
 			engine := newTestEngine(t, testSettings(), testBackends(1)...)
 			return engine, engine.Step(ms, testRequests(1, 30, idempotentClass, noQuotaPlan))
 		}},
 	{name: "a slot becomes free too late", reason: StaleInQueue,
-		play: func(t *testing.T) (*Engine, []Action) {
+		run: func(t *testing.T) (*Engine, []Action) {
 			engine := newTestEngine(t, testSettings(), testBackends(1)...)
 			sends := sendsOf(engine.Step(ms, testRequests(1, 3, idempotentClass, hardPlan)))
 			return engine, engine.Step(480*ms, []Event{servedResult(sends[0], 0, 479*ms), servedResult(sends[1], 0, 479*ms)})
 		}},
 	{name: "a non-idempotent request may have run", reason: NoBackendForRetry, fails: true,
-		play: func(t *testing.T) (*Engine, []Action) {
+		run: func(t *testing.T) (*Engine, []Action) {
 			engine := newTestEngine(t, testSettings(), testBackends(4)...)
 			s := sendsOf(engine.Step(ms, []Event{testRequest(1, nonIdempotentClass, noQuotaPlan)}))[0]
 			return engine, engine.Step(20*ms, []Event{unservedResult(s, 0, ConnectionReset)})
 		}},
 	{name: "an attempt is in flight", reason: AttemptInFlight, // no event leads here, so the test calls send
-		play: func(t *testing.T) (*Engine, []Action) {
+		run: func(t *testing.T) (*Engine, []Action) {
 			engine := newTestEngine(t, testSettings(), testBackends(4)...)
 			s := sendsOf(engine.Step(ms, []Event{testRequest(1, idempotentClass, noQuotaPlan)}))[0]
 			engine.actions = nil
@@ -105,7 +105,7 @@
 			return engine, engine.actions
 		}},
 	{name: "every attempt fails to connect", reason: AttemptsExhausted,
-		play: func(t *testing.T) (*Engine, []Action) {
+		run: func(t *testing.T) (*Engine, []Action) {
 			engine := newTestEngine(t, testSettings(), testBackends(4)...)
 			actions := engine.Step(ms, []Event{testRequest(1, idempotentClass, noQuotaPlan)})
 			for no := range testSettings().MaxAttempts {
@@ -114,19 +114,19 @@
 			return engine, actions
 		}},
 	{name: "the first attempt fails late", reason: NoTimeForRetry,
-		play: func(t *testing.T) (*Engine, []Action) {
+		run: func(t *testing.T) (*Engine, []Action) {
 			engine := newTestEngine(t, testSettings(), testBackends(4)...)
 			s := sendsOf(engine.Step(ms, []Event{testRequest(1, idempotentClass, noQuotaPlan)}))[0]
 			return engine, engine.Step(490*ms, []Event{unservedResult(s, 0, Rejected)})
 		}},
 	{name: "no backend until the deadline", reason: DeadlinePassed,
-		play: func(t *testing.T) (*Engine, []Action) {
+		run: func(t *testing.T) (*Engine, []Action) {
 			engine := newTestEngine(t, testSettings())
 			timers := actionsOf[SetTimer](engine.Step(ms, []Event{testRequest(1, idempotentClass, noQuotaPlan)}))
 			return engine, engine.Step(500*ms, []Event{Timer{timers[len(timers)-1].Cookie}})
 		}},
 	{name: "the deadline of a non-idempotent request in flight", reason: DeadlinePassed, fails: true,
-		play: func(t *testing.T) (*Engine, []Action) {
+		run: func(t *testing.T) (*Engine, []Action) {
 			engine := newTestEngine(t, testSettings(), testBackends(4)...)
 			timers := actionsOf[SetTimer](engine.Step(ms, []Event{testRequest(1, nonIdempotentClass, noQuotaPlan)}))
 			return engine, engine.Step(600*ms, []Event{Timer{timers[len(timers)-1].Cookie}})
@@ -138,7 +138,7 @@
 	seen := map[RejectReason]bool{}
 	for _, c := range rejectionCases {
 		t.Run(c.name, func(t *testing.T) {
-			engine, actions := c.play(t)
+			engine, actions := c.run(t)
 			rejects, fails := len(rejectsOf(actions)), len(actionsOf[Fail](actions))
 			if c.fails && (fails == 0 || rejects > 0) || !c.fails && (rejects == 0 || fails > 0) {
 				t.Errorf("%d Rejects and %d Fails in %v, want only the expected kind", rejects, fails, actions)
--- a/internal/policy/result.go
+++ b/internal/policy/result.go
@@ -1,7 +1,7 @@
 package policy
 
-// Results: what an attempt's result reveals about its backend, namely its latency, its concurrency limit
-// and whether it responds.
+// Results: what the result of an attempt reveals about the backend: its latency, how many attempts it can
+// bear at once, and whether it responds.
 
 import (
 	"bellwood/internal/policy/concurrency"
--- a/internal/policy/selection.go
+++ b/internal/policy/selection.go
@@ -110,8 +110,8 @@
 //
 // A fraction randomPart of the cost, from 0 to 1, is random; a random number is drawn only if it is over 0.
 // This is for a gateway that sends to each backend so rarely that what it knows of them is outdated or due to
-// chance (a departure: all gateways together then distribute requests by weight and speed, instead of all
-// sending to the same backend).
+// chance. Unlike the paper, the engine randomizes the cost so that all gateways together distribute requests
+// by weight and speed, instead of all sending to the same backend.
 func (e *Engine) loadCost(b *backend, capacityShare, randomPart float64) float64 {
 	cost := (float64(len(b.inFlight)+b.queue.length) + 1) * b.latencyFactor.Value() / (b.weight * capacityShare)
 	if b.zone != e.settings.Zone {
--- a/internal/policy/settings.go
+++ b/internal/policy/settings.go
@@ -45,7 +45,7 @@
 	ClientTimeout    time.Duration // how long a client waits in total
 	Idempotency      Idempotency
 	DedupScope       DedupScope    // with IdempotentWithKey
-	DedupWindow      time.Duration // with IdempotentWithKey: how long repeats are dropped once one may have run
+	DedupWindow      time.Duration // with IdempotentWithKey: repeats are dropped this long after a possible run
 	Streaming        bool          // not used by the engine: the response is streamed, see FirstByte
 }
 
--- a/internal/policy/sharedcounter_test.go
+++ b/internal/policy/sharedcounter_test.go
@@ -37,13 +37,13 @@
 	onSend   func(now time.Duration)     // called for each attempt sent
 }
 
-func newCounterSimulation(t *testing.T, set Settings, serviceTime, step time.Duration) *counterSimulation {
+func newCounterSimulation(t *testing.T, settings Settings, serviceTime, step time.Duration) *counterSimulation {
 	t.Helper()
-	s := &counterSimulation{settings: set, step: step,
+	s := &counterSimulation{settings: settings, step: step,
 		counter: simulatedCounter{serviceTime: serviceTime, totals: map[uint64]float64{}}}
-	for i := range set.Gateways {
-		set.GatewayIndex = i
-		s.engines = append(s.engines, newTestEngine(t, set, testBackends(30)...))
+	for i := range settings.Gateways {
+		settings.GatewayIndex = i
+		s.engines = append(s.engines, newTestEngine(t, settings, testBackends(30)...))
 		s.due = append(s.due, map[time.Duration][]Event{})
 	}
 	return s
--- a/internal/policy/simulatedfleet_test.go
+++ b/internal/policy/simulatedfleet_test.go
@@ -47,12 +47,12 @@
 )
 
 func newSimulatedFleet(gateways, backends int, seed uint64) *simulatedFleet {
-	set := testSettings()
-	set.Gateways, set.SharedCounter = gateways, false
-	set.Classes[idempotentClass].LatencyObjective, set.Classes[idempotentClass].ClientTimeout = 1200*ms, 5*time.Second
-	set.OverloadMultiple, set.OverloadWindow = 3, 3*time.Second
-	set.SlowStartMinShare, set.SlowStartDuration = 0.18, 18*time.Second
-	f := &simulatedFleet{settings: set, rng: rand.New(rand.NewPCG(seed, 9)), backends: testBackends(backends),
+	settings := testSettings()
+	settings.Gateways, settings.SharedCounter = gateways, false
+	settings.Classes[idempotentClass].LatencyObjective, settings.Classes[idempotentClass].ClientTimeout = 1200*ms, 5*time.Second
+	settings.OverloadMultiple, settings.OverloadWindow = 3, 3*time.Second
+	settings.SlowStartMinShare, settings.SlowStartDuration = 0.18, 18*time.Second
+	f := &simulatedFleet{settings: settings, rng: rand.New(rand.NewPCG(seed, 9)), backends: testBackends(backends),
 		machines: make([]simulatedMachine, backends), trafficWeights: make([]float64, gateways),
 		pending: make([][]pendingResult, maxPendingSteps)}
 	for i := range f.machines {
@@ -75,9 +75,9 @@
 
 // capacityShare returns the share of its capacity that a machine has at a time: the minimum that the settings allow.
 func (f *simulatedFleet) capacityShare(m *simulatedMachine, now time.Duration) float64 {
-	set := &f.settings
-	if age := now - m.started; m.started > 0 && age < set.SlowStartDuration {
-		return set.SlowStartMinShare + (1-set.SlowStartMinShare)*float64(age)/float64(set.SlowStartDuration)
+	settings := &f.settings
+	if age := now - m.started; m.started > 0 && age < settings.SlowStartDuration {
+		return settings.SlowStartMinShare + (1-settings.SlowStartMinShare)*float64(age)/float64(settings.SlowStartDuration)
 	}
 	return 1
 }
@@ -212,16 +212,16 @@
 	for i := range f.machines {
 		m := &f.machines[i]
 		for j, from := range m.attempts {
-			n := len(m.attempts[j:])
+			attempts := len(m.attempts[j:])
 			isAfter := func(at time.Duration) bool { return at >= from+f.settings.OverloadWindow }
-			if k := slices.IndexFunc(m.attempts[j:], isAfter); k > 0 {
-				n = k
+			if firstAfter := slices.IndexFunc(m.attempts[j:], isAfter); firstAfter > 0 {
+				attempts = firstAfter
 			}
 			budget := f.settings.OverloadMultiple * m.capacity * f.capacityShare(m, from) *
 				f.settings.OverloadWindow.Seconds()
 			bound := budget + 2*math.Sqrt(budget) + 2
-			if float64(n)/bound > float64(worst.attempts)/worst.bound {
-				worst = windowLoad{n, budget, bound}
+			if float64(attempts)/bound > float64(worst.attempts)/worst.bound {
+				worst = windowLoad{attempts, budget, bound}
 			}
 		}
 	}
--- a/internal/policy/slowstart.go
+++ b/internal/policy/slowstart.go
@@ -1,6 +1,7 @@
 package policy
 
-// Slow start: limits what a backend that was started recently gets. Package slowstart has the budget.
+// Slow start: limits the attempts sent to a backend that was started recently. Package slowstart computes
+// the budget.
 
 import (
 	"time"
@@ -14,12 +15,12 @@
 	warming  []*backend // in the order of add, not of their start times; some may be warm
 }
 
-func newSlowStarts(set *Settings) slowStarts {
+func newSlowStarts(settings *Settings) slowStarts {
 	return slowStarts{settings: slowstart.Settings{
-		MinShare:         set.SlowStartMinShare,
-		Duration:         set.SlowStartDuration,
-		OverloadMultiple: set.OverloadMultiple,
-		OverloadWindow:   set.OverloadWindow,
+		MinShare:         settings.SlowStartMinShare,
+		Duration:         settings.SlowStartDuration,
+		OverloadMultiple: settings.OverloadMultiple,
+		OverloadWindow:   settings.OverloadWindow,
 	}}
 }
 
--- a/internal/policy/slowstart/slowstart.go
+++ b/internal/policy/slowstart/slowstart.go
@@ -1,8 +1,8 @@
 // Package slowstart limits what one gateway sends to a backend that was started recently and is warming up.
 //
-// Such a backend initially has a part of its capacity, and fails if it is sent a multiple of that for some
-// time. All gateways together must therefore stay below that multiple, although none of them knows what the
-// others send.
+// Such a backend initially has a part of its capacity, and fails if its load is a certain multiple of that
+// part for some time. All gateways together must therefore stay below that multiple, although none of them
+// knows what the others send.
 //
 // A [Budget] belongs to one backend of one engine and is not safe for concurrent use. Times are on the
 // engine's clock.
@@ -28,8 +28,8 @@
 type Settings struct {
 	MinShare         float64       // share of its capacity that a backend has at its start
 	Duration         time.Duration // time from its start until it has its full capacity
-	OverloadMultiple float64       // of the present capacity; a backend that is sent so much for a window fails
-	OverloadWindow   time.Duration // length of that window
+	OverloadMultiple float64       // a backend fails if its load is this multiple of its present capacity
+	OverloadWindow   time.Duration // for this long
 }
 
 // Budget limits the attempts that one backend gets while it warms up. The zero value is that of a warm
@@ -50,13 +50,13 @@
 
 // CapacityShare returns the minimum share of its capacity that the backend has now. It rises linearly from
 // MinShare at the start to 1 after Duration. Once Duration is over, CapacityShare also ends the slow start.
-func (b *Budget) CapacityShare(now time.Duration, set *Settings) float64 {
+func (b *Budget) CapacityShare(now time.Duration, settings *Settings) float64 {
 	age := float64(now - b.since)
-	if !b.warming || age >= float64(set.Duration) {
+	if !b.warming || age >= float64(settings.Duration) {
 		b.warming, b.sent, b.notBefore = false, nil, 0
 		return 1
 	}
-	return set.MinShare + (1-set.MinShare)*max(0, age)/float64(set.Duration)
+	return settings.MinShare + (1-settings.MinShare)*max(0, age)/float64(settings.Duration)
 }
 
 // RecordAttempt records that an attempt is sent to the backend.
@@ -84,24 +84,25 @@
 //
 // The budget is used in whole attempts: floor(budget) attempts in a window that is shorter in proportion. A
 // budget of less than one attempt per window, as with many gateways, becomes one attempt in a window that is
-// longer by 1/budget, but at most Duration or, if that is longer, OverloadWindow x Gateways /
+// 1/budget times as long, but at most Duration or, if that is longer, OverloadWindow x Gateways /
 // minWindowAttempts. The first attempt then comes at a random time within that window, because all gateways
 // learn of a start at the same time. A backend that only this gateway knows can therefore stay idle for a
 // while.
 //
 // One random number is drawn when the budget is first less than one attempt. A backend that is started again
 // while it warms up keeps that random time and its recent attempts.
-func (b *Budget) Spent(now time.Duration, set *Settings, estimate CapacityEstimate, rng *rand.Rand) bool {
-	window := set.OverloadWindow.Seconds()
-	budget := usedShare * set.OverloadMultiple * estimate.Share * estimate.PerBackend * window *
+func (b *Budget) Spent(now time.Duration, settings *Settings, estimate CapacityEstimate,
+	rng *rand.Rand) bool {
+	window := settings.OverloadWindow.Seconds()
+	budget := usedShare * settings.OverloadMultiple * estimate.Share * estimate.PerBackend * window *
 		estimate.Weight / cmp.Or(estimate.MeanWeight, estimate.Weight)
 	// The window changes in proportion when the budget becomes a whole number of attempts. Otherwise
 	// all gateways would round in the same direction, and their errors would add up.
 	whole := max(1, math.Floor(budget))
 	window *= whole / budget
 	if budget < 1 {
-		window = min(window, max(set.Duration.Seconds(),
-			set.OverloadWindow.Seconds()*estimate.Gateways/minWindowAttempts))
+		window = min(window, max(settings.Duration.Seconds(),
+			settings.OverloadWindow.Seconds()*estimate.Gateways/minWindowAttempts))
 		if b.notBefore == 0 {
 			b.notBefore = now + time.Duration(rng.Float64()*window*float64(time.Second))
 		}
--- a/internal/policy/slowstart/slowstart_test.go
+++ b/internal/policy/slowstart/slowstart_test.go
@@ -9,7 +9,7 @@
 
 const start = 100 * time.Second
 
-var set = Settings{MinShare: 0.25, Duration: 20 * time.Second, OverloadMultiple: 3, OverloadWindow: 2 * time.Second}
+var settings = Settings{MinShare: 0.25, Duration: 20 * time.Second, OverloadMultiple: 3, OverloadWindow: 2 * time.Second}
 
 func random() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
@@ -22,11 +22,11 @@
 func TestCapacityShareRisesLinearlyToOne(t *testing.T) {
 	b := warming()
 	for after, want := range map[time.Duration]float64{-time.Second: 0.25, 0: 0.25, 10 * time.Second: 0.625} {
-		if got := b.CapacityShare(start+after, &set); got != want || !b.Warming() {
+		if got := b.CapacityShare(start+after, &settings); got != want || !b.Warming() {
 			t.Errorf("%v after the start: share %v, want %v; warming up: %v", after, got, want, b.Warming())
 		}
 	}
-	if got := b.CapacityShare(start+set.Duration, &set); got != 1 || b.Warming() {
+	if got := b.CapacityShare(start+settings.Duration, &settings); got != 1 || b.Warming() {
 		t.Errorf("at the end of the slow start: share %v, want 1; warming up: %v", got, b.Warming())
 	}
 }
@@ -34,7 +34,7 @@
 func TestBackendWithoutASlowStartIsWarm(t *testing.T) {
 	var b Budget
 	b.RecordAttempt(start)
-	if b.Warming() || b.CapacityShare(start, &set) != 1 || len(b.sent) != 0 {
+	if b.Warming() || b.CapacityShare(start, &settings) != 1 || len(b.sent) != 0 {
 		t.Errorf("not warm: %+v", b)
 	}
 }
@@ -43,8 +43,8 @@
 func sendWhenAllowed(b *Budget, estimate CapacityEstimate, span time.Duration) (sent []time.Duration) {
 	rng := random()
 	for now := start; now < start+span; now += 10 * time.Millisecond {
-		estimate.Share = b.CapacityShare(now, &set)
-		if estimate.Share < 1 && !b.Spent(now, &set, estimate, rng) {
+		estimate.Share = b.CapacityShare(now, &settings)
+		if estimate.Share < 1 && !b.Spent(now, &settings, estimate, rng) {
 			b.RecordAttempt(now)
 			sent = append(sent, now)
 		}
@@ -64,7 +64,7 @@
 
 func TestBudgetOfLessThanOneAttemptLengthensTheWindow(t *testing.T) {
 	estimate := CapacityEstimate{PerBackend: 0.4, Weight: 1, Gateways: 16}
-	sent := sendWhenAllowed(warming(), estimate, set.Duration)
+	sent := sendWhenAllowed(warming(), estimate, settings.Duration)
 	// The budget is 0.3 attempts in the first window of 2 s, and more later: initially one attempt in about
 	// 6.7 s, of which the first comes at a random time.
 	if len(sent) < 3 || len(sent) > 10 || sent[0] == start {
@@ -79,10 +79,10 @@
 
 func TestFirstAttemptIsBoundedWithoutMeasurements(t *testing.T) {
 	b := warming()
-	if !b.Spent(start, &set, CapacityEstimate{Share: 0.25, Weight: 1, Gateways: 16}, random()) {
+	if !b.Spent(start, &settings, CapacityEstimate{Share: 0.25, Weight: 1, Gateways: 16}, random()) {
 		t.Error("the first attempt is allowed at once although no warm backend was measured")
 	}
-	longest := math.Max(set.Duration.Seconds(), set.OverloadWindow.Seconds()*16/minWindowAttempts)
+	longest := math.Max(settings.Duration.Seconds(), settings.OverloadWindow.Seconds()*16/minWindowAttempts)
 	if wait := (b.notBefore - start).Seconds(); wait > longest {
 		t.Errorf("the first attempt is allowed after %v s, want %v s at most", wait, longest)
 	}
@@ -91,9 +91,9 @@
 func TestBeginAfterTheEndOfASlowStartResetsTheBudget(t *testing.T) {
 	b := warming()
 	b.RecordAttempt(start)
-	b.CapacityShare(start+set.Duration, &set)
+	b.CapacityShare(start+settings.Duration, &settings)
 	b.Begin(start + time.Minute)
-	if got := b.CapacityShare(start+time.Minute, &set); got != set.MinShare || len(b.sent) != 0 || b.notBefore != 0 {
-		t.Errorf("share %v, want %v; budget %+v", got, set.MinShare, b)
+	if got := b.CapacityShare(start+time.Minute, &settings); got != settings.MinShare || len(b.sent) != 0 || b.notBefore != 0 {
+		t.Errorf("share %v, want %v; budget %+v", got, settings.MinShare, b)
 	}
 }
--- a/internal/policy/slowstart_test.go
+++ b/internal/policy/slowstart_test.go
@@ -135,9 +135,9 @@
 	s := &singleStartFleet{settings: manyGateways(gateways), list: testBackends(warm + 1), start: start}
 	s.settings.SharedCounter = false
 	for i := range gateways {
-		set := s.settings
-		set.GatewayIndex = i
-		engine, _ := New(set, uint64(i))
+		settings := s.settings
+		settings.GatewayIndex = i
+		engine, _ := New(settings, uint64(i))
 		engine.Step(0, []Event{EndpointUpdate{Kind: CachedSnapshot, Backends: s.list[:warm]}})
 		s.engines = append(s.engines, engine)
 	}
@@ -165,8 +165,8 @@
 	engine := s.engines[gateway]
 	events := append(s.updates(now), testRequest(id, idempotentClass, noQuotaPlan), Timer{checkCookie})
 	for _, sent := range sendsOf(engine.Step(now, events)) {
-		isStarted := sent.Backend == s.list[len(s.list)-1].Name
-		if isStarted && now < s.start+s.settings.SlowStartDuration {
+		isStarting := sent.Backend == s.list[len(s.list)-1].Name
+		if isStarting && now < s.start+s.settings.SlowStartDuration {
 			s.warmingSentAt = append(s.warmingSentAt, now)
 		} else if now < s.start {
 			s.warmAttempts++
@@ -185,17 +185,18 @@
 			s.request(i, uint64(tick*gateways+i), time.Duration(tick)*500*ms)
 		}
 	}
-	set := s.settings
+	settings := s.settings
 	rate := float64(s.warmAttempts) / warm / start.Seconds() // throughput of a warm backend, whose capacity is at least that
 	for i, from := range s.warmingSentAt {
-		share := set.SlowStartMinShare + (1-set.SlowStartMinShare)*float64(from-start)/float64(set.SlowStartDuration)
+		share := settings.SlowStartMinShare +
+			(1-settings.SlowStartMinShare)*float64(from-start)/float64(settings.SlowStartDuration)
 		n := 0
 		for _, at := range s.warmingSentAt[i:] {
-			if at < from+set.OverloadWindow {
+			if at < from+settings.OverloadWindow {
 				n++
 			}
 		}
-		if budget := set.OverloadMultiple * share * rate * set.OverloadWindow.Seconds(); float64(n) > budget {
+		if budget := settings.OverloadMultiple * share * rate * settings.OverloadWindow.Seconds(); float64(n) > budget {
 			t.Fatalf("%d attempts within a window that begins %v after the start, budget %.0f", n, from-start, budget)
 		}
 	}
--- a/internal/policy/stall_test.go
+++ b/internal/policy/stall_test.go
@@ -13,8 +13,8 @@
 	now := ms
 	for i := range 40 {
 		now += 20 * ms
-		acts := engine.Step(now, []Event{testRequest(uint64(i), idempotentClass, noQuotaPlan), Timer{checkCookie}})
-		inFlight = append(inFlight, sendsOf(acts)...)
+		actions := engine.Step(now, []Event{testRequest(uint64(i), idempotentClass, noQuotaPlan), Timer{checkCookie}})
+		inFlight = append(inFlight, sendsOf(actions)...)
 		if len(inFlight) > 14 {
 			engine.Step(now, []Event{servedResult(inFlight[0], 0, 40*ms)})
 			inFlight = inFlight[1:]
@@ -37,8 +37,8 @@
 	engine.Step(ms, []Event{testRequest(1, idempotentClass, noQuotaPlan)})
 	old := testRequest(2, idempotentClass, noQuotaPlan)
 	old.TimeLeft = 2*time.Second - 490*ms
-	acts := engine.Step(time.Second, []Event{old})
-	if len(sendsOf(acts)) != 0 || len(rejectsOf(acts)) != 1 {
-		t.Errorf("got %v for a request that has waited 490 of its 500 ms, want one Reject", acts)
+	actions := engine.Step(time.Second, []Event{old})
+	if len(sendsOf(actions)) != 0 || len(rejectsOf(actions)) != 1 {
+		t.Errorf("got %v for a request that has waited 490 of its 500 ms, want one Reject", actions)
 	}
 }
--- a/internal/policy/subset.go
+++ b/internal/policy/subset.go
@@ -12,9 +12,10 @@
 )
 
 const (
-	// maxGatewaysPerBackend is how many gateways have a given backend in their subsets on average. It is large
-	// enough that the sum of their traffic to the backend is even.
-	maxGatewaysPerBackend = 16.0
+	// targetGatewaysPerBackend is how many gateways should have a given backend in their subsets on average. It
+	// is large enough that the sum of their traffic to the backend is even. In a short list there are more,
+	// because of minSubset.
+	targetGatewaysPerBackend = 16.0
 	// minSubset is the minimum size of a subset, so that losing one backend loses only a small part of it.
 	minSubset = 8
 	// zoneDiverseSubset is the size from which a subset, which is assigned by hash, has enough backends outside
@@ -38,7 +39,7 @@
 type backendSubset struct {
 	gateways           int
 	gatewayIndex       int
-	backends           []*backend // modified by set only
+	backends           []*backend // modified by setInSubset only
 	extra              []*backend // those added by addExtras
 	round              *subset.Round[*backend]
 	gatewaysPerBackend float64 // gateways with a given backend in their subsets, on average; at least 1
@@ -52,9 +53,9 @@
 	member      subset.Member[*backend]
 }
 
-func newBackendSubset(set *Settings) backendSubset {
-	return backendSubset{gateways: set.Gateways, gatewayIndex: set.GatewayIndex,
-		gatewaysPerBackend: float64(set.Gateways)}
+func newBackendSubset(settings *Settings) backendSubset {
+	return backendSubset{gateways: settings.Gateways, gatewayIndex: settings.GatewayIndex,
+		gatewaysPerBackend: float64(settings.Gateways)}
 }
 
 // assign updates the subset from the endpoint list. The changed backends are those that have come into
@@ -84,7 +85,7 @@
 // about maxGatewaysPerBackend subsets, and is reduced if subsets would otherwise have fewer than about
 // minSubset backends. It does not change when the list shrinks slightly (keepBinsShare).
 func (s *backendSubset) bins(inService int) int {
-	wanted := max(1, int(math.Round(float64(s.gateways)/maxGatewaysPerBackend)))
+	wanted := max(1, int(math.Round(float64(s.gateways)/targetGatewaysPerBackend)))
 	fitting := max(1, keepThreeBits((inService+minSubset/2)/minSubset))
 	if s.round != nil && float64(inService) >= keepBinsShare*minSubset*float64(s.round.Bins()) {
 		fitting = max(fitting, s.round.Bins())
@@ -105,7 +106,7 @@
 		if b.member.Assigned() {
 			b.member = subset.Member[*backend]{Value: b}
 			if b.inSubset && !b.extra {
-				s.set(b, false)
+				s.setInSubset(b, false)
 			}
 		}
 	}
@@ -121,13 +122,13 @@
 // an extra is in the subset already, and from now on belongs to the round.
 func (s *backendSubset) roundChanged(b *backend, in bool) {
 	if !b.extra {
-		s.set(b, in)
+		s.setInSubset(b, in)
 	}
 	b.extra = false
 }
 
-// set adds a backend to the subset or removes it.
-func (s *backendSubset) set(b *backend, in bool) {
+// setInSubset adds a backend to the subset or removes it.
+func (s *backendSubset) setInSubset(b *backend, in bool) {
 	if b.inSubset == in {
 		return
 	}
@@ -149,7 +150,7 @@
 	for _, b := range s.extra {
 		if b.extra {
 			b.extra = false
-			s.set(b, false)
+			s.setInSubset(b, false)
 		}
 	}
 	s.extra = s.extra[:0]
@@ -161,7 +162,7 @@
 		}
 		b.extra = true
 		s.extra = append(s.extra, b)
-		s.set(b, true)
+		s.setInSubset(b, true)
 	}
 }
 
--- a/internal/policy/subset_test.go
+++ b/internal/policy/subset_test.go
@@ -61,7 +61,8 @@
 func checkLoad(t *testing.T, when string, load map[string]float64, backends int) {
 	t.Helper()
 	if highest := peakToMeanLoad(load, backends); len(load) != backends || highest > 1.25 {
-		t.Errorf("%s: %d of %d backends in use, the peak load is %.2f times the mean", when, len(load), backends, highest)
+		t.Errorf("%s: %d of %d backends in use, the peak load is %.2f times the mean; want all in use and at most 1.25 times",
+			when, len(load), backends, highest)
 	}
 }
 
@@ -75,14 +76,15 @@
 			load, smallest := loadOfBackends(gateways), smallestWithoutZone(lostZone, gateways)
 			checkLoad(t, "initially", load, backends)
 			if smallest < minSubset/2 {
-				t.Errorf("a gateway has only %d backends left when zone %d is lost", smallest, lostZone)
+				t.Errorf("a gateway has only %d backends left when zone %d is lost, want at least %d", smallest, lostZone, minSubset/2)
 			}
 			changed := 0
 			for step := range 10 {
 				changed += removeOrAdd(gateways, list[step], step)
 			}
 			if mean := float64(changed) / 10; mean > 0.12*largeGateways {
-				t.Errorf("%.0f of %d gateways change their subset when one backend is added or removed", mean, largeGateways)
+				t.Errorf("%.0f of %d gateways change their subset when one backend is added or removed, want at most 12%%", mean,
+					largeGateways)
 			} else {
 				t.Logf("%.0f subsets change, peak load %.2f times the mean, smallest subset without a zone %d",
 					mean, peakToMeanLoad(load, backends), smallest)
@@ -239,13 +241,13 @@
 // a backend gives the gateways few new ones.
 func TestRequestsOfManyGatewaysUseEvenSubsets(t *testing.T) {
 	const gateways, backends = 80, 60
-	set := manyGateways(gateways)
-	set.SharedCounter = false
+	settings := manyGateways(gateways)
+	settings.SharedCounter = false
 	list := testBackends(backends)
 	all := make([]*Engine, gateways)
 	for i := range all {
-		set.GatewayIndex = i
-		all[i] = newTestEngine(t, set, list...)
+		settings.GatewayIndex = i
+		all[i] = newTestEngine(t, settings, list...)
 	}
 	before := backendsUsed(all, ms)
 	for name, n := range gatewaysPerBackend(before) {
@@ -261,7 +263,8 @@
 	}
 	after := backendsUsed(all, 60*time.Second)
 	if count := gatewaysPerBackend(after); len(count) != backends-1 || count[gone.Name] != 0 {
-		t.Errorf("%d backends in use after one of %d was removed", len(count), backends)
+		t.Errorf("%d backends in use after one of %d was removed, %d gateways use it; want all others in use, and it by none",
+			len(count), backends, count[gone.Name])
 	}
 	moved := 0
 	for i, names := range after {
@@ -275,6 +278,6 @@
 		}
 	}
 	if moved > 3*gateways {
-		t.Errorf("%d new pairs of gateway and backend after one backend was removed", moved)
+		t.Errorf("%d new pairs of gateway and backend after one backend was removed, want at most %d", moved, 3*gateways)
 	}
 }
--- a/internal/policy/tenants_test.go
+++ b/internal/policy/tenants_test.go
@@ -71,7 +71,7 @@
 	tenant.addWaiting(ended)
 	tenant.addWaiting(waiting)
 	if got := tenant.firstWaiting(); got != waiting {
-		t.Errorf("first waiting request: %v", got)
+		t.Errorf("first waiting request: %v, want the one that has not ended, %v", got, waiting)
 	}
 	tenant.removeFirstWaiting()
 	if tenant.firstWaiting() != nil {
