--- a/internal/audit/output.go
+++ b/internal/audit/output.go
@@ -23,8 +23,9 @@
 	c.emit(Log{record})
 }
 
-// recordStep logs a step of the audit. target is the version that a quorum was found to act on; 0: none.
-func (c *stepContext) recordStep(kind StepKind, target int64, reason string, args ...any) {
-	c.logRecord(StepRecord{Kind: kind, At: c.now, Reason: fmt.Sprintf(reason, args...), Version: c.versions.index(),
+// recordStep logs a step of the audit, with a reason in the form of fmt.Sprintf. target is the version that a quorum was
+// found to act on; 0: none.
+func (c *stepContext) recordStep(kind StepKind, target int64, format string, args ...any) {
+	c.logRecord(StepRecord{Kind: kind, At: c.now, Reason: fmt.Sprintf(format, args...), Version: c.versions.index(),
 		Target: target})
 }
--- a/internal/audit/pausecheck.go
+++ b/internal/audit/pausecheck.go
@@ -5,7 +5,7 @@
 const (
 	// Longest time that a gateway waits for its check after a pause.
 	pauseCheckTimeout = 3 * time.Second
-	// Number of recent windows that compare the endpoint list whose proposals the check reads. One is not enough, as the
+	// The check reads the proposals of this many recent windows that compare the endpoint list. One is not enough, as the
 	// current window may have no proposal yet.
 	pauseCheckWindows = 2
 )
--- a/internal/audit/pausecheck_test.go
+++ b/internal/audit/pausecheck_test.go
@@ -27,7 +27,8 @@
 			}
 			waited := f.now - resumedAt
 			if discoveryAnswers != (waited < time.Second) || waited > pauseCheckTimeout+time.Second {
-				t.Errorf("the gateway was back in service after %v", waited)
+				t.Errorf("the gateway was back in service after %v; want within 1s if discovery answers, which is %v here, and only "+
+					"after the time-out if not", waited, discoveryAnswers)
 			}
 		})
 	}
--- a/internal/audit/schedule.go
+++ b/internal/audit/schedule.go
@@ -22,7 +22,7 @@
 	window   time.Duration // length of a window: one proposal and its votes
 	epoch    time.Duration // length of an epoch: one lease of a slot
 	entryTTL time.Duration // TTL of the counter entries for proposals and vote counts
-	slotTTL  time.Duration // TTL of the counter entries for slots: longer than an epoch's phase of verifying claims
+	slotTTL  time.Duration // TTL of the counter entries for slots: an entry must last from its first claim to its last read
 	slots    int           // gateways that may be out of service at the same time
 	callRate float64       // counter calls per second of one gateway
 }
--- a/internal/audit/simfleet_test.go
+++ b/internal/audit/simfleet_test.go
@@ -11,7 +11,7 @@
 	tick        = TickInterval
 	callTimeout = 50 * time.Millisecond       // of a counter call
 	simStart    = 1_800_000_000 * time.Second // virtual time, shared by all machines
-	maxDelay    = 15                          // upper bound of an agent's delay, in ticks
+	maxDelay    = 15                          // upper bound of agentDelay, in ticks
 )
 
 // simFleet simulates the machines of a fleet with a simulated discovery and a simulated counter, in virtual time. Each
@@ -38,12 +38,12 @@
 	machine       *Machine
 	events        []Event       // for the next Step
 	outOfService  bool          // as requested by the machine
-	agentCut      bool          // the agent delivers no updates
-	agentDelay    time.Duration // of the agent's updates
+	agentCut      bool          // the discovery agent delivers no updates
+	agentDelay    time.Duration // of the discovery agent's updates
 	counterCut    bool          // calls to the counter are lost
 	pausedAt      time.Duration // when the process was paused
 	pausedUntil   time.Duration // 0: the process is running
-	latestVersion int64         // delivered by the agent
+	latestVersion int64         // last one that the discovery agent delivered
 }
 
 // delayedEvent is an event for the next tick. It is dropped if the gateway's process has been restarted by then.
--- a/internal/subset/subset_test.go
+++ b/internal/subset/subset_test.go
@@ -19,7 +19,7 @@
 	tr := &testRound{members: make([]Member[int], members), own: map[int]bool{}}
 	tr.round = New(7, bins, ownBin, slack, func(member int, in bool) {
 		if tr.own[member] == in {
-			t.Fatalf("member %d was reported twice in a row as in the own bin: %v", member, in)
+			t.Fatalf("member %d was reported twice in a row with in-own-bin %v", member, in)
 		}
 		tr.own[member] = in
 	})
@@ -84,13 +84,13 @@
 		}
 		for i, bin := range tr.bins() {
 			if tr.own[i] != (bin == ownBin) {
-				t.Fatalf("member %d is in bin %d, reported as in the own bin: %v", i, bin, tr.own[i])
+				t.Fatalf("member %d is in bin %d, own bin %d, but was last reported with in-own-bin %v", i, bin, ownBin, tr.own[i])
 			}
 		}
 		most := int(float64(len(in))*(1+slack)/float64(bins)) + 1
 		for bin, contents := range tr.round.contents {
 			if len(contents) > most {
-				t.Fatalf("bin %d of %d holds %d of %d members", bin, bins, len(contents), len(in))
+				t.Fatalf("bin %d of %d holds %d of %d members, want at most %d", bin, bins, len(contents), len(in), most)
 			}
 		}
 	}
@@ -114,7 +114,7 @@
 		}
 	}
 	if mean := float64(moved) / 300; mean > 2 {
-		t.Errorf("removing a member moves %.2f others on average", mean)
+		t.Errorf("removing a member moves %.2f others on average, want at most 2", mean)
 	}
 }
 
@@ -126,7 +126,7 @@
 	tr.remove(0)
 	tr.remove(0)
 	if tr.round.size != 0 || tr.round.Bins() != 2 {
-		t.Errorf("size %d, %d bins", tr.round.size, tr.round.Bins())
+		t.Errorf("size %d, %d bins; want 0 and 2", tr.round.size, tr.round.Bins())
 	}
 }
 
