--- a/internal/policy/dispatch.go
+++ b/internal/policy/dispatch.go
@@ -17,8 +17,9 @@
 
 	// If the backends' latency indicates queues inside the backends, requests are rejected at random. No
 	// request is rejected while those queues take less than minShedShare of the time that is left for
-	// waiting (see shedByLatency). From there the probability rises linearly up to fullShedShare, where it would reach 1, but it is capped
-	// at maxShedChance: the answers to the remaining requests show when the overload is over.
+	// waiting (see shedByLatency). From there the probability rises linearly up to fullShedShare, where it
+	// would reach 1, but it is capped at maxShedChance: the answers to the remaining requests show when the
+	// overload is over.
 	minShedShare  = 0.25
 	fullShedShare = 0.6
 	maxShedChance = 0.97
--- a/internal/policy/quota.go
+++ b/internal/policy/quota.go
@@ -96,8 +96,8 @@
 // requests that may not, and these go on credit. Unlike the paper, the engine gives credit, because with many
 // gateways the fallback tokens of one gateway are less than the cost of one request.
 //
-// After finding a bucket empty, a gateway does not call again until the bucket should have gained enough
-// tokens for this gateway and for the tenant's other gateways, which wait for them as well.
+// After finding a bucket empty, a gateway does not call again until the bucket should have gained the missing
+// tokens, or for longer if many of the tenant's gateways wait for the same tokens.
 //
 // The decisions to call and to go on credit may each draw a random number.
 func (e *Engine) payCost(r *request) quotaDecision {
