--- a/internal/audit/pacer.go
+++ b/internal/audit/pacer.go
@@ -18,7 +18,7 @@
 	tokens         float64
 	refilledAt     time.Duration
 	backoffUntil   time.Duration
-	backoff        time.Duration // last backoff after a call of the audit; 0: none since the last successful call
+	backoff        time.Duration // last backoff after a call by the audit; 0: none since the last successful call
 }
 
 // allow reports whether a call may be made now, and takes the call's token if so.
@@ -35,7 +35,7 @@
 // callSucceeded resets the doubling of the backoff.
 func (p *pacer) callSucceeded() { p.backoff = 0 }
 
-// callFailed backs off after a call of the audit that failed or was slow.
+// callFailed backs off after a call by the audit that failed or was slow.
 func (p *pacer) callFailed(now time.Duration) {
 	p.backoff = min(maxBackoff, max(minBackoff, 2*p.backoff))
 	p.extendBackoff(now + p.backoff)
--- a/internal/audit/simfleet_test.go
+++ b/internal/audit/simfleet_test.go
@@ -240,7 +240,8 @@
 		}
 	}
 	if ahead < quorumSize(f.settings.Gateways) {
-		f.t.Fatalf("gateway %d is found behind version %d, on which only %d gateways have acted", index, step.Target, ahead)
+		f.t.Fatalf("gateway %d is found behind version %d, on which only %d gateways have acted, less than a quorum", index,
+			step.Target, ahead)
 	}
 }
 
--- a/internal/audit/tally_test.go
+++ b/internal/audit/tally_test.go
@@ -19,7 +19,8 @@
 			}
 			got := tally.minVoters(total)
 			if got > len(voters) || gateways <= 7 && got != len(voters) || 2*got < len(voters) {
-				t.Fatalf("%d gateways: the total %v of %d voters is counted as %d", gateways, total, len(voters), got)
+				t.Fatalf("%d gateways: the total %v of %d voters is counted as %d; want no more, at least half and, with up to "+
+					"seven gateways, exactly that many", gateways, total, len(voters), got)
 			}
 		}
 	}
--- a/internal/policy/backend.go
+++ b/internal/policy/backend.go
@@ -10,7 +10,8 @@
 	"bellwood/internal/policy/throughput"
 )
 
-// backend is the engine's state of one backend. Each part is owned by the type named beside it.
+// backend is the engine's state of one backend. Only the part of the engine that a comment names as the owner
+// modifies a field after newBackend.
 //
 // The fields that choose reads come first and together: in a large fleet, fetching them from memory costs
 // more than the arithmetic on them.
--- a/internal/policy/countercalls.go
+++ b/internal/policy/countercalls.go
@@ -1,6 +1,6 @@
 package policy
 
-// Calls of the shared counter: how many this gateway makes, and what happens to its quotas while the counter
+// Calls to the shared counter: how many this gateway makes, and what happens to its quotas while the counter
 // does not respond.
 //
 // While the counter is unresponsive or slow, requests are handled as follows (payCost in quota.go, package
@@ -58,7 +58,7 @@
 	probeIntervalPerGateway = 5 * time.Millisecond
 )
 
-// counterCalls tracks this gateway's calls of the shared counter: those in flight, and what share of the
+// counterCalls tracks this gateway's calls to the shared counter: those in flight, and what share of the
 // requests may call without overloading the counter.
 type counterCalls struct {
 	inFlight      map[uint64][]*counterCall // by counter key, oldest call first
--- a/internal/policy/endpoints_test.go
+++ b/internal/policy/endpoints_test.go
@@ -49,7 +49,8 @@
 	subset, known := len(engine.subset.backends), len(engine.endpoints.all)
 	inService, warm := engine.endpoints.inServiceCount, engine.throughput.WarmBackends()
 	if subset+known+inService+warm != 0 {
-		t.Fatalf("after all have terminated: %d in the subset, %d known, %d in service, %d warm", subset, known, inService, warm)
+		t.Fatalf("after all have terminated: %d in the subset, %d known, %d in service, %d warm; want none",
+			subset, known, inService, warm)
 	}
 	engine.Step(2*time.Second, []Event{EndpointUpdate{Backends: list[20:]}})
 	actions := engine.Step(3*time.Second, []Event{testRequest(1, idempotentClass, noQuotaPlan), Timer{checkCookie}})
@@ -125,7 +126,7 @@
 	inSubset, warm, inService := 0, 0, 0
 	for i, b := range engine.endpoints.all {
 		if b.index != i || b.inSubset && engine.subset.backends[b.subsetIndex] != b {
-			t.Fatalf("%s: the index of %s is wrong", when, b.name)
+			t.Fatalf("%s: backend %s is not found at the index that is stored for it", when, b.name)
 		}
 		if b.inSubset {
 			inSubset++
--- a/internal/policy/hardlimitshare_test.go
+++ b/internal/policy/hardlimitshare_test.go
@@ -59,10 +59,12 @@
 	settings.Plans[softPlan] = Plan{Rate: 8, Burst: 20, WeightFactor: 1, OverQuotaValue: 1,
 		HardLimitRate: 11, HardLimitBurst: 27}
 	if got := runHardLimit(t, settings, 10*ms); got.minLevel < 0 {
-		t.Errorf("at 100 requests per second, %d were sent and the hard limit's bucket fell to %.1f", got.sent, got.minLevel)
+		t.Errorf("at 100 requests per second, %d were sent and the hard limit's bucket fell to %.1f, want at least 0", got.sent,
+			got.minLevel)
 	}
 	if got := runHardLimit(t, settings, 180*ms); got.sent < 100 || got.minLevel < 0 {
-		t.Errorf("of 111 requests, at half the hard limit, %d were sent; the bucket fell to %.1f", got.sent, got.minLevel)
+		t.Errorf("of 111 requests, at half the hard limit, %d were sent and the bucket fell to %.1f; want at least 100 and 0",
+			got.sent, got.minLevel)
 	}
 }
 
--- a/internal/policy/latency/latency_test.go
+++ b/internal/policy/latency/latency_test.go
@@ -24,7 +24,7 @@
 	e := NewEstimator([]time.Duration{objective, objective})
 	e.RecordAnswer(0, 0.1)
 	if got := e.Mean(0); !almostEqual(got, 0.1) {
-		t.Errorf("after a first answer of 0.1 s: mean %v", got)
+		t.Errorf("after a first answer of 0.1 s: mean %v, want 0.1", got)
 	}
 	e.RecordAnswer(0, 0.2)
 	if got := e.Mean(0); !almostEqual(got, 0.15) {
@@ -37,7 +37,7 @@
 		e.RecordAnswer(0, 0.3)
 	}
 	if got := e.Mean(0); math.Abs(got-0.3) > 0.001 {
-		t.Errorf("after many answers of 0.3 s: mean %v", got)
+		t.Errorf("after many answers of 0.3 s: mean %v, want 0.3", got)
 	}
 }
 
@@ -49,12 +49,12 @@
 	e.RecordAnswer(0, 0.1)
 	e.RecordIdle(0, false)
 	if !almostEqual(e.Idle(0), 0.1) {
-		t.Errorf("after a first answer of 0.1 s: idle latency %v", e.Idle(0))
+		t.Errorf("after a first answer of 0.1 s: idle latency %v, want 0.1", e.Idle(0))
 	}
 	e.RecordAnswer(0, 0.3)
 	e.RecordIdle(0, false)
 	if !almostEqual(e.Idle(0), 0.1) {
-		t.Errorf("idle latency rose to %v although requests wait", e.Idle(0))
+		t.Errorf("idle latency %v although requests wait, want 0.1 as before", e.Idle(0))
 	}
 	e.RecordIdle(0, true)
 	if got := e.Idle(0); got <= 0.1 || got >= 0.2 {
--- a/internal/policy/outlier_test.go
+++ b/internal/policy/outlier_test.go
@@ -77,7 +77,7 @@
 		now := time.Duration(i) * 100 * ms
 		sends := sendsOf(engine.Step(now, []Event{testRequest(uint64(i+1), idempotentClass, noQuotaPlan)}))
 		if len(sends) != 1 || b.detector.Ejected() {
-			t.Fatalf("before result %d: attempts sent: %v, ejected: %v", i, sends, b.detector.Ejected())
+			t.Fatalf("before result %d: attempts sent: %v, ejected: %v; want one attempt and false", i, sends, b.detector.Ejected())
 		}
 		engine.Step(now+10*ms, []Event{AttemptResult{ID: sends[0].ID, Backend: "b0", Status: status, Latency: 10 * ms,
 			RequestClosed: status == OK}})
--- a/internal/policy/rejection.go
+++ b/internal/policy/rejection.go
@@ -171,7 +171,7 @@
 	return true
 }
 
-// clientRetryAfter caps the retry-after advice at the longest that clients heed. It returns 0 if the
+// clientRetryAfter caps the retry-after advice at the longest that clients honor. It returns 0 if the
 // settings disable the advice.
 func (e *Engine) clientRetryAfter(rej rejection) time.Duration {
 	advice := rej.retryAfter
--- a/internal/policy/rejection_test.go
+++ b/internal/policy/rejection_test.go
@@ -173,6 +173,6 @@
 		texts[text] = reason
 	}
 	if got := RejectReason(99).String(); got != "RejectReason(99)" {
-		t.Errorf("an unknown reason has the text %q", got)
+		t.Errorf("an unknown reason has the text %q, want \"RejectReason(99)\"", got)
 	}
 }
--- a/internal/policy/selection.go
+++ b/internal/policy/selection.go
@@ -60,7 +60,8 @@
 }
 
 // cheapestInSubset examines the backends of the subset from the round-robin position on. It stops when it has
-// compared maxCompared of them and found one with a free slot, or has examined all.
+// compared maxCompared of them and found one with a free slot and slow-start budget left, or has examined
+// all.
 func (e *Engine) cheapestInSubset(r *request) candidate {
 	best, compared := noCandidate, 0
 	randomPart := e.sparseness()
--- a/internal/policy/settings.go
+++ b/internal/policy/settings.go
@@ -20,7 +20,7 @@
 	AllowCancel       bool          // CancelAttempt is allowed
 	AllowHealthChecks bool          // HealthCheck is allowed
 	SendRetryAfter    bool          // clients receive Reject.RetryAfter
-	MaxRetryAfter     time.Duration // the longest RetryAfter that a client heeds
+	MaxRetryAfter     time.Duration // the longest RetryAfter that clients honor
 	PollEndpoints     bool          // the engine must request the endpoint list (WatchEndpoints, FetchEndpoints)
 	PollInterval      time.Duration // with PollEndpoints: the maximum age of the list
 
--- a/internal/policy/slowstart/slowstart_test.go
+++ b/internal/policy/slowstart/slowstart_test.go
@@ -35,7 +35,7 @@
 	var b Budget
 	b.RecordAttempt(start)
 	if b.Warming() || b.CapacityShare(start, &settings) != 1 || len(b.sent) != 0 {
-		t.Errorf("not warm: %+v", b)
+		t.Errorf("without a slow start: %+v, want a warm backend without recorded attempts", b)
 	}
 }
 
--- a/internal/policy/subset_test.go
+++ b/internal/policy/subset_test.go
@@ -137,7 +137,8 @@
 	fresh := newTestEngine(t, settings, list[100:]...)
 	oldSubset, freshSubset := old.subset.backends, fresh.subset.backends
 	if len(oldSubset) != len(freshSubset) || len(old.endpoints.all) != 500 || old.endpoints.inServiceCount != 500 {
-		t.Fatalf("subsets of %d and %d backends, %d backends known", len(oldSubset), len(freshSubset), len(old.endpoints.all))
+		t.Fatalf("subsets of %d and %d backends, %d known, %d in service; want subsets of one size, 500 known and in service",
+			len(oldSubset), len(freshSubset), len(old.endpoints.all), old.endpoints.inServiceCount)
 	}
 	for _, b := range freshSubset {
 		if !old.endpoints.byName[b.name].inSubset {
