--- a/internal/policy/slowstart/slowstart.go
+++ b/internal/policy/slowstart/slowstart.go
@@ -28,8 +28,8 @@
 type Settings struct {
 	MinShare         float64       // share of its capacity that a backend has at its start
 	Duration         time.Duration // time from its start until it has its full capacity
-	OverloadMultiple float64       // a backend fails if its load is this multiple of its present capacity
-	OverloadWindow   time.Duration // for this long
+	OverloadMultiple float64       // a warming backend fails at this multiple of its present capacity
+	OverloadWindow   time.Duration // how long that load must last for it to fail
 }
 
 // Budget limits the attempts that one backend gets while it warms up. The zero value is that of a warm
--- a/internal/policy/subset.go
+++ b/internal/policy/subset.go
@@ -82,7 +82,7 @@
 }
 
 // bins returns the number of bins, and thus of gateways, in a round. It is chosen so that each backend is in
-// about maxGatewaysPerBackend subsets, and is reduced if subsets would otherwise have fewer than about
+// about targetGatewaysPerBackend subsets, and is reduced if subsets would otherwise have fewer than about
 // minSubset backends. It does not change when the list shrinks slightly (keepBinsShare).
 func (s *backendSubset) bins(inService int) int {
 	wanted := max(1, int(math.Round(float64(s.gateways)/targetGatewaysPerBackend)))
