--- a/internal/policy/endpoints_test.go
+++ b/internal/policy/endpoints_test.go
@@ -49,7 +49,8 @@
 	subset, known := len(engine.subset.backends), len(engine.endpoints.all)
 	inService, warm := engine.endpoints.inServiceCount, engine.throughput.WarmBackends()
 	if subset+known+inService+warm != 0 {
-		t.Fatalf("after all have terminated: %d in the subset, %d known, %d in service, %d warm", subset, known, inService, warm)
+		t.Fatalf("after all have terminated: %d in the subset, %d known, %d in service, %d warm; want none",
+			subset, known, inService, warm)
 	}
 	engine.Step(2*time.Second, []Event{EndpointUpdate{Backends: list[20:]}})
 	actions := engine.Step(3*time.Second, []Event{testRequest(1, idempotentClass, noQuotaPlan), Timer{checkCookie}})
@@ -75,7 +76,7 @@
 			}
 		}
 		if at == 0 || at > now+maxPause {
-			t.Fatalf("after failure %d the call is retried after %v", i+1, at-now)
+			t.Fatalf("after failure %d the call is retried after %v, want a retry within %v", i+1, at-now, maxPause)
 		}
 		now = at + 2*time.Second
 		if actions := engine.Step(at, []Event{Timer{pollCookie}}); len(actionsOf[WatchEndpoints](actions)) != 1 {
@@ -125,7 +126,7 @@
 	inSubset, warm, inService := 0, 0, 0
 	for i, b := range engine.endpoints.all {
 		if b.index != i || b.inSubset && engine.subset.backends[b.subsetIndex] != b {
-			t.Fatalf("%s: the index of %s is wrong", when, b.name)
+			t.Fatalf("%s: backend %s is not found at the index that is stored for it", when, b.name)
 		}
 		if b.inSubset {
 			inSubset++
