--- a/internal/emulator/backends_test.go
+++ b/internal/emulator/backends_test.go
@@ -27,11 +27,11 @@
 		if (2-request.FirstGateway+3)%3 >= 2 || GatewayOf(request.ID) != 2 {
 			t.Errorf("traffic of gateway 2 contains %+v, which is not for that gateway", request)
 		}
-		ending, latency := clients.Do(context.Background(), request)
-		ledger.RequestEnded(request, ending)
-		if service := ledger.ServiceTime(request.ID); ending != Served || service <= 0 || service > latency {
+		outcome, latency := clients.Do(context.Background(), request)
+		ledger.RequestEnded(request, outcome)
+		if service := ledger.ServiceTime(request.ID); outcome != Served || service <= 0 || service > latency {
 			t.Fatalf("request ended with %v, latency %v, service time %v; want Served (%v) and a service time within the latency",
-				ending, latency, service, Served)
+				outcome, latency, service, Served)
 		}
 		if backend := <-reached; backend != 1 {
 			t.Errorf("request sent to backend 1 reached backend %d", backend)
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -75,7 +75,7 @@
 // Do sends a request and waits for its reply. The latency runs from before the command is encoded and written until the
 // whole reply is read; it is 0 if there was no reply. It includes neither the wait for a connection nor tries on
 // connections that the gateway had closed.
-func (c *Clients) Do(ctx context.Context, request *Request) (ending Ending, latency time.Duration) {
+func (c *Clients) Do(ctx context.Context, request *Request) (outcome Outcome, latency time.Duration) {
 	select {
 	case c.slots <- struct{}{}:
 		defer func() { <-c.slots }()
@@ -92,7 +92,7 @@
 		latency = time.Since(start)
 		if err == nil {
 			c.release(conn)
-			return endingOf(request, reply), latency
+			return outcomeOf(request, reply), latency
 		}
 		c.discard(conn)
 		// The gateway may close a connection between two requests. Then the next idle one is tried, and finally a new one.
@@ -103,8 +103,8 @@
 	}
 }
 
-// endingOf returns how a request ends with the given reply.
-func endingOf(request *Request, reply reply) Ending {
+// outcomeOf returns the outcome of a request that got the given reply.
+func outcomeOf(request *Request, reply reply) Outcome {
 	switch {
 	case reply.isValue && reply.value == request.ID:
 		return Served
--- a/internal/emulator/ledger.go
+++ b/internal/emulator/ledger.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Ending is how a request ended for its client.
-type Ending int
+// Outcome is how a request ended for its client.
+type Outcome int
 
-// The ways in which a request can end.
+// The outcomes of a request.
 const (
-	Unanswered Ending = iota // no reply, or an incomplete one
+	Unanswered Outcome = iota // no reply, or an incomplete one
 	Served
 	Rejected // the client can safely retry
 	Failed
@@ -26,7 +26,7 @@
 	attemptsStarted int // by backends
 	serviceTime     time.Duration
 	ended           bool // at the client
-	ending          Ending
+	outcome          Outcome
 }
 
 // Ledger records, per request ID, what the backends did and which result the client received. It is safe for concurrent
@@ -81,11 +81,11 @@
 }
 
 // RequestEnded records how a request ended for the client.
-func (l *Ledger) RequestEnded(request *Request, ending Ending) {
+func (l *Ledger) RequestEnded(request *Request, outcome Outcome) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	entry := l.entry(request.ID)
-	entry.idempotency, entry.ended, entry.ending = request.Idempotency, true, ending
+	entry.idempotency, entry.ended, entry.outcome = request.Idempotency, true, outcome
 }
 
 // Sums compares, request by request, what the backends did with the results that the clients received. It is part of the
@@ -115,7 +115,7 @@
 	for id, entry := range l.entries {
 		if matches == nil || matches(id) {
 			sums.addAttempts(entry)
-			sums.addEnding(entry)
+			sums.addOutcome(entry)
 		}
 	}
 	return sums
@@ -128,13 +128,13 @@
 		return
 	}
 	s.Ran++
-	if entry.ending != Served {
+	if entry.outcome != Served {
 		s.RanNotServed++
 	}
 }
 
-// addEnding counts the result that the client received, and the violations: Phantom, Doubled and RejectedRan.
-func (s *Sums) addEnding(entry *ledgerEntry) {
+// addOutcome counts the result that the client received, and the violations: Phantom, Doubled and RejectedRan.
+func (s *Sums) addOutcome(entry *ledgerEntry) {
 	if !entry.ended {
 		return
 	}
@@ -143,7 +143,7 @@
 	if nonIdempotent && entry.attemptsStarted > 1 {
 		s.Doubled++
 	}
-	switch entry.ending {
+	switch entry.outcome {
 	case Served:
 		s.Served++
 		if entry.attemptsStarted == 0 {
--- a/internal/fleettest/simulatedrequest.go
+++ b/internal/fleettest/simulatedrequest.go
@@ -139,14 +139,14 @@
 }
 
 // answer gives a request its final answer; nil or one that has ended is passed over.
-func (g *simulatedGateway) answer(request *simulatedRequest, ending emulator.Ending) {
+func (g *simulatedGateway) answer(request *simulatedRequest, ending emulator.Outcome) {
 	if request != nil && !request.ended {
 		g.endRequest(request, ending)
 	}
 }
 
 // endRequest ends a request for its client and cancels the attempts that are still out.
-func (g *simulatedGateway) endRequest(request *simulatedRequest, ending emulator.Ending) {
+func (g *simulatedGateway) endRequest(request *simulatedRequest, ending emulator.Outcome) {
 	request.ended = true
 	g.timers.Stop(request.overdue)
 	g.fleet.emulated.ledger.RequestEnded(request.request, ending)
