--- a/internal/emulator/ledger.go
+++ b/internal/emulator/ledger.go
@@ -26,7 +26,7 @@
 	attemptsStarted int // by backends
 	serviceTime     time.Duration
 	ended           bool // at the client
-	outcome          Outcome
+	outcome         Outcome
 }
 
 // Ledger records, per request ID, what the backends did and which result the client received. It is safe for concurrent
@@ -98,13 +98,13 @@
 	Unanswered int `json:"unanswered"`
 	Wrong      int `json:"wrong"` // served with the value of another request
 
-	Runs         int `json:"runs"`        // attempts that backends started
-	Ran          int `json:"ran"`         // requests with at least one started attempt
-	RanNotServed int `json:"ran_unsaid"`  // requests with a started attempt that were not served or have not ended
-	Phantom      int `json:"phantom"`     // requests served without any started attempt
-	Doubled      int `json:"doubled"`     // non-idempotent requests with more than one started attempt
-	RejectedRan  int `json:"refused_ran"` // non-idempotent requests that were rejected although an attempt started
-	NotKept      int `json:"lost"`        // events of requests that no longer fitted into the ledger
+	AttemptsStarted int `json:"runs"`        // attempts that backends started
+	Ran             int `json:"ran"`         // requests with at least one started attempt
+	RanNotServed    int `json:"ran_unsaid"`  // requests with a started attempt that were not served or have not ended
+	Phantom         int `json:"phantom"`     // requests served without any started attempt
+	Doubled         int `json:"doubled"`     // non-idempotent requests with more than one started attempt
+	RejectedRan     int `json:"refused_ran"` // non-idempotent requests that were rejected although an attempt started
+	NotKept         int `json:"lost"`        // events of requests that no longer fitted into the ledger
 }
 
 // Sums returns the sums of the requests whose ids match; if matches is nil, of all requests.
@@ -123,7 +123,7 @@
 
 // addAttempts counts what the backends did.
 func (s *Sums) addAttempts(entry *ledgerEntry) {
-	s.Runs += entry.attemptsStarted
+	s.AttemptsStarted += entry.attemptsStarted
 	if entry.attemptsStarted == 0 {
 		return
 	}
--- a/internal/fleettest/run_test.go
+++ b/internal/fleettest/run_test.go
@@ -87,7 +87,7 @@
 	expectNothingLeft(t, report)
 	expectSums(t, "real", report.Real, o.Load.Requests)
 	expectSums(t, "simulated", report.Simulated, o.Fleet.SimulatedGateways*o.Load.Requests-int(report.RequestsSkipped))
-	if runs := report.Real.Runs + report.Simulated.Runs + report.Direct.Runs; report.AttemptsStarted != runs {
+	if runs := report.Real.AttemptsStarted + report.Simulated.AttemptsStarted + report.Direct.AttemptsStarted; report.AttemptsStarted != runs {
 		t.Errorf("the backends began %d attempts, but %d by the requests' ids", report.AttemptsStarted, runs)
 	}
 	if failed := report.Failed(); len(failed) > 0 {
