--- a/internal/fleettest/run_test.go
+++ b/internal/fleettest/run_test.go
@@ -87,8 +87,9 @@
 	expectNothingLeft(t, report)
 	expectSums(t, "real", report.Real, o.Load.Requests)
 	expectSums(t, "simulated", report.Simulated, o.Fleet.SimulatedGateways*o.Load.Requests-int(report.RequestsSkipped))
-	if runs := report.Real.AttemptsStarted + report.Simulated.AttemptsStarted + report.Direct.AttemptsStarted; report.AttemptsStarted != runs {
-		t.Errorf("the backends began %d attempts, but %d by the requests' ids", report.AttemptsStarted, runs)
+	byID := report.Real.AttemptsStarted + report.Simulated.AttemptsStarted + report.Direct.AttemptsStarted
+	if report.AttemptsStarted != byID {
+		t.Errorf("the backends began %d attempts, but %d by the requests' ids", report.AttemptsStarted, byID)
 	}
 	if failed := report.Failed(); len(failed) > 0 {
 		t.Errorf("failed: %+v", failed)
