--- a/internal/emulator/ledger.go
+++ b/internal/emulator/ledger.go
@@ -32,9 +32,9 @@
 // Ledger records, per request ID, what the backends did and which result the client received. It is safe for concurrent
 // use.
 type Ledger struct {
-	mu      sync.Mutex // guards all fields below
-	entries map[string]*ledgerEntry
-	notKept int // events of requests that no longer fitted into the ledger
+	mu            sync.Mutex // guards all fields below
+	entries       map[string]*ledgerEntry
+	droppedEvents int // events of requests that no longer fitted into the ledger
 }
 
 // NewLedger returns an empty ledger.
@@ -49,7 +49,7 @@
 	}
 	entry = &ledgerEntry{}
 	if len(l.entries) >= maxLedgerEntries {
-		l.notKept++
+		l.droppedEvents++
 		return entry
 	}
 	l.entries[id] = entry
@@ -104,14 +104,14 @@
 	Phantom         int `json:"phantom"`     // requests served without any started attempt
 	Doubled         int `json:"doubled"`     // non-idempotent requests with more than one started attempt
 	RejectedRan     int `json:"refused_ran"` // non-idempotent requests that were rejected although an attempt started
-	NotKept         int `json:"lost"`        // events of requests that no longer fitted into the ledger
+	DroppedEvents   int `json:"lost"`        // events of requests that no longer fitted into the ledger
 }
 
 // Sums returns the sums of the requests whose ids match; if matches is nil, of all requests.
 func (l *Ledger) Sums(matches func(id string) bool) Sums {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	sums := Sums{NotKept: l.notKept}
+	sums := Sums{DroppedEvents: l.droppedEvents}
 	for id, entry := range l.entries {
 		if matches == nil || matches(id) {
 			sums.addAttempts(entry)
