--- a/internal/emulator/ledger.go
+++ b/internal/emulator/ledger.go
@@ -98,13 +98,13 @@
 	Unanswered int `json:"unanswered"`
 	Wrong      int `json:"wrong"` // served with the value of another request
 
-	AttemptsStarted int `json:"runs"`        // attempts that backends started
-	Ran             int `json:"ran"`         // requests with at least one started attempt
-	RanNotServed    int `json:"ran_unsaid"`  // requests with a started attempt that were not served or have not ended
-	Phantom         int `json:"phantom"`     // requests served without any started attempt
-	Doubled         int `json:"doubled"`     // non-idempotent requests with more than one started attempt
-	RejectedRan     int `json:"refused_ran"` // non-idempotent requests that were rejected although an attempt started
-	DroppedEvents   int `json:"lost"`        // events of requests that no longer fitted into the ledger
+	AttemptsStarted  int `json:"runs"`        // attempts that backends started
+	Ran              int `json:"ran"`         // requests with at least one started attempt
+	StartedNotServed int `json:"ran_unsaid"`  // requests with a started attempt that were not served or have not ended
+	Phantom          int `json:"phantom"`     // requests served without any started attempt
+	Doubled          int `json:"doubled"`     // non-idempotent requests with more than one started attempt
+	RejectedRan      int `json:"refused_ran"` // non-idempotent requests that were rejected although an attempt started
+	DroppedEvents    int `json:"lost"`        // events of requests that no longer fitted into the ledger
 }
 
 // Sums returns the sums of the requests whose ids match; if matches is nil, of all requests.
@@ -129,7 +129,7 @@
 	}
 	s.Ran++
 	if entry.outcome != Served {
-		s.RanNotServed++
+		s.StartedNotServed++
 	}
 }
 
