--- a/internal/emulator/ledger.go
+++ b/internal/emulator/ledger.go
@@ -98,13 +98,13 @@
 	Unanswered int `json:"unanswered"`
 	Wrong      int `json:"wrong"` // served with the value of another request
 
-	AttemptsStarted  int `json:"runs"`        // attempts that backends started
-	Ran              int `json:"ran"`         // requests with at least one started attempt
-	StartedNotServed int `json:"ran_unsaid"`  // requests with a started attempt that were not served or have not ended
-	Phantom          int `json:"phantom"`     // requests served without any started attempt
-	Doubled          int `json:"doubled"`     // non-idempotent requests with more than one started attempt
-	RejectedRan      int `json:"refused_ran"` // non-idempotent requests that were rejected although an attempt started
-	DroppedEvents    int `json:"lost"`        // events of requests that no longer fitted into the ledger
+	AttemptsStarted    int `json:"runs"`        // attempts that backends started
+	Ran                int `json:"ran"`         // requests with at least one started attempt
+	StartedNotServed   int `json:"ran_unsaid"`  // requests with a started attempt that were not served or have not ended
+	Phantom            int `json:"phantom"`     // requests served without any started attempt
+	Doubled            int `json:"doubled"`     // non-idempotent requests with more than one started attempt
+	RejectedButStarted int `json:"refused_ran"` // non-idempotent requests that were rejected although an attempt started
+	DroppedEvents      int `json:"lost"`        // events of requests that no longer fitted into the ledger
 }
 
 // Sums returns the sums of the requests whose ids match; if matches is nil, of all requests.
@@ -133,7 +133,7 @@
 	}
 }
 
-// addOutcome counts the result that the client received, and the violations: Phantom, Doubled and RejectedRan.
+// addOutcome counts the result that the client received, and the violations: Phantom, Doubled and RejectedButStarted.
 func (s *Sums) addOutcome(entry *ledgerEntry) {
 	if !entry.ended {
 		return
@@ -152,7 +152,7 @@
 	case Rejected:
 		s.Rejected++
 		if nonIdempotent && entry.attemptsStarted > 0 {
-			s.RejectedRan++
+			s.RejectedButStarted++
 		}
 	case Failed:
 		s.Failed++
--- a/internal/fleettest/auditfleet_test.go
+++ b/internal/fleettest/auditfleet_test.go
@@ -290,7 +290,7 @@
 	f.t.Helper()
 	f.stopTraffic()
 	sums := f.ledger.Sums(nil)
-	if sums.Unanswered > 0 || sums.Wrong > 0 || sums.Phantom > 0 || sums.Doubled > 0 || sums.RejectedRan > 0 {
+	if sums.Unanswered > 0 || sums.Wrong > 0 || sums.Phantom > 0 || sums.Doubled > 0 || sums.RejectedButStarted > 0 {
 		f.t.Errorf("requests: %+v", sums)
 	}
 	if sums.Served == 0 {
--- a/internal/fleettest/run_test.go
+++ b/internal/fleettest/run_test.go
@@ -52,7 +52,7 @@
 	if sums.Requests != requests || sums.Served+sums.Rejected+sums.Failed != requests || sums.Served == 0 {
 		t.Errorf("of %d requests of %s gateways some have no final answer, or none was served: %+v", requests, gateways, sums)
 	}
-	if sums.Phantom+sums.Doubled+sums.RejectedRan+sums.Wrong+sums.DroppedEvents != 0 ||
+	if sums.Phantom+sums.Doubled+sums.RejectedButStarted+sums.Wrong+sums.DroppedEvents != 0 ||
 		sums.Ran != sums.Served+sums.StartedNotServed {
 		t.Errorf("the backends of %s gateways and their clients do not agree: %+v", gateways, sums)
 	}
