--- a/internal/emulator/agent.go
+++ b/internal/emulator/agent.go
@@ -19,8 +19,8 @@
 	agentIdleTimeout  = 10 * time.Second
 )
 
-// WatchSent describes an update that was sent on a watch.
-type WatchSent struct {
+// WatchUpdate describes an update that was sent on a watch.
+type WatchUpdate struct {
 	Index    int64     // of the list after the update
 	Entries  int       // number of backends in the update
 	Snapshot bool      // whether the update is the whole list
@@ -34,7 +34,7 @@
 type Agent struct {
 	Meter      Meter
 	catalog    *Catalog
-	onSent     func(WatchSent) // may be nil
+	onSent     func(WatchUpdate) // may be nil
 	listener   *listener
 	server     *http.Server
 	serveEnded chan struct{} // closed when the server's accept loop has ended
@@ -42,7 +42,7 @@
 
 // StartAgent starts an agent on a loopback address. It calls onSent, if not nil, after each update sent on a watch. Calls
 // come from several goroutines.
-func StartAgent(addr string, catalog *Catalog, onSent func(WatchSent)) (*Agent, error) {
+func StartAgent(addr string, catalog *Catalog, onSent func(WatchUpdate)) (*Agent, error) {
 	a := &Agent{catalog: catalog, onSent: onSent, serveEnded: make(chan struct{})}
 	var err error
 	if a.listener, err = listen(addr, maxAgentConns, &a.Meter); err != nil {
@@ -132,7 +132,7 @@
 		return false
 	}
 	if s.lastLine.text != nil && a.onSent != nil {
-		a.onSent(WatchSent{Index: s.lastLine.index, Entries: s.lastLine.entries, Snapshot: s.lastLine.snapshot,
+		a.onSent(WatchUpdate{Index: s.lastLine.index, Entries: s.lastLine.entries, Snapshot: s.lastLine.snapshot,
 			Bytes: len(s.lastLine.text) + 1, SentAt: time.Now(), GatewayAddr: s.gatewayAddr, AgentAddr: s.agentAddr})
 	}
 	return true
--- a/internal/emulator/agent_test.go
+++ b/internal/emulator/agent_test.go
@@ -14,8 +14,8 @@
 // The agent serves the whole list. A watch gets the changes after its index, and empty lines while nothing changes.
 func TestAgentServesWholeListAndStreamsChanges(t *testing.T) {
 	catalog := NewCatalog([]Endpoint{{Name: "a", Status: Serving}, {Name: "b", Status: Serving}})
-	sent := make(chan WatchSent, 8)
-	agent, err := StartAgent("127.0.0.1:0", catalog, func(s WatchSent) { sent <- s })
+	sent := make(chan WatchUpdate, 8)
+	agent, err := StartAgent("127.0.0.1:0", catalog, func(s WatchUpdate) { sent <- s })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleettest/drain.go
+++ b/internal/fleettest/drain.go
@@ -71,7 +71,7 @@
 
 // listSent notes a change of the endpoint list that a real gateway was sent, and finds out when it is read. An agent
 // calls it on a goroutine of its own, and goes on once it returns.
-func (w *drainWatch) listSent(sent emulator.WatchSent) {
+func (w *drainWatch) listSent(sent emulator.WatchUpdate) {
 	watched := w.noteListSent(sent)
 	if watched == nil {
 		return
@@ -92,7 +92,7 @@
 }
 
 // noteListSent notes a list that was sent and returns the drain that it tells; nil: none that is watched.
-func (w *drainWatch) noteListSent(sent emulator.WatchSent) *drain {
+func (w *drainWatch) noteListSent(sent emulator.WatchUpdate) *drain {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	d := w.current
--- a/internal/fleettest/realgateway.go
+++ b/internal/fleettest/realgateway.go
@@ -55,7 +55,7 @@
 	listenHost   string // loopback; it gets a port that is free
 	emulatorHost string // loopback, of its agent and its counter
 	catalog      *emulator.Catalog
-	onWatchSent  func(emulator.WatchSent) // see emulator.StartAgent; may be nil
+	onWatchSent  func(emulator.WatchUpdate) // see emulator.StartAgent; may be nil
 	numbers      *emulator.CounterStore
 	replyGrace   time.Duration // clients wait so long beyond their own time
 }
