--- a/internal/simprotocol/errors.go
+++ b/internal/simprotocol/errors.go
@@ -7,7 +7,7 @@
 
 // Reasons of a LineError.
 var (
-	ErrMisplacedMessage = errors.New("message not allowed at this point of a batch")
+	ErrMisplacedMessage = errors.New("a batch must begin with CLOCK and contain no further CLOCK")
 	ErrWrongListSize    = errors.New("the list does not have the announced number of entries")
 	ErrUnknownMessage   = errors.New("unknown message")
 	ErrUnknownList      = errors.New("no list with this number")
@@ -33,9 +33,9 @@
 
 // FieldError reports an invalid or missing field of a line.
 type FieldError struct {
-	Field int // index of the field; 0 is the message's name
-	Want  string
-	Got   string
+	Field int    // index of the field; 0 is the message's name
+	Want  string // what the field must be, such as "0 or 1"
+	Got   string // the field; "-" if it is missing
 }
 
 func (e *FieldError) Error() string {
@@ -45,7 +45,7 @@
 // SettingError reports an invalid setting.
 type SettingError struct {
 	Path   string // such as classes.0.worth
-	Reason string
+	Reason string // such as "must be a number"
 }
 
 func (e *SettingError) Error() string { return fmt.Sprintf("setting %s: %s", e.Path, e.Reason) }
--- a/internal/simprotocol/fields.go
+++ b/internal/simprotocol/fields.go
@@ -8,8 +8,8 @@
 	"bellwood/internal/policy"
 )
 
-// timeBits is the size of a time in a line: a signed number of microseconds. 54 bits are the most that fit into a
-// time.Duration, which counts nanoseconds in 64 bits.
+// timeBits is the size in bits of a time in a line, which is a signed number of microseconds. 54 bits are the most that fit
+// into a time.Duration, which counts nanoseconds in 64 bits.
 const timeBits = 54
 
 // fieldReader reads the fields of a line in order. It keeps the first error as a *FieldError and goes on, so the values
@@ -30,7 +30,7 @@
 // isAbsent reports whether the next field is missing or marked as absent.
 func (f *fieldReader) isAbsent() bool { return f.next >= len(f.fields) || f.fields[f.next] == absent }
 
-// raw returns the next field unparsed, or absent at the end of the line.
+// raw returns the next field unparsed, or the value of absent at the end of the line.
 func (f *fieldReader) raw() string {
 	f.next++
 	if f.next > len(f.fields) {
@@ -61,8 +61,8 @@
 	return id
 }
 
-// countOr reads an optional unsigned 64-bit integer, which is a count or a bitmap.
-func (f *fieldReader) countOr(fallback uint64) uint64 {
+// uintOr reads an optional unsigned 64-bit integer, which is a count or a bitmap.
+func (f *fieldReader) uintOr(fallback uint64) uint64 {
 	if f.isAbsent() {
 		f.raw()
 		return fallback
@@ -70,8 +70,8 @@
 	return f.id()
 }
 
-// index reads a signed 32-bit integer.
-func (f *fieldReader) index() int {
+// integer reads a signed 32-bit integer.
+func (f *fieldReader) integer() int {
 	field := f.text()
 	index, err := strconv.ParseInt(field, 10, 32)
 	if err != nil {
@@ -120,14 +120,14 @@
 
 // status reads the status of an attempt or call. The protocol and package policy use the same numbers.
 func (f *fieldReader) status() policy.Status {
-	number := f.index()
+	number := f.integer()
 	if number < int(policy.Failed) || number > int(policy.NotSent) {
 		f.fail("a status number", strconv.Itoa(number))
 	}
 	return policy.Status(number)
 }
 
-// wordOf reads a word and returns what the table words maps it to.
+// wordOf reads a word and looks up its value in words. want describes the allowed words in an error.
 func wordOf[T any](f *fieldReader, want string, words map[string]T) T {
 	field := f.text()
 	value, ok := words[field]
--- a/internal/simprotocol/parse.go
+++ b/internal/simprotocol/parse.go
@@ -130,7 +130,8 @@
 	return batch, fields.err
 }
 
-// parseLine parses a line within a batch and adds what it holds to the batch. done tells whether the line ends the batch.
+// parseLine parses a line within a batch and adds its item, if it is one, to the batch. done tells whether the line ends the
+// batch.
 func (r *Reader) parseLine(batch *Batch, text string) (done bool, err error) {
 	fields := splitLine(text)
 	message := fields.text()
@@ -163,7 +164,7 @@
 
 // startList parses a CENSUS line, which announces how many entries follow.
 func (r *Reader) startList(fields *fieldReader) error {
-	r.listNumber, r.entriesLeft = fields.index(), fields.index()
+	r.listNumber, r.entriesLeft = fields.integer(), fields.integer()
 	if r.entriesLeft < 0 {
 		return ErrWrongListSize
 	}
@@ -181,7 +182,7 @@
 
 // parseBackend parses a BACKEND line.
 func parseBackend(fields *fieldReader) policy.Backend {
-	backend := policy.Backend{Name: fields.text(), Zone: fields.index(), Kind: fields.index(), Cell: fields.index()}
+	backend := policy.Backend{Name: fields.text(), Zone: fields.integer(), Kind: fields.integer(), Cell: fields.integer()}
 	backend.State = wordOf(fields, "a state", backendStates)
 	backend.Weight = fields.numberOr(1)
 	if !fields.isAbsent() {
@@ -222,7 +223,7 @@
 	if fields.err != nil || update.Kind == policy.UpdateFailed {
 		return update, fields.err
 	}
-	list, known := r.lists[fields.index()]
+	list, known := r.lists[fields.integer()]
 	if !known && fields.err == nil {
 		return update, ErrUnknownList
 	}
@@ -230,8 +231,8 @@
 	return update, fields.err
 }
 
-// eventParsers holds a parser for each message that is an event. It parses the fields after the instance's name, and
-// leaves an error in the fieldReader.
+// eventParsers holds a parser for each message that is an event. The parser reads the fields after the instance's name, and
+// leaves any error in the fieldReader.
 var eventParsers = map[string]func(*fieldReader) policy.Event{
 	"ACCEPT":       parseRequest,
 	"VERDICT":      parseAttemptResult,
@@ -249,27 +250,27 @@
 func parseRequest(fields *fieldReader) policy.Event {
 	request := policy.Request{
 		ID:       fields.id(),
-		Class:    fields.index(),
-		Plan:     fields.index(),
+		Class:    fields.integer(),
+		Plan:     fields.integer(),
 		Tenant:   fields.text(),
 		TimeLeft: fields.duration(),
 	}
 	request.Cost = fields.numberOr(1)
-	request.Gateways = int(fields.countOr(0))
-	fields.countOr(0) // first-door: the engine needs only the number of gateways
-	request.ClientRetry = fields.countOr(0)&clientRetryBit != 0
+	request.Gateways = int(fields.uintOr(0))
+	fields.uintOr(0) // first-door: the engine needs only the number of gateways
+	request.ClientRetry = fields.uintOr(0)&clientRetryBit != 0
 	return request
 }
 
 func parseAttemptResult(fields *fieldReader) policy.Event {
 	result := policy.AttemptResult{
 		ID:      fields.id(),
-		Attempt: fields.index(),
+		Attempt: fields.integer(),
 		Backend: fields.text(),
 		Status:  fields.status(),
 	}
 	result.Latency, result.RequestClosed = fields.duration(), fields.flag()
-	result.QuotaUsage, result.Cost = int(fields.countOr(0)), fields.numberOr(0)
+	result.QuotaUsage, result.Cost = int(fields.uintOr(0)), fields.numberOr(0)
 	return result
 }
 
@@ -290,7 +291,7 @@
 func parseFirstByte(fields *fieldReader) policy.Event {
 	id := fields.id()
 	fields.text() // the backend, which the attempt's number already identifies
-	return policy.FirstByte{ID: id, Attempt: fields.index()}
+	return policy.FirstByte{ID: id, Attempt: fields.integer()}
 }
 
 func parseHealthCheckResult(fields *fieldReader) policy.Event {
@@ -300,5 +301,5 @@
 }
 
 func parsePeerMessage(fields *fieldReader) policy.Event {
-	return policy.PeerMessage{From: fields.index()}
+	return policy.PeerMessage{From: fields.integer()}
 }
--- a/internal/simprotocol/parse_test.go
+++ b/internal/simprotocol/parse_test.go
@@ -16,7 +16,7 @@
 	"classes.0.target-us=500000 classes.0.worth=3.0 tiers-of-service.count=1 tiers-of-service.0.units-per-s=1.9 " +
 	"tiers-of-service.0.most-at-once=4\n"
 
-// readBatches reads all batches of a text, and those before the first error if there is one.
+// readBatches reads the batches of a text up to its end or the first error.
 func readBatches(text string) ([]*Batch, error) {
 	reader := NewReader(strings.NewReader(text))
 	var batches []*Batch
@@ -32,7 +32,7 @@
 	}
 }
 
-// Messages are parsed into events of the engine; the protocol's words and defaults are translated.
+// Messages are parsed into events of the engine, with the protocol's words translated and its defaults for absent fields.
 func TestReaderParsesMessagesIntoEvents(t *testing.T) {
 	batches, err := readBatches("CLOCK 8412250 12\n" + provision + "CENSUS 0 2\nBACKEND 10.18.74.7:8003 0 0 0 in_service 1 -\n" +
 		"BACKEND 10.18.74.7:8044 0 0 1 terminating 1.5 6100000\nVIEW door/3 cached 41 0\n" +
@@ -77,11 +77,11 @@
 	"CENSUS 0 1\nBACKEND a 0 0 0 asleep 1",
 }
 
-// An invalid line ends the reading with an error that tells the line's number.
+// Next fails on an invalid line with an error that gives the line's number.
 func TestInvalidLineIsReportedByNumber(t *testing.T) {
 	for _, lines := range invalidLines {
 		_, err := readBatches("CLOCK 1 1\n" + lines + "\nEOF_BATCH\n")
-		last := 1 + strings.Count(lines, "\n") + 1 // after the CLOCK line; the last of lines is the invalid one
+		last := 1 + strings.Count(lines, "\n") + 1 // CLOCK is line 1; the last of the following lines is the invalid one
 		var lineErr *LineError
 		if !errors.As(err, &lineErr) || lineErr.Line != last || !strings.HasPrefix(err.Error(), fmt.Sprintf("line %d: ", last)) {
 			t.Errorf("%q: got error %v, want one for line %d", lines, err, last)
@@ -89,12 +89,12 @@
 	}
 	for _, text := range []string{"EOF_BATCH\n", "CLOCK 1 1\n", "CLOCK x 1\nEOF_BATCH\n"} {
 		if _, err := readBatches(text); err == nil {
-			t.Errorf("%q: got no error", text)
+			t.Errorf("%q: got no error, want one", text)
 		}
 	}
 }
 
-// The error for a missing field tells that field's number, not the number of the last field given.
+// The error for a missing field gives that field's number, not the number of the last field in the line.
 func TestMissingOrInvalidFieldIsReportedByNumber(t *testing.T) {
 	for line, want := range map[string]int{"ACCEPT door/3": 2, "ACCEPT door/3 7 0 0 u:a": 6, "ACCEPT door/3 7 0 0 - 5": 5,
 		"ACCEPT door/3 7 x 0 u:a 5": 3, "VERDICT door/3 7 0 b 1 1": 7, "REMINDER": 1} {
--- a/internal/simprotocol/settings.go
+++ b/internal/simprotocol/settings.go
@@ -20,7 +20,7 @@
 	return ParseSettings(settings)
 }
 
-// ParseSettings parses settings, which are keyed by path, into those of the engine. It ignores unknown paths. The error is
+// ParseSettings parses settings, which are keyed by path, into the engine's settings. It ignores unknown paths. The error is
 // a *SettingError for the first invalid setting.
 func ParseSettings(settings map[string]string) (policy.Settings, error) {
 	v := &settingValues{values: settings}
@@ -84,37 +84,37 @@
 		"specifics.shared-counter")
 }
 
-// class reads the class of requests whose settings begin with path.
-func (v *settingValues) class(path string) policy.Class {
+// class reads the settings of a class of requests, whose paths begin with prefix.
+func (v *settingValues) class(prefix string) policy.Class {
 	class := policy.Class{
-		PriorityWeight:   v.number(path + "worth"),
-		LateWeightShare:  v.number(path + "late-worth"),
-		LatencyObjective: v.duration(path + "target-us"),
-		ClientTimeout:    v.duration(path + "give-up-us"),
-		Idempotency:      settingWord(v, path+"effect", idempotencies),
-		DedupScope:       settingWord(v, path+"group", dedupScopes),
-		DedupWindow:      v.duration(path + "window-us"),
-		Streaming:        v.flag(path + "stream"),
+		PriorityWeight:   v.number(prefix + "worth"),
+		LateWeightShare:  v.number(prefix + "late-worth"),
+		LatencyObjective: v.duration(prefix + "target-us"),
+		ClientTimeout:    v.duration(prefix + "give-up-us"),
+		Idempotency:      settingWord(v, prefix+"effect", idempotencies),
+		DedupScope:       settingWord(v, prefix+"group", dedupScopes),
+		DedupWindow:      v.duration(prefix + "window-us"),
+		Streaming:        v.flag(prefix + "stream"),
 	}
-	if v.values[path+"effect"] == "" { // defaulting to idempotent could run a request twice
-		v.fail(path+"effect", "missing")
+	if v.values[prefix+"effect"] == "" { // defaulting to idempotent could run a request twice
+		v.fail(prefix+"effect", "missing")
 	}
 	return class
 }
 
-// plan reads the plan whose settings begin with path.
-func (v *settingValues) plan(path string) policy.Plan {
+// plan reads the settings of a plan, whose paths begin with prefix.
+func (v *settingValues) plan(prefix string) policy.Plan {
 	plan := policy.Plan{
-		Rate:             v.number(path + "units-per-s"),
-		Burst:            v.number(path + "most-at-once"),
-		MaxConcurrent:    v.wholeNumber(path + "at-once"),
-		WeightFactor:     v.number(path + "value-factor"),
-		OverQuotaValue:   v.number(path + "extra-worth"),
-		OverQuotaPenalty: v.number(path + "over-cost"),
-		HardLimitRate:    v.number(path + "never-over-rate"),
-		HardLimitBurst:   v.number(path + "cap-depth"),
+		Rate:             v.number(prefix + "units-per-s"),
+		Burst:            v.number(prefix + "most-at-once"),
+		MaxConcurrent:    v.wholeNumber(prefix + "at-once"),
+		WeightFactor:     v.number(prefix + "value-factor"),
+		OverQuotaValue:   v.number(prefix + "extra-worth"),
+		OverQuotaPenalty: v.number(prefix + "over-cost"),
+		HardLimitRate:    v.number(prefix + "never-over-rate"),
+		HardLimitBurst:   v.number(prefix + "cap-depth"),
 	}
-	v.requirePositive(plan.Rate == 0 || plan.Burst > 0, path+"most-at-once", "units-per-s")
-	v.requirePositive(plan.HardLimitRate == 0 || plan.HardLimitBurst > 0, path+"cap-depth", "never-over-rate")
+	v.requirePositive(plan.Rate == 0 || plan.Burst > 0, prefix+"most-at-once", "units-per-s")
+	v.requirePositive(plan.HardLimitRate == 0 || plan.HardLimitBurst > 0, prefix+"cap-depth", "never-over-rate")
 	return plan
 }
--- a/internal/simprotocol/settings_test.go
+++ b/internal/simprotocol/settings_test.go
@@ -16,8 +16,8 @@
 		"tiers-of-service.0.name": "only", "limits.dial-timeout-us": "1000"}
 }
 
-// The error for an invalid or missing setting tells its path. The group of a keyed class is not among the missing settings
-// here, as leaving it out is no error: it then defaults to all backends.
+// The error for an invalid or missing setting gives its path. A keyed class without a group is not tested here, as the group
+// then defaults to all backends.
 func TestInvalidSettingIsReportedByPath(t *testing.T) {
 	for path, values := range map[string][]string{
 		"peers-total": {"0", "1.5", "many", "-1", "1e300", "-"}, "rank": {"3", "-1"}, "limits.max-attempts": {"0", "-"},
--- a/internal/simprotocol/transport.go
+++ b/internal/simprotocol/transport.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Transport holds the settings for sockets and names. The engine doesn't need them; a gateway that serves real
-// connections does.
+// Transport holds the settings that concern sockets, and the names of classes, plans, zones and backend kinds. The engine
+// doesn't need them, as it uses numbers instead of these names; a gateway that serves real connections does.
 type Transport struct {
 	Classes, Plans, Zones, Kinds []string      // names, indexed by the numbers that the engine uses
 	DialTimeout                  time.Duration // dialing fails after this
@@ -16,8 +16,8 @@
 	MaxOpenRequests              int           // requests that may be open at once; 0: no limit
 }
 
-// ParseTransport parses settings, which are keyed by path, into a Transport. If zones or backend kinds are not given,
-// there is one with an empty name. The error is a *SettingError.
+// ParseTransport parses settings, which are keyed by path, into a Transport. If no zones or no backend kinds are given, there
+// is one with an empty name. The error is a *SettingError for the first invalid setting.
 func ParseTransport(settings map[string]string) (Transport, error) {
 	v := &settingValues{values: settings}
 	transport := Transport{
@@ -32,7 +32,7 @@
 	return transport, v.err
 }
 
-// names reads the names of a list's entries. They must be unique, as requests refer to the entries by name.
+// names reads the names of a list's entries. They must be given and unique, as requests refer to the entries by name.
 func (v *settingValues) names(list string) (names []string) {
 	for i := range v.listLength(list) {
 		path := fmt.Sprintf("%s.%d.name", list, i)
--- a/internal/simprotocol/values.go
+++ b/internal/simprotocol/values.go
@@ -36,11 +36,11 @@
 	}
 	number, err := strconv.ParseFloat(value, 64)
 	if err != nil || math.IsNaN(number) || math.IsInf(number, 0) {
-		v.fail(path, "not a number")
+		v.fail(path, "must be a number")
 		return 0
 	}
 	if number < 0 {
-		v.fail(path, "below 0")
+		v.fail(path, "must not be negative")
 	}
 	return number
 }
@@ -49,7 +49,7 @@
 func (v *settingValues) wholeNumber(path string) int {
 	number := v.number(path)
 	if number != math.Trunc(number) || number > maxWholeNumber {
-		v.fail(path, fmt.Sprintf("not a whole number of at most %d", int(maxWholeNumber)))
+		v.fail(path, fmt.Sprintf("must be a whole number from 0 to %d", int(maxWholeNumber)))
 		return 0
 	}
 	return int(number)
@@ -59,17 +59,17 @@
 func (v *settingValues) duration(path string) time.Duration {
 	micros := v.number(path)
 	if micros > maxTimeMicros {
-		v.fail(path, "longer than ten years")
+		v.fail(path, "must be at most ten years")
 		return 0
 	}
 	return time.Duration(micros * float64(time.Microsecond))
 }
 
-// listLength reads the length of a list of objects, which must have at least one entry.
+// listLength reads the length of a list of objects, which must have 1 to maxListLength entries.
 func (v *settingValues) listLength(list string) int {
 	length := v.wholeNumber(list + ".count")
 	if length < 1 || length > maxListLength {
-		v.fail(list, fmt.Sprintf("has %d entries, must have 1 to %d", length, maxListLength))
+		v.fail(list, fmt.Sprintf("must have 1 to %d entries, has %d", maxListLength, length))
 		return 0
 	}
 	return length
@@ -78,8 +78,8 @@
 // flag reads a boolean, which defaults to false.
 func (v *settingValues) flag(path string) bool { return settingWord(v, path, flags) }
 
-// settingWord reads a setting that is a word, and returns what the table words maps it to. A setting that is not given
-// returns the table's value for the empty word, if any, else the zero value.
+// settingWord reads a setting that is a word, and looks up its value in words. If the setting is not given, the result is
+// the value of the empty word, or the zero value if words has no empty word.
 func settingWord[T any](v *settingValues, path string, words map[string]T) T {
 	word, given := v.values[path]
 	value, known := words[word]
@@ -89,10 +89,10 @@
 	return value
 }
 
-// requirePositive fails the setting path unless ok. The caller sets ok if the setting is above 0, or if dependent, which
-// requires it to be, is not in use.
-func (v *settingValues) requirePositive(ok bool, path, dependent string) {
+// requirePositive records an error for path, which must be above 0 if the setting requiredBy is set. ok tells whether that
+// holds: path is above 0, or requiredBy is not set.
+func (v *settingValues) requirePositive(ok bool, path, requiredBy string) {
 	if !ok {
-		v.fail(path, "must be above 0 if "+dependent+" is set")
+		v.fail(path, "must be above 0 if "+requiredBy+" is set")
 	}
 }
--- a/internal/simprotocol/words.go
+++ b/internal/simprotocol/words.go
@@ -2,7 +2,7 @@
 
 import "bellwood/internal/policy"
 
-// absent is what the protocol writes for a value that is not given.
+// absent stands for a value that is not given.
 const absent = "-"
 
 // updateKinds maps the field scope of a VIEW line.
@@ -29,9 +29,10 @@
 
 // dedupScopes maps the setting classes[].group, which applies only to keyed classes; other classes may omit it.
 //
-// WIRE-bellwood doesn't define a keyed class without a group. Here it counts as "all" and is not an error, unlike a
-// missing effect. If a backend doesn't know the key after all, a retry may go there and the request may run twice.
-// The settings of a deployment must therefore give the group of every keyed class.
+// WIRE-bellwood doesn't define a keyed class without a group. Unlike a missing effect it is not an error here, but counts as
+// "all". If the backends in fact share their keys only within a zone or a cell, a retry may go to a backend that doesn't
+// know the key, and the request may run twice. The settings of a deployment must therefore give the group of every keyed
+// class.
 var dedupScopes = map[string]policy.DedupScope{
 	"all":  policy.DedupAllBackends,
 	"zone": policy.DedupZone,
