--- a/internal/emulator/agent.go
+++ b/internal/emulator/agent.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// A watch gets an empty line at this interval while nothing changes.
+	// While the list doesn't change, a watch gets an empty line at this interval.
 	heartbeatInterval = 2 * time.Second
 	maxAgentConns     = 16
 	maxHeaderBytes    = 8 << 10
@@ -108,7 +108,7 @@
 	w                      http.ResponseWriter
 	controller             *http.ResponseController
 	gatewayAddr, agentAddr netip.AddrPort
-	lastLine               watchLine // of the latest sendUpdate
+	lastLine               watchLine // of the last sendUpdate
 }
 
 func newWatchStream(w http.ResponseWriter, r *http.Request) *watchStream {
@@ -122,7 +122,7 @@
 
 // sendUpdate sends the changes after an index, if there are any. It reports whether the connection is still usable.
 func (s *watchStream) sendUpdate(a *Agent, index int64) bool {
-	s.lastLine = a.catalog.watchLine(index)
+	s.lastLine = a.catalog.watchLineSince(index)
 	s.controller.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if s.lastLine.text != nil {
 		s.w.Write(s.lastLine.text)
--- a/internal/emulator/backends.go
+++ b/internal/emulator/backends.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// Connections per listener. It is enough for several connections from each of 1,024 gateways.
+	// Connections per listener: enough for several connections from each of 1,024 gateways.
 	maxBackendConns = 4096
 	// Replies that are queued per connection. While the queue is full, no further commands are read.
 	maxPipelined      = 8
@@ -41,7 +41,7 @@
 	dedicated  int            // number of backends with a listener of their own
 	listeners  []*listener    // the dedicated listeners, then the shared ones
 	roundRobin []atomic.Int64 // per shared listener: number of commands distributed
-	malformed  atomic.Int64   // commands
+	malformed  atomic.Int64   // number of malformed commands
 }
 
 // StartBackends opens listeners for the model's backends.
@@ -110,15 +110,15 @@
 // Malformed returns the number of commands received that violate the protocol.
 func (b *Backends) Malformed() int64 { return b.malformed.Load() }
 
-// nextBackendAt returns the backend for the next command at a listener. At a shared listener each call advances the
+// nextBackendAt returns the backend for the next command at a listener. For a shared listener each call advances the
 // round-robin.
 func (b *Backends) nextBackendAt(listener int) int {
 	if listener < b.dedicated {
 		return listener
 	}
-	shared, listeners := listener-b.dedicated, len(b.roundRobin)
-	sharing := (b.count - b.dedicated - shared + listeners - 1) / listeners
-	return b.dedicated + shared + listeners*int(b.roundRobin[shared].Add(1)%int64(sharing))
+	index, shared := listener-b.dedicated, len(b.roundRobin)          // index among the shared listeners, and their number
+	backends := (b.count - b.dedicated - index + shared - 1) / shared // number of backends that share the listener
+	return b.dedicated + index + shared*int(b.roundRobin[index].Add(1)%int64(backends))
 }
 
 // backendReply is a reply and the earliest time at which it may be written.
@@ -126,7 +126,7 @@
 	text       []byte
 	writeAt    time.Time
 	closeAfter bool      // close the connection after the reply
-	servedID   string    // id of the request, if the reply is that of a served one
+	servedID   string    // id of the request, if it is served; otherwise empty
 	receivedAt time.Time // if servedID is set: when the whole command had been read
 }
 
@@ -143,7 +143,7 @@
 	<-written
 }
 
-// readCommands reads the commands of a connection until it ends, starts each, and queues the replies.
+// readCommands reads the commands of a connection until it ends, starts each command, and queues the replies.
 func (b *Backends) readCommands(listener int, conn net.Conn, replies chan<- backendReply) {
 	in := bufio.NewReaderSize(conn, backendReadBuffer)
 	for {
--- a/internal/emulator/backends_test.go
+++ b/internal/emulator/backends_test.go
@@ -65,7 +65,8 @@
 // backends.
 func checkSharedListeners(t *testing.T, b *Backends) {
 	t.Helper()
-	if b.Addr(2) == b.Addr(3) || b.Addr(2) != b.Addr(4) || b.Addr(0) == b.Addr(1) || b.HasOwnListener(2) || !b.HasOwnListener(1) {
+	if b.Addr(2) == b.Addr(3) || b.Addr(2) != b.Addr(4) || b.Addr(0) == b.Addr(1) ||
+		b.HasOwnListener(2) || !b.HasOwnListener(1) {
 		t.Error("want listeners of their own for backends 0 and 1, one shared by backends 2 and 4, another for backend 3")
 	}
 	for range 6 {
@@ -79,7 +80,8 @@
 // the connection.
 func checkCommandReplies(t *testing.T, b *Backends) {
 	t.Helper()
-	expectReply(t, b.Addr(0), "*1\r\n$4\r\nPING\r\n*2\r\n$6\r\nSELECT\r\n$1\r\n0\r\n*1\r\n$5\r\nHELLO\r\n", "+PONG\r\n+OK\r\n-ERR")
+	expectReply(t, b.Addr(0), "*1\r\n$4\r\nPING\r\n*2\r\n$6\r\nSELECT\r\n$1\r\n0\r\n*1\r\n$5\r\nHELLO\r\n",
+		"+PONG\r\n+OK\r\n-ERR")
 	for _, malformed := range []string{"PING\r\n", "*1\r\n$99999999\r\n",
 		"*2\r\n$5\r\nQ.ASK\r\n$1\r\nx\r\n", "*1\r\n$4\r\nPINGxx"} {
 		expectReplyAndClose(t, b.Addr(0), malformed, "-SYNTAX\r\n")
--- a/internal/emulator/catalog.go
+++ b/internal/emulator/catalog.go
@@ -25,7 +25,7 @@
 	SinceMS int64   `json:"since_ms"` // when the backend last started, as Unix time in milliseconds; 0: long ago
 }
 
-// Members is the whole list, or the changes after some index, in the format of discovery.
+// Members is the whole endpoint list or the changes after an index, in the format of discovery.
 type Members struct {
 	Index     int64      `json:"index"`
 	Snapshot  bool       `json:"snapshot"`
@@ -41,7 +41,7 @@
 	index        int64      // of the last change
 	endpoints    []Endpoint
 	position     map[string]int // in endpoints, by name
-	changes      []Endpoint     // the latest ones; the last one has the current index
+	changes      []Endpoint     // the latest, at most maxChanges; the last one has the current index
 	changed      chan struct{}  // closed at the next change
 	snapshotJSON []byte         // cached JSON of the whole list; nil: outdated
 }
@@ -56,7 +56,7 @@
 	return c
 }
 
-// Apply applies changes, each with an index of its own, and notifies the watches. It returns the last index.
+// Apply applies changes, each of which increments the index, and notifies the watches. It returns the new index.
 func (c *Catalog) Apply(changes ...Endpoint) int64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -75,7 +75,7 @@
 	return c.index
 }
 
-// Restart resets the index to 1 and keeps the list, as a restart of discovery does that loses its versions.
+// Restart resets the index to 1 and keeps the list, like a restart of a discovery system that loses its index.
 func (c *Catalog) Restart() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -123,8 +123,8 @@
 	return c.snapshotJSON
 }
 
-// ChangesSince returns the changes after an index, which may be none. It returns the whole list if those changes are no
-// longer kept, or if the index is 0 or higher than the current one. The channel is closed at the next change.
+// ChangesSince returns the changes after an index, if any. It returns the whole list instead if not all of those changes are
+// kept any more, or if the index is 0 or higher than the current one. The channel is closed at the next change.
 func (c *Catalog) ChangesSince(index int64) (Members, <-chan struct{}) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -145,8 +145,8 @@
 	changed  <-chan struct{} // closed at the next change
 }
 
-// watchLine returns the update to be sent on a watch that has received the list up to an index.
-func (c *Catalog) watchLine(index int64) watchLine {
+// watchLineSince returns the update to be sent on a watch that has received the list up to an index.
+func (c *Catalog) watchLineSince(index int64) watchLine {
 	update, changed := c.ChangesSince(index)
 	line := watchLine{index: update.Index, entries: len(update.Endpoints), snapshot: update.Snapshot, changed: changed}
 	switch {
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -20,10 +20,10 @@
 type Clients struct {
 	addr       string
 	replyGrace time.Duration // how long a reply is awaited beyond the request's ClientTimeout
-	slots      chan struct{} // semaphore: an element for each connection in use
+	slots      chan struct{} // semaphore: one element for each request in progress
 
 	mu     sync.Mutex    // guards all fields below
-	idle   []*clientConn // the one used last is at the end
+	idle   []*clientConn // the connection used last is at the end
 	conns  map[*clientConn]bool
 	closed bool
 }
@@ -35,8 +35,8 @@
 	reused bool // has carried a request before
 }
 
-// NewClients returns clients for the gateway at addr. They hold at most maxConns connections; further requests wait.
-// A reply is awaited for the request's ClientTimeout plus replyGrace.
+// NewClients returns clients for the gateway at addr. They hold at most maxConns connections at a time, and further requests
+// wait. A reply is awaited for the request's ClientTimeout plus replyGrace.
 func NewClients(addr string, maxConns int, replyGrace time.Duration) *Clients {
 	return &Clients{addr: addr, replyGrace: replyGrace, slots: make(chan struct{}, maxConns),
 		conns: map[*clientConn]bool{}}
@@ -73,7 +73,7 @@
 }
 
 // Do sends a request and waits for its reply. The latency runs from before the command is encoded and written until the
-// whole reply is read; it is 0 if there was no reply. It includes neither the wait for a connection nor tries on
+// whole reply is read; it is 0 if there is no complete reply. It includes neither the wait for a connection nor tries on
 // connections that the gateway had closed.
 func (c *Clients) Do(ctx context.Context, request *Request) (outcome Outcome, latency time.Duration) {
 	select {
--- a/internal/emulator/counter.go
+++ b/internal/emulator/counter.go
@@ -18,7 +18,7 @@
 	counterWriteBuffer = 4096
 )
 
-// Counter is the counter's endpoint for one gateway, on an address of its own. Several Counters share one CounterStore.
+// Counter serves the shared counter to one gateway, on an address of its own. Several Counters can serve one CounterStore.
 // Its goroutines end with Close.
 type Counter struct {
 	Meter    Meter
--- a/internal/emulator/counter_test.go
+++ b/internal/emulator/counter_test.go
@@ -27,7 +27,7 @@
 		t.Errorf("%d calls, %d of them rejected; want 4 and 1", all, rejected)
 	}
 	if counter.Meter.Received.Load() == 0 || counter.Meter.Sent.Load() == 0 {
-		t.Error("the meter has not counted any bytes")
+		t.Error("the meter counted no bytes received or no bytes sent")
 	}
 }
 
--- a/internal/emulator/counterstore.go
+++ b/internal/emulator/counterstore.go
@@ -8,10 +8,10 @@
 const (
 	maxTTL     = time.Minute // longer TTLs are shortened to this
 	minTTL     = time.Millisecond
-	maxEntries = 1 << 18 // stored at once; calls that would create further ones are rejected
+	maxEntries = 1 << 18 // calls that would create further entries are rejected
 	// The burst of a limited call rate is what the rate allows in 1/burstDivisor s.
 	burstDivisor = 10
-	// Interval at which expired entries are removed.
+	// Expired entries are removed at most once in this interval.
 	expiryInterval = time.Second
 )
 
@@ -26,7 +26,7 @@
 	rejectsAll bool
 	calls      int64
 	rejected   int64
-	tokens     float64 // calls allowed at once
+	tokens     float64 // of the token bucket that limits the call rate; a call takes one
 	lastRefill time.Time
 }
 
@@ -36,8 +36,8 @@
 	expiresAt time.Time
 }
 
-// NewCounterStore returns an empty store. It accepts callsPerSecond calls per second, in bursts of a tenth of a second's
-// calls, and rejects further ones; at 0 it accepts all calls.
+// NewCounterStore returns an empty store. It limits the rate to callsPerSecond, with bursts of a tenth of that number of
+// calls, and rejects further calls; 0 means no limit.
 func NewCounterStore(callsPerSecond float64) *CounterStore {
 	return &CounterStore{entries: map[string]counterEntry{}, callsPerSecond: callsPerSecond}
 }
@@ -95,7 +95,7 @@
 	return entry.total, true
 }
 
-// refill adds the tokens for the time since the last refill. Without a rate limit there are no tokens.
+// refill adds the tokens for the time since the last refill. Without a rate limit the tokens are not used.
 func (s *CounterStore) refill(now time.Time) {
 	if s.callsPerSecond > 0 {
 		passed := max(0, now.Sub(s.lastRefill)).Seconds()
--- a/internal/emulator/doc.go
+++ b/internal/emulator/doc.go
@@ -7,8 +7,8 @@
 // compares what the backends did with the results that the clients received.
 //
 //	catalog.go, agent.go         the endpoint list, and the agent that serves it to one gateway
-//	counterstore.go, counter.go  the counter's entries, and the counter's endpoint for one gateway
-//	model.go, backends.go        the service times of the backends, and the backends on sockets
+//	counterstore.go, counter.go  the entries of the shared counter, and the server that serves it to one gateway
+//	model.go, backends.go        the queues and service times of the backends, and the backends on sockets
 //	traffic.go, clients.go       the generator of requests, and the clients that send them
 //	ledger.go                    the events of each request
 //	link.go                      a TCP relay that holds, drops, delays and resets
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// testTimeout limits every wait of the tests. No wait is expected to take a noticeable part of it.
+// testTimeout bounds every wait in these tests; each normally takes a small fraction of it.
 const testTimeout = 20 * time.Second
 
 // dial connects to an address. The connection is closed when the test ends.
--- a/internal/emulator/ledger.go
+++ b/internal/emulator/ledger.go
@@ -10,14 +10,14 @@
 
 // The outcomes of a request.
 const (
-	Unanswered Outcome = iota // no reply, or an incomplete one
+	Unanswered Outcome = iota // no complete reply
 	Served
 	Rejected // the client can safely retry
 	Failed
-	Wrong // served with the value of another request
+	Wrong // the reply has the value of another request
 )
 
-// maxLedgerEntries limits the requests that a ledger holds. Events of further requests are only counted.
+// maxLedgerEntries limits the requests that a ledger holds. Events of further requests are dropped and counted.
 const maxLedgerEntries = 1 << 20
 
 // ledgerEntry records the events of one request.
@@ -25,8 +25,8 @@
 	idempotency     Idempotency
 	attemptsStarted int // by backends
 	serviceTime     time.Duration
-	ended           bool // at the client
-	outcome         Outcome
+	ended           bool    // for its client
+	outcome         Outcome // if ended
 }
 
 // Ledger records, per request ID, what the backends did and which result the client received. It is safe for concurrent
@@ -34,14 +34,14 @@
 type Ledger struct {
 	mu            sync.Mutex // guards all fields below
 	entries       map[string]*ledgerEntry
-	droppedEvents int // events of requests that no longer fitted into the ledger
+	droppedEvents int // events of requests that didn't fit into the ledger
 }
 
 // NewLedger returns an empty ledger.
 func NewLedger() *Ledger { return &Ledger{entries: map[string]*ledgerEntry{}} }
 
-// entry returns the entry of a request and creates it if necessary. If the ledger is full, the new entry is not stored. The
-// caller holds mu.
+// entry returns the entry of a request, in which the caller records one event, and creates it if necessary. If the ledger is
+// full, the new entry is not stored, and the event counts as dropped. The caller holds mu.
 func (l *Ledger) entry(id string) *ledgerEntry {
 	entry := l.entries[id]
 	if entry != nil {
@@ -63,7 +63,8 @@
 	l.entry(id).attemptsStarted++
 }
 
-// AttemptServed records the time that an attempt took at a backend, from the last byte of the command to the reply.
+// AttemptServed records the service time of an attempt: from when the backend has read the whole command until it writes the
+// reply.
 func (l *Ledger) AttemptServed(id string, serviceTime time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -91,12 +92,12 @@
 // Sums compares, request by request, what the backends did with the results that the clients received. A request counts as
 // started once a backend has started an attempt of it. Sums is part of the JSON that a fleettest.Report writes.
 type Sums struct {
-	Requests   int `json:"requests"` // that ended at a client
+	Requests   int `json:"requests"` // that have ended for their clients; the next five fields count them by outcome
 	Served     int `json:"served"`
 	Rejected   int `json:"refused"`
 	Failed     int `json:"failed"`
 	Unanswered int `json:"unanswered"`
-	Wrong      int `json:"wrong"` // served with the value of another request
+	Wrong      int `json:"wrong"`
 
 	AttemptsStarted    int `json:"runs"`        // attempts that backends started
 	Started            int `json:"ran"`         // started requests
@@ -104,10 +105,11 @@
 	Phantom            int `json:"phantom"`     // requests that were served without having been started
 	Doubled            int `json:"doubled"`     // non-idempotent requests with more than one started attempt
 	RejectedButStarted int `json:"refused_ran"` // non-idempotent requests that were rejected although they had been started
-	DroppedEvents      int `json:"lost"`        // events of requests that no longer fitted into the ledger
+	DroppedEvents      int `json:"lost"`        // events of requests that didn't fit into the ledger
 }
 
-// Sums returns the sums of the requests whose ids match; if matches is nil, of all requests.
+// Sums returns the sums of the requests whose ids match, or of all requests if matches is nil. DroppedEvents always concerns
+// all requests.
 func (l *Ledger) Sums(matches func(id string) bool) Sums {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -121,7 +123,7 @@
 	return sums
 }
 
-// addAttempts counts what the backends did.
+// addAttempts counts the attempts that backends started and the requests with such an attempt.
 func (s *Sums) addAttempts(entry *ledgerEntry) {
 	s.AttemptsStarted += entry.attemptsStarted
 	if entry.attemptsStarted == 0 {
@@ -133,7 +135,7 @@
 	}
 }
 
-// addOutcome counts the result that the client received, and the violations: Phantom, Doubled and RejectedButStarted.
+// addOutcome counts the request by its outcome, and the violations: Phantom, Doubled and RejectedButStarted.
 func (s *Sums) addOutcome(entry *ledgerEntry) {
 	if !entry.ended {
 		return
--- a/internal/emulator/link.go
+++ b/internal/emulator/link.go
@@ -14,7 +14,7 @@
 // Direction is one of the two directions of a link's connections.
 type Direction int
 
-// The directions of a link.
+// Values of Direction.
 const (
 	ToServer Direction = iota // from the dialing side to the listening side
 	ToClient                  // from the listening side to the dialing side
@@ -23,7 +23,7 @@
 // Flow is what a link does with the bytes of one direction.
 type Flow int
 
-// The flows of a direction.
+// Values of Flow.
 const (
 	Pass Flow = iota
 	Hold      // bytes are held back until the flow changes, as in a network partition: neither side gets an error
@@ -80,7 +80,8 @@
 	l.Set(ToClient, Hold)
 }
 
-// Delay sets the time by which the bytes of one direction are delayed, for all connections.
+// Delay sets the time by which the bytes of one direction are delayed, for all connections. After each read of at most
+// relayBuffer bytes the link waits that long before it forwards them and reads again, so a delay also limits the throughput.
 func (l *Link) Delay(direction Direction, by time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -159,8 +160,8 @@
 	})
 }
 
-// relay forwards the bytes of one direction until the end of the stream. While the direction is held, the end of the stream
-// is held back too.
+// relay forwards the bytes of one direction until the end of the stream. The end of the stream is held back or dropped like
+// the bytes.
 func (c *relayedConn) relay(direction Direction, from, to net.Conn) {
 	buffer := make([]byte, relayBuffer)
 	for {
--- a/internal/emulator/listener.go
+++ b/internal/emulator/listener.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// A write that takes longer than this fails, and the peer counts as gone.
+	// A write that takes longer than this fails, and the connection is closed. Links also use it to dial their server.
 	writeTimeout = 2 * time.Second
-	// Delay after a failed accept, for example when there are no file descriptors left.
+	// Delay after a failed accept, such as when no file descriptors are left.
 	acceptRetryDelay = 10 * time.Millisecond
 )
 
@@ -63,7 +63,7 @@
 	}
 }
 
-// register counts a connection. It returns false if the listener is closed or has maxConns connections.
+// register adds a connection to conns and the meter. It returns false if the listener is closed or has maxConns connections.
 func (l *listener) register(conn *meteredConn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -84,7 +84,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			if err != nil { // such as no file descriptors left
+			if err != nil {
 				time.Sleep(acceptRetryDelay)
 				continue
 			}
--- a/internal/emulator/model.go
+++ b/internal/emulator/model.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// maxServiceFactor limits an attempt's service time to this multiple of the mean.
+// maxServiceFactor is the longest service time of an attempt, as a multiple of the mean.
 const maxServiceFactor = 8
 
 // ModelConfig configures the behaviour of the backends.
 type ModelConfig struct {
 	Backends     int
 	Concurrency  int           // attempts that one backend serves at the same time
-	MeanService  time.Duration // of the exponential service times, which are cut off at eight times the mean
+	MeanService  time.Duration // mean of the exponential service times, before they are limited to eight times the mean
 	MaxQueueTime time.Duration // an attempt that would be queued for longer is rejected
 	Seed         uint64
 }
@@ -43,8 +43,8 @@
 	return m
 }
 
-// StartAttempt starts or queues an attempt at a backend and returns when it will be done. ok is false if the backend
-// rejects the attempt.
+// StartAttempt starts or queues an attempt at a backend and returns when it will be done. A queued attempt already counts as
+// started. ok is false if the backend rejects the attempt.
 func (m *Model) StartAttempt(backend int, now time.Time) (done time.Time, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/emulator/resp.go
+++ b/internal/emulator/resp.go
@@ -11,10 +11,10 @@
 // The emulator deliberately has its own RESP2 parser. If it shared that of the gateway (internal/resp), a parser bug would
 // affect both sides of a test alike and remain undetected.
 
-// Limits of received RESP2 messages. That of bulk strings is the protocol's; the others are far above what the protocol
+// Limits of received RESP2 messages. PROTOCOL-bellwood specifies maxBulkBytes; the others are above what the protocol
 // needs.
 const (
-	maxBulkBytes     = 64 << 10 // of a bulk string, as specified in PROTOCOL-bellwood
+	maxBulkBytes     = 64 << 10 // of a bulk string
 	maxArrayElements = 8        // of a command or an array reply
 	maxLineBytes     = 512      // including CRLF
 )
@@ -36,7 +36,7 @@
 	return line[:len(line)-2], nil
 }
 
-// parseLength parses the number of a header such as *3. It is -1 for null.
+// parseLength parses the number in a header such as *3. It is -1 for null.
 func parseLength(text []byte, limit int) (int, error) {
 	length, err := strconv.Atoi(string(text))
 	if err != nil || length < -1 || length > limit {
@@ -104,9 +104,9 @@
 
 // reply is a reply of the gateway: a line or a bulk string. A null bulk string is the zero reply.
 type reply struct {
-	line    string // with the type character, such as -BUSY 20
-	value   string
-	isValue bool // whether the reply is a bulk string other than null
+	line    string // with the type character, such as -BUSY 20; empty for a bulk string
+	value   string // of a bulk string
+	isValue bool   // whether the reply is a bulk string other than null
 }
 
 // readReply reads a reply of the gateway. Of an array it returns the first element.
--- a/internal/emulator/traffic.go
+++ b/internal/emulator/traffic.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// Idempotency is how often a request of a class may run.
+// Idempotency tells how often backends may execute a request of a class.
 type Idempotency int
 
-// The idempotency of a class.
+// Values of Idempotency.
 const (
-	Idempotent        Idempotency = iota // may run any number of times
-	IdempotentWithKey                    // may run again under the idempotency key that the request carries
-	NonIdempotent                        // may run at most once
+	Idempotent        Idempotency = iota // may be executed any number of times
+	IdempotentWithKey                    // may be executed again under the idempotency key that the request carries
+	NonIdempotent                        // may be executed at most once
 )
 
 // Class describes one class of the requests that clients send.
 type Class struct {
 	Name          string
 	Idempotency   Idempotency
-	Share         float64       // share of the requests, relative to the shares of the other classes
+	Share         float64       // weight of the class: its share of the requests, relative to those of the other classes
 	ClientTimeout time.Duration // how long the client waits, in whole milliseconds
 }
 
 // TrafficConfig configures the requests that the gateways receive.
 type TrafficConfig struct {
-	Gateways          int      // with the indices 0 to Gateways-1
-	GatewaysPerTenant int      // gateways among which the requests of one tenant are distributed
-	Tenants           int      // of all gateways; tenant n has plan n modulo the number of plans
+	Gateways          int      // number of gateways, with the indices 0 to Gateways-1
+	GatewaysPerTenant int      // number of gateways among which the requests of one tenant are distributed
+	Tenants           int      // number of tenants; tenant n has plan n modulo the number of plans
 	Plans             []string // names
 	Classes           []Class
 	RequestsPerSecond float64 // at each gateway, as a Poisson process
@@ -43,7 +43,7 @@
 	Plan          int
 	Idempotency   Idempotency
 	ClientTimeout time.Duration
-	Gateways      int    // among which the tenant's requests are distributed
+	Gateways      int    // number of gateways among which the tenant's requests are distributed
 	FirstGateway  int    // index of the first of these; the others have the next indices, and 0 follows the last index
 	Key           string // idempotency key; sent only if Idempotency is IdempotentWithKey
 	className     string
@@ -79,7 +79,7 @@
 	gatewayIndex int
 	rng          *rand.Rand
 	tenants      []int   // whose requests this gateway receives; never empty
-	totalShare   float64 // of all classes
+	totalShare   float64 // sum of the classes' shares
 	lastSequence uint32  // sequence number of the latest request
 }
 
