--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -19,7 +19,7 @@
 // Writer passes lines on to another writer from its own goroutine, so that Write never blocks on it.
 type Writer struct {
 	dest io.Writer
-	done chan struct{} // closed once everything has been written after Close
+	done chan struct{} // closed when Close has been called and everything is written
 
 	mu        sync.Mutex // guards the fields below
 	workReady *sync.Cond // signalled when there is something to write or closing is set
--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -35,7 +35,7 @@
 	writer.Close(testTimeout)
 	pipeWriter.Close()
 	if all := <-got; bytes.Count(all, line) == 0 || !bytes.Contains(all, []byte("log lines dropped")) {
-		t.Errorf("the %d bytes written lack the lines or the report of dropped lines", len(all))
+		t.Errorf("the %d bytes written contain no line or no report of dropped lines", len(all))
 	}
 }
 
--- a/internal/resp/reader.go
+++ b/internal/resp/reader.go
@@ -19,16 +19,16 @@
 
 // Limits on messages and buffers.
 const (
-	MaxValueBytes   = 64 << 10              // of a bulk string
-	MaxMessageBytes = MaxValueBytes + 8<<10 // of a whole command or reply
-	BufferBytes     = 4 << 10               // initial size of a Reader's buffer, which grows when it is full
-	maxArrayItems   = 64                    // a command has at most 5 items, a reply 3
-	maxArrayDepth   = 2                     // an array may contain arrays, which redcon parses as well
-	maxLengthBytes  = 32                    // of the header line of a bulk string or an array
-	maxLineBytes    = 4 << 10               // of a simple string, an error or an integer
+	MaxValueBytes    = 64 << 10              // of a bulk string
+	MaxMessageBytes  = MaxValueBytes + 8<<10 // of a whole command or reply
+	BufferBytes      = 4 << 10               // initial size of a Reader's buffer, which grows when it is full
+	maxArrayItems    = 64                    // a command has at most 5 items, a reply 3
+	maxArrayDepth    = 2                     // an array may contain arrays, which redcon parses as well
+	maxSizeLineBytes = 32                    // of the first line of a bulk string or an array, which gives its size
+	maxLineBytes     = 4 << 10               // of a simple string, an error or an integer
 )
 
-// ErrMalformed means that the input is not a RESP message within the limits, and that no further input can make it one.
+// ErrMalformed means that the input is not a RESP2 message within the limits, and that no further input can make it one.
 // Nothing more can be read from the stream, as the start of the next message is unknown.
 var ErrMalformed = errors.New("malformed RESP")
 
@@ -138,7 +138,7 @@
 // frameLength returns the length of the first message in b, or 0 if it is incomplete. It rejects input that can't become
 // a message within the limits before any memory is allocated for it. Arrays may be nested up to maxDepth.
 func frameLength(b []byte, maxDepth int) (int, error) {
-	lineLength, err := headerLength(b)
+	lineLength, err := firstLineLength(b)
 	if lineLength == 0 || err != nil {
 		return 0, err
 	}
@@ -152,8 +152,8 @@
 	return lineLength, nil
 }
 
-// headerLength returns the length of a message's first line, including CRLF, or 0 if the line is incomplete.
-func headerLength(b []byte) (int, error) {
+// firstLineLength returns the length of a message's first line, including CRLF, or 0 if the line is incomplete.
+func firstLineLength(b []byte) (int, error) {
 	if len(b) == 0 {
 		return 0, nil
 	}
@@ -161,7 +161,7 @@
 	switch b[0] {
 	case redcon.Integer, redcon.String, redcon.Error:
 	case redcon.Bulk, redcon.Array:
-		maxLength = maxLengthBytes
+		maxLength = maxSizeLineBytes
 	default:
 		return 0, ErrMalformed
 	}
--- a/internal/resp/reader_test.go
+++ b/internal/resp/reader_test.go
@@ -10,7 +10,8 @@
 
 // Next assembles messages of every type from reads of one byte each.
 func TestReaderAssemblesMessagesFromSingleBytes(t *testing.T) {
-	text := "*2\r\n$3\r\na\r\n\r\n*1\r\n$-1\r\n+OK\r\n-ERR x\r\n:5\r\n$" + "65536\r\n" + strings.Repeat("x", MaxValueBytes) + "\r\n"
+	text := "*2\r\n$3\r\na\r\n\r\n*1\r\n$-1\r\n+OK\r\n-ERR x\r\n:5\r\n" +
+		"$65536\r\n" + strings.Repeat("x", MaxValueBytes) + "\r\n"
 	in := NewReader(iotest.OneByteReader(strings.NewReader(text)), nil)
 	var got string
 	for {
@@ -41,7 +42,7 @@
 		"negative count":             "*-2\r\n",
 		"value without CRLF":         "$1\r\nab\r\n",
 		"line without CR":            "*1\n",
-		"unterminated size line":     "$" + strings.Repeat("1", maxLengthBytes),
+		"unterminated size line":     "$" + strings.Repeat("1", maxSizeLineBytes),
 		"unterminated simple string": "+" + strings.Repeat("a", maxLineBytes),
 		"arrays nested three deep":   "*1\r\n*1\r\n*1\r\n:1\r\n",
 	} {
--- a/internal/simprotocol/parse_test.go
+++ b/internal/simprotocol/parse_test.go
@@ -34,7 +34,8 @@
 
 // Messages are parsed into events of the engine, with the protocol's words translated and its defaults for absent fields.
 func TestReaderParsesMessagesIntoEvents(t *testing.T) {
-	batches, err := readBatches("CLOCK 8412250 12\n" + provision + "CENSUS 0 2\nBACKEND 10.18.74.7:8003 0 0 0 in_service 1 -\n" +
+	batches, err := readBatches("CLOCK 8412250 12\n" + provision + "CENSUS 0 2\n" +
+		"BACKEND 10.18.74.7:8003 0 0 0 in_service 1 -\n" +
 		"BACKEND 10.18.74.7:8044 0 0 1 terminating 1.5 6100000\nVIEW door/3 cached 41 0\n" +
 		"ACCEPT door/3 1564119492 0 0 u:kd6b 240000 2 3 1 1\nACCEPT door/3 7 0 0 u:x 240000\n" +
 		"VERDICT door/3 7 0 10.18.74.7:8003 1 18500 1 86 3 7,0.62\nVERDICT door/3 7 1 10.18.74.7:8003 3 18500 0 - -\n" +
--- a/internal/simprotocol/transport.go
+++ b/internal/simprotocol/transport.go
@@ -16,8 +16,8 @@
 	MaxOpenRequests              int           // requests that may be open at once; 0: no limit
 }
 
-// ParseTransport parses settings, which are keyed by path, into a Transport. If no zones or no backend kinds are given, there
-// is one with an empty name. The error is a *SettingError for the first invalid setting.
+// ParseTransport parses settings, which are keyed by path, into a Transport. If no zones or no backend kinds are given,
+// there is one with an empty name. The error is a *SettingError for the first invalid setting.
 func ParseTransport(settings map[string]string) (Transport, error) {
 	v := &settingValues{values: settings}
 	transport := Transport{
--- a/internal/timerqueue/timerqueue_test.go
+++ b/internal/timerqueue/timerqueue_test.go
@@ -13,7 +13,8 @@
 	var got []int
 	add := func(at int) *Timer { return queue.Add(time.Duration(at), func() { got = append(got, at) }) }
 	if queue.TimeUntilNext(5) != time.Hour || queue.Lateness(5) != 0 {
-		t.Errorf("empty queue: TimeUntilNext = %v, Lateness = %v", queue.TimeUntilNext(5), queue.Lateness(5))
+		t.Errorf("empty queue: TimeUntilNext(5) = %v, want 1h; Lateness(5) = %v, want 0",
+			queue.TimeUntilNext(5), queue.Lateness(5))
 	}
 	third := add(3)
 	add(2)
@@ -33,8 +34,8 @@
 	}
 }
 
-// A task that adds itself again, due at once, must not keep Run from returning: it runs once in each Run. Because the
-// added task is due before the other timers, each Run stops there, and those timers never run.
+// A task that adds itself again, due at once, must not keep Run from returning: it runs once in each Run. Because the added
+// timer is due before the other timers, each Run stops at it, and the other timers never run.
 func TestSelfAddingTaskRunsOncePerRun(t *testing.T) {
 	var queue Queue
 	runs := 0
@@ -46,12 +47,12 @@
 	queue.Add(1, again)
 	var stopped *Timer
 	queue.Add(2, func() { queue.Stop(stopped) })
-	stopped = queue.Add(3, func() { t.Error("a timer behind the added task ran") })
+	stopped = queue.Add(3, func() { t.Error("a timer due after the added one ran") })
 	for range 3 {
 		queue.Run(4)
 	}
 	if runs != 3 {
-		t.Errorf("the task ran %d times in 3 Runs", runs)
+		t.Errorf("the task ran %d times in 3 Runs, want 3", runs)
 	}
 }
 
