--- a/cmd/bellwood/main.go
+++ b/cmd/bellwood/main.go
@@ -1,7 +1,7 @@
 // Command bellwood runs one gateway, which enforces tenants' quotas and forwards their requests to a shared fleet of
 // backends.
 //
-// NODE_CONFIG names its configuration file, which is JSON. At the start NODE_NAME, NODE_LISTEN and NODE_DISCOVERY override
+// NODE_CONFIG names its configuration file, which is JSON. At startup NODE_NAME, NODE_LISTEN and NODE_DISCOVERY override
 // values of the file. SIGTERM or an interrupt starts a graceful shutdown; SIGHUP reloads the file. The log goes to standard
 // error. See README.
 package main
@@ -81,8 +81,9 @@
 // A reload applies the addresses of discovery and the counter and the audit's revision, and nothing else. An invalid file
 // changes nothing.
 //
-// The environment applies only at the start. From the first reload on, the file's discovery address is used even if
-// NODE_DISCOVERY is set, and a file that lacks a value that the environment gave at the start is invalid.
+// The environment applies only at startup. From the first reload on, the file's discovery address is used even if
+// NODE_DISCOVERY is set, and a file without a listen or discovery address is invalid even if the environment gave it at
+// startup.
 func reloadOnSignal(hup <-chan os.Signal, done <-chan struct{}, server *gateway.Server, log *slog.Logger) {
 	for {
 		select {
--- a/cmd/bellwood/main_test.go
+++ b/cmd/bellwood/main_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// With an invalid configuration, a listen address that can't be used included, run fails with an error of one line.
+// If the configuration is invalid, or gives an unusable listen address, run fails with an error of one line.
 func TestRunFailsOnInvalidConfiguration(t *testing.T) {
 	good := configJSON("127.0.0.1:0", "127.0.0.1:1")
 	for _, invalid := range []string{"{", strings.Replace(good, `"peers-total":1`, `"peers-total":0`, 1),
@@ -39,9 +39,9 @@
 }
 
 // SIGHUP, which by default ends a process, must not end the gateway, even during startup or shutdown. It reloads the
-// configuration: an invalid file changes nothing, a valid one overrides the environment.
+// configuration: an invalid file changes nothing; the discovery address of a valid one replaces that of the environment.
 func TestSIGHUPReloadsConfiguration(t *testing.T) {
-	watched := make(chan string, 64) // receives the name of each agent that gets a request
+	watched := make(chan string, 64) // receives the agent's name on each request to an agent
 	file := newConfigFile(t, configJSON("127.0.0.1:0", "127.0.0.1:1"))
 	t.Setenv("NODE_CONFIG", file)
 	t.Setenv("NODE_DISCOVERY", newAgent(t, "first", watched))
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -79,7 +79,7 @@
 	return a.out.Flush()
 }
 
-// start creates the engine of an instance that starts. It replaces the engine of an instance with the same name.
+// start creates the engine of an instance that starts, and replaces any engine of an instance with the same name.
 func (a *adapter) start(item simprotocol.Item) error {
 	engine, err := policy.New(item.Settings, item.Seed)
 	if err != nil {
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -21,7 +21,7 @@
 	}
 	for _, invalid := range []string{"REMINDER door/2 1", "WHAT door/1", "PROVISION door/1 5 peers-total=0"} {
 		if err := run(strings.NewReader("CLOCK 1 1\n"+invalid+"\nEOF_BATCH\n"), io.Discard); err == nil {
-			t.Errorf("%q: got no error", invalid)
+			t.Errorf("%q: got no error, want one", invalid)
 		}
 	}
 }
