--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -30,7 +30,7 @@
 
 // clientConn is a connection to the gateway. One request at a time uses it.
 type clientConn struct {
-	conn   net.Conn
+	tcp    net.Conn
 	in     *bufio.Reader
 	reused bool // has carried a request before
 }
@@ -48,7 +48,7 @@
 	defer c.mu.Unlock()
 	c.closed = true
 	for conn := range c.conns {
-		conn.conn.Close()
+		conn.tcp.Close()
 	}
 	c.idle = nil
 }
@@ -126,7 +126,7 @@
 	if err != nil {
 		return nil, err
 	}
-	conn := &clientConn{conn: tcp, in: bufio.NewReaderSize(tcp, clientReadBuffer)}
+	conn := &clientConn{tcp: tcp, in: bufio.NewReaderSize(tcp, clientReadBuffer)}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -161,7 +161,7 @@
 
 // discard closes a connection that failed.
 func (c *Clients) discard(conn *clientConn) {
-	conn.conn.Close()
+	conn.tcp.Close()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.conns, conn)
@@ -172,8 +172,8 @@
 
 // roundTrip sends a command and reads its reply.
 func (c *clientConn) roundTrip(command []byte, timeout time.Duration) (reply, error) {
-	c.conn.SetDeadline(time.Now().Add(timeout))
-	if _, err := c.conn.Write(command); err != nil {
+	c.tcp.SetDeadline(time.Now().Add(timeout))
+	if _, err := c.tcp.Write(command); err != nil {
 		return reply{}, errClosedBeforeReply
 	}
 	if _, err := c.in.Peek(1); err != nil {
--- a/internal/emulator/link.go
+++ b/internal/emulator/link.go
@@ -34,12 +34,12 @@
 // connections. Its goroutines end with Close.
 type Link struct {
 	listener *listener
-	target   string
+	target   string // address of the server
 
-	mu      sync.Mutex // guards all fields below
-	changed *sync.Cond // uses mu; signals a change of flow, closed or relayed
-	flow    [2]Flow
-	delay   [2]time.Duration
+	mu      sync.Mutex       // guards all fields below
+	changed *sync.Cond       // uses mu; signals a change of flow, closed or relayed
+	flow    [2]Flow          // by Direction
+	delay   [2]time.Duration // by Direction
 	closed  bool
 	relayed map[*relayedConn]bool
 }
--- a/internal/emulator/traffic.go
+++ b/internal/emulator/traffic.go
@@ -102,7 +102,7 @@
 	return t
 }
 
-// firstGateway returns the index of the first gateway that serves a tenant. It is a hash of the tenant's number.
+// firstGateway returns the index of the first gateway that receives a tenant's requests. It is a hash of the tenant's number.
 func (t *Traffic) firstGateway(tenant int) int {
 	return int(uint64(tenant+1) * 0x9e3779b97f4a7c15 >> 33 % uint64(t.config.Gateways))
 }
--- a/internal/simprotocol/fields.go
+++ b/internal/simprotocol/fields.go
@@ -73,11 +73,11 @@
 // integer reads a signed 32-bit integer.
 func (f *fieldReader) integer() int {
 	field := f.text()
-	index, err := strconv.ParseInt(field, 10, 32)
+	number, err := strconv.ParseInt(field, 10, 32)
 	if err != nil {
 		f.fail("a 32-bit integer", field)
 	}
-	return int(index)
+	return int(number)
 }
 
 // number reads a floating-point number.
