--- a/internal/gateway/attempt.go
+++ b/internal/gateway/attempt.go
@@ -36,10 +36,11 @@
 // command returns the attempt's command as it is to be written at time now. It contains the time left until the deadline,
 // which is less if the connection was established late (TestSlowDialShortensTheForwardedTimeLeft).
 func (attempt *backendAttempt) command(now time.Duration) []byte {
-	return attempt.request.received.Forward(attempt.deadline - now)
+	return attempt.request.clientRequest.Forward(attempt.deadline - now)
 }
 
-// clientDisconnected reports whether the client has closed its connection. If so, it closes the gateway's side too.
-func (attempt *backendAttempt) clientDisconnected() bool {
-	return attempt.request.received.conn.closeIfClientLeft()
+// closeIfClientDisconnected reports whether the client has disconnected. If so, it closes the gateway's side of the
+// connection too.
+func (attempt *backendAttempt) closeIfClientDisconnected() bool {
+	return attempt.request.clientRequest.conn.closeIfDisconnected()
 }
--- a/internal/gateway/audit.go
+++ b/internal/gateway/audit.go
@@ -24,7 +24,7 @@
 	step()
 	// setOutOfService takes the gateway out of service or returns it to service. Attempts already written continue.
 	setOutOfService(out bool)
-	// reopenWatch reopens the watch at discovery, starting from the version in force.
+	// reopenWatch reopens the watch at discovery, starting from the version applied last.
 	reopenWatch()
 	// fetchSnapshot fetches the whole endpoint list. If its index differs from the one applied last, it also opens a
 	// watch from that index. It calls done once, at the end, and reports whether the list was applied.
@@ -108,7 +108,8 @@
 	a.appliedVersions = a.appliedVersions[:0]
 }
 
-// requestDecided records that a client's request is passed to the engine. clientID is the id that the client gave it.
+// requestDecided records a client's request that the engine decides in the Step that follows. clientID is the id that the
+// client gave it.
 func (a *auditor) requestDecided(clientID []byte) {
 	if a != nil {
 		a.addEvent(audit.RequestDecided{ClientID: string(clientID)})
--- a/internal/gateway/backendconn.go
+++ b/internal/gateway/backendconn.go
@@ -48,7 +48,9 @@
 func (conn *backendConn) isDialing() bool { return conn.socket == nil }
 
 // usable reports whether the connection is still open and has no unread data.
-func (conn *backendConn) usable() bool { return !conn.readEnded.Load() && rawsocket.Quiet(conn.socket) }
+func (conn *backendConn) usable() bool {
+	return !conn.readEnded.Load() && rawsocket.ReadWouldBlock(conn.socket)
+}
 
 // detachWork removes and returns the attempt or health check that the connection carries.
 func (conn *backendConn) detachWork() (*backendAttempt, *healthCheck) {
--- a/internal/gateway/budget/budget.go
+++ b/internal/gateway/budget/budget.go
@@ -56,7 +56,7 @@
 // RejectedConns returns the limit on rejected connections held open, given the limit on client connections.
 func RejectedConns(clientConns int64) int64 { return clientConns / ConnsPerRejected }
 
-// ClientMemory returns the limit in bytes on memory used on behalf of clients, given the memory limit in MB. 0 MB means
+// ClientMemory returns the limit in bytes on memory used on behalf of clients, given the memory limit in MiB. 0 MiB means
 // that the configuration sets no limit.
 func ClientMemory(memoryMB int) int64 {
 	memory := float64(memoryMB<<20) * clientMemoryShare
--- a/internal/gateway/clientclose.go
+++ b/internal/gateway/clientclose.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	lingerTimeout     = 1500 * time.Millisecond // for discarding what a client sends after invalid input
+	lingerTimeout     = 1500 * time.Millisecond // how long input of a lingering connection is discarded
 	maxDiscardedBytes = 64 << 20                // input discarded on one lingering or rejected connection
 	maxLingering      = 16                      // limit on lingering connections
 )
@@ -25,10 +25,10 @@
 	conn.replyCapacityOrClosed.Broadcast()
 }
 
-// closeIfClientLeft reports whether the connection has ended. It also checks the socket, because the reader may not have
-// detected a disconnect yet: it may wait for reply capacity, or have more input to read first. If the client has
-// disconnected, the connection is closed, and all its requests end.
-func (conn *clientConn) closeIfClientLeft() bool {
+// closeIfDisconnected closes the connection if the client has disconnected, which ends all its requests, and reports whether
+// the connection is closed. It checks the socket itself, because the reader may not have detected the disconnect yet: it may
+// wait for reply capacity, or have more input to read first.
+func (conn *clientConn) closeIfDisconnected() bool {
 	conn.mu.Lock()
 	defer conn.mu.Unlock()
 	if !conn.closed && rawsocket.PeerClosed(conn.socket) {
@@ -87,9 +87,9 @@
 // Closing a connection with a request that is partly read, or unread in the socket, would lose the request. Unread bytes
 // would also make the kernel reset the connection, which can lose replies that are still in flight. The check is reliable
 // because the reader takes bytes from the socket only under mu (receive): they are either still in the socket, where
-// rawsocket.Quiet sees them, or recorded in partialCommand. TestUnreadRequestKeepsTheConnection covers this.
+// rawsocket.ReadWouldBlock detects them, or recorded in partialCommand. TestUnreadRequestKeepsTheConnection covers this.
 func (conn *clientConn) betweenRequests() bool {
-	return !conn.partialCommand && rawsocket.Quiet(conn.socket)
+	return !conn.partialCommand && rawsocket.ReadWouldBlock(conn.socket)
 }
 
 // closeLocked closes the connection if it is still open. The caller holds mu.
--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -33,9 +33,9 @@
 // clientConn is one client connection.
 //
 // Its reader, the goroutine that runs serve, owns it: the reader processes commands until the connection ends, and then
-// cleans up. The event loop sends replies on the connection, and the loop or a goroutine that evicts connections may
-// close it; both hold mu for that. If the socket does not accept a reply at once, another goroutine writes the remainder
-// (writeRemaining), until everything is written or the connection is closed.
+// cleans up. The event loop sends replies on the connection, and the loop or the goroutine that accepts and evicts
+// connections may close it; both hold mu for that. If the socket does not accept a reply at once, another goroutine writes
+// the remainder (writeRemaining), until everything is written or the connection is closed.
 type clientConn struct {
 	downstream *downstream
 	socket     net.Conn
@@ -173,7 +173,7 @@
 	return ok
 }
 
-// cleanUp closes the connection, releases its resources, and tells the event loop which requests have lost their client.
+// cleanUp closes the connection, releases its resources, and ends its unanswered requests on the event loop.
 func (conn *clientConn) cleanUp() {
 	down := conn.downstream
 	conn.mu.Lock()
@@ -186,6 +186,6 @@
 	conn.commands.Release()
 	down.remove(conn)
 	for _, request := range unanswered {
-		down.loop.post(func() { down.requests.clientGone(request) })
+		down.loop.post(func() { down.requests.clientDisconnected(request) })
 	}
 }
--- a/internal/gateway/clientdisconnect_test.go
+++ b/internal/gateway/clientdisconnect_test.go
@@ -26,7 +26,7 @@
 	for how, end := range clientEnds {
 		t.Run(how, func(t *testing.T) {
 			ln := listen(t)
-			server := newIdleServer(t, ln.Addr().String())
+			server := newServerWithoutLoop(t, ln.Addr().String())
 			conn, client := newClientPair(t, server)
 			go conn.serve()
 			client.write(commands)
@@ -61,10 +61,10 @@
 		"while its backend connection fails": (*disconnectTest).disconnectDuringBackendReset,
 	} {
 		t.Run(name, func(t *testing.T) {
-			gateway, ln := startWithBackend(t, withoutSettleTime)
+			gateway, ln := startWithBackend(t, withoutReuseDelay)
 			test := newDisconnectTest(t, gateway, emulateBackend(t, ln))
 			disconnectWhileWaiting(test)
-			gateway.until(func() bool { return len(gateway.server.requests.byID) == 0 })
+			gateway.waitUntil(func() bool { return len(gateway.server.requests.byID) == 0 })
 			test.wantOnlyLaterRequest()
 		})
 	}
@@ -75,7 +75,7 @@
 		test.sendRequest()
 		test.disconnect()
 		gateway.listUpdates <- endpointList(2, ln.Addr().String())
-		gateway.until(func() bool { return len(gateway.server.upstream.pools) == 1 })
+		gateway.waitUntil(func() bool { return len(gateway.server.upstream.pools) == 1 })
 		test.wantOnlyLaterRequest()
 	})
 }
@@ -84,12 +84,12 @@
 type disconnectTest struct {
 	t             *testing.T
 	gateway       *testGateway
-	received      <-chan receivedCommand // by the backend
+	received      <-chan forwardedRequest // by the backend
 	disconnecting *peer
 	connected     *peer
 }
 
-func newDisconnectTest(t *testing.T, gateway *testGateway, received <-chan receivedCommand) *disconnectTest {
+func newDisconnectTest(t *testing.T, gateway *testGateway, received <-chan forwardedRequest) *disconnectTest {
 	t.Helper()
 	return &disconnectTest{t: t, gateway: gateway, received: received, disconnecting: gateway.dial(),
 		connected: gateway.dial()}
@@ -99,14 +99,14 @@
 func (test *disconnectTest) sendRequest() {
 	test.t.Helper()
 	test.disconnecting.sendRequest("disconnected")
-	test.gateway.until(func() bool { return test.gateway.server.requests.clientIDInUse["disconnected"] })
+	test.gateway.waitUntil(func() bool { return test.gateway.server.requests.clientIDInUse["disconnected"] })
 }
 
 // disconnect closes the client's connection, and waits until the event loop has been notified.
 func (test *disconnectTest) disconnect() {
 	test.t.Helper()
 	test.disconnecting.socket.Close()
-	test.gateway.until(func() bool { return !test.gateway.server.requests.clientIDInUse["disconnected"] })
+	test.gateway.waitUntil(func() bool { return !test.gateway.server.requests.clientIDInUse["disconnected"] })
 }
 
 // wantOnlyLaterRequest fails unless the next command that the backend receives is a request that the other client sends
@@ -114,11 +114,11 @@
 func (test *disconnectTest) wantOnlyLaterRequest() {
 	test.t.Helper()
 	test.connected.sendRequest("later")
-	wantNextCommand(test.t, test.received, "later")
+	wantNextForwarded(test.t, test.received, "later")
 }
 
 func (test *disconnectTest) disconnectWhilePosted() {
-	release := test.gateway.holdLoop()
+	release := test.gateway.blockLoop()
 	test.disconnecting.sendRequest("disconnected")
 	test.disconnecting.socket.Close()
 	test.gateway.waitForTasks(2) // the arrival of the request and the disconnect
@@ -129,35 +129,35 @@
 	inFlight := test.fillConcurrencyLimit()
 	test.sendRequest()
 	test.disconnect()
-	for _, command := range inFlight {
-		command.replyWithValue()
+	for _, request := range inFlight {
+		request.replyWithValue()
 	}
 	for range inFlight {
-		test.connected.wants("value")
+		test.connected.wantReply("value")
 	}
-	nextCommand(test.t, test.received).replyWithValue() // the filler request that was queued
-	test.connected.wants("value")
+	nextForwarded(test.t, test.received).replyWithValue() // the filler request that was queued
+	test.connected.wantReply("value")
 }
 
 // fillConcurrencyLimit sends requests until one is queued because of the backend's concurrency limit. It returns the
-// commands that the backend has received.
-func (test *disconnectTest) fillConcurrencyLimit() (inFlight []receivedCommand) {
+// requests that the backend has received.
+func (test *disconnectTest) fillConcurrencyLimit() (inFlight []forwardedRequest) {
 	test.t.Helper()
 	for i := 0; ; i++ {
 		id := fmt.Sprint("filler", i)
 		test.connected.sendRequest(id)
-		test.gateway.until(func() bool { return test.gateway.server.requests.clientIDInUse[id] })
+		test.gateway.waitUntil(func() bool { return test.gateway.server.requests.clientIDInUse[id] })
 		if test.attemptsOfOpenRequests() == i {
 			return inFlight
 		}
-		inFlight = append(inFlight, nextCommand(test.t, test.received))
+		inFlight = append(inFlight, nextForwarded(test.t, test.received))
 	}
 }
 
 // attemptsOfOpenRequests returns the number of attempts that all open requests have made together.
 func (test *disconnectTest) attemptsOfOpenRequests() (attempts int) {
 	test.t.Helper()
-	test.gateway.until(func() bool {
+	test.gateway.waitUntil(func() bool {
 		attempts = 0
 		for _, request := range test.gateway.server.requests.byID {
 			attempts += len(request.attempts)
@@ -169,23 +169,23 @@
 
 func (test *disconnectTest) disconnectBeforeRetry() {
 	test.disconnecting.sendRequest("disconnected")
-	first := nextCommand(test.t, test.received)
+	first := nextForwarded(test.t, test.received)
 	test.connected.sendRequest("filler")
-	other := nextCommand(test.t, test.received)
+	other := nextForwarded(test.t, test.received)
 	first.from.write("-BUSY\r\n") // reduces the limit so that the other attempt alone uses it up
-	test.gateway.until(func() bool {
+	test.gateway.waitUntil(func() bool {
 		request := openRequestByID(test.gateway.server, "disconnected")
 		return request != nil && len(request.attempts) == 1 && request.openAttempts == 0
 	})
 	test.disconnect()
 	other.replyWithValue()
-	test.connected.wants("value")
+	test.connected.wantReply("value")
 }
 
 func (test *disconnectTest) disconnectDuringBackendReset() {
 	test.disconnecting.sendRequest("disconnected")
-	first := nextCommand(test.t, test.received)
-	release := test.gateway.holdLoop()
+	first := nextForwarded(test.t, test.received)
+	release := test.gateway.blockLoop()
 	first.from.reset()
 	test.gateway.waitForTasks(1)
 	test.disconnecting.socket.Close()
@@ -201,7 +201,7 @@
 		t.Fatal(err)
 	}
 	ln := port.listen(t, 16)
-	server := newIdleServer(t, ln.Addr().String())
+	server := newServerWithoutLoop(t, ln.Addr().String())
 	socket, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -214,7 +214,7 @@
 	pool.conns[pooledConn], pool.idle = true, append(pool.idle, pooledConn)
 	conn, client := newClientPair(t, server)
 	go conn.serve()
-	client.command("Q.DO", tenantID, "1", keyedFields, strings.Repeat("b", resp.MaxValueBytes))
+	client.sendCommand("Q.DO", tenantID, "1", keyedFields, strings.Repeat("b", resp.MaxValueBytes))
 	runTasksUntil(t, server, func() bool { return len(server.requests.byID) == 1 })
 	server.events = nil
 	for _, request := range server.requests.byID {
@@ -229,7 +229,7 @@
 	if !pooledConn.closed || server.upstream.connCount != 0 {
 		t.Error("the gateway's end of the connection is still open")
 	}
-	if m, err := accept(t, ln).tryMessage(); err == nil {
+	if m, err := accept(t, ln).tryReadMessage(); err == nil {
 		t.Errorf("the backend received the complete command %.40q", m)
 	} else if ne, ok := err.(net.Error); ok && ne.Timeout() {
 		t.Error("the backend's end of the connection is still open")
@@ -245,11 +245,11 @@
 	disconnecting.sendRequest("disconnected")
 	gateway.waitForDial()
 	disconnecting.socket.Close()
-	gateway.until(func() bool { return len(gateway.server.requests.byID) == 0 && gateway.server.upstream.connCount == 0 })
+	gateway.waitUntil(func() bool { return len(gateway.server.requests.byID) == 0 && gateway.server.upstream.connCount == 0 })
 	l.emptyBacklog()
 	received := emulateBackend(t, l.listener)
 	other.sendRequest("later")
-	wantNextCommand(t, received, "later")
+	wantNextForwarded(t, received, "later")
 }
 
 // The backend connection of an attempt takes a second to establish. The attempt, whether the first one or a retry, tells
@@ -259,8 +259,8 @@
 	l := newLateListener(t)
 	gateway := startGateway(t, []string{l.listener.Addr().String()})
 	client := gateway.dial()
-	client.command(requestWith("d=20000", fmt.Sprint("d=", timeLeft.Milliseconds()))...)
-	gateway.until(func() bool { return gateway.server.requests.clientIDInUse["1"] })
+	client.sendCommand(requestWith("d=20000", fmt.Sprint("d=", timeLeft.Milliseconds()))...)
+	gateway.waitUntil(func() bool { return gateway.server.requests.clientIDInUse["1"] })
 	arrived := time.Now() // upper bound of the request's arrival
 	for _, attempt := range []string{"first", "second"} {
 		gateway.waitForDial()
@@ -268,7 +268,7 @@
 		established := time.Now() // lower bound of the time at which the connection is established
 		l.emptyBacklog()
 		backend := accept(t, l.listener)
-		m := backend.message()
+		m := backend.readMessage()
 		forwarded := 0
 		for _, item := range strings.Split(m[3], ",") {
 			fmt.Sscanf(item, "d=%d", &forwarded)
@@ -300,7 +300,7 @@
 		"partial command":       {request(0) + request(1)[:20], 1},
 	} {
 		for _, end := range clientEnds {
-			server := newIdleServer(t, freeAddr(t))
+			server := newServerWithoutLoop(t, freeAddr(t))
 			conn, client := newClientPair(t, server)
 			go conn.serve()
 			client.write(sent.text)
@@ -320,7 +320,7 @@
 // A client disconnects during the pause after an invalid command. The pause ends at once, and keeps the input that was
 // read meanwhile.
 func TestPauseEndsOnDisconnect(t *testing.T) {
-	server := newIdleServer(t, freeAddr(t))
+	server := newServerWithoutLoop(t, freeAddr(t))
 	conn, client := newClientPair(t, server)
 	client.write("*1\r\n$4\r\nPI") // stays in the buffer
 	waitForBytes(t, conn.socket)
@@ -335,7 +335,7 @@
 
 // Commands that were read ahead while too many commands were open are processed once replies free capacity.
 func TestReadAheadIsProcessedOnceRepliesFreeCapacity(t *testing.T) {
-	server := newIdleServer(t, freeAddr(t))
+	server := newServerWithoutLoop(t, freeAddr(t))
 	server.ready.Store(true)
 	conn, client := newClientPair(t, server)
 	go conn.serve()
@@ -349,11 +349,11 @@
 	for _, request := range server.requests.byID {
 		server.requests.answer(request, []byte("-BUSY\r\n"))
 	}
-	client.wants("-BUSY")
+	client.wantReply("-BUSY")
 	for range maxPipelined {
-		client.wants("+PONG")
+		client.wantReply("+PONG")
 	}
-	client.wants("-ERR unknown command 'PI'")
+	client.wantReply("-ERR unknown command 'PI'")
 }
 
 // waitForReaderAwaitingCapacity waits until the connection's reader reads ahead because the reply queue is full.
@@ -382,32 +382,32 @@
 	})
 	metered := strings.Replace(idempotentFields, "t=open", "t=starter", 1)
 	client := gateway.dial()
-	client.command("Q.ASK", tenantID, "1", metered)
+	client.sendCommand("Q.ASK", tenantID, "1", metered)
 	backend := acceptCommand(t, ln)
 	backend.write(valueReply("value"))
-	client.wants("value")
-	client.command("Q.ASK", tenantID, "2", metered)
+	client.wantReply("value")
+	client.sendCommand("Q.ASK", tenantID, "2", metered)
 	called := accept(t, counter)
-	if line := called.message(); !strings.HasPrefix(line[0], "add ") {
-		t.Fatalf("got %q", line)
+	if line := called.readMessage(); !strings.HasPrefix(line[0], "add ") {
+		t.Fatalf("the counter received %q, want an add call", line)
 	}
 	client.socket.Close()
-	gateway.until(func() bool { return len(gateway.server.requests.byID) == 0 })
+	gateway.waitUntil(func() bool { return len(gateway.server.requests.byID) == 0 })
 	called.write("ok 1\r\n")
 	go func() { // answers the calls that correct the count afterwards
 		for {
-			if _, err := called.tryMessage(); err != nil {
+			if _, err := called.tryReadMessage(); err != nil {
 				return
 			}
 			called.socket.Write([]byte("ok 1\r\n"))
 		}
 	}()
-	gateway.until(func() bool { return gateway.server.counter.Undelivered() == 0 && len(gateway.server.events) == 0 })
-	if !rawsocket.Quiet(backend.socket) {
+	gateway.waitUntil(func() bool { return gateway.server.counter.Undelivered() == 0 && len(gateway.server.events) == 0 })
+	if !rawsocket.ReadWouldBlock(backend.socket) {
 		t.Error("the request was forwarded")
 	}
 	ln.Close()
-	gateway.until(func() bool { return gateway.server.upstream.connCount <= 1 })
+	gateway.waitUntil(func() bool { return gateway.server.upstream.connCount <= 1 })
 	if len(gateway.server.requests.clientIDInUse) != 0 {
 		t.Error("the request's id is still in use")
 	}
--- a/internal/gateway/clientreader.go
+++ b/internal/gateway/clientreader.go
@@ -36,8 +36,9 @@
 	return conn.receive(buffer)
 }
 
-// receive waits for input and reads it. It reads the bytes and sets partialCommand under the lock, so that no goroutine
-// that holds the lock considers the connection to be between two requests.
+// receive waits for input and reads it. It reads the bytes and sets partialCommand under one lock. Otherwise another
+// goroutine that holds the lock could see bytes neither in the socket nor in partialCommand, and close the connection as
+// being between two requests.
 //
 // Closing a socket waits until no goroutine is inside a read of it, and the goroutine that closes holds the lock. A
 // reader that waited for the lock inside a read would deadlock with it, and the event loop, or the goroutine that accepts
@@ -136,8 +137,8 @@
 	}
 }
 
-// failAndDiscard sends an error reply for input that cannot be parsed, and discards further input until the connection
-// ends.
+// failAndDiscard sends an error reply after which no further command is processed, and discards further input until the
+// connection ends.
 //
 // If the connection were closed while the client is still sending, the kernel would reset it, and the client would lose
 // the error reply and earlier replies. So input is read for some time after the error reply. Reading starts at once, so
--- a/internal/gateway/clientrequest.go
+++ b/internal/gateway/clientrequest.go
@@ -11,7 +11,7 @@
 	*protocol.Request
 	conn      *clientConn
 	reply     *pendingReply // its entry in the connection's reply queue
-	id        uint64        // assigned by requestTable, 0 if it was not accepted; the client's own id is ClientID
+	id        uint64        // assigned by requestTable; 0 if not accepted; the client's own id is ClientID
 	arrivedAt time.Duration // event loop time at which its last byte was read
 }
 
--- a/internal/gateway/closedeadlock_test.go
+++ b/internal/gateway/closedeadlock_test.go
@@ -30,7 +30,7 @@
 // the reader needs the lock that the closing goroutine holds. If each waited for the other, the event loop, or the
 // goroutine that accepts connections, would be stuck for good.
 func TestCloseDoesNotDeadlockWithServe(t *testing.T) {
-	server := newIdleServer(t, freeAddr(t))
+	server := newServerWithoutLoop(t, freeAddr(t))
 	server.ready.Store(true)
 	conn, client := newClientPair(t, server)
 	ended := make(chan struct{})
@@ -39,7 +39,7 @@
 		close(ended)
 	}()
 	client.write(respCommand("PING"))
-	client.wants("+PONG")
+	client.wantReply("+PONG")
 	waitForReader(t, conn, "IO wait") // it waits for the next command
 	conn.mu.Lock()
 	client.write(respCommand("PING")[:5])
@@ -61,24 +61,24 @@
 
 // Input that arrives while another goroutine holds the lock is read once the lock is released.
 func TestReadContinuesOnceTheLockIsFree(t *testing.T) {
-	server := newIdleServer(t, freeAddr(t))
+	server := newServerWithoutLoop(t, freeAddr(t))
 	server.ready.Store(true)
 	conn, client := newClientPair(t, server)
 	go conn.serve()
 	client.write(respCommand("PING"))
-	client.wants("+PONG")
+	client.wantReply("+PONG")
 	waitForReader(t, conn, "IO wait")
 	conn.mu.Lock()
 	client.write(respCommand("PING"))
 	waitForReader(t, conn, "sync.Mutex.Lock")
 	conn.mu.Unlock()
-	client.wants("+PONG")
+	client.wantReply("+PONG")
 }
 
 // A reader that is just entering a read while another goroutine holds the lock and closes the connection must not wait
 // for that lock inside the read, because the close waits for the read.
 func TestCloseDoesNotDeadlockWithARead(t *testing.T) {
-	server := newIdleServer(t, freeAddr(t))
+	server := newServerWithoutLoop(t, freeAddr(t))
 	conn, client := newClientPair(t, server)
 	conn.mu.Lock()
 	read := make(chan error, 1)
@@ -101,5 +101,5 @@
 	if err := <-read; err == nil {
 		t.Error("the read of a closed connection returned no error")
 	}
-	client.wantsEnd()
+	client.wantClosed()
 }
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -45,10 +45,10 @@
 	// Audit enables the fleet audit. Default nil: disabled.
 	Audit *Audit
 
-	// The following fields are set only by tests. watchIdleTimeout and settleFor override discovery.Options.IdleTimeout and
-	// settleTime; 0 keeps the default. discoveryDial replaces the dialer for discovery; nil means TCP.
-	watchIdleTimeout, settleFor time.Duration
-	discoveryDial               func(ctx context.Context, network, address string) (net.Conn, error)
+	// The following fields are set only by tests. watchIdleTimeout and reuseDelay override discovery.Options.IdleTimeout and
+	// the constant reuseDelay; 0 keeps the default. discoveryDial replaces the dialer for discovery; nil means TCP.
+	watchIdleTimeout, reuseDelay time.Duration
+	discoveryDial                func(ctx context.Context, network, address string) (net.Conn, error)
 }
 
 // SettingError reports an invalid setting of the configuration. It unwraps to the reason, such as ErrNegative or a
--- a/internal/gateway/config_test.go
+++ b/internal/gateway/config_test.go
@@ -16,17 +16,17 @@
 	c := config(t, true, 250_000)
 	settings, transport := c.Settings, c.Transport
 	if c.Name != "n1" || c.Seed != 0x8c1f30d27a5be964 || c.Sockets != 1024 || c.MemoryMB != 192 {
-		t.Errorf("config %+v", c)
+		t.Errorf("config %+v differs from the file", c)
 	}
 	if len(settings.Classes) != 3 || settings.Classes[1].Idempotency != policy.IdempotentWithKey ||
 		settings.Classes[1].DedupWindow != 12*time.Second || len(settings.Plans) != 2 || settings.Plans[1].Rate != 2.5 ||
 		!settings.SharedCounter || settings.DrainGrace != 250*time.Millisecond {
-		t.Errorf("settings %+v", settings)
+		t.Errorf("settings %+v differ from the file", settings)
 	}
 	if fmt.Sprint(transport.Classes, transport.Plans, transport.Zones, transport.Kinds) !=
 		"[evaluate change once] [open starter] [dc1] [std]" ||
 		transport.DialTimeout != 250*time.Millisecond || transport.ConnIdleTimeout != 30*time.Second {
-		t.Errorf("transport %+v", transport)
+		t.Errorf("transport %+v differs from the file", transport)
 	}
 	if err := c.Check(); err != nil {
 		t.Error(err)
@@ -65,7 +65,7 @@
 	}
 }
 
-// A configuration that can't be read gives an error of one line, which names the setting if there is one.
+// A configuration that cannot be read gives an error of one line, which names the setting if there is one.
 func TestReadConfigErrorIsOneLine(t *testing.T) {
 	for name, c := range map[string]struct{ text, setting string }{
 		"empty":                   {text: ""},
--- a/internal/gateway/counter/client.go
+++ b/internal/gateway/counter/client.go
@@ -170,9 +170,9 @@
 	}
 }
 
-// Sweep closes idle connections, before the counter would, and connections on which a reply is overdue. The event loop
-// calls it every second.
-func (c *Client) Sweep() {
+// CloseIdleAndStalled closes idle connections before the counter does, and connections on which a reply is overdue. The
+// event loop calls it every second.
+func (c *Client) CloseIdleAndStalled() {
 	now := c.loop.Now()
 	for _, conn := range c.connections {
 		switch {
--- a/internal/gateway/counter/client_test.go
+++ b/internal/gateway/counter/client_test.go
@@ -93,9 +93,9 @@
 	c.waitForResults(namedResult{8, policy.ConnectFailed, 0})
 }
 
-// Sweep closes a connection on which a reply is overdue. It also closes an idle one before the counter does, since a call
+// CloseIdleAndStalled closes a connection on which a reply is overdue, and an idle one before the counter does, since a call
 // written while the counter closes the connection would end as one that may have been added.
-func TestSweepClosesStalledAndIdleConnections(t *testing.T) {
+func TestStalledAndIdleConnectionsAreClosed(t *testing.T) {
 	listener := listen(t)
 	c := newTestClient(t, listener.Addr().String(), callTimeout)
 	conn := c.connections[0]
@@ -106,7 +106,7 @@
 	counter.wantRead("add 8 1 4000\r\n")
 	c.expireCalls()
 	conn.replyDueSince -= stallTimeout // simulates the passage of time
-	c.Sweep()
+	c.CloseIdleAndStalled()
 	counter.wantClosed()
 
 	c.add(8, 1)
@@ -116,7 +116,7 @@
 	counter.write("ok 1\r\n")
 	c.runUntil(func() bool { return len(conn.pending) == 0 })
 	conn.lastUsed -= idleTimeout
-	c.Sweep()
+	c.CloseIdleAndStalled()
 	counter.wantClosed()
 }
 
--- a/internal/gateway/descriptorlimit_test.go
+++ b/internal/gateway/descriptorlimit_test.go
@@ -83,7 +83,7 @@
 // held open until a goroutine had rejected it, no descriptors would be left for anything else. So a connection without
 // capacity is closed before the next one is accepted, except for the few whose input is read first.
 func TestBacklogRejectionsHoldFewDescriptors(t *testing.T) {
-	server := newIdleServer(t, freeAddr(t))
+	server := newServerWithoutLoop(t, freeAddr(t))
 	server.downstream.maxConns = 2 * budget.ConnsPerRejected
 	ln := &countingListener{Listener: listen(t)}
 	const backlog = 500
@@ -108,14 +108,14 @@
 
 // An evicted connection makes room for one new connection only, even if its reader has not cleaned up yet.
 func TestEvictedConnectionIsNotEvictedAgain(t *testing.T) {
-	server := newIdleServer(t, freeAddr(t))
-	conn, p := newClientPair(t, server) // no reader runs on it
+	server := newServerWithoutLoop(t, freeAddr(t))
+	conn, client := newClientPair(t, server) // no reader runs on it
 	conn.idleSince.Store(int64(server.now() - time.Hour))
-	if !server.downstream.closeLongestIdle(noCapacity) {
+	if !server.downstream.evictIdle(noCapacity) {
 		t.Fatal("the idle connection was not evicted")
 	}
-	p.wantsEnd()
-	if server.downstream.closeLongestIdle(noCapacity) {
+	client.wantClosed()
+	if server.downstream.evictIdle(noCapacity) {
 		t.Error("the connection was evicted twice")
 	}
 }
--- a/internal/gateway/discovery/client.go
+++ b/internal/gateway/discovery/client.go
@@ -21,7 +21,7 @@
 const (
 	// watchIdleTimeout ends a watch on which nothing is received; the agent sends a keepalive every 2 s.
 	watchIdleTimeout = 2500 * time.Millisecond
-	// fetchIdleTimeout ends a fetch on which nothing is received; the agent can answer a fetch immediately.
+	// fetchIdleTimeout ends a fetch on which nothing is received; the agent can respond to a fetch immediately.
 	fetchIdleTimeout = 2 * time.Second
 	// reconnectDelay is the delay between the end of a watch and the next one. It is short because the agent reports a
 	// draining backend immediately, and nothing may be sent to that backend 250 ms later.
@@ -77,7 +77,7 @@
 	loop             EventLoop
 	log              *slog.Logger
 	http             *http.Client
-	watchIdleTimeout time.Duration // of a watch
+	watchIdleTimeout time.Duration // also limits the idle timeout of a fetch
 	table            *table
 	address          string
 	index            int64 // of the last list or change applied
@@ -108,11 +108,11 @@
 // Index returns the index of the last list or change applied.
 func (c *Client) Index() int64 { return c.index }
 
-// Knows reports whether the table has a backend with this name, in any state.
-func (c *Client) Knows(name string) bool { return c.table.byName[name] != nil }
+// HasBackend reports whether the table has a backend with this name, in any state.
+func (c *Client) HasBackend(name string) bool { return c.table.byName[name] != nil }
 
-// Len returns the number of backends in the table, in any state.
-func (c *Client) Len() int { return len(c.table.backends) }
+// BackendCount returns the number of backends in the table, in any state.
+func (c *Client) BackendCount() int { return len(c.table.backends) }
 
 // Follow ends the current watch and starts watching the agent at an address, from the index applied last.
 func (c *Client) Follow(address string) {
@@ -175,8 +175,8 @@
 	return err
 }
 
-// Sweep removes some of the terminated backends from memory. The event loop calls it every second.
-func (c *Client) Sweep() { c.table.removeTerminated() }
+// RemoveTerminated removes a batch of the terminated backends from the table. The event loop calls it every second.
+func (c *Client) RemoveTerminated() { c.table.removeTerminated() }
 
 // update reports changes to the engine, if there are any.
 func (c *Client) update(changes []policy.Backend) {
--- a/internal/gateway/discovery/client_test.go
+++ b/internal/gateway/discovery/client_test.go
@@ -49,7 +49,7 @@
 	client.Follow(first.Address())
 	watch, from := first.Watch()
 	go io.WriteString(watch.Conn, list)
-	loop.runUntil(func() bool { return client.Len() > discoverytest.FleetSize/2 })
+	loop.runUntil(func() bool { return client.BackendCount() > discoverytest.FleetSize/2 })
 	if client.Index() != 0 || from != "0" {
 		t.Fatalf("the watch requested index %s, and the index within the list is %d; want 0 and 0", from, client.Index())
 	}
@@ -61,13 +61,14 @@
 		t.Errorf("the watch at the second agent requested index %s, want 0", from)
 	}
 	if state := client.table.byName["s-0"].backend.State; client.Index() != 0 ||
-		client.Len() == discoverytest.FleetSize+1 || state != policy.InService {
-		t.Errorf("the interrupted list was applied: index %d, %d backends, s-0 is %v", client.Index(), client.Len(), state)
+		client.BackendCount() == discoverytest.FleetSize+1 || state != policy.InService {
+		t.Errorf("the interrupted list was applied: index %d, %d backends, s-0 is %v", client.Index(),
+			client.BackendCount(), state)
 	}
 
 	go io.WriteString(watch.Conn, list)
 	loop.runUntil(func() bool { return client.Index() == 7 })
-	if n := client.Len(); n != discoverytest.FleetSize {
+	if n := client.BackendCount(); n != discoverytest.FleetSize {
 		t.Errorf("%d backends in the table, want %d", n, discoverytest.FleetSize)
 	}
 
@@ -107,8 +108,8 @@
 					t.Error("the old agent's list is reported as applied")
 				}
 			})
-			answer, _ := agent.Watch()
-			answer.Chunk(snapshot)
+			response, _ := agent.Watch()
+			response.Chunk(snapshot)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -119,8 +120,8 @@
 			client.Follow(second.Address())
 			batch()
 			loop.runUntil(func() bool { return client.table.openLists == 0 })
-			if client.Index() != 0 || client.Len() != 1 || loop.pools[inService.Name] == "" || len(loop.updates) != 0 {
-				t.Errorf("index %d, %d backends, updates %+v; want the initial backend only", client.Index(), client.Len(),
+			if client.Index() != 0 || client.BackendCount() != 1 || loop.pools[inService.Name] == "" || len(loop.updates) != 0 {
+				t.Errorf("index %d, %d backends, updates %+v; want the initial backend only", client.Index(), client.BackendCount(),
 					loop.updates)
 			}
 		})
--- a/internal/gateway/discovery/decoder.go
+++ b/internal/gateway/discovery/decoder.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// maxEntries is the maximum length of a list: three times the largest fleet (11,000 backends). A gateway holds 1 KB
+	// maxEntries is the maximum length of a list: about three times the largest fleet (11,000 backends). A gateway holds 1 KB
 	// per backend.
 	maxEntries = 1 << 15
 	// yieldInterval is the number of entries, decoded in about 0.2 ms, after which the decoder yields to other
--- a/internal/gateway/discovery/discoverytest/discoverytest.go
+++ b/internal/gateway/discovery/discoverytest/discoverytest.go
@@ -18,10 +18,10 @@
 // Timeout limits every wait in a test. Waits normally end long before it.
 const Timeout = 20 * time.Second
 
-// ResponseHead is the head of an answer whose body comes in chunks.
+// ResponseHead is the head of a response with a chunked body.
 const ResponseHead = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-// Chunked returns s as one chunk of a chunked body.
+// Chunked encodes s as one chunk of a chunked body.
 func Chunked(s string) string { return fmt.Sprintf("%x\r\n%s\r\n", len(s), s) }
 
 // FleetSize is the size of the largest supported fleet, in backends.
@@ -108,7 +108,8 @@
 	return watch, request.URL.Query().Get("index")
 }
 
-// ServeEach sends text to each watch and then nothing more. It returns when the agent ends.
+// ServeEach responds to each call with text as one chunk and then sends nothing more. It returns when the agent stops
+// listening.
 func (a *Agent) ServeEach(text string) {
 	for {
 		conn, err := a.listener.Accept()
--- a/internal/gateway/discovery/receiver.go
+++ b/internal/gateway/discovery/receiver.go
@@ -92,7 +92,7 @@
 }
 
 // runOnLoop has the loop run a task for the list being read and waits for it. Each Step of the engine therefore takes
-// only one batch, and requests are served between batches.
+// at most one batch of a list, and requests are served between batches.
 func (r *receiver) runOnLoop(task func()) error {
 	r.idle.stop() // time spent waiting for the loop is not idle time of the agent
 	defer r.idle.reset()
--- a/internal/gateway/discovery/receiver_test.go
+++ b/internal/gateway/discovery/receiver_test.go
@@ -92,7 +92,7 @@
 			t.Errorf("list %d: updates of sizes %d, want %d; error %v", c.list.Index, got, c.want, err)
 		}
 		for len(client.table.terminated) > 0 {
-			client.Sweep()
+			client.RemoveTerminated()
 		}
 		if n := len(c.list.Endpoints); client.Index() != c.list.Index || len(client.table.byName) != n || len(loop.pools) != n {
 			t.Errorf("list %d: index %d, %d backends in the table and %d in the pools, want %d", c.list.Index,
--- a/internal/gateway/discovery_test.go
+++ b/internal/gateway/discovery_test.go
@@ -16,8 +16,8 @@
 // endWatch makes serveWatch end its watch.
 var endWatch = endpoint.List{Index: -1}
 
-// wantsWatchFrom waits for the next watch and fails unless it requests the given index.
-func (gateway *testGateway) wantsWatchFrom(index string) {
+// wantWatchFrom waits for the next watch and fails unless it requests the given index.
+func (gateway *testGateway) wantWatchFrom(index string) {
 	gateway.t.Helper()
 	if from := <-gateway.watches; from != index {
 		gateway.t.Errorf("the watch requests index %s, want %s", from, index)
@@ -28,14 +28,14 @@
 func TestWatchDeliversChangesAndResumesFromLastIndex(t *testing.T) {
 	first, second := listen(t), listen(t)
 	gateway := startGateway(t, []string{first.Addr().String()})
-	gateway.wantsWatchFrom("1")
+	gateway.wantWatchFrom("1")
 	change := endpointList(7, first.Addr().String(), second.Addr().String())
 	change.Snapshot = false
 	change.Endpoints[0].Status = "DRAINING"
 	gateway.listUpdates <- change
 	gateway.listUpdates <- endWatch
-	gateway.wantsWatchFrom("7")
-	gateway.wantsServed(second, "1")
+	gateway.wantWatchFrom("7")
+	gateway.wantServed(second, "1")
 }
 
 // Invalid entries are skipped without affecting the rest of their list. The gateway becomes ready with the first backend in
@@ -44,8 +44,8 @@
 	backend := listen(t)
 	gateway := startGateway(t, nil)
 	client := gateway.dial()
-	client.command("PING") // not ready yet
-	client.wantsPrefix("-LOADING")
+	client.sendCommand("PING") // not ready yet
+	client.wantReplyPrefix("-LOADING")
 	update := endpointList(3, backend.Addr().String())
 	unknownStatus := update.Endpoints[0]
 	unknownStatus.Status = "ASLEEP"
@@ -54,9 +54,9 @@
 	gateway.listUpdates <- endWatch
 	<-gateway.watches
 	<-gateway.watches
-	client.command("PING")
-	client.wants("+PONG")
-	gateway.wantsServed(backend, "1")
+	client.sendCommand("PING")
+	client.wantReply("+PONG")
+	gateway.wantServed(backend, "1")
 }
 
 // After a reload with another discovery address, the gateway watches the new agent from the index applied last.
@@ -70,11 +70,11 @@
 	defer agent.Close()
 	defer agent.CloseClientConnections()
 	gateway.listUpdates <- endWatch // the list was sent before it, so the gateway applies it before the next watch
-	gateway.wantsWatchFrom("5")
+	gateway.wantWatchFrom("5")
 	gateway.server.Reload(strings.TrimPrefix(agent.URL, "http://"), gateway.server.cfg.Counter, "")
-	next.wantsWatchFrom("5")
+	next.wantWatchFrom("5")
 	next.listUpdates <- endpointList(6, backend.Addr().String())
-	gateway.wantsServed(backend, "1")
+	gateway.wantServed(backend, "1")
 }
 
 // startWithAgent runs a gateway that follows a scripted agent and ends a watch after the given idle timeout.
@@ -86,17 +86,17 @@
 	return gateway, agent
 }
 
-// wantsServed checks that the backend receives a request and that its reply reaches the client.
-func (gateway *testGateway) wantsServed(backend net.Listener, id string) {
+// wantServed checks that the backend receives a request and that its reply reaches the client.
+func (gateway *testGateway) wantServed(backend net.Listener, id string) {
 	gateway.t.Helper()
 	client := gateway.dial()
-	client.command("Q.ASK", tenantID, id, idempotentFields)
-	server := accept(gateway.t, backend)
-	server.message()
-	server.write("*1\r\n" + respBulk("value"))
-	client.wants("value")
+	client.sendCommand("Q.ASK", tenantID, id, idempotentFields)
+	conn := accept(gateway.t, backend)
+	conn.readMessage()
+	conn.write("*1\r\n" + respBulk("value"))
+	client.wantReply("value")
 	client.socket.Close()
-	server.socket.Close()
+	conn.socket.Close()
 }
 
 // waitForList waits until a list or change has been applied completely. Before that, a request may be routed by the
@@ -127,12 +127,12 @@
 	watch.Chunk(text[firstSpace:half])
 	watch.Chunk(text[half:] + "\r\n\r\n")
 	gateway.waitForList(7)
-	gateway.wantsServed(first, "1")
+	gateway.wantServed(first, "1")
 	change := endpointList(8, first.Addr().String(), second.Addr().String())
 	change.Snapshot, change.Endpoints[0].Status = false, "DRAINING"
 	watch.Chunk(discoverytest.Indented(t, change, "\t"))
 	gateway.waitForList(8)
-	gateway.wantsServed(second, "2") // on the same watch
+	gateway.wantServed(second, "2") // on the same watch
 }
 
 // The agent's machine or the network to it fails without resetting the connection: at the start, after a keepalive or
@@ -153,7 +153,7 @@
 	}
 	watch, _ := agent.Watch()
 	watch.Chunk(text)
-	gateway.wantsServed(backend, "1")
+	gateway.wantServed(backend, "1")
 	if _, from := agent.Watch(); from != "7" {
 		t.Errorf("the watch requests index %s, want 7", from)
 	}
@@ -174,7 +174,7 @@
 		t.Errorf("the watch requests index %s, want 1", from)
 	}
 	watch.Chunk(text)
-	gateway.wantsServed(backend, "1")
+	gateway.wantServed(backend, "1")
 }
 
 // A list with too many entries ends the watch instead of using up all memory.
--- a/internal/gateway/discoveryfailures_test.go
+++ b/internal/gateway/discoveryfailures_test.go
@@ -31,8 +31,8 @@
 	listener net.Listener
 	kind     callKind
 	fail     failure
-	answer   string        // body of the successful responses
-	refused  atomic.Int32  // connections asked for while fail is nil; the first failedCalls are refused
+	response string        // body of the successful responses
+	dialed   atomic.Int32  // connections dialed if fail is nil; the first failedCalls of them are refused
 	received atomic.Int32  // calls received of this kind, if fail is not nil
 	indexes  chan string   // the indexes requested by calls of this kind
 	ended    chan struct{} // closed at the end of the test
@@ -128,7 +128,7 @@
 		a.fail(conn, a.ended)
 		return
 	}
-	io.WriteString(conn, discoverytest.ResponseHead+discoverytest.Chunked(a.answer))
+	io.WriteString(conn, discoverytest.ResponseHead+discoverytest.Chunked(a.response))
 	if a.kind == fetchCalls {
 		io.WriteString(conn, "0\r\n\r\n")
 		return
@@ -138,7 +138,7 @@
 
 // dial connects to the agent. If fail is nil, the first failedCalls connections are refused.
 func (a *flakyAgent) dial(ctx context.Context, network, address string) (net.Conn, error) {
-	if a.fail == nil && a.refused.Add(1) <= failedCalls {
+	if a.fail == nil && a.dialed.Add(1) <= failedCalls {
 		address = freeAddr(a.t)
 	}
 	return (&net.Dialer{}).DialContext(ctx, network, address)
@@ -150,11 +150,11 @@
 	for name, fail := range failures {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			agent := &flakyAgent{t: t, listener: listen(t), kind: kind, fail: fail, answer: list,
+			agent := &flakyAgent{t: t, listener: listen(t), kind: kind, fail: fail, response: list,
 				indexes: make(chan string, 64), ended: make(chan struct{})}
 			server := agent.startGateway(options...)
-			(&testGateway{t: t, server: server}).until(func() bool { return server.discovery.Knows("s-7") })
-			if n := max(agent.received.Load(), agent.refused.Load()); n <= failedCalls {
+			(&testGateway{t: t, server: server}).waitUntil(func() bool { return server.discovery.HasBackend("s-7") })
+			if n := max(agent.received.Load(), agent.dialed.Load()); n <= failedCalls {
 				t.Errorf("%d calls, want more than %d", n, failedCalls)
 			}
 			for i := 0; i < failedCalls && kind == watchCalls && fail != nil; i++ {
--- a/internal/gateway/downstream.go
+++ b/internal/gateway/downstream.go
@@ -18,9 +18,9 @@
 // loop.
 type requestHandler interface {
 	// requestArrived accepts a request that a connection has read.
-	requestArrived(received *clientRequest)
-	// clientGone cancels a request whose client has disconnected.
-	clientGone(received *clientRequest)
+	requestArrived(request *clientRequest)
+	// clientDisconnected ends a request whose client has disconnected.
+	clientDisconnected(request *clientRequest)
 }
 
 // serviceState provides the reply to PING. It may be called from any goroutine.
@@ -43,7 +43,7 @@
 	downstreamConfig
 	loop        taskLoop
 	connCount   atomic.Int64
-	lingering   atomic.Int64  // connections in a lingering close after invalid input (startLinger)
+	lingering   atomic.Int64  // connections in a lingering close (startLinger)
 	rejected    atomic.Int64  // connections rejected for lack of capacity and not closed yet (rejectConn)
 	acceptEnded chan struct{} // closed once no more connections are accepted
 
--- a/internal/gateway/downstream_test.go
+++ b/internal/gateway/downstream_test.go
@@ -15,20 +15,20 @@
 // The client receives the backend's value complete and without the metrics, the backend receives the command unchanged
 // except for d, and the second request uses the same backend connection.
 func TestCommandAndValueAreForwardedUnchanged(t *testing.T) {
-	gateway, ln := startWithBackend(t, withoutSettleTime)
+	gateway, ln := startWithBackend(t, withoutReuseDelay)
 	client := gateway.dial()
-	client.command("PING")
-	client.wants("+PONG")
+	client.sendCommand("PING")
+	client.wantReply("+PONG")
 	value, body := strings.Repeat("v\r\n-", resp.MaxValueBytes/4), strings.Repeat("b", resp.MaxValueBytes)
 	var backend *peer
 	for range 2 {
-		client.command("q.do", tenantID, "9b1f03aa5c7e2d41", keyedFields, body)
+		client.sendCommand("q.do", tenantID, "9b1f03aa5c7e2d41", keyedFields, body)
 		if backend == nil {
 			backend = accept(t, ln)
 		}
-		m := backend.message()
+		m := backend.readMessage()
 		if len(m) != 5 || m[0] != "q.do" || m[1] != tenantID || m[2] != "9b1f03aa5c7e2d41" || m[4] != body {
-			t.Fatalf("the backend received %.100q", m)
+			t.Fatalf("the backend received %.100q, want the command unchanged except for d", m)
 		}
 		d := 0
 		for i, item := range strings.Split(m[3], ",") {
@@ -44,8 +44,8 @@
 			t.Errorf("d=%d was forwarded, want 1 to 6000", d)
 		}
 		backend.write("*3\r\n" + respBulk(value) + respBulk("used=37,cost=4") + "$-1\r\n")
-		if m := client.message(); len(m) != 1 || m[0] != value {
-			t.Fatalf("the client received %.60q", m)
+		if m := client.readMessage(); len(m) != 1 || m[0] != value {
+			t.Fatalf("the client received %.60q, want the backend's value", m)
 		}
 	}
 }
@@ -57,14 +57,14 @@
 	client.sendRequest("1")
 	first := acceptCommand(t, ln)
 	client.sendRequest("2")
-	client.command("PING")
+	client.sendCommand("PING")
 	second := accept(t, ln) // the second request is forwarded without waiting for the first
-	second.message()
+	second.readMessage()
 	second.write(fullValueReply("two"))
 	first.write(fullValueReply("one"))
-	client.wants("one")
-	client.wants("two")
-	client.wants("+PONG")
+	client.wantReply("one")
+	client.wantReply("two")
+	client.wantReply("+PONG")
 }
 
 // malformedRequests are answered with an error and not forwarded. Their framing is valid, so the connection stays open.
@@ -98,16 +98,16 @@
 	gateway, ln := startWithBackend(t)
 	for _, malformed := range malformedRequests {
 		client := gateway.dial()
-		client.command(malformed...)
-		client.wantsPrefix("-ERR ")
-		client.command("PING") // the connection is still open
-		client.wants("+PONG")
+		client.sendCommand(malformed...)
+		client.wantReplyPrefix("-ERR ")
+		client.sendCommand("PING") // the connection is still open
+		client.wantReply("+PONG")
 	}
 	for _, malformed := range malformedFrames {
 		client := gateway.dial()
 		client.write(malformed)
-		client.wantsPrefix("-ERR ")
-		client.wantsEnd()
+		client.wantReplyPrefix("-ERR ")
+		client.wantClosed()
 	}
 	ln.Close()
 	if conn, err := ln.Accept(); err == nil {
@@ -123,7 +123,7 @@
 	client.sendRequest("1")
 	backend := acceptCommand(t, ln)
 	client.socket.Close()
-	backend.wantsEnd()
+	backend.wantClosed()
 }
 
 // A client that does not read its replies must not block other clients.
@@ -154,17 +154,17 @@
 	client := gateway.dial()
 	for served := false; !served; { // some requests may be rejected meanwhile
 		client.sendRequest("2")
-		served = len(client.message()[0]) == resp.MaxValueBytes
+		served = len(client.readMessage()[0]) == resp.MaxValueBytes
 	}
 }
 
-// While no backend is known, a request is queued. It is rejected when its deadline passes, by the event loop if the engine
-// does not do it.
+// While no backend is known, a request is queued. It is answered with an error when its deadline passes, by the event loop
+// if the engine does not answer it.
 func TestOverdueRequestIsAnswered(t *testing.T) {
 	gateway := startGateway(t, nil)
 	client := gateway.dial()
-	client.command(requestWith("d=20000", "d=60")...)
-	if m := client.message(); !strings.HasPrefix(m[0], "-") {
+	client.sendCommand(requestWith("d=20000", "d=60")...)
+	if m := client.readMessage(); !strings.HasPrefix(m[0], "-") {
 		t.Errorf("got %q, want an error", m)
 	}
 }
@@ -173,9 +173,9 @@
 // command.
 func TestSlowCommandsTimeOut(t *testing.T) {
 	gateway := startGateway(t, nil)
-	silent, dripping, later := gateway.dial(), gateway.dial(), gateway.dial()
-	later.command("PING")
-	later.wantsPrefix("-LOADING")
+	silent, slow, slowLater := gateway.dial(), gateway.dial(), gateway.dial()
+	slowLater.sendCommand("PING")
+	slowLater.wantReplyPrefix("-LOADING")
 	stop := make(chan struct{})
 	defer close(stop)
 	go func() {
@@ -184,14 +184,14 @@
 			case <-stop:
 				return
 			case <-time.After(commandTimeout / 20):
-				dripping.socket.Write([]byte(respCommand("PING", strings.Repeat("x", 1000))[i : i+1]))
-				later.socket.Write([]byte(respCommand("PING", strings.Repeat("x", 1000))[i : i+1]))
+				slow.socket.Write([]byte(respCommand("PING", strings.Repeat("x", 1000))[i : i+1]))
+				slowLater.socket.Write([]byte(respCommand("PING", strings.Repeat("x", 1000))[i : i+1]))
 			}
 		}
 	}()
-	silent.wantsEnd()
-	dripping.wantsPrefix("-ERR ")
-	later.wantsPrefix("-ERR ")
+	silent.wantClosed()
+	slow.wantReplyPrefix("-ERR ")
+	slowLater.wantReplyPrefix("-ERR ")
 }
 
 // A client that receives an error while it is still sending must be able to read it. Closing the connection at once would
@@ -201,24 +201,24 @@
 	client := gateway.dial()
 	client.write("*2\r\n$4\r\nPING\r\n$60000000\r\n")
 	client.write(strings.Repeat("x", 8<<20))
-	client.wantsPrefix("-ERR ")
-	client.wantsEnd()
+	client.wantReplyPrefix("-ERR ")
+	client.wantClosed()
 }
 
 // A request with the id of an open request gets an error, and not the reply to the open request.
 func TestOpenIDIsRejected(t *testing.T) {
-	gateway, ln := startWithBackend(t, withoutSettleTime)
+	gateway, ln := startWithBackend(t, withoutReuseDelay)
 	client, other := gateway.dial(), gateway.dial()
 	client.sendRequest("1")
 	backend := acceptCommand(t, ln)
 	other.sendRequest("1")
-	other.wantsPrefix("-ERR ")
+	other.wantReplyPrefix("-ERR ")
 	backend.write(valueReply("value"))
-	client.wants("value")
+	client.wantReply("value")
 	other.sendRequest("1") // the first request has ended, so its id may be used again
-	backend.message()
+	backend.readMessage()
 	backend.write(valueReply("again"))
-	other.wants("again")
+	other.wantReply("again")
 }
 
 // When idle clients have used up the limit on connections, their connections are evicted for new clients, the one that
@@ -231,24 +231,24 @@
 	var idle []*peer
 	for range 4 {
 		client := gateway.dial()
-		client.command("PING")
-		client.wantsPrefix("-LOADING")
+		client.sendCommand("PING")
+		client.wantReplyPrefix("-LOADING")
 		idle = append(idle, client)
 	}
 	gateway.setIdle(map[*peer]time.Duration{idle[0]: never, idle[1]: never, idle[2]: never, idle[3]: never})
 	rejected := gateway.dial()
-	rejected.wantsPrefix("-BUSY")
+	rejected.wantReplyPrefix("-BUSY")
 	gateway.setIdle(map[*peer]time.Duration{idle[1]: minIdle, idle[2]: 2 * minIdle})
 	client := gateway.dial()
-	client.command("PING")
-	client.wantsPrefix("-LOADING")
-	idle[2].wantsEnd()
+	client.sendCommand("PING")
+	client.wantReplyPrefix("-LOADING")
+	idle[2].wantClosed()
 	idle[2] = client
 	gateway.setIdle(map[*peer]time.Duration{idle[0]: minIdleWhenFull, idle[1]: never, idle[2]: never})
-	gateway.dial().command("PING") // at the limit, a shorter idle time is enough for eviction
-	idle[0].wantsEnd()
-	idle[1].command("PING")
-	idle[1].wantsPrefix("-LOADING")
+	gateway.dial().sendCommand("PING") // at the limit, a shorter idle time is enough for eviction
+	idle[0].wantClosed()
+	idle[1].sendCommand("PING")
+	idle[1].wantReplyPrefix("-LOADING")
 }
 
 // setIdle sets how long clients' connections have been idle. It first waits until the connection's reader waits for the
@@ -278,13 +278,13 @@
 	var last *peer
 	for i := range 8 { // these requests stay open, as no backend is known
 		last = gateway.dial()
-		last.command("Q.DO", tenantID, fmt.Sprint(i), keyedFields, body)
+		last.sendCommand("Q.DO", tenantID, fmt.Sprint(i), keyedFields, body)
 		client := gateway.dial()
-		client.command("PING") // other clients are still served
-		client.wantsPrefix("-LOADING")
+		client.sendCommand("PING") // other clients are still served
+		client.wantReplyPrefix("-LOADING")
 	}
 	busy := strings.TrimSpace(string(protocol.Busy(busyRetryAfter)))
-	if m := last.message(); m[0] != busy && !strings.HasPrefix(m[0], "-ERR no memory") {
+	if m := last.readMessage(); m[0] != busy && !strings.HasPrefix(m[0], "-ERR no memory") {
 		t.Errorf("got %q, want %q or an error for lack of memory", m, busy)
 	}
 	if held := gateway.server.downstream.memory.Held(); held > 1<<18 {
@@ -295,14 +295,14 @@
 // A client that is rejected for lack of capacity has already sent its request. Closing the connection with unread bytes
 // would reset it, and the client would lose the rejection.
 func TestRejectedConnectionReceivesBusy(t *testing.T) {
-	server := newIdleServer(t, freeAddr(t))
+	server := newServerWithoutLoop(t, freeAddr(t))
 	server.downstream.maxConns = budget.ConnsPerRejected
 	conn, client := newClientPair(t, server)
 	client.sendRequest("1")
 	waitForBytes(t, conn.socket)
 	server.downstream.rejectConn(conn.socket)
-	client.wantsPrefix("-BUSY ")
-	client.wantsEnd()
+	client.wantReplyPrefix("-BUSY ")
+	client.wantClosed()
 }
 
 // A client continues to send after input that cannot be parsed. Neither the error reply nor the reply before it may be
@@ -314,7 +314,7 @@
 	backend := acceptCommand(t, ln)
 	client.write("nonsense\r\n" + strings.Repeat("x", 100<<10))
 	backend.write(valueReply("value"))
-	client.wants("value")
-	client.wants("-ERR Protocol error")
-	client.wantsEnd()
+	client.wantReply("value")
+	client.wantReply("-ERR Protocol error")
+	client.wantClosed()
 }
--- a/internal/gateway/emulatedbackend_test.go
+++ b/internal/gateway/emulatedbackend_test.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// receivedCommand is a request that an emulated backend has received.
-type receivedCommand struct {
+// forwardedRequest is a request that an emulated backend has received.
+type forwardedRequest struct {
 	from       *peer
 	id         string
-	deadlineMS int
+	timeLeftMS int
 }
 
 // replyWithValue answers the request with a value.
-func (command receivedCommand) replyWithValue() { command.from.write(valueReply("value")) }
+func (request forwardedRequest) replyWithValue() { request.from.write(valueReply("value")) }
 
 // emulateBackend runs a backend that accepts all connections of a listener, and returns a channel of the requests that it
 // receives.
-func emulateBackend(t *testing.T, ln net.Listener) <-chan receivedCommand {
-	received := make(chan receivedCommand, 1024)
+func emulateBackend(t *testing.T, ln net.Listener) <-chan forwardedRequest {
+	received := make(chan forwardedRequest, 1024)
 	go func() {
 		for {
 			conn, err := ln.Accept()
@@ -29,16 +29,16 @@
 				return
 			}
 			t.Cleanup(func() { conn.Close() })
-			go receiveCommands(newPeerWithoutDeadline(t, conn), received)
+			go receiveRequests(newPeerWithoutDeadline(t, conn), received)
 		}
 	}()
 	return received
 }
 
-// receiveCommands sends the requests of a connection to received until the connection ends. It answers health checks.
-func receiveCommands(gateway *peer, received chan<- receivedCommand) {
+// receiveRequests sends the requests of a connection to received until the connection ends. It answers health checks.
+func receiveRequests(gateway *peer, received chan<- forwardedRequest) {
 	for {
-		message, err := gateway.tryMessage()
+		message, err := gateway.tryReadMessage()
 		if err != nil {
 			return
 		}
@@ -46,32 +46,32 @@
 			gateway.socket.Write([]byte("+PONG\r\n"))
 			continue
 		}
-		command := receivedCommand{from: gateway, id: message[2]}
+		request := forwardedRequest{from: gateway, id: message[2]}
 		for _, field := range strings.Split(message[3], ",") {
 			if value, ok := strings.CutPrefix(field, "d="); ok {
-				command.deadlineMS, _ = strconv.Atoi(value)
+				request.timeLeftMS, _ = strconv.Atoi(value)
 			}
 		}
-		received <- command
+		received <- request
 	}
 }
 
-// nextCommand waits for the next forwarded request.
-func nextCommand(t *testing.T, received <-chan receivedCommand) receivedCommand {
+// nextForwarded waits for the next forwarded request.
+func nextForwarded(t *testing.T, received <-chan forwardedRequest) forwardedRequest {
 	t.Helper()
 	select {
-	case command := <-received:
-		return command
+	case request := <-received:
+		return request
 	case <-time.After(testTimeout):
 		t.Fatalf("no request was forwarded within %v", testTimeout)
-		return receivedCommand{}
+		return forwardedRequest{}
 	}
 }
 
-// wantNextCommand waits for the next forwarded request and fails unless it has the given id.
-func wantNextCommand(t *testing.T, received <-chan receivedCommand, id string) {
+// wantNextForwarded waits for the next forwarded request and fails unless it has the given id.
+func wantNextForwarded(t *testing.T, received <-chan forwardedRequest, id string) {
 	t.Helper()
-	if command := nextCommand(t, received); command.id != id {
-		t.Errorf("request %s was forwarded, want %s", command.id, id)
+	if request := nextForwarded(t, received); request.id != id {
+		t.Errorf("request %s was forwarded, want %s", request.id, id)
 	}
 }
--- a/internal/gateway/eventloop.go
+++ b/internal/gateway/eventloop.go
@@ -26,7 +26,7 @@
 }
 
 // eventLoop holds the pending work of the loop goroutine: tasks from other goroutines, timers, and events for the engine.
-// Server.Run processes it. Only the channels may be used by other goroutines.
+// Server.Run processes it. Other goroutines may use only the channels and startedAt, which never changes.
 type eventLoop struct {
 	startedAt time.Time
 	tasks     chan func()
--- a/internal/gateway/gatewayprocess_test.go
+++ b/internal/gateway/gatewayprocess_test.go
@@ -21,7 +21,7 @@
 )
 
 // gatewayProcessEnv is the environment variable that makes the test binary run a gateway instead of the tests.
-const gatewayProcessEnv = "GATEWAY_CROWDED"
+const gatewayProcessEnv = "GATEWAY_TEST_PROCESS"
 
 func TestMain(m *testing.M) {
 	if os.Getenv(gatewayProcessEnv) != "" {
@@ -262,8 +262,8 @@
 			t.Fatal(err)
 		}
 		client := newPeer(t, conn)
-		client.command("PING")
-		if message, err := client.tryMessage(); err == nil && message[0] == "+PONG" {
+		client.sendCommand("PING")
+		if message, err := client.tryReadMessage(); err == nil && message[0] == "+PONG" {
 			return &activeClient{peer: client, gateway: gateway}
 		}
 	}
@@ -273,7 +273,7 @@
 func (client *activeClient) sendRequestOfPlan(plan string) {
 	client.t.Helper()
 	client.requests++
-	client.command("Q.ASK", tenantID, fmt.Sprint(client.requests),
+	client.sendCommand("Q.ASK", tenantID, fmt.Sprint(client.requests),
 		strings.Replace(idempotentFields, "t=open", "t="+plan, 1))
 }
 
--- a/internal/gateway/largefleet_test.go
+++ b/internal/gateway/largefleet_test.go
@@ -23,9 +23,9 @@
 	fields := strings.Replace(idempotentFields, "spread=1,first=0", fmt.Sprintf("spread=%d,first=%d", gateways, gateways-1), 1)
 	for i := range 20 {
 		id := fmt.Sprint("request", i)
-		client.command("Q.ASK", tenantID, id, fields)
-		nextCommand(t, received).replyWithValue()
-		client.wants("value")
+		client.sendCommand("Q.ASK", tenantID, id, fields)
+		nextForwarded(t, received).replyWithValue()
+		client.wantReply("value")
 	}
-	gateway.until(func() bool { return len(gateway.server.upstream.pools) == backends })
+	gateway.waitUntil(func() bool { return len(gateway.server.upstream.pools) == backends })
 }
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -130,10 +130,10 @@
 	if capacity == ampleCapacity {
 		return true
 	}
-	return down.closeLongestIdle(capacity) || capacity != noCapacity
+	return down.evictIdle(capacity) || capacity != noCapacity
 }
 
-// closeLongestIdle evicts the connection that comes first by evictionRank, and reports whether it evicted one. Without
+// evictIdle evicts the connection that comes first by evictionRank, and reports whether it evicted one. Without
 // eviction, clients that send one request or none and keep their connections open would use up the clients' share of
 // descriptors, and all other clients would be rejected.
 //
@@ -141,22 +141,22 @@
 // sent in time. A connection is therefore closed only if neither its buffer nor its socket holds part of a command, and
 // reading and that check exclude each other. Otherwise another connection is chosen.
 // TestUnreadRequestKeepsTheConnection covers this.
-func (down *downstream) closeLongestIdle(capacity connCapacity) bool {
-	longest := down.longestIdle(capacity)
+func (down *downstream) evictIdle(capacity connCapacity) bool {
+	longest := down.evictionCandidate(capacity)
 	if longest == nil {
 		return false
 	}
 	ended := longest.closeIfBetweenRequests()
 	longest.idleSince.Store(notEvictable)
 	if !ended { // a request has just arrived on it
-		return down.closeLongestIdle(capacity)
+		return down.evictIdle(capacity)
 	}
 	runtime.Gosched() // lets the connection's reader release the descriptor
 	return true
 }
 
-// longestIdle returns the connection to evict first, or nil if none may be evicted.
-func (down *downstream) longestIdle(capacity connCapacity) *clientConn {
+// evictionCandidate returns the connection to evict first, or nil if none may be evicted.
+func (down *downstream) evictionCandidate(capacity connCapacity) *clientConn {
 	now := down.loop.now()
 	var first *clientConn
 	var firstRank time.Duration
--- a/internal/gateway/overduerequest_test.go
+++ b/internal/gateway/overduerequest_test.go
@@ -16,13 +16,13 @@
 	for name, delayLoop := range map[string]func(gateway *testGateway, sendRequest func()){
 		"late at the deadline": func(gateway *testGateway, sendRequest func()) {
 			sendRequest()
-			gateway.until(func() bool { return len(gateway.server.requests.byID) == 1 })
-			release := gateway.holdLoop()
+			gateway.waitUntil(func() bool { return len(gateway.server.requests.byID) == 1 })
+			release := gateway.blockLoop()
 			time.Sleep(clientTimeout + 50*time.Millisecond)
 			release()
 		},
 		"late between arrival and step": func(gateway *testGateway, sendRequest func()) {
-			release := gateway.holdLoop()
+			release := gateway.blockLoop()
 			sendRequest()
 			gateway.waitForTasks(1)
 			gateway.server.post(func() { time.Sleep(50 * time.Millisecond) }) // in the same iteration as the arrival
@@ -35,9 +35,9 @@
 			gateway.server.post(func() { gateway.server.requests.log = slog.New(slog.NewTextHandler(&log, nil)) })
 			client := gateway.dial()
 			delayLoop(gateway, func() {
-				client.command(requestWith("d=20000", fmt.Sprint("d=", clientTimeout.Milliseconds()))...)
+				client.sendCommand(requestWith("d=20000", fmt.Sprint("d=", clientTimeout.Milliseconds()))...)
 			})
-			client.wantsPrefix("-BUSY")
+			client.wantReplyPrefix("-BUSY")
 			if strings.Contains(log.String(), "deadline exceeded") {
 				t.Errorf("the loop's deadline timer answered instead of the engine: %s", log.String())
 			}
--- a/internal/gateway/peer_test.go
+++ b/internal/gateway/peer_test.go
@@ -59,8 +59,8 @@
 	}
 }
 
-// command sends a command.
-func (p *peer) command(args ...string) {
+// sendCommand sends a command.
+func (p *peer) sendCommand(args ...string) {
 	p.t.Helper()
 	p.write(respCommand(args...))
 }
@@ -74,19 +74,19 @@
 	return s
 }
 
-// message reads one RESP message and returns its elements. A simple string, error or integer is a single element and
+// readMessage reads one RESP message and returns its elements. A simple string, error or integer is a single element and
 // includes its type byte.
-func (p *peer) message() []string {
+func (p *peer) readMessage() []string {
 	p.t.Helper()
-	m, err := p.tryMessage()
+	m, err := p.tryReadMessage()
 	if err != nil {
 		p.t.Fatal(err)
 	}
 	return m
 }
 
-// tryMessage does the same as message but returns an error instead of failing the test.
-func (p *peer) tryMessage() ([]string, error) {
+// tryReadMessage does the same as readMessage but returns an error instead of failing the test.
+func (p *peer) tryReadMessage() ([]string, error) {
 	line, err := p.reader.ReadString('\n')
 	if err != nil {
 		return nil, err
@@ -98,7 +98,7 @@
 		fmt.Sscan(line[1:], &n)
 		var all []string
 		for range n {
-			m, err := p.tryMessage()
+			m, err := p.tryReadMessage()
 			if err != nil {
 				return nil, err
 			}
@@ -114,26 +114,26 @@
 	return []string{line}, nil
 }
 
-// wants reads one reply and fails unless it equals want.
-func (p *peer) wants(want string) {
+// wantReply reads one reply and fails unless it equals want.
+func (p *peer) wantReply(want string) {
 	p.t.Helper()
-	if m := p.message(); len(m) != 1 || m[0] != want {
+	if m := p.readMessage(); len(m) != 1 || m[0] != want {
 		p.t.Fatalf("got %q, want %q", m, want)
 	}
 }
 
-// wantsPrefix reads one reply and fails unless it begins with want.
-func (p *peer) wantsPrefix(want string) {
+// wantReplyPrefix reads one reply and fails unless it begins with want.
+func (p *peer) wantReplyPrefix(want string) {
 	p.t.Helper()
-	if m := p.message(); len(m) != 1 || !strings.HasPrefix(m[0], want) {
+	if m := p.readMessage(); len(m) != 1 || !strings.HasPrefix(m[0], want) {
 		p.t.Fatalf("got %q, want %s...", m, want)
 	}
 }
 
-// wantsEnd waits for the end of the connection and fails if a reply arrives before it.
-func (p *peer) wantsEnd() {
+// wantClosed waits for the end of the connection and fails if a reply arrives before it.
+func (p *peer) wantClosed() {
 	p.t.Helper()
-	if m, err := p.tryMessage(); err == nil {
+	if m, err := p.tryReadMessage(); err == nil {
 		p.t.Fatalf("got %q, want the end of the connection", m)
 	} else if ne, ok := err.(net.Error); ok && ne.Timeout() {
 		p.t.Fatalf("the connection is still open at its deadline of %v", testTimeout)
@@ -163,7 +163,7 @@
 func acceptCommand(t *testing.T, ln net.Listener) *peer {
 	t.Helper()
 	backend := accept(t, ln)
-	backend.message()
+	backend.readMessage()
 	return backend
 }
 
@@ -187,5 +187,5 @@
 // valueReply encodes a backend's reply that has only a value.
 func valueReply(value string) string { return "*1\r\n" + respBulk(value) }
 
-// fullValueReply encodes a backend's reply of all three elements, of which the usage figures and the load report are null.
+// fullValueReply encodes a backend's reply of all three elements, of which the metrics and the load report are null.
 func fullValueReply(value string) string { return "*3\r\n" + respBulk(value) + "$-1\r\n$-1\r\n" }
--- a/internal/gateway/protocol/parser.go
+++ b/internal/gateway/protocol/parser.go
@@ -161,8 +161,8 @@
 	return true
 }
 
-// validate checks a request whose fields are all valid by themselves. It requires the mandatory fields, and checks the
-// time left, the command and the idempotency key against the request's class.
+// validate checks a request whose fields are all valid by themselves: no required field may be missing, and the time left,
+// the command and the idempotency key must fit the request's class.
 func (parser *Parser) validate(request *Request, seen seenFields, command string) error {
 	if request.lacksRequiredField() || !seen.hasFirst {
 		return errFieldMissing
--- a/internal/gateway/protocol/reply.go
+++ b/internal/gateway/protocol/reply.go
@@ -13,7 +13,7 @@
 // Names of the metrics that a backend reports with a reply, in a list such as used=37,cost=4.
 const (
 	metricQuotaUsage = "used=" // percent of the tenant's quota
-	metricCost       = "cost=" // of the request, where it is settled on the response
+	metricCost       = "cost=" // true cost of the request; see policy.Settings.CostSettledOnResponse
 )
 
 // maxQuotaUsage, in percent, is the upper bound of plausible usage; a report at or above it is ignored.
--- a/internal/gateway/protocol/request.go
+++ b/internal/gateway/protocol/request.go
@@ -54,7 +54,7 @@
 	return command
 }
 
-// lacksRequiredField reports whether one of the mandatory fields that the Request stores is missing.
+// lacksRequiredField reports whether one of the required fields that the Request stores is missing.
 func (request *Request) lacksRequiredField() bool {
 	return request.Class < 0 || request.Plan < 0 || request.TimeLeft == 0 || request.Cost == 0 || request.Gateways == 0
 }
--- a/internal/gateway/rawsocket/rawsocket.go
+++ b/internal/gateway/rawsocket/rawsocket.go
@@ -1,6 +1,6 @@
 // Package rawsocket inspects and writes to TCP sockets directly, without blocking, while another goroutine may be reading
 // from the same connection. Connections without an operating system socket, as some tests use, are treated as open and
-// quiet, and WriteAvailable writes nothing to them.
+// without input, and WriteAvailable writes nothing to them.
 package rawsocket
 
 import (
@@ -76,13 +76,13 @@
 	return known && (closed || err != nil)
 }
 
-// Quiet reports whether the socket holds no unread data and the peer has not closed the connection.
-func Quiet(conn net.Conn) bool {
-	quiet := false
+// ReadWouldBlock reports whether the socket holds no unread data and neither side has closed the connection.
+func ReadWouldBlock(conn net.Conn) bool {
+	wouldBlock := false
 	known, err := peek(conn, func(_, _ int, err error) {
-		quiet = err == syscall.EAGAIN || err == syscall.EINTR
+		wouldBlock = err == syscall.EAGAIN || err == syscall.EINTR
 	})
-	return !known || err == nil && quiet
+	return !known || err == nil && wouldBlock
 }
 
 // peek tries to read one byte from the socket without removing it and without waiting, and passes the number of bytes and
--- a/internal/gateway/rawsocket/rawsocket_test.go
+++ b/internal/gateway/rawsocket/rawsocket_test.go
@@ -9,18 +9,18 @@
 // testTimeout limits every wait. No wait is expected to come close to it.
 const testTimeout = 20 * time.Second
 
-// Quiet detects unread bytes in the socket although no reader has run since they arrived.
-func TestQuietSeesUnreadBytes(t *testing.T) {
+// ReadWouldBlock detects unread bytes in the socket although no reader has run since they arrived.
+func TestReadWouldBlockUntilBytesArrive(t *testing.T) {
 	conn, peer := newPair(t)
-	if !Quiet(conn) {
-		t.Error("Quiet is false before anything was sent")
+	if !ReadWouldBlock(conn) {
+		t.Error("ReadWouldBlock is false before anything was sent")
 	}
 	if _, err := peer.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(testTimeout); Quiet(conn); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ReadWouldBlock(conn); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("Quiet stays true after a byte was sent")
+			t.Fatal("ReadWouldBlock stays true after a byte was sent")
 		}
 	}
 }
--- a/internal/gateway/ready_test.go
+++ b/internal/gateway/ready_test.go
@@ -81,12 +81,12 @@
 }
 
 // A gateway that starts with the list of the largest fleet in its configuration is ready at the first PING, even if
-// discovery is silent.
+// discovery does not respond.
 func TestReadyAtFirstPingWithConfiguredList(t *testing.T) {
 	known := discoverytest.Fleet(5, discoverytest.FleetSize)
 	server, replies, stop := runUntilReady(t, configFile(t, known), listen(t).Addr().String())
 	defer stop()
-	(&testGateway{t: t, server: server}).until(func() bool {
+	(&testGateway{t: t, server: server}).waitUntil(func() bool {
 		return len(server.upstream.pools) == discoverytest.FleetSize && server.discovery.Index() == 5
 	})
 	if len(replies) != 1 {
@@ -101,7 +101,7 @@
 	server, replies, stop := runUntilReady(t, configFile(t, endpoint.List{}), agent.Address())
 	defer stop()
 	n := 0
-	(&testGateway{t: t, server: server}).until(func() bool { n = len(server.upstream.pools); return true })
+	(&testGateway{t: t, server: server}).waitUntil(func() bool { n = len(server.upstream.pools); return true })
 	if n != discoverytest.FleetSize || !strings.HasPrefix(replies[0], "-LOADING") {
 		t.Errorf("ready with %d backends; the first reply was %q", n, replies[0])
 	}
--- a/internal/gateway/requesttable.go
+++ b/internal/gateway/requesttable.go
@@ -11,8 +11,8 @@
 
 // openRequest is a client's request that still lacks its final reply or has unfinished attempts.
 type openRequest struct {
-	id            uint64
-	received      *clientRequest
+	id            uint64 // assigned by the table
+	clientRequest *clientRequest
 	deadline      time.Duration // when the client stops waiting, on the loop's clock
 	deadlineTimer *timerqueue.Timer
 	attempts      []*backendAttempt
@@ -33,7 +33,8 @@
 
 // requestAudit is the part of the fleet audit that requestTable uses.
 type requestAudit interface {
-	// requestDecided records that a request is passed to the engine. clientID is the id that the client gave it.
+	// requestDecided records a request that the engine decides in the Step that follows. clientID is the id that the client
+	// gave it.
 	requestDecided(clientID []byte)
 	// attemptStarted records the start of an attempt.
 	attemptStarted()
@@ -82,7 +83,7 @@
 	}
 	table.clientIDInUse[clientID] = true
 	table.lastID++
-	request := &openRequest{id: table.lastID, received: received, deadline: received.arrivedAt + received.TimeLeft}
+	request := &openRequest{id: table.lastID, clientRequest: received, deadline: received.arrivedAt + received.TimeLeft}
 	received.id = request.id
 	table.byID[request.id] = request
 	table.startDeadlineTimer(request)
@@ -113,7 +114,7 @@
 	for _, request := range table.overdue {
 		if !request.ended {
 			table.log.Error("request deadline exceeded in the event loop",
-				slog.String("request_id", request.received.PrintableID()))
+				slog.String("request_id", request.clientRequest.PrintableID()))
 			table.abandon(request)
 		}
 	}
@@ -135,7 +136,7 @@
 func (table *requestTable) abandon(request *openRequest) {
 	table.end(request)
 	table.loop.emit(policy.ClientGone{ID: request.id})
-	request.received.answer([]byte(protocol.NoAnswerInTime))
+	request.clientRequest.answer([]byte(protocol.NoAnswerInTime))
 }
 
 // updateTimeLeft sets TimeLeft of the new requests among the events as of now, the time of the Step that processes them.
@@ -149,13 +150,13 @@
 		if request := table.byID[arrival.ID]; request != nil {
 			arrival.TimeLeft = max(0, request.deadline-now)
 			events[i] = arrival
-			table.audit.requestDecided(request.received.ClientID())
+			table.audit.requestDecided(request.clientRequest.ClientID())
 		}
 	}
 }
 
-// clientGone ends the request of a client that has disconnected.
-func (table *requestTable) clientGone(received *clientRequest) {
+// clientDisconnected ends the request of a client that has disconnected.
+func (table *requestTable) clientDisconnected(received *clientRequest) {
 	if request := table.byID[received.id]; request != nil && !request.ended {
 		table.end(request)
 		table.loop.emit(policy.ClientGone{ID: request.id})
@@ -171,13 +172,13 @@
 		return
 	}
 	table.end(request)
-	request.received.answer(text)
+	request.clientRequest.answer(text)
 }
 
 // end ends a request and cancels its attempts in flight, since nothing more may be sent for it.
 func (table *requestTable) end(request *openRequest) {
 	request.ended = true
-	delete(table.clientIDInUse, string(request.received.ClientID()))
+	delete(table.clientIDInUse, string(request.clientRequest.ClientID()))
 	table.loop.stopTimer(request.deadlineTimer)
 	for _, attempt := range request.attempts {
 		table.sender.cancelAttempt(attempt)
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -21,7 +21,7 @@
 //
 // It replies with an error:
 //
-//   - to input that it can't parse (clientConn.handleReadError, handleCommand and takeRequest);
+//   - to input that it cannot read or parse (clientConn.handleReadError, handleCommand and takeRequest);
 //   - to a request that reuses the id of an open request (requestTable.requestArrived);
 //   - to a request that the engine has not answered by the client's deadline or by the end of a shutdown
 //     (requestTable.abandon).
@@ -46,9 +46,9 @@
 	"bellwood/internal/policy"
 )
 
-// sweepInterval is the time between two cleanups of expired idle connections, overdue counter replies and terminated
+// cleanupInterval is the time between two cleanups of expired idle connections, overdue counter replies and terminated
 // backends.
-const sweepInterval = time.Second
+const cleanupInterval = time.Second
 
 // Server is one gateway. The goroutine of its event loop (Run) exclusively owns the engine, the requests, the attempts
 // and the timers. The goroutines that read and write sockets communicate with it by posting tasks.
@@ -112,10 +112,10 @@
 	go server.watchdog.Run(server.done, watchdog.Interval, server.log)
 	server.log.Info("gateway started", slog.String("listen", ln.Addr().String()),
 		slog.Int("backends", len(server.cfg.Known.Endpoints)))
-	server.runEvery(sweepInterval, func() {
+	server.runEvery(cleanupInterval, func() {
 		server.upstream.closeExpiredIdle()
-		server.counter.Sweep()
-		server.discovery.Sweep()
+		server.counter.CloseIdleAndStalled()
+		server.discovery.RemoveTerminated()
 	})
 	server.runLoop(ctx, ln)
 }
--- a/internal/gateway/server_test.go
+++ b/internal/gateway/server_test.go
@@ -10,7 +10,7 @@
 
 // All gateways derive the names of the shared counters from the time, so their clocks must agree.
 func TestLoopClockIsUnixTime(t *testing.T) {
-	server := newIdleServer(t)
+	server := newServerWithoutLoop(t)
 	before := time.Now().UnixNano()
 	now := server.now().Nanoseconds()
 	if after := time.Now().UnixNano(); now < before-int64(time.Second) || now > after+int64(time.Second) {
@@ -21,7 +21,7 @@
 // If the engine never answers a request, the loop's own deadline timer does, and its attempts are cancelled.
 func TestLoopAnswersRequestLostByTheEngine(t *testing.T) {
 	ln := listen(t)
-	server := newIdleServer(t, ln.Addr().String())
+	server := newServerWithoutLoop(t, ln.Addr().String())
 	attempt := newAttempt(t, server)
 	server.timers.Run(attempt.request.deadline)
 	if attempt.request.ended {
@@ -44,40 +44,40 @@
 func TestShutdownAnswersAcceptedRequests(t *testing.T) {
 	gateway, ln := startWithBackend(t)
 	early, idle := gateway.dial(), gateway.dial()
-	idle.command("PING")
-	idle.wants("+PONG")
+	idle.sendCommand("PING")
+	idle.wantReply("+PONG")
 	early.sendRequest("1")
 	backend := acceptCommand(t, ln)
 	gateway.stop()
 	late := gateway.dial()
-	late.command("PING")
-	late.wants("+PONG")
-	idle.wantsEnd()
-	late.wantsEnd()
+	late.sendCommand("PING")
+	late.wantReply("+PONG")
+	idle.wantClosed()
+	late.wantClosed()
 	early.sendRequest("2") // sent while draining: it is rejected and does not keep the connection open
 	gateway.waitForPending(2)
 	backend.write(valueReply("value"))
-	early.wants("value")
-	early.wants("-BUSY")
-	early.wantsEnd()
+	early.wantReply("value")
+	early.wantReply("-BUSY")
+	early.wantClosed()
 	gateway.waitForShutdown()
-	if !rawsocket.Quiet(backend.socket) {
+	if !rawsocket.ReadWouldBlock(backend.socket) {
 		t.Error("the rejected request was forwarded to the backend")
 	}
 }
 
 // A gateway whose counter and discovery accept connections but never respond serves requests with the endpoint list of
 // its configuration.
-func TestServesFromConfiguredListWhenDiscoveryIsSilent(t *testing.T) {
+func TestServesFromConfiguredListWhenDiscoveryDoesNotRespond(t *testing.T) {
 	ln := listen(t)
-	silent := listen(t) // accepts connections but never responds
+	unresponsive := listen(t) // accepts connections but never responds
 	gateway := startGateway(t, []string{ln.Addr().String()}, func(cfg *Config, t *testing.T) {
-		cfg.Discovery, cfg.Counter = silent.Addr().String(), silent.Addr().String()
+		cfg.Discovery, cfg.Counter = unresponsive.Addr().String(), unresponsive.Addr().String()
 		cfg.Settings.SharedCounter = true
 	})
 	client := gateway.dial()
-	client.command(requestWith("t=open", "t=starter")...)
+	client.sendCommand(requestWith("t=open", "t=starter")...)
 	backend := acceptCommand(t, ln)
 	backend.write(valueReply("value"))
-	client.wants("value")
+	client.wantReply("value")
 }
--- a/internal/gateway/idleserver_test.go
+++ b/internal/gateway/serverwithoutloop_test.go
@@ -9,9 +9,9 @@
 	"bellwood/internal/policy"
 )
 
-// newIdleServer returns a gateway whose event loop is not running, so that the test can run its tasks and timers. It has
-// backends at the given addresses.
-func newIdleServer(t *testing.T, addrs ...string) *Server {
+// newServerWithoutLoop returns a gateway whose event loop is not running, so that the test can run its tasks and timers. It
+// has backends at the given addresses.
+func newServerWithoutLoop(t *testing.T, addrs ...string) *Server {
 	t.Helper()
 	server, err := New(config(t, true, 5_000_000), discardLog)
 	if err != nil {
@@ -93,7 +93,7 @@
 // waitForBytes waits until the socket has unread bytes.
 func waitForBytes(t *testing.T, nc net.Conn) {
 	t.Helper()
-	for end := time.Now().Add(testTimeout); rawsocket.Quiet(nc); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); rawsocket.ReadWouldBlock(nc); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatalf("no bytes arrived within %v", testTimeout)
 		}
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -14,7 +14,7 @@
 // preceding reply. The connection must stay open until the request is answered.
 func TestUnreadRequestKeepsTheConnection(t *testing.T) {
 	for _, cut := range []int{1, 5, len(respCommand("PING")) - 1, len(respCommand("PING"))} {
-		server := newIdleServer(t, freeAddr(t))
+		server := newServerWithoutLoop(t, freeAddr(t))
 		server.ready.Store(true)
 		conn, client := newClientPair(t, server)
 		client.write(respCommand("PING")[:cut])
@@ -23,14 +23,14 @@
 			t.Fatalf("closed with %d bytes unread", cut)
 		}
 		conn.idleSince.Store(int64(server.now() - time.Hour))
-		if server.downstream.closeLongestIdle(noCapacity) {
+		if server.downstream.evictIdle(noCapacity) {
 			t.Fatalf("evicted with %d bytes unread", cut)
 		}
 		conn.finish()
 		go conn.serve()
 		client.write(respCommand("PING")[cut:])
-		client.wants("+PONG")
-		client.wantsEnd() // closed once no reply is pending
+		client.wantReply("+PONG")
+		client.wantClosed() // closed once no reply is pending
 	}
 }
 
@@ -39,30 +39,30 @@
 func TestShutdownRejectsPipelinedRequests(t *testing.T) {
 	gateway, ln := startWithBackend(t)
 	busy, idle := gateway.dial(), gateway.dial()
-	idle.command("PING")
-	idle.wants("+PONG")
+	idle.sendCommand("PING")
+	idle.wantReply("+PONG")
 	busy.sendRequest("1")
 	backend := acceptCommand(t, ln)
 	third := requestCommand("3")
 	busy.write(respCommand("PING"))
 	gateway.stop()
-	idle.wantsEnd() // draining has begun: further requests are rejected
+	idle.wantClosed() // draining has begun: further requests are rejected
 	busy.write(requestCommand("2") + third[:len(third)-1])
 	gateway.waitForPending(3) // request 1, the PING and request 2
 	backend.write(valueReply("value"))
-	busy.wants("value")
-	busy.wants("+PONG")
-	busy.wants("-BUSY")
+	busy.wantReply("value")
+	busy.wantReply("+PONG")
+	busy.wantReply("-BUSY")
 	busy.write(third[len(third)-1:])
-	busy.wants("-BUSY")
-	busy.wantsEnd()
+	busy.wantReply("-BUSY")
+	busy.wantClosed()
 	gateway.waitForShutdown()
 }
 
 // Closing a listener resets the connections in its backlog, although their clients see them as open and have already sent
 // requests. A shutdown must accept and answer them first.
 func TestShutdownAcceptsTheBacklog(t *testing.T) {
-	server := newIdleServer(t, freeAddr(t))
+	server := newServerWithoutLoop(t, freeAddr(t))
 	server.ready.Store(true)
 	ln := listen(t)
 	var clients []*peer
@@ -72,19 +72,19 @@
 			t.Fatal(err)
 		}
 		client := newPeer(t, nc)
-		client.command("PING")
+		client.sendCommand("PING")
 		clients = append(clients, client)
 	}
 	stopAccepting(ln) // no connection has been accepted yet
 	server.downstream.accept(ln)
 	for _, client := range clients {
-		client.wants("+PONG")
+		client.wantReply("+PONG")
 	}
 	for !server.downstream.drain() {
 		time.Sleep(time.Millisecond)
 	}
 	for _, client := range clients {
-		client.wantsEnd()
+		client.wantClosed()
 	}
 	if nc, err := net.Dial("tcp", ln.Addr().String()); err == nil {
 		nc.Close()
@@ -96,7 +96,7 @@
 // because SIGKILL does not wait for it.
 func TestShutdownAnswersOpenRequests(t *testing.T) {
 	ln := listen(t)
-	server := newIdleServer(t, ln.Addr().String())
+	server := newServerWithoutLoop(t, ln.Addr().String())
 	conn, client := newClientPair(t, server)
 	go conn.serve()
 	client.sendRequest("1")
@@ -107,10 +107,10 @@
 	}
 	backend := accept(t, ln)
 	runTasksUntil(t, server, func() bool { return server.upstream.dialed("s-0") })
-	backend.message()
+	backend.readMessage()
 	server.requests.abandonAll()
-	client.wants("-ERR no answer in time")
-	backend.wantsEnd()
+	client.wantReply("-ERR no answer in time")
+	backend.wantClosed()
 	if server.step(); len(server.requests.byID) != 0 || len(server.requests.clientIDInUse) != 0 {
 		t.Error("the request is still in the table")
 	}
@@ -121,21 +121,21 @@
 func TestShutdownEndsDespiteHungBackend(t *testing.T) {
 	gateway, ln := startWithBackend(t)
 	client := gateway.dial()
-	client.command(requestWith("d=20000", "d=1500")...)
+	client.sendCommand(requestWith("d=20000", "d=1500")...)
 	acceptCommand(t, ln) // the backend never replies
 	gateway.stop()
 	gateway.server.Reload(freeAddr(t), gateway.server.cfg.Counter, "")
 	gateway.stop()
-	if m := client.message(); len(m) != 1 || m[0][0] != '-' {
+	if m := client.readMessage(); len(m) != 1 || m[0][0] != '-' {
 		t.Errorf("got %q, want an error reply", m)
 	}
-	client.wantsEnd()
+	client.wantClosed()
 	gateway.waitForShutdown()
 }
 
 // New clients keep connecting while a shutdown empties the backlog. The listener must still stop.
 func TestAcceptEndsUnderLoad(t *testing.T) {
-	server := newIdleServer(t, freeAddr(t))
+	server := newServerWithoutLoop(t, freeAddr(t))
 	ln := listen(t)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -155,7 +155,7 @@
 // When a shutdown drains connections, a new connection whose first request is still in transit must stay open for
 // firstRequestGrace, and no longer.
 func TestNewConnectionHasTimeForItsRequest(t *testing.T) {
-	server := newIdleServer(t, freeAddr(t))
+	server := newServerWithoutLoop(t, freeAddr(t))
 	conn, client := newClientPair(t, server)
 	conn.idleSince.Store(int64(server.now() + time.Hour)) // counts as new, however slow this test runs
 	server.downstream.drain()
@@ -164,5 +164,5 @@
 	}
 	conn.idleSince.Store(int64(server.now() - firstRequestGrace))
 	server.downstream.drain()
-	client.wantsEnd()
+	client.wantClosed()
 }
--- a/internal/gateway/testgateway_test.go
+++ b/internal/gateway/testgateway_test.go
@@ -84,8 +84,8 @@
 	return startGateway(t, []string{ln.Addr().String()}, options...), ln
 }
 
-// withoutSettleTime allows a backend connection to be reused immediately after a reply.
-func withoutSettleTime(c *Config, t *testing.T) { c.settleFor = 1 }
+// withoutReuseDelay allows a backend connection to be reused immediately after a reply.
+func withoutReuseDelay(c *Config, t *testing.T) { c.reuseDelay = 1 }
 
 // config returns a configuration without backends. counter enables the shared counter; dialUS is the dial timeout in
 // microseconds.
@@ -151,8 +151,8 @@
 	}
 }
 
-// holdLoop blocks the event loop until the returned function is called. It returns once the loop is blocked.
-func (gateway *testGateway) holdLoop() (release func()) {
+// blockLoop blocks the event loop until the returned function is called. It returns once the loop is blocked.
+func (gateway *testGateway) blockLoop() (release func()) {
 	blocked, released := make(chan struct{}), make(chan struct{})
 	gateway.server.post(func() {
 		close(blocked)
@@ -164,7 +164,7 @@
 	return release
 }
 
-// waitForTasks waits until n tasks are queued for a loop that is blocked by holdLoop.
+// waitForTasks waits until n tasks are queued for a loop that is blocked by blockLoop.
 func (gateway *testGateway) waitForTasks(n int) {
 	gateway.t.Helper()
 	for end := time.Now().Add(testTimeout); len(gateway.server.tasks) < n; time.Sleep(time.Millisecond) {
@@ -177,7 +177,7 @@
 // waitForDial waits until an attempt has a backend connection that is still being dialed.
 func (gateway *testGateway) waitForDial() {
 	gateway.t.Helper()
-	gateway.until(func() bool {
+	gateway.waitUntil(func() bool {
 		for _, pool := range gateway.server.upstream.pools {
 			for conn := range pool.conns {
 				if conn.socket == nil && conn.attempt != nil {
@@ -189,8 +189,8 @@
 	})
 }
 
-// until waits until the condition is true. It evaluates the condition on the event loop.
-func (gateway *testGateway) until(condition func() bool) {
+// waitUntil waits until the condition is true. It evaluates the condition on the event loop.
+func (gateway *testGateway) waitUntil(condition func() bool) {
 	gateway.t.Helper()
 	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		result := make(chan bool)
--- a/internal/gateway/unreadclose_test.go
+++ b/internal/gateway/undetecteddisconnect_test.go
@@ -13,13 +13,13 @@
 // precedes the end of the stream. Nobody waits for the client's requests any more, so neither first attempts nor retries
 // may be forwarded. Once the disconnect has reached the socket, no attempt starts for the client, whichever connection
 // the attempt would use, and all its requests end.
-func TestUnreadCloseOfAClientPreventsForwarding(t *testing.T) {
-	scenarios := map[string]func(*unreadCloseTest) (backend *peer){
-		"new connection":      (*unreadCloseTest).beforeANewConnection,
-		"idle connection":     (*unreadCloseTest).beforeAnIdleConnection,
-		"pending dial":        (*unreadCloseTest).duringADial,
-		"retry":               (*unreadCloseTest).beforeARetry,
-		"retry after a reset": (*unreadCloseTest).beforeARetryAfterAReset,
+func TestUndetectedDisconnectPreventsForwarding(t *testing.T) {
+	scenarios := map[string]func(*undetectedDisconnectTest) (backend *peer){
+		"new connection":      (*undetectedDisconnectTest).beforeANewConnection,
+		"idle connection":     (*undetectedDisconnectTest).beforeAnIdleConnection,
+		"pending dial":        (*undetectedDisconnectTest).duringADial,
+		"retry":               (*undetectedDisconnectTest).beforeARetry,
+		"retry after a reset": (*undetectedDisconnectTest).beforeARetryAfterAReset,
 	}
 	unread := map[string]string{"nothing": "", "a command": respCommand("PING"),
 		"a long command": respCommand("Q.DO", tenantID, "9", keyedFields, strings.Repeat("b", 30<<10))}
@@ -27,13 +27,13 @@
 		for unreadName, text := range unread {
 			for how, end := range clientEnds {
 				t.Run(scenarioName+", "+how+" after "+unreadName, func(t *testing.T) {
-					test := newUnreadCloseTest(t, text, end)
+					test := newUndetectedDisconnectTest(t, text, end)
 					backend := scenario(test)
 					test.wantNotSent()
 					switch {
 					case scenarioName == "pending dial":
-						backend.wantsEnd()
-					case backend != nil && !rawsocket.Quiet(backend.socket):
+						backend.wantClosed()
+					case backend != nil && !rawsocket.ReadWouldBlock(backend.socket):
 						t.Error("the backend received something")
 					case backend == nil && test.server.upstream.connCount != 0:
 						t.Error("a backend connection was opened")
@@ -45,8 +45,8 @@
 	}
 }
 
-// unreadCloseTest is a client with two open requests, whose reader has stopped reading after them.
-type unreadCloseTest struct {
+// undetectedDisconnectTest is a client with two open requests, whose reader has stopped reading after them.
+type undetectedDisconnectTest struct {
 	t              *testing.T
 	server         *Server
 	ln             net.Listener // of the backend
@@ -55,13 +55,13 @@
 	disconnect     func() // disconnects the client, and waits until the gateway's socket has been notified
 }
 
-func newUnreadCloseTest(t *testing.T, unread string, end func(*peer)) *unreadCloseTest {
+func newUndetectedDisconnectTest(t *testing.T, unread string, end func(*peer)) *undetectedDisconnectTest {
 	t.Helper()
 	ln := listen(t)
-	server := newIdleServer(t, ln.Addr().String())
-	server.upstream.settleTime = 0
+	server := newServerWithoutLoop(t, ln.Addr().String())
+	server.upstream.reuseDelay = 0
 	conn, client := newClientPair(t, server)
-	test := &unreadCloseTest{t: t, server: server, ln: ln, conn: conn}
+	test := &undetectedDisconnectTest{t: t, server: server, ln: ln, conn: conn}
 	test.request, test.other = receiveRequest(client, server, conn, "2"), receiveRequest(client, server, conn, "3")
 	test.disconnect = func() {
 		client.write(unread)
@@ -87,7 +87,7 @@
 // openRequestByID returns the open request with the given client's id, or nil if there is none.
 func openRequestByID(server *Server, id string) *openRequest {
 	for _, request := range server.requests.byID {
-		if string(request.received.ClientID()) == id {
+		if string(request.clientRequest.ClientID()) == id {
 			return request
 		}
 	}
@@ -95,26 +95,26 @@
 }
 
 // startAttempt starts an attempt for the first request.
-func (test *unreadCloseTest) startAttempt() {
+func (test *undetectedDisconnectTest) startAttempt() {
 	test.server.requests.addAttempt(test.request, policy.SendAttempt{ID: test.request.id, Backend: "s-0"})
 }
 
 // acceptWritten accepts an attempt's connection at the backend, and waits until the command has been written to it.
-func (test *unreadCloseTest) acceptWritten(attempt *backendAttempt) *peer {
+func (test *undetectedDisconnectTest) acceptWritten(attempt *backendAttempt) *peer {
 	test.t.Helper()
 	backend := accept(test.t, test.ln)
 	runTasksUntil(test.t, test.server, func() bool { return attempt.conn.writeState.Load() == commandWritten })
-	backend.message()
+	backend.readMessage()
 	return backend
 }
 
-func (test *unreadCloseTest) beforeANewConnection() *peer {
+func (test *undetectedDisconnectTest) beforeANewConnection() *peer {
 	test.disconnect()
 	test.startAttempt()
 	return nil
 }
 
-func (test *unreadCloseTest) beforeAnIdleConnection() *peer {
+func (test *undetectedDisconnectTest) beforeAnIdleConnection() *peer {
 	first := newAttempt(test.t, test.server)
 	backend := test.acceptWritten(first)
 	backend.write("*1\r\n$1\r\nx\r\n")
@@ -125,14 +125,14 @@
 	return backend
 }
 
-func (test *unreadCloseTest) duringADial() *peer {
+func (test *undetectedDisconnectTest) duringADial() *peer {
 	test.startAttempt()
 	backend := accept(test.t, test.ln) // the event loop does not know yet that the dial has succeeded
 	test.disconnect()
 	return backend
 }
 
-func (test *unreadCloseTest) beforeARetry() *peer {
+func (test *undetectedDisconnectTest) beforeARetry() *peer {
 	test.startAttempt()
 	backend := test.acceptWritten(test.request.attempts[0])
 	backend.write("-ERR failed\r\n")
@@ -142,7 +142,7 @@
 	return backend
 }
 
-func (test *unreadCloseTest) beforeARetryAfterAReset() *peer {
+func (test *undetectedDisconnectTest) beforeARetryAfterAReset() *peer {
 	test.startAttempt()
 	backend := test.acceptWritten(test.request.attempts[0])
 	backend.reset()
@@ -153,7 +153,7 @@
 }
 
 // wantNotSent fails unless the last attempt ends with NotSent and its request is closed.
-func (test *unreadCloseTest) wantNotSent() {
+func (test *undetectedDisconnectTest) wantNotSent() {
 	test.t.Helper()
 	last := test.request.attempts[len(test.request.attempts)-1]
 	runTasksUntil(test.t, test.server, func() bool {
@@ -169,7 +169,7 @@
 }
 
 // wantAllEnded fails unless all requests of the client end once its reader runs.
-func (test *unreadCloseTest) wantAllEnded() {
+func (test *undetectedDisconnectTest) wantAllEnded() {
 	test.t.Helper()
 	go test.conn.serve()
 	runTasksUntil(test.t, test.server, func() bool {
--- a/internal/gateway/upstream.go
+++ b/internal/gateway/upstream.go
@@ -17,10 +17,10 @@
 type attemptOwner interface {
 	// answer sends a request's final reply to the client, which ends the request.
 	answer(request *openRequest, text []byte)
-	// attemptEnded reports the result of an attempt. There is exactly one result per attempt.
+	// attemptEnded reports the result of an attempt. Only the first result of an attempt counts.
 	attemptEnded(attempt *backendAttempt, result attemptResult)
-	// clientGone ends the request of a client that has disconnected.
-	clientGone(received *clientRequest)
+	// clientDisconnected ends the request of a client that has disconnected.
+	clientDisconnected(request *clientRequest)
 }
 
 // healthCheck is a health check in progress.
@@ -36,8 +36,8 @@
 	owner              attemptOwner
 	dialTimeout        time.Duration
 	backendIdleTimeout time.Duration // after which backends close an idle connection; 0: never
-	settleTime         time.Duration
-	maxRequestCost     float64 // higher costs in replies are ignored; 0: no limit
+	reuseDelay         time.Duration // see the constant
+	maxRequestCost     float64       // higher costs in replies are ignored; 0: no limit
 
 	pools     map[string]*backendPool // by backend name
 	connCount int                     // connections in all pools, including those being dialed
@@ -46,7 +46,7 @@
 
 func newUpstream(loop taskLoop, owner attemptOwner, cfg *Config) *upstream {
 	return &upstream{loop: loop, owner: owner, dialTimeout: cfg.Transport.DialTimeout,
-		backendIdleTimeout: cfg.Transport.ConnIdleTimeout, settleTime: cmp.Or(cfg.settleFor, settleTime),
+		backendIdleTimeout: cfg.Transport.ConnIdleTimeout, reuseDelay: cmp.Or(cfg.reuseDelay, reuseDelay),
 		maxRequestCost: cfg.Settings.MaxRequestCost, pools: map[string]*backendPool{},
 		maxConns: budget.BackendConns(cfg.Sockets)}
 }
@@ -107,30 +107,30 @@
 	if conn.writeState.Load() == commandUnsent { // still dialing, so the command never ran
 		status = policy.ConnectFailed
 	}
-	up.closeIdleIfSilent(conn.pool, attempt.startedAt)
+	up.closeIdleIfUnresponsive(conn.pool, attempt.startedAt)
 	up.dropConn(conn, status)
 }
 
 // endIfClientDisconnected ends the request of an attempt if its client has disconnected, and reports whether it has.
 //
-// The connection's reader may not have seen the disconnect yet: unread data may precede it, or the reader may be
-// waiting for buffer space. The backend would then work on a request whose client is gone, and the request would count
-// as forwarded after its client had left. So the state of the socket itself is checked, regardless of unread data,
+// The connection's reader may not have detected the disconnect yet: unread data may precede it, or the reader may be
+// waiting for reply capacity. The backend would then work on a request whose client has disconnected, and the request would
+// count as forwarded after the disconnect. So the state of the socket itself is checked, regardless of unread data,
 // before an attempt takes a connection and again when a dialed connection is established. However long the request has
 // waited until then, its command is written directly after one of these checks. Tested by
-// TestUnreadCloseOfAClientPreventsForwarding and TestDisconnectBehindReadAheadPreventsForwarding.
+// TestUndetectedDisconnectPreventsForwarding and TestDisconnectBehindReadAheadPreventsForwarding.
 func (up *upstream) endIfClientDisconnected(attempt *backendAttempt) bool {
-	disconnected := attempt.clientDisconnected()
+	disconnected := attempt.closeIfClientDisconnected()
 	if disconnected {
-		up.owner.clientGone(attempt.request.received)
+		up.owner.clientDisconnected(attempt.request.clientRequest)
 	}
 	return disconnected
 }
 
-// closeIdleIfSilent handles the timeout of an attempt that was started at the given time. If the backend has sent no
+// closeIdleIfUnresponsive handles the timeout of an attempt that was started at the given time. If the backend has sent no
 // reply on any connection since then, its machine may be down without having reset its connections. The connections
 // that have been idle since then are closed, so that the next attempts dial.
-func (up *upstream) closeIdleIfSilent(pool *backendPool, since time.Duration) {
+func (up *upstream) closeIdleIfUnresponsive(pool *backendPool, since time.Duration) {
 	if pool.lastReplyAt < since {
 		up.closeIdleSince(pool, since)
 	}
--- a/internal/gateway/upstream_test.go
+++ b/internal/gateway/upstream_test.go
@@ -11,26 +11,26 @@
 // A failed attempt is retried. After an error reply the connection is reused. After a connection ends without a reply, a
 // request that is idempotent by its key is retried on a new connection.
 func TestFailedAttemptIsRetried(t *testing.T) {
-	gateway, ln := startWithBackend(t, withoutSettleTime)
+	gateway, ln := startWithBackend(t, withoutReuseDelay)
 	client := gateway.dial()
-	client.command("Q.DO", tenantID, "1", keyedFields, "body")
+	client.sendCommand("Q.DO", tenantID, "1", keyedFields, "body")
 	backend := acceptCommand(t, ln)
 	backend.write("-ERR failed used=12\r\n")
-	backend.message() // the second attempt
+	backend.readMessage() // the second attempt
 	backend.socket.Close()
 	backend = acceptCommand(t, ln)
 	backend.write(fullValueReply("done"))
-	client.wants("done")
+	client.wantReply("done")
 }
 
 // A non-idempotent request that may have run is neither retried nor rejected; it fails.
 func TestNonIdempotentRequestIsNotRetried(t *testing.T) {
 	gateway, ln := startWithBackend(t)
 	client := gateway.dial()
-	client.command("Q.DO", tenantID, "1", nonIdempotentFields, "body")
+	client.sendCommand("Q.DO", tenantID, "1", nonIdempotentFields, "body")
 	backend := acceptCommand(t, ln)
 	backend.socket.Close()
-	client.wants("-ERR failed")
+	client.wantReply("-ERR failed")
 }
 
 // A malformed reply, or one that the protocol does not define for a request, is not forwarded and closes the connection.
@@ -41,11 +41,11 @@
 		ln := listen(t) // a new backend each time: the engine stops using a backend that fails twice
 		gateway := startGateway(t, []string{ln.Addr().String()})
 		client := gateway.dial()
-		client.command("Q.DO", tenantID, "1", nonIdempotentFields, "body")
+		client.sendCommand("Q.DO", tenantID, "1", nonIdempotentFields, "body")
 		backend := acceptCommand(t, ln)
 		backend.write(malformed)
-		client.wants("-ERR failed")
-		backend.wantsEnd()
+		client.wantReply("-ERR failed")
+		backend.wantClosed()
 	}
 }
 
@@ -57,12 +57,12 @@
 	client.sendRequest("1")
 	backend := acceptCommand(t, ln)
 	backend.write("*3\r\n" + respBulk("one") + "$-1\r\n$-1\r\n*3\r\n" + respBulk("stray") + "$-1\r\n$-1\r\n")
-	client.wants("one")
-	backend.wantsEnd()
+	client.wantReply("one")
+	backend.wantClosed()
 	client.sendRequest("2")
 	backend = acceptCommand(t, ln)
 	backend.write(fullValueReply("two"))
-	client.wants("two")
+	client.wantReply("two")
 }
 
 // However an attempt ends, the engine receives exactly one result. A later cancellation, deadline or end of the connection
@@ -70,12 +70,12 @@
 func TestOneResultForEachAttempt(t *testing.T) {
 	ends := map[string]struct {
 		want policy.Status
-		do   func(server *Server, attempt *backendAttempt, backend *peer)
+		act  func(server *Server, attempt *backendAttempt, backend *peer)
 	}{
-		"cancel":      {policy.Cancelled, cancelAttempt},
-		"timeout":     {policy.TimedOut, exceedDeadline},
-		"client gone": {policy.Cancelled, disconnectClient},
-		"closed":      {policy.ConnectionReset, func(_ *Server, _ *backendAttempt, backend *peer) { backend.socket.Close() }},
+		"cancel":     {policy.Cancelled, cancelAttempt},
+		"timeout":    {policy.TimedOut, exceedDeadline},
+		"disconnect": {policy.Cancelled, disconnectClient},
+		"closed":     {policy.ConnectionReset, func(_ *Server, _ *backendAttempt, backend *peer) { backend.socket.Close() }},
 
 		"malformed reply":     {policy.Failed, replyWith("\x00\x01\x02\r\n")},
 		"length too large":    {policy.Failed, replyWith("*1\r\n$3000000000\r\nx")},
@@ -87,16 +87,16 @@
 	for name, end := range ends {
 		t.Run(name, func(t *testing.T) {
 			ln := listen(t)
-			server := newIdleServer(t, ln.Addr().String())
+			server := newServerWithoutLoop(t, ln.Addr().String())
 			attempt := newAttempt(t, server)
 			backend := accept(t, ln)
 			runTasksUntil(t, server, func() bool { return attempt.conn.writeState.Load() != commandUnsent })
-			backend.message()
+			backend.readMessage()
 			conn := attempt.conn
 			for conn.writeState.Load() != commandWritten {
 				time.Sleep(time.Millisecond)
 			}
-			end.do(server, attempt, backend)
+			end.act(server, attempt, backend)
 			runTasksUntil(t, server, func() bool { return attempt.ended })
 			wantResult(t, server, end.want)
 			cancelAttempt(server, attempt, backend)
@@ -104,7 +104,7 @@
 			conn.connectionEnded()
 			wantResult(t, server, end.want)
 			if end.want != policy.Rejected && end.want != policy.OK {
-				backend.wantsEnd()
+				backend.wantClosed()
 			}
 		})
 	}
@@ -121,7 +121,7 @@
 }
 
 func disconnectClient(server *Server, attempt *backendAttempt, _ *peer) {
-	server.requests.clientGone(attempt.request.received)
+	server.requests.clientDisconnected(attempt.request.clientRequest)
 }
 
 func replyWith(text string) func(*Server, *backendAttempt, *peer) {
@@ -141,12 +141,12 @@
 		"absent from a snapshot": func(server *Server, _ *backendAttempt, _ *peer) {
 			server.discovery.Apply(endpointList(2).Endpoints, policy.Snapshot)
 		},
-		"cancel":      cancelAttempt,
-		"client gone": disconnectClient,
+		"cancel":     cancelAttempt,
+		"disconnect": disconnectClient,
 	} {
 		t.Run(name, func(t *testing.T) {
 			ln := listen(t)
-			server := newIdleServer(t, ln.Addr().String())
+			server := newServerWithoutLoop(t, ln.Addr().String())
 			attempt := newAttempt(t, server)
 			backend := accept(t, ln) // established, but the loop has not run connected yet
 			end(server, attempt, backend)
@@ -164,7 +164,7 @@
 					}
 				}
 			}()
-			backend.wantsEnd()
+			backend.wantClosed()
 		})
 	}
 }
@@ -173,7 +173,7 @@
 // is not sent.
 func TestConnectionLimitClosesOldestIdle(t *testing.T) {
 	first, second := listen(t), listen(t)
-	server := newIdleServer(t, first.Addr().String(), second.Addr().String())
+	server := newServerWithoutLoop(t, first.Addr().String(), second.Addr().String())
 	server.upstream.maxConns = 1
 	attempt, backend := newAttemptInFlight(t, server, first)
 	other := &backendAttempt{request: attempt.request, number: 1, backend: "s-1", deadline: attempt.deadline}
@@ -184,13 +184,13 @@
 	server.events = nil
 	other = &backendAttempt{request: attempt.request, number: 2, backend: "s-1", deadline: attempt.deadline}
 	server.upstream.startAttempt(other)
-	backend.wantsEnd()
+	backend.wantClosed()
 	accept(t, second)
 }
 
 // An attempt ends as policy.ConnectFailed if the backend refuses the connection.
 func TestRefusedConnectionIsConnectFailed(t *testing.T) {
-	server := newIdleServer(t, freeAddr(t))
+	server := newServerWithoutLoop(t, freeAddr(t))
 	attempt := newAttempt(t, server)
 	runTasksUntil(t, server, func() bool { return attempt.ended })
 	wantResult(t, server, policy.ConnectFailed)
@@ -198,12 +198,12 @@
 
 // The idle connections of a backend are closed if it has stopped replying, since its machine may be down, and if it has
 // been restarted.
-func TestIdleConnectionsToSilentOrRestartedBackendAreClosed(t *testing.T) {
+func TestIdleConnectionsToUnresponsiveOrRestartedBackendAreClosed(t *testing.T) {
 	ln := listen(t)
-	server := newIdleServer(t, ln.Addr().String())
+	server := newServerWithoutLoop(t, ln.Addr().String())
 	pool := server.upstream.pools["s-0"]
 	for _, end := range []func(){
-		func() { server.upstream.closeIdleIfSilent(pool, server.now()) },
+		func() { server.upstream.closeIdleIfUnresponsive(pool, server.now()) },
 		func() {
 			change := endpointList(2, pool.addr)
 			change.Endpoints[0].SinceMS = 5
@@ -217,7 +217,7 @@
 		if len(pool.idle) != 0 || server.upstream.connCount != 0 {
 			t.Errorf("%d idle connections, %d in total; want none", len(pool.idle), server.upstream.connCount)
 		}
-		backend.wantsEnd()
+		backend.wantClosed()
 	}
 }
 
@@ -228,7 +228,7 @@
 	attempt := newAttempt(t, server)
 	backend := accept(t, ln)
 	runTasksUntil(t, server, func() bool { return attempt.conn.writeState.Load() == commandWritten })
-	backend.message()
+	backend.readMessage()
 	return attempt, backend
 }
 
@@ -237,14 +237,14 @@
 func TestDataAfterReplyClosesConnection(t *testing.T) {
 	for _, extra := range []string{"*1\r\n$5\r\nstray\r\n", "*1\r\n$5\r\nst", "x"} {
 		ln := listen(t)
-		server := newIdleServer(t, ln.Addr().String())
+		server := newServerWithoutLoop(t, ln.Addr().String())
 		attempt, backend := newAttemptInFlight(t, server, ln)
 		backend.write("*1\r\n$1\r\nx\r\n")
 		runTasksUntil(t, server, func() bool { return attempt.ended })
 		conn := server.upstream.pools["s-0"].idle[0]
 		backend.write(extra)
 		runTasksUntil(t, server, func() bool { return conn.closed })
-		backend.wantsEnd()
+		backend.wantClosed()
 		if !conn.malformed.Load() || len(server.upstream.pools["s-0"].idle) != 0 {
 			t.Errorf("%q: malformed %v, %d idle connections; want true and none", extra, conn.malformed.Load(),
 				len(server.upstream.pools["s-0"].idle))
@@ -256,13 +256,13 @@
 // connections lead to the old process: the busy one is closed after its reply, the other immediately.
 func TestConnectionsToOldAddressAreClosed(t *testing.T) {
 	ln, next := listen(t), listen(t)
-	server := newIdleServer(t, ln.Addr().String())
+	server := newServerWithoutLoop(t, ln.Addr().String())
 	attempt, backend := newAttemptInFlight(t, server, ln)
 	server.discovery.Apply(endpointList(2, next.Addr().String()).Endpoints, policy.Snapshot)
 	backend.write("*1\r\n$1\r\nx\r\n")
 	runTasksUntil(t, server, func() bool { return attempt.ended })
 	wantResult(t, server, policy.OK)
-	backend.wantsEnd()
+	backend.wantClosed()
 	server.events = nil
 	attempt = newAttempt(t, server)
 	dialing := attempt.conn
@@ -277,20 +277,20 @@
 // The pool of a terminated backend is removed with its last connection, also if that ends by a timeout.
 func TestPoolOfTerminatedBackendIsRemoved(t *testing.T) {
 	ln := listen(t)
-	server := newIdleServer(t, ln.Addr().String())
+	server := newServerWithoutLoop(t, ln.Addr().String())
 	attempt, _ := newAttemptInFlight(t, server, ln)
 	server.discovery.Apply(endpointList(2).Endpoints, policy.Snapshot)
 	server.timers.Run(attempt.deadline)
 	wantResult(t, server, policy.TimedOut)
 	if len(server.upstream.pools) != 0 || server.upstream.connCount != 0 {
-		t.Errorf("%d pools and %d connections left, want none", len(server.upstream.pools), server.upstream.connCount)
+		t.Errorf("%d pools and %d connections remain, want none", len(server.upstream.pools), server.upstream.connCount)
 	}
 }
 
 // A health check ends as policy.OK after PONG and as policy.Failed after an error reply.
 func TestHealthCheckResultFollowsReply(t *testing.T) {
 	ln := listen(t)
-	server := newIdleServer(t, ln.Addr().String())
+	server := newServerWithoutLoop(t, ln.Addr().String())
 	for text, want := range map[string]policy.Status{"+PONG\r\n": policy.OK, "-ERR no\r\n": policy.Failed} {
 		server.events = nil
 		server.upstream.startHealthCheck("s-0")
@@ -298,7 +298,7 @@
 		runTasksUntil(t, server, func() bool {
 			return server.upstream.connCount == 1 && len(server.tasks) == 0 && server.upstream.dialed("s-0")
 		})
-		if m := backend.message(); m[0] != "PING" {
+		if m := backend.readMessage(); m[0] != "PING" {
 			t.Fatalf("the backend received %q, want PING", m)
 		}
 		backend.write(text)
@@ -320,28 +320,28 @@
 }
 
 // A backend sends a second reply to one command some milliseconds after the first. If the connection were reused
-// immediately, the next request would receive the second reply. Therefore a connection is reused only after settleTime
+// immediately, the next request would receive the second reply. Therefore a connection is reused only after reuseDelay
 // and if it has no unread data, even if that requires a new connection.
 func TestLateSecondReplyIsDiscarded(t *testing.T) {
 	ln := listen(t)
-	server := newIdleServer(t, ln.Addr().String())
-	server.upstream.settleTime = time.Hour
+	server := newServerWithoutLoop(t, ln.Addr().String())
+	server.upstream.reuseDelay = time.Hour
 	attempt, first := newAttemptInFlight(t, server, ln)
 	first.write("*1\r\n$3\r\none\r\n")
 	runTasksUntil(t, server, func() bool { return attempt.ended })
 	attempt, second := newAttemptInFlight(t, server, ln) // a new connection
 	first.write("*1\r\n$3\r\none\r\n")
-	first.wantsEnd()
+	first.wantClosed()
 	second.write("*1\r\n$3\r\ntwo\r\n")
 	runTasksUntil(t, server, func() bool { return attempt.ended })
-	server.upstream.settleTime = 0
+	server.upstream.reuseDelay = 0
 	// Run the task that reports the end of the first connection.
 	runTasksUntil(t, server, func() bool { return server.upstream.connCount == 1 })
 	pool := server.upstream.pools["s-0"]
 	if attempt = newAttempt(t, server); server.upstream.connCount != 1 || len(pool.idle) != 0 {
 		t.Errorf("%d connections, %d of them idle; want one that is in use", server.upstream.connCount, len(pool.idle))
 	}
-	if m := second.message(); m[0] != "Q.ASK" {
+	if m := second.readMessage(); m[0] != "Q.ASK" {
 		t.Errorf("the second connection received %q, want Q.ASK", m)
 	}
 }
@@ -350,13 +350,13 @@
 // backend no longer deduplicates by that key, so the request would run twice. It must not be written.
 func TestRetryAfterSendBeforeIsNotWritten(t *testing.T) {
 	ln := listen(t)
-	server := newIdleServer(t, ln.Addr().String())
+	server := newServerWithoutLoop(t, ln.Addr().String())
 	attempt := newAttempt(t, server)
 	backend := accept(t, ln) // established, but the loop has not run connected yet
 	attempt.sendBefore = server.now()
 	runTasksUntil(t, server, func() bool { return attempt.ended })
 	wantResult(t, server, policy.NotSent)
-	backend.wantsEnd()
+	backend.wantClosed()
 	server.events = nil
 	retry := policy.SendAttempt{ID: attempt.request.id, Backend: "s-0", SendBefore: 5}
 	server.requests.addAttempt(attempt.request, retry)
@@ -365,18 +365,18 @@
 	}
 }
 
-// The cost in a backend's reply, by which quotas may be settled, is passed to the engine. A cost that is malformed or above
-// the maximum is ignored.
+// The cost in a backend's reply, by which the engine may correct a tenant's quota usage, is passed to the engine. A cost
+// that is malformed or above the maximum is ignored.
 func TestReportedCostIsPassedToEngine(t *testing.T) {
-	for figures, want := range map[string]float64{"cost=1": 1, "used=3,cost=0.5": 0.5, "cost=2": 0, "cost=x": 0,
+	for metrics, want := range map[string]float64{"cost=1": 1, "used=3,cost=0.5": 0.5, "cost=2": 0, "cost=x": 0,
 		"cost=-1": 0, "cost=1e9": 0, "": 0} {
 		ln := listen(t)
-		server := newIdleServer(t, ln.Addr().String())
+		server := newServerWithoutLoop(t, ln.Addr().String())
 		attempt, backend := newAttemptInFlight(t, server, ln)
-		backend.write("*3\r\n" + respBulk("x") + respBulk(figures) + "$-1\r\n")
+		backend.write("*3\r\n" + respBulk("x") + respBulk(metrics) + "$-1\r\n")
 		runTasksUntil(t, server, func() bool { return attempt.ended })
 		if got := attemptResults(server); len(got) != 1 || got[0].Status != policy.OK || got[0].Cost != want {
-			t.Errorf("%q: results %+v, want one with the cost %v", figures, got, want)
+			t.Errorf("%q: results %+v, want one with the cost %v", metrics, got, want)
 		}
 	}
 }
--- a/internal/gateway/upstreamconns.go
+++ b/internal/gateway/upstreamconns.go
@@ -12,14 +12,14 @@
 	// connection before the backend does.
 	idleTimeoutShare = 0.6
 
-	// settleTime is the minimum time between a reply on a connection and the next command on it.
+	// reuseDelay is the minimum time between a reply on a connection and the next command on it.
 	//
 	// A faulty backend may send a second reply to one command. If it arrives after the next command has been written,
 	// the next client receives the value of another client's request. Second replies were observed up to 4 ms after the
-	// first; after settleTime such a reply is unread in the socket, and acquireIdle closes the connection. A second
+	// first; after reuseDelay such a reply is unread in the socket, and acquireIdle closes the connection. A second
 	// reply that arrives later than that is still mistaken for the next reply. Tested by
 	// TestLateSecondReplyIsDiscarded.
-	settleTime = 10 * time.Millisecond
+	reuseDelay = 10 * time.Millisecond
 )
 
 // acquire returns an idle connection or starts dialing a new one. It returns nil if no descriptor is available.
@@ -38,14 +38,14 @@
 	return conn
 }
 
-// acquireIdle returns the most recently used idle connection that has been idle for settleTime and is still usable, or
+// acquireIdle returns the most recently used idle connection that has been idle for reuseDelay and is still usable, or
 // nil if there is none. It closes connections that are not usable: unread data would be taken for the next reply, and
 // if the backend has closed the connection it would be unknown whether a command written to it ran.
 func (up *upstream) acquireIdle(pool *backendPool) *backendConn {
-	settledBy := up.loop.now() - up.settleTime
+	latestIdleSince := up.loop.now() - up.reuseDelay
 	for i := len(pool.idle) - 1; i >= 0; i-- {
 		conn := pool.idle[i]
-		if conn.idleSince > settledBy {
+		if conn.idleSince > latestIdleSince {
 			continue
 		}
 		pool.removeIdleAt(i)
--- a/internal/gateway/watchdog_test.go
+++ b/internal/gateway/watchdog_test.go
@@ -27,9 +27,9 @@
 	if text := log.String(); strings.Contains(text, "stuck") {
 		t.Fatalf("an idle loop was reported as stuck: %.500s", text)
 	}
-	release := gateway.holdLoop()
+	release := gateway.blockLoop()
 	waitForLog("event loop stuck")
-	waitForLog("(*testGateway).holdLoop")
+	waitForLog("(*testGateway).blockLoop")
 	time.Sleep(600 * time.Millisecond)
 	if n := strings.Count(log.String(), "event loop stuck"); n != 1 {
 		t.Errorf("the stuck loop was reported %d times, want once", n)
