--- a/internal/fleettest/run.go
+++ b/internal/fleettest/run.go
@@ -14,44 +14,45 @@
 	"bellwood/internal/emulator"
 )
 
-// clientReplyGrace is how long clients wait for an answer beyond their own time.
+// clientReplyGrace is how long clients wait for an answer beyond their request's timeout.
 const clientReplyGrace = 3 * time.Second
 
-// fleetRun is one run with all that takes part in it. The goroutine of Run owns it.
+// fleetRun holds the state of one run: its gateways, the emulated systems and the measurements. Only the goroutine of Run
+// uses it, except where a field's type is safe for concurrent use.
 type fleetRun struct {
 	options   Options
 	reporter  *reporter
-	program   program
+	program   gatewayProgram
 	emulated  *emulatedSystems
-	load      *loadMeter
-	drains    *drainWatch
-	real      []*measuredGateway // all that were opened
-	ready     []*measuredGateway // of them, those that became ready
+	load      *loadMetrics
+	drains    *drainMonitor
+	real      []*measuredGateway // all real gateways that were opened
+	ready     []*measuredGateway // the real gateways that became ready
 	simulated *simulatedFleet
 }
 
-// measuredGateway is a real gateway with what is measured at it.
+// measuredGateway is a real gateway with its configuration files and measurements.
 type measuredGateway struct {
 	*realGateway
 	configFiles   map[knownList]string
-	requestsEnded atomic.Int64 // while loadMeter.measuring was set
-	added         *histogram   // the time that it adds to a request
+	requestsEnded atomic.Int64 // requests that ended while loadMetrics.measuring was set
+	addedLatency  *histogram   // the latency that the gateway adds to a request
 }
 
-// knownList says which endpoint list a configuration names as known.
+// knownList says which endpoint list a configuration contains in its known field.
 type knownList string
 
 const (
 	wholeListKnown knownList = "whole"
-	noListKnown    knownList = "none" // the agent tells it
+	noListKnown    knownList = "none" // the gateway gets the list from its agent
 )
 
-// Run carries out a run and cleans up after it, however it ends. Failures of gateways become rows; an error tells that
-// the run itself failed, or was cancelled, with what was measured until then. The report is nil where the options can't be
-// used or what takes part can't be opened.
+// Run executes a run and always cleans up after it. A failure of a gateway becomes a row of the report. An error means that
+// the run itself failed or was cancelled; the report then holds what was measured until then. The report is nil if the
+// options are invalid or the gateways or emulated systems can't be opened.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	o = o.withDefaults()
-	if err := o.check(); err != nil {
+	if err := o.validate(); err != nil {
 		return nil, err
 	}
 	r, err := newFleetRun(o)
@@ -61,24 +62,25 @@
 	}
 	err = r.run(ctx)
 	r.close()
-	r.sumUp()
+	r.fillTotals()
 	return r.reporter.report, err
 }
 
-// newFleetRun opens all that takes part, but starts no gateway. The caller closes the run, also after an error.
+// newFleetRun starts the emulated systems and opens the gateways without starting them. The caller closes the run, even
+// after an error.
 func newFleetRun(o Options) (*fleetRun, error) {
-	begun := time.Now()
-	r := &fleetRun{options: o, reporter: newReporter(o, begun), load: newLoadMeter(), drains: newDrainWatch(o)}
+	startedAt := time.Now()
+	r := &fleetRun{options: o, reporter: newReporter(o, startedAt), load: newLoadMetrics(), drains: newDrainMonitor(o)}
 	command, err := readRunCommand(o.Root)
 	if err != nil && o.Fleet.RealGateways > 0 {
 		return r, err
 	}
-	folder, err := os.MkdirTemp("", "fleettest-")
+	dir, err := os.MkdirTemp("", "fleettest-")
 	if err != nil {
 		return r, err
 	}
-	r.program = program{root: o.Root, command: command, folder: folder}
-	r.emulated, err = startEmulated(o, func(backend int, id string, firstByte time.Time) {
+	r.program = gatewayProgram{root: o.Root, command: command, dir: dir}
+	r.emulated, err = startEmulatedSystems(o, func(backend int, id string, firstByte time.Time) {
 		r.drains.attemptArrived(backend, emulator.GatewayOf(id), firstByte)
 	})
 	if err != nil {
@@ -89,7 +91,7 @@
 			return r, err
 		}
 	}
-	r.simulated = newSimulatedFleet(r.emulated, begun, o.Fleet.Zones)
+	r.simulated = newSimulatedFleet(r.emulated, startedAt, o.Fleet.Zones)
 	r.simulated.onArrival, r.simulated.onAttempt = r.load.requestArrived, r.drains.attemptArrived
 	for i := range o.Fleet.SimulatedGateways {
 		if err := r.simulated.add(o.Fleet.RealGateways+i, o); err != nil {
@@ -99,15 +101,15 @@
 	return r, nil
 }
 
-// openGateway opens a real gateway and writes its configurations.
+// openGateway opens a real gateway and writes one configuration file for each knownList.
 func (r *fleetRun) openGateway(index int) error {
 	fleet := &r.options.Fleet
 	opened, err := openRealGateway(realGatewaySetup{index: index, program: &r.program,
 		settings: newSettings(index, fleet.ConfiguredGateways, fleet.Zones), seed: r.options.Load.Seed + uint64(index),
 		memoryMB: r.options.Process.MemoryMB, listenHost: gatewayHost, emulatorHost: emulatorHost,
-		catalog: r.emulated.catalog, onWatchSent: r.drains.listSent, numbers: r.emulated.numbers,
+		catalog: r.emulated.catalog, onWatchSent: r.drains.watchSent, counterValues: r.emulated.counterValues,
 		replyGrace: clientReplyGrace})
-	gateway := &measuredGateway{realGateway: opened, configFiles: map[knownList]string{}, added: newHistogram()}
+	gateway := &measuredGateway{realGateway: opened, configFiles: map[knownList]string{}, addedLatency: newHistogram()}
 	r.real = append(r.real, gateway)
 	if err != nil {
 		return err
@@ -116,7 +118,7 @@
 		wholeListKnown: r.emulated.catalog.Snapshot(),
 		noListKnown:    {Snapshot: true, Endpoints: []emulator.Endpoint{}},
 	} {
-		file := filepath.Join(r.program.folder, fmt.Sprintf("%s-%s.json", gateway.name(), known))
+		file := filepath.Join(r.program.dir, fmt.Sprintf("%s-%s.json", gateway.name(), known))
 		config, err := gateway.config(list)
 		if err != nil {
 			return err
@@ -129,43 +131,43 @@
 	return nil
 }
 
-// run goes through the phases. It returns an error only where the run itself can't go on. The goroutines that it starts
-// end before it returns, but for that of startSenders which waits for the others: it ends soon after.
+// run executes the phases. It returns an error only if the run itself can't continue. The goroutines that it starts end
+// before it returns, except the one in startSenders that waits for the others; that one ends soon after.
 func (r *fleetRun) run(ctx context.Context) error {
 	var background sync.WaitGroup
 	defer background.Wait()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	background.Go(func() { r.reporter.delay.measure(ctx) })
+	background.Go(func() { r.reporter.schedulingDelay.measure(ctx) })
 
 	heapBefore := heapAllocated()
-	load := newLoadSwitch()
+	load := newLoadSignals()
 	r.simulated.start(ctx, &background, load)
 	if err := r.startGateways(ctx); err != nil {
 		return err
 	}
 	if n := len(r.simulated.gateways); n > 0 {
-		r.reporter.row("memory of a hollow door", "MB", n, []float64{megabytes(heapAllocated()-heapBefore) / float64(n)},
-			"of the heap, with the list taken in and no load yet")
+		r.reporter.addRow("memory of a hollow door", "MB", n, []float64{megabytes(heapAllocated()-heapBefore) / float64(n)},
+			"heap memory, after the endpoint list was applied and before any load")
 	}
-	if r.running() == 0 {
-		return errors.New("no gateway is ready")
+	if r.runningGateways() == 0 {
+		return errors.New("no real gateway became ready and there are no simulated gateways")
 	}
-	r.reporter.phase("%d real and %d simulated gateways are ready", len(r.ready), len(r.simulated.gateways))
-	if err := r.applyLoad(ctx, load); err != nil {
+	r.reporter.logPhase("%d real and %d simulated gateways are ready", len(r.ready), len(r.simulated.gateways))
+	if err := r.runLoad(ctx, load); err != nil {
 		return err
 	}
-	if err := r.restartGateway(ctx); err != nil {
+	if err := r.measureRestarts(ctx); err != nil {
 		return err
 	}
-	r.endGateways()
+	r.terminateGateways()
 	return ctx.Err()
 }
 
-// running is how many gateways run, real and simulated.
-func (r *fleetRun) running() int { return len(r.ready) + len(r.simulated.gateways) }
+// runningGateways returns the number of running gateways, real and simulated.
+func (r *fleetRun) runningGateways() int { return len(r.ready) + len(r.simulated.gateways) }
 
-// heapAllocated returns how many bytes objects on the heap take after a collection.
+// heapAllocated runs a garbage collection and returns the size of the heap's objects in bytes.
 func heapAllocated() int64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -173,8 +175,8 @@
 	return int64(stats.HeapAlloc)
 }
 
-// startGateways starts the real gateways together and waits for all gateways. A real one that does not become ready is
-// left out.
+// startGateways starts all real gateways at once and waits until all gateways, real and simulated, are ready. A real gateway
+// that does not become ready is killed, reported as a failed row and excluded from the run.
 func (r *fleetRun) startGateways(ctx context.Context) error {
 	const rowName = "time to ready, first start"
 	errs := make([]error, len(r.real))
@@ -199,17 +201,18 @@
 				return err
 			}
 		}
-		r.reporter.failure(rowName, "ms", 1, errs[i])
+		r.reporter.addFailure(rowName, "ms", 1, errs[i])
 	}
-	noise := r.reporter.takeNoise()
+	noise := r.reporter.takeNoiseSuffix()
 	if len(ready) > 0 {
-		r.reporter.row(rowName, "ms", len(ready), ready,
-			"all real gateways at once, from fork to +PONG, whole list known"+noise)
+		r.reporter.addRow(rowName, "ms", len(ready), ready,
+			"all real gateways started at once, from fork to +PONG, whole list in known"+noise)
 	}
 	return r.simulated.awaitReady(ctx)
 }
 
-// startGateway starts a gateway's process and waits until it is ready. It returns the time from its start to its +PONG.
+// startGateway starts a gateway's process and waits until it is ready. It returns the time from the process's start to its
+// first +PONG.
 func (r *fleetRun) startGateway(ctx context.Context, gateway *measuredGateway, known knownList) (time.Duration, error) {
 	if err := gateway.start(gateway.configFiles[known], nil); err != nil {
 		return 0, err
@@ -218,7 +221,7 @@
 	return gateway.awaitReady(ctx, r.options.Process.ReadyTimeout)
 }
 
-// close ends all that newFleetRun and run started and have not ended.
+// close stops everything that newFleetRun and run started and that still runs, and removes the temporary directory.
 func (r *fleetRun) close() {
 	var closing sync.WaitGroup
 	for _, gateway := range r.real {
@@ -228,13 +231,13 @@
 	if r.emulated != nil {
 		r.emulated.backends.Close()
 	}
-	if r.program.folder != "" {
-		os.RemoveAll(r.program.folder)
+	if r.program.dir != "" {
+		os.RemoveAll(r.program.dir)
 	}
 }
 
-// sumUp fills in the totals.
-func (r *fleetRun) sumUp() {
+// fillTotals sets the report's totals. The ids of the direct requests contain gateway indexes above those of all gateways.
+func (r *fleetRun) fillTotals() {
 	firstSimulated, firstDirect := r.options.Fleet.RealGateways, r.options.Fleet.ConfiguredGateways
 	totals, ledger := &r.reporter.report.Totals, r.emulated.ledger
 	totals.Real = ledger.Sums(func(id string) bool { return emulator.GatewayOf(id) < firstSimulated })
@@ -251,8 +254,8 @@
 	totals.RequestsSkipped = r.simulated.requestsSkipped()
 }
 
-// pause waits, but not beyond the context's end, whose error it returns.
-func pause(ctx context.Context, d time.Duration) error {
+// sleep waits for a duration, or until the context ends; it then returns the context's error.
+func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
