--- a/internal/gateway/audit.go
+++ b/internal/gateway/audit.go
@@ -42,8 +42,8 @@
 	log     *slog.Logger
 	machine *audit.Machine
 	events  []audit.Event // for the machine's next Step
-	// Versions that the loop has applied completely. They are in force once the engine's next Step has processed their
-	// events.
+	// Versions (indexes) of the endpoint list that the loop has applied completely. They are in force once the engine's
+	// next Step has processed their events.
 	appliedVersions []audit.VersionAdopted
 	// When the last iteration of the loop began or ended. The engine's periodic check alone causes an iteration every
 	// 20 ms, so a much longer gap means that the process was paused.
--- a/internal/gateway/backendconn.go
+++ b/internal/gateway/backendconn.go
@@ -176,7 +176,8 @@
 func (conn *backendConn) connectionEnded() {
 	conn.pool.removeIdle(conn)
 	if conn.attempt != nil && conn.commandsSent.Load() > 1 {
-		conn.upstream.closeIdleSince(conn.pool, conn.idleSince) // connections idle for longer have probably ended too
+		// This connection was reused. Those to the same backend that have been idle even longer have probably ended too.
+		conn.upstream.closeIdleSince(conn.pool, conn.idleSince)
 	}
 	status := policy.ConnectionReset
 	if conn.malformed.Load() {
--- a/internal/gateway/budget/budget.go
+++ b/internal/gateway/budget/budget.go
@@ -8,13 +8,13 @@
 	clientShare    = 0.62 // of the descriptors, upper bound for clients
 	minClientShare = 0.5  // of the descriptors, lower bound for clients
 
-	// reserved is the number of descriptors that neither clients nor backends may use:
+	// reservedDescriptors is the number of descriptors that neither clients nor backends may use:
 	//   - 8 for the listener, the poller, the log and the runtime;
 	//   - 4 each for discovery and the counter, and as many for their previous addresses after a reload;
 	//   - 1 for the connection that is being accepted;
 	//   - 1 for the configuration;
 	//   - the rest for what the system opens when it loads the program.
-	reserved = 32
+	reservedDescriptors = 32
 
 	// ConnsPerRejected is the ratio of client connections to rejected connections that may be held open. A connection that
 	// was rejected for lack of capacity is held open while the client's remaining input is read.
@@ -47,7 +47,7 @@
 		return defaultConns
 	}
 	share := float64(descriptors) * clientShare
-	if left := descriptors - backendConns - reserved; float64(left) < share {
+	if left := descriptors - backendConns - reservedDescriptors; float64(left) < share {
 		share = max(float64(descriptors)*minClientShare, float64(left)*ConnsPerRejected/(ConnsPerRejected+1))
 	}
 	return max(1, int64(share))
--- a/internal/gateway/budget/bytes.go
+++ b/internal/gateway/budget/bytes.go
@@ -5,8 +5,8 @@
 // Bytes limits the memory used on behalf of all clients together: the buffers of long commands, unanswered requests and
 // unwritten replies. It is safe for concurrent use.
 type Bytes struct {
-	limit int64
-	held  atomic.Int64
+	limit    int64
+	reserved atomic.Int64
 }
 
 // NewBytes returns a budget with the given limit in bytes.
@@ -14,21 +14,21 @@
 
 // Reserve reserves n bytes and returns true, or reserves nothing and returns false if that would exceed the limit.
 func (budget *Bytes) Reserve(n int64) bool {
-	if budget.held.Add(n) > budget.limit {
-		budget.held.Add(-n)
+	if budget.reserved.Add(n) > budget.limit {
+		budget.reserved.Add(-n)
 		return false
 	}
 	return true
 }
 
 // Adjust adds n, which may be negative, to the reserved bytes without checking the limit.
-func (budget *Bytes) Adjust(n int64) { budget.held.Add(n) }
+func (budget *Bytes) Adjust(n int64) { budget.reserved.Add(n) }
 
 // Release releases n reserved bytes.
-func (budget *Bytes) Release(n int64) { budget.held.Add(-n) }
+func (budget *Bytes) Release(n int64) { budget.reserved.Add(-n) }
 
 // Exceeded reports whether more than the limit is reserved, which only Adjust can cause.
-func (budget *Bytes) Exceeded() bool { return budget.held.Load() > budget.limit }
+func (budget *Bytes) Exceeded() bool { return budget.reserved.Load() > budget.limit }
 
-// Held returns the number of reserved bytes.
-func (budget *Bytes) Held() int64 { return budget.held.Load() }
+// Reserved returns the number of reserved bytes.
+func (budget *Bytes) Reserved() int64 { return budget.reserved.Load() }
--- a/internal/gateway/clientconn.go
+++ b/internal/gateway/clientconn.go
@@ -22,8 +22,8 @@
 
 	requestOverheadBytes = 1 << 10 // memory charged for a request in addition to its text
 
-	invalidCommandDelay   = 50 * time.Millisecond // after an invalid command, from the second in a row on
-	maxConsecutiveInvalid = 16                    // the connection is closed at this many in a row
+	invalidCommandDelay    = 50 * time.Millisecond // after an invalid command, from the second since the last valid request on
+	maxInvalidSinceRequest = 16                    // the connection is closed at this many since the last valid request
 )
 
 // notEvictable is the value of clientConn.idleSince while a reply is pending. It is also set on a connection that was
@@ -42,11 +42,11 @@
 	rawSocket  syscall.RawConn // nil if the connection does not provide one
 
 	// Used by the reader only.
-	commands           *resp.Reader
-	commandDeadline    time.Time // for receiving the current or the first command; zero: no command has begun to arrive
-	readingAhead       bool      // input is buffered without processing commands, to detect a disconnect
-	deadlineSet        bool      // the socket has a read deadline
-	consecutiveInvalid int       // commands in a row that were answered with an error
+	commands            *resp.Reader
+	commandDeadline     time.Time // for receiving the current or the first command; zero: no command has begun to arrive
+	readingAhead        bool      // input is buffered without processing commands, to detect a disconnect
+	deadlineSet         bool      // the socket has a read deadline
+	invalidSinceRequest int       // invalid commands since the last valid request; PING does not reset it
 
 	commandReceived atomic.Bool  // at least one command has arrived
 	idleSince       atomic.Int64 // event loop time from which no reply is pending, or notEvictable
@@ -142,7 +142,7 @@
 	if err != nil {
 		return conn.replyInvalid(protocol.Error(err))
 	}
-	conn.consecutiveInvalid = 0
+	conn.invalidSinceRequest = 0
 	if conn.isFinishing() { // the client can try another gateway
 		return conn.replyNow(string(protocol.Busy(0)))
 	}
@@ -158,16 +158,16 @@
 	return true
 }
 
-// replyInvalid sends an error reply for an invalid command, and reports whether to continue reading. From the second
-// invalid command in a row on, it pauses before the next command is read, so that a client that keeps sending invalid
-// commands does not use up the CPU.
+// replyInvalid sends an error reply for an invalid command, and reports whether to continue reading. From the second invalid
+// command since the last valid request on, it pauses before the next command is read, so that a client that keeps sending
+// invalid commands does not use up the CPU.
 func (conn *clientConn) replyInvalid(line string) bool {
-	if conn.consecutiveInvalid++; conn.consecutiveInvalid >= maxConsecutiveInvalid {
+	if conn.invalidSinceRequest++; conn.invalidSinceRequest >= maxInvalidSinceRequest {
 		conn.failAndDiscard(line)
 		return false
 	}
 	ok := conn.replyNow(line)
-	if conn.consecutiveInvalid > 1 && ok {
+	if conn.invalidSinceRequest > 1 && ok {
 		ok = conn.pause(invalidCommandDelay)
 	}
 	return ok
--- a/internal/gateway/clientdisconnect_test.go
+++ b/internal/gateway/clientdisconnect_test.go
@@ -43,8 +43,8 @@
 			}
 			wantResult(t, server, policy.NotSent)
 			runTasksUntil(t, server, func() bool { return len(server.requests.byID) == 0 && len(server.downstream.conns) == 0 })
-			if held := server.downstream.memory.Held(); held != 0 || server.upstream.connCount != 0 {
-				t.Errorf("%d bytes and %d backend connections remain, want none", held, server.upstream.connCount)
+			if reserved := server.downstream.memory.Reserved(); reserved != 0 || server.upstream.connCount != 0 {
+				t.Errorf("%d bytes and %d backend connections remain, want none", reserved, server.upstream.connCount)
 			}
 		})
 	}
@@ -310,8 +310,8 @@
 			if n := len(server.downstream.conns); n != 0 {
 				t.Errorf("%s: %d connections remain", name, n)
 			}
-			if held := server.downstream.memory.Held(); held != 0 {
-				t.Errorf("%s: %d bytes remain reserved", name, held)
+			if reserved := server.downstream.memory.Reserved(); reserved != 0 {
+				t.Errorf("%s: %d bytes remain reserved", name, reserved)
 			}
 		}
 	}
--- a/internal/gateway/clientreply.go
+++ b/internal/gateway/clientreply.go
@@ -63,7 +63,8 @@
 	return moved
 }
 
-// exceedsUnwrittenLimit reports whether the connection is to be closed because its client reads replies too slowly.
+// exceedsUnwrittenLimit reports whether the connection is to be closed because its client reads replies too slowly: more
+// than maxUnwrittenBytes are unwritten, or more than the longest value while the clients' memory budget is exceeded.
 func (queue *replyQueue) exceedsUnwrittenLimit() bool {
 	unwritten := len(queue.unwritten)
 	return unwritten > maxUnwrittenBytes || unwritten > resp.MaxValueBytes && queue.memory.Exceeded()
--- a/internal/gateway/counter/client.go
+++ b/internal/gateway/counter/client.go
@@ -64,7 +64,7 @@
 	options     Options // Address is the current one
 	connections [MaxConns]*connection
 	// undelivered holds the calls whose result has not been passed to onResult yet, by name, in the order of the calls. It
-	// differs from the connections' pending calls: after Move, two connections may have pending calls for one name.
+	// differs from the connections' pending calls: after SetAddress, two connections may have pending calls for one name.
 	undelivered map[uint64][]*call
 }
 
@@ -100,9 +100,9 @@
 // Undelivered returns the number of names with calls whose result has not been passed to onResult yet.
 func (c *Client) Undelivered() int { return len(c.undelivered) }
 
-// Move directs new calls, and those not yet written, to another address. Replies to calls already written to the old
+// SetAddress directs new calls, and those not yet written, to another address. Replies to calls already written to the old
 // address are still accepted for retireTimeout.
-func (c *Client) Move(address string) {
+func (c *Client) SetAddress(address string) {
 	c.options.Address = address
 	now := c.loop.Now()
 	for i, old := range c.connections {
--- a/internal/gateway/counter/client_test.go
+++ b/internal/gateway/counter/client_test.go
@@ -88,7 +88,7 @@
 	counter.write("malformed\r\n")
 	c.waitForResults(namedResult{8, policy.TimedOut, 0})
 	c.results = nil
-	c.Move(refusing.Addr().String())
+	c.SetAddress(refusing.Addr().String())
 	c.add(8, 1)
 	c.waitForResults(namedResult{8, policy.ConnectFailed, 0})
 }
@@ -123,7 +123,7 @@
 // A new configuration changes the counter's address. Calls not yet written go to the new address, and replies from the old
 // one still count. Results for one name are reported in the order of the calls. Otherwise the total of a later call, which
 // includes the earlier amounts, could be followed by a smaller total.
-func TestResultsStayInOrderAfterMove(t *testing.T) {
+func TestResultsStayInOrderAfterAddressChange(t *testing.T) {
 	first, second := listen(t), listen(t)
 	c := newTestClient(t, first.Addr().String(), testTimeout)
 	c.add(8, 1)
@@ -131,7 +131,7 @@
 	c.waitConnected(c.connections[0])
 	old.wantRead("add 8 1 4000\r\n")
 	c.add(9, 1) // not connected yet
-	c.Move(second.Addr().String())
+	c.SetAddress(second.Addr().String())
 	c.add(8, 2)
 	for range 2 {
 		go accept(t, second).replyByName()
--- a/internal/gateway/counter/connection.go
+++ b/internal/gateway/counter/connection.go
@@ -17,7 +17,7 @@
 	// Without it, if the counter's machine went down without a reset, the connection would block the calls for a quarter
 	// of all names until TCP gave up.
 	stallTimeout = 2 * time.Second
-	// retireTimeout is how long the client waits for replies from the old address after Move.
+	// retireTimeout is how long the client waits for replies from the old address after SetAddress.
 	retireTimeout = 2 * time.Second
 	// maxPending is the maximum number of pending calls of a connection, including those that timed out.
 	maxPending = 1024
--- a/internal/gateway/descriptorlimit_test.go
+++ b/internal/gateway/descriptorlimit_test.go
@@ -132,9 +132,9 @@
 		}
 		const accepting = 1 // the connection that is being accepted
 		clients := server.downstream.maxConns + budget.RejectedConns(server.downstream.maxConns) + accepting
-		watch := 2 * int64(discovery.MaxConns)
-		const runtime, configuration = 8, 1 // standard files 3, poller 2, cgroup 2, listener
-		sum := clients + int64(server.upstream.maxConns) + watch + 2*counter.MaxConns + runtime + configuration
+		discoveryConns := 2 * int64(discovery.MaxConns) // also to the previous address, after a reload
+		const runtime, configuration = 8, 1             // standard files 3, poller 2, cgroup 2, listener
+		sum := clients + int64(server.upstream.maxConns) + discoveryConns + 2*counter.MaxConns + runtime + configuration
 		if sum > int64(sockets) {
 			t.Errorf("limit of %d descriptors: up to %d may be used", sockets, sum)
 		}
--- a/internal/gateway/discovery/client.go
+++ b/internal/gateway/discovery/client.go
@@ -147,8 +147,8 @@
 	})
 }
 
-// Apply applies an endpoint list or changes from a source other than the agent, in a single update of the given kind. It
-// does not advance the index.
+// Apply applies an endpoint list or changes from a source other than the agent, in a single update. The update is of the
+// given kind, except that a snapshot is reported as changes (policy.Delta). Apply does not advance the index.
 func (c *Client) Apply(endpoints []endpoint.Entry, kind policy.UpdateKind) {
 	list := c.table.open()
 	changes := c.table.apply(list, endpoints)
--- a/internal/gateway/discovery/receiver.go
+++ b/internal/gateway/discovery/receiver.go
@@ -33,9 +33,9 @@
 
 // next reads one complete list or change and has it applied. The error is ErrSuperseded or the decoder's.
 //
-// If the list is truncated, malformed or superseded, the entries read before the failure may have been applied, but no
-// backend is terminated for being absent from it and the index does not advance, so the next watch delivers all of it
-// again.
+// If the list is truncated, malformed or superseded, the entries read before the failure may have been applied, but the
+// index does not advance, so the next watch delivers all of it again. No backend is terminated for being absent from a list
+// that was not read to its end. A list that is superseded after that may have terminated some of the absent backends.
 func (r *receiver) next() (endpoint.List, error) {
 	list, err := r.decoder.next()
 	if open := r.list; err != nil && open != nil {
--- a/internal/gateway/discovery/receiver_test.go
+++ b/internal/gateway/discovery/receiver_test.go
@@ -159,8 +159,8 @@
 	}
 }
 
-// A list that is truncated, malformed, too long or superseded terminates no backend and does not advance the index.
-// Otherwise backends in the missing part of the list would lose their traffic.
+// A list that is truncated, malformed, too long or superseded before its end terminates no backend and does not advance the
+// index. Otherwise backends in the missing part of the list would lose their traffic.
 func TestIncompleteListTerminatesNoBackend(t *testing.T) {
 	long := discoverytest.Line(t, discoverytest.Fleet(9, 400))
 	entry := long[strings.Index(long, "[")+1 : strings.Index(long, "}")+1]
--- a/internal/gateway/discovery/table.go
+++ b/internal/gateway/discovery/table.go
@@ -96,7 +96,7 @@
 	return changes
 }
 
-// setBackend stores the state of a backend according to a list, unless a later list contains the backend. It reports
+// setBackend stores the state of a backend according to a list, unless a later list contained or terminated it. It reports
 // whether that changed anything.
 func (t *table) setBackend(list *openList, backend policy.Backend, address string) bool {
 	known := t.byName[backend.Name]
--- a/internal/gateway/downstream_test.go
+++ b/internal/gateway/downstream_test.go
@@ -287,8 +287,8 @@
 	if m := last.readMessage(); m[0] != busy && !strings.HasPrefix(m[0], "-ERR no memory") {
 		t.Errorf("got %q, want %q or an error for lack of memory", m, busy)
 	}
-	if held := gateway.server.downstream.memory.Held(); held > 1<<18 {
-		t.Errorf("%d bytes are reserved, want at most %d", held, 1<<18)
+	if reserved := gateway.server.downstream.memory.Reserved(); reserved > 1<<18 {
+		t.Errorf("%d bytes are reserved, want at most %d", reserved, 1<<18)
 	}
 }
 
--- a/internal/gateway/protocol/reply.go
+++ b/internal/gateway/protocol/reply.go
@@ -88,7 +88,7 @@
 	return 0
 }
 
-// findMetric returns the first valid number with the given name, including its "=", in a list of metrics.
+// findMetric returns the first valid value of a metric in a list of metrics. The name ends with "=".
 func findMetric(metrics []byte, name string) (float64, bool) {
 	for item := range bytes.SplitSeq(metrics, []byte{','}) {
 		if text, ok := bytes.CutPrefix(item, []byte(name)); ok {
--- a/internal/gateway/server.go
+++ b/internal/gateway/server.go
@@ -128,7 +128,7 @@
 			server.discovery.Follow(discoveryAddr)
 		}
 		if counterAddr != server.counter.Address() {
-			server.counter.Move(counterAddr)
+			server.counter.SetAddress(counterAddr)
 		}
 		server.log.Info("configuration reloaded", slog.String("discovery", discoveryAddr),
 			slog.String("counter", counterAddr))
--- a/internal/gateway/shutdown.go
+++ b/internal/gateway/shutdown.go
@@ -20,7 +20,7 @@
 //   - Each connection is closed between two requests or after its last reply.
 //   - Requests still open at abandonAt are answered with an error, before the operators' SIGKILL.
 //
-// See TestShutdownAnswersAcceptedRequests and TestShutdownAnswersOpenRequests.
+// See TestShutdownAnswersAcceptedRequests and TestRequestsOpenAtShutdownEndGetAnError.
 type shutdown struct {
 	drainFrom time.Duration // the listener stops after its backlog (accept), and connections are drained
 	abandonAt time.Duration // open requests are answered with an error
--- a/internal/gateway/shutdown_test.go
+++ b/internal/gateway/shutdown_test.go
@@ -94,7 +94,7 @@
 
 // A request with a long deadline is still open when the time for a shutdown is over. It must be answered with an error,
 // because SIGKILL does not wait for it.
-func TestShutdownAnswersOpenRequests(t *testing.T) {
+func TestRequestsOpenAtShutdownEndGetAnError(t *testing.T) {
 	ln := listen(t)
 	server := newServerWithoutLoop(t, ln.Addr().String())
 	conn, client := newClientPair(t, server)
--- a/internal/gateway/undetecteddisconnect_test.go
+++ b/internal/gateway/undetecteddisconnect_test.go
@@ -9,10 +9,10 @@
 	"bellwood/internal/policy"
 )
 
-// A client has disconnected, but its reader has not detected that yet, because it has not run or because other input
-// precedes the end of the stream. Nobody waits for the client's requests any more, so neither first attempts nor retries
-// may be forwarded. Once the disconnect has reached the socket, no attempt starts for the client, whichever connection
-// the attempt would use, and all its requests end.
+// A client has disconnected, but the reader of its connection has not detected that yet, because it has not run or because
+// other input precedes the end of the stream. Nobody waits for replies to the client's requests any more, so neither first
+// attempts nor retries may be forwarded. Once the disconnect has reached the socket, no attempt starts for the client,
+// whichever connection the attempt would use, and all its requests end.
 func TestUndetectedDisconnectPreventsForwarding(t *testing.T) {
 	scenarios := map[string]func(*undetectedDisconnectTest) (backend *peer){
 		"new connection":      (*undetectedDisconnectTest).beforeANewConnection,
@@ -52,7 +52,7 @@
 	ln             net.Listener // of the backend
 	conn           *clientConn
 	request, other *openRequest
-	disconnect     func() // disconnects the client, and waits until the gateway's socket has been notified
+	disconnect     func() // disconnects the client, and waits until that has reached the gateway's socket
 }
 
 func newUndetectedDisconnectTest(t *testing.T, unread string, end func(*peer)) *undetectedDisconnectTest {
--- a/internal/gateway/watchdog/watchdog.go
+++ b/internal/gateway/watchdog/watchdog.go
@@ -39,7 +39,7 @@
 func (watchdog *Watchdog) Run(done <-chan struct{}, interval time.Duration, log *slog.Logger) {
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
-	lastSeen, sameChecks := uint64(0), 0
+	lastSeen, checksWithoutProgress := uint64(0), 0
 	for {
 		select {
 		case <-ticker.C:
@@ -48,13 +48,13 @@
 		}
 		current := watchdog.transitions.Load()
 		if current != lastSeen || current%2 == 0 {
-			if sameChecks >= stuckChecks {
-				log.Warn("event loop running again", slog.Int("checks", sameChecks))
+			if checksWithoutProgress >= stuckChecks {
+				log.Warn("event loop running again", slog.Int("checks", checksWithoutProgress))
 			}
-			lastSeen, sameChecks = current, 0
+			lastSeen, checksWithoutProgress = current, 0
 			continue
 		}
-		if sameChecks++; sameChecks == stuckChecks {
+		if checksWithoutProgress++; checksWithoutProgress == stuckChecks {
 			log.Error("event loop stuck", slog.Duration("duration", stuckChecks*interval),
 				slog.String("stacks", allStacks()))
 		}
