--- a/internal/fleettest/drain.go
+++ b/internal/fleettest/drain.go
@@ -71,7 +71,7 @@
 
 // watchSent records a change of the endpoint list that was sent to a real gateway, and polls the gateway's socket until the
 // change has been read. An agent calls it on the goroutine of the watch, which continues when it returns.
-func (m *drainMonitor) watchSent(sent emulator.WatchSent) {
+func (m *drainMonitor) watchSent(sent emulator.WatchUpdate) {
 	watched := m.recordWatchSent(sent)
 	if watched == nil {
 		return
@@ -93,7 +93,7 @@
 
 // recordWatchSent records a list that was sent. It returns the monitored drain that the list announces, or nil if there is
 // none.
-func (m *drainMonitor) recordWatchSent(sent emulator.WatchSent) *drain {
+func (m *drainMonitor) recordWatchSent(sent emulator.WatchUpdate) *drain {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	d := m.current
--- a/internal/fleettest/simulatedrequest.go
+++ b/internal/fleettest/simulatedrequest.go
@@ -141,18 +141,18 @@
 }
 
 // answerRequest gives a request its final answer. It ignores nil and a request that has already ended.
-func (g *simulatedGateway) answerRequest(request *simulatedRequest, ending emulator.Ending) {
+func (g *simulatedGateway) answerRequest(request *simulatedRequest, outcome emulator.Outcome) {
 	if request != nil && !request.ended {
-		g.endRequest(request, ending)
+		g.endRequest(request, outcome)
 	}
 }
 
 // endRequest ends a request for its client and, unless it was served, cancels its open attempts.
-func (g *simulatedGateway) endRequest(request *simulatedRequest, ending emulator.Ending) {
+func (g *simulatedGateway) endRequest(request *simulatedRequest, outcome emulator.Outcome) {
 	request.ended = true
 	g.timers.Stop(request.clientTimer)
-	g.fleet.emulated.ledger.RequestEnded(request.clientRequest, ending)
-	if ending != emulator.Served {
+	g.fleet.emulated.ledger.RequestEnded(request.clientRequest, outcome)
+	if outcome != emulator.Served {
 		for _, attempt := range request.attempts {
 			g.endAttempt(attempt, policy.Cancelled)
 		}
--- a/internal/policy/settings.go
+++ b/internal/policy/settings.go
@@ -20,7 +20,7 @@
 	AllowCancel       bool          // CancelAttempt is allowed
 	AllowHealthChecks bool          // HealthCheck is allowed
 	SendRetryAfter    bool          // clients receive Reject.RetryAfter
-	MaxRetryAfter     time.Duration // the longest RetryAfter that a client heeds
+	MaxRetryAfter     time.Duration // the longest RetryAfter that clients honor
 	PollEndpoints     bool          // the engine must request the endpoint list (WatchEndpoints, FetchEndpoints)
 	PollInterval      time.Duration // with PollEndpoints: the maximum age of the list
 
@@ -45,7 +45,7 @@
 	ClientTimeout    time.Duration // how long a client waits in total
 	Idempotency      Idempotency
 	DedupScope       DedupScope    // with IdempotentWithKey
-	DedupWindow      time.Duration // with IdempotentWithKey: how long repeats are dropped once one may have run
+	DedupWindow      time.Duration // with IdempotentWithKey: repeats are dropped this long after a possible run
 	Streaming        bool          // not used by the engine: the response is streamed, see FirstByte
 }
 
