--- a/internal/gateway/backendconn.go
+++ b/internal/gateway/backendconn.go
@@ -48,7 +48,9 @@
 func (conn *backendConn) isDialing() bool { return conn.socket == nil }
 
 // usable reports whether the connection is still open and has no unread data.
-func (conn *backendConn) usable() bool { return !conn.readEnded.Load() && rawsocket.Quiet(conn.socket) }
+func (conn *backendConn) usable() bool {
+	return !conn.readEnded.Load() && rawsocket.ReadWouldBlock(conn.socket)
+}
 
 // detachWork removes and returns the attempt or health check that the connection carries.
 func (conn *backendConn) detachWork() (*backendAttempt, *healthCheck) {
@@ -174,7 +176,8 @@
 func (conn *backendConn) connectionEnded() {
 	conn.pool.removeIdle(conn)
 	if conn.attempt != nil && conn.commandsSent.Load() > 1 {
-		conn.upstream.closeIdleSince(conn.pool, conn.idleSince) // connections idle for longer have probably ended too
+		// This connection was reused. Those to the same backend that have been idle even longer have probably ended too.
+		conn.upstream.closeIdleSince(conn.pool, conn.idleSince)
 	}
 	status := policy.ConnectionReset
 	if conn.malformed.Load() {
--- a/internal/gateway/counter/client_test.go
+++ b/internal/gateway/counter/client_test.go
@@ -88,14 +88,14 @@
 	counter.write("malformed\r\n")
 	c.waitForResults(namedResult{8, policy.TimedOut, 0})
 	c.results = nil
-	c.Move(refusing.Addr().String())
+	c.SetAddress(refusing.Addr().String())
 	c.add(8, 1)
 	c.waitForResults(namedResult{8, policy.ConnectFailed, 0})
 }
 
-// Sweep closes a connection on which a reply is overdue. It also closes an idle one before the counter does, since a call
+// CloseIdleAndStalled closes a connection on which a reply is overdue, and an idle one before the counter does, since a call
 // written while the counter closes the connection would end as one that may have been added.
-func TestSweepClosesStalledAndIdleConnections(t *testing.T) {
+func TestStalledAndIdleConnectionsAreClosed(t *testing.T) {
 	listener := listen(t)
 	c := newTestClient(t, listener.Addr().String(), callTimeout)
 	conn := c.connections[0]
@@ -106,7 +106,7 @@
 	counter.wantRead("add 8 1 4000\r\n")
 	c.expireCalls()
 	conn.replyDueSince -= stallTimeout // simulates the passage of time
-	c.Sweep()
+	c.CloseIdleAndStalled()
 	counter.wantClosed()
 
 	c.add(8, 1)
@@ -116,14 +116,14 @@
 	counter.write("ok 1\r\n")
 	c.runUntil(func() bool { return len(conn.pending) == 0 })
 	conn.lastUsed -= idleTimeout
-	c.Sweep()
+	c.CloseIdleAndStalled()
 	counter.wantClosed()
 }
 
 // A new configuration changes the counter's address. Calls not yet written go to the new address, and replies from the old
 // one still count. Results for one name are reported in the order of the calls. Otherwise the total of a later call, which
 // includes the earlier amounts, could be followed by a smaller total.
-func TestResultsStayInOrderAfterMove(t *testing.T) {
+func TestResultsStayInOrderAfterAddressChange(t *testing.T) {
 	first, second := listen(t), listen(t)
 	c := newTestClient(t, first.Addr().String(), testTimeout)
 	c.add(8, 1)
@@ -131,7 +131,7 @@
 	c.waitConnected(c.connections[0])
 	old.wantRead("add 8 1 4000\r\n")
 	c.add(9, 1) // not connected yet
-	c.Move(second.Addr().String())
+	c.SetAddress(second.Addr().String())
 	c.add(8, 2)
 	for range 2 {
 		go accept(t, second).replyByName()
--- a/internal/gateway/discovery/receiver_test.go
+++ b/internal/gateway/discovery/receiver_test.go
@@ -92,7 +92,7 @@
 			t.Errorf("list %d: updates of sizes %d, want %d; error %v", c.list.Index, got, c.want, err)
 		}
 		for len(client.table.terminated) > 0 {
-			client.Sweep()
+			client.RemoveTerminated()
 		}
 		if n := len(c.list.Endpoints); client.Index() != c.list.Index || len(client.table.byName) != n || len(loop.pools) != n {
 			t.Errorf("list %d: index %d, %d backends in the table and %d in the pools, want %d", c.list.Index,
@@ -159,8 +159,8 @@
 	}
 }
 
-// A list that is truncated, malformed, too long or superseded terminates no backend and does not advance the index.
-// Otherwise backends in the missing part of the list would lose their traffic.
+// A list that is truncated, malformed, too long or superseded before its end terminates no backend and does not advance the
+// index. Otherwise backends in the missing part of the list would lose their traffic.
 func TestIncompleteListTerminatesNoBackend(t *testing.T) {
 	long := discoverytest.Line(t, discoverytest.Fleet(9, 400))
 	entry := long[strings.Index(long, "[")+1 : strings.Index(long, "}")+1]
--- a/internal/gateway/protocol/reply.go
+++ b/internal/gateway/protocol/reply.go
@@ -13,7 +13,7 @@
 // Names of the metrics that a backend reports with a reply, in a list such as used=37,cost=4.
 const (
 	metricQuotaUsage = "used=" // percent of the tenant's quota
-	metricCost       = "cost=" // of the request, where it is settled on the response
+	metricCost       = "cost=" // true cost of the request; see policy.Settings.CostSettledOnResponse
 )
 
 // maxQuotaUsage, in percent, is the upper bound of plausible usage; a report at or above it is ignored.
@@ -88,7 +88,7 @@
 	return 0
 }
 
-// findMetric returns the first valid number with the given name, including its "=", in a list of metrics.
+// findMetric returns the first valid value of a metric in a list of metrics. The name ends with "=".
 func findMetric(metrics []byte, name string) (float64, bool) {
 	for item := range bytes.SplitSeq(metrics, []byte{','}) {
 		if text, ok := bytes.CutPrefix(item, []byte(name)); ok {
