--- a/internal/gateway/gatewayprocess_test.go
+++ b/internal/gateway/gatewayprocess_test.go
@@ -21,7 +21,7 @@
 )
 
 // gatewayProcessEnv is the environment variable that makes the test binary run a gateway instead of the tests.
-const gatewayProcessEnv = "GATEWAY_TEST_PROCESS"
+const gatewayProcessEnv = "GATEWAY_CROWDED"
 
 func TestMain(m *testing.M) {
 	if os.Getenv(gatewayProcessEnv) != "" {
