--- a/internal/fleetsim/audit.go
+++ b/internal/fleetsim/audit.go
@@ -17,7 +17,7 @@
 	auditRuns = 8
 	// maxAgentDelay is the maximum time until an agent delivers a change to its gateway.
 	maxAgentDelay = 2 * time.Second
-	// maxStaleTime is the virtual time after which a run ends even if the stale gateway is still in service.
+	// maxStaleTime is the virtual time after the change at which a run ends even if the stale gateway is still in service.
 	maxStaleTime = 5 * time.Minute
 	// maxCounterTTL is the longest TTL that the counter applies; longer ones are shortened to it.
 	maxCounterTTL = time.Minute
@@ -29,7 +29,8 @@
 	// windowsBeforeChange is the number of audit windows that pass before the list changes.
 	windowsBeforeChange = 3
 
-	// manyChanges is the number of changes within manyChangesDuration when a seventh of 11,000 backends is released.
+	// manyChanges is the number of changes within manyChangesDuration when a release is rolled out to a seventh of 11,000
+	// backends.
 	manyChanges         = 1571
 	manyChangesDuration = time.Minute
 )
@@ -113,16 +114,16 @@
 	rows.add("audit calls, most in a second", "/s", r.maxCallsPerSecond, ofCapacity(r.maxCallsPerSecond))
 }
 
-// simAuditFleet simulates the audits of a fleet in virtual time, one of which becomes stale. (Package fleettest tests
-// fleets of audits with real processes.)
+// simAuditFleet simulates the audits of all gateways of a fleet in virtual time. One gateway becomes stale. (Package
+// fleettest tests the audit in a fleet of real processes.)
 //
 // The tests of package audit have a simulated fleet of their own, and the two are kept apart on purpose:
 //
 //   - That fleet checks invariants under faults after each tick, for which it reads internal fields of the state machine.
 //     Its agents skip versions, its counter loses and duplicates calls, its snapshots arrive a tick later, and all of its
 //     random numbers come from one source.
-//   - This fleet has 810 gateways and no faults, its agents deliver each change separately, and it draws random numbers in
-//     a different order. Its rows are compared with those of earlier reports.
+//   - This fleet has up to 810 gateways and no faults, its agents deliver each change separately, and it draws random
+//     numbers in a different order. Its rows are compared with those of earlier reports.
 //
 // A shared harness would need an option for each of these differences, and would put test checks into the package.
 type simAuditFleet struct {
@@ -132,7 +133,7 @@
 	now      time.Duration
 	gateways []*simAuditGateway
 	counter  simCounter
-	calls    callRate
+	calls    callMeter
 }
 
 // simAuditGateway is the audit of one gateway and the state of its agent.
@@ -146,21 +147,21 @@
 	detectedStale  bool  // the audit has reopened its watch
 }
 
-// callRate counts calls, in total and in the busiest second.
-type callRate struct {
+// callMeter counts calls, in total and in the second with the most.
+type callMeter struct {
 	total        float64
 	thisSecond   float64
 	maxPerSecond float64
 }
 
-func (r *callRate) count() {
-	r.total++
-	r.thisSecond++
+func (m *callMeter) count() {
+	m.total++
+	m.thisSecond++
 }
 
-func (r *callRate) nextSecond() {
-	r.maxPerSecond = max(r.maxPerSecond, r.thisSecond)
-	r.thisSecond = 0
+func (m *callMeter) nextSecond() {
+	m.maxPerSecond = max(m.maxPerSecond, m.thisSecond)
+	m.thisSecond = 0
 }
 
 func newAuditFleet(seed uint64, gateways int, changes Changes) (*simAuditFleet, error) {
@@ -193,13 +194,13 @@
 	return f, nil
 }
 
-// run stops the updates of one gateway after some windows, and continues until that gateway leaves service or
-// maxStaleTime has passed.
+// run stops the updates of one gateway after windowsBeforeChange, just before the list begins to change. It continues until
+// that gateway leaves service or maxStaleTime has passed.
 func (f *simAuditFleet) run(ctx context.Context, results *auditResults) error {
 	results.window = f.gateways[0].machine.Window()
 	startedAt := f.now
 	for f.now < startedAt+windowsBeforeChange*results.window {
-		if err := f.tick(ctx, f.now+maxStaleTime); err != nil { // later than now: the list has not changed yet
+		if err := f.tick(ctx, f.now+maxStaleTime); err != nil { // changeAt is still ahead: no change yet
 			return err
 		}
 	}
@@ -215,7 +216,7 @@
 			detectedAfter = f.now - changeAt
 		}
 	}
-	if detectedAfter == 0 { // not detected: counts as the longest time
+	if detectedAfter == 0 { // not detected within this run: counts as maxStaleTime
 		detectedAfter = maxStaleTime
 	}
 	f.record(results, stale, detectedAfter, f.now-changeAt)
@@ -251,8 +252,8 @@
 	return 2 + int64(float64(manyChanges-1)*min(1, elapsed.Seconds()/manyChangesDuration.Seconds()))
 }
 
-// tick advances the time by one tick and steps all gateways, repeatedly while their actions produced further events. The
-// list changes from changeAt on.
+// tick advances the time by one tick and steps each gateway until its actions produce no further events. The list changes
+// from changeAt on.
 func (f *simAuditFleet) tick(ctx context.Context, changeAt time.Duration) error {
 	if err := ctx.Err(); err != nil {
 		return err
@@ -283,12 +284,12 @@
 	events := g.events
 	g.events = nil
 	for _, action := range g.machine.Step(f.now, events) {
-		f.perform(g, action)
+		f.execute(g, action)
 	}
 }
 
-// perform carries out an action of a gateway's audit. The counter and the agent answer immediately.
-func (f *simAuditFleet) perform(g *simAuditGateway, action audit.Action) {
+// execute executes an action of a gateway's audit. The counter and the agent answer immediately.
+func (f *simAuditFleet) execute(g *simAuditGateway, action audit.Action) {
 	switch action := action.(type) {
 	case audit.AddToCounter:
 		f.calls.count()
--- a/internal/fleetsim/countercalls.go
+++ b/internal/fleetsim/countercalls.go
@@ -34,7 +34,7 @@
 	// The text is a suffix of row names in stored reports, where tenants are called customers.
 	what := fmt.Sprintf("%d customers at %.0f/s", load.Tenants, load.Rate)
 	o.reportProgress("counter calls, %v, %s", size, what)
-	m := newCounterCallsMeasure(&o, size, load, min(gateways, size.Gateways))
+	m := newCounterCallsMeasurement(&o, size, load, min(gateways, size.Gateways))
 	if err := m.run(ctx, &o); err != nil {
 		return recordEarlyEnd(ctx, rep, "counter calls, "+what, err)
 	}
@@ -42,11 +42,11 @@
 	return nil
 }
 
-// counterCallsMeasure is the simulated part of a fleet and its results.
-type counterCallsMeasure struct {
+// counterCallsMeasurement is the simulated part of a fleet and its results.
+type counterCallsMeasurement struct {
 	fleet     *fleet
 	simulated int     // number of simulated gateways
-	fraction  float64 // simulated gateways divided by all gateways
+	fraction  float64 // simulated gateways divided by all gateways of the fleet
 
 	// The totals cover callCountTime and the time until the last requests end (simulation.finish), whose calls are counted
 	// as well.
@@ -54,10 +54,10 @@
 	pairsInUse int // pairs of gateway and tenant with a request in callCountTime
 }
 
-func newCounterCallsMeasure(o *Options, size Size, load TenantLoad, simulated int) *counterCallsMeasure {
+func newCounterCallsMeasurement(o *Options, size Size, load TenantLoad, simulated int) *counterCallsMeasurement {
 	fraction := float64(simulated) / float64(size.Gateways)
 	tenants := max(2, int(math.Round(float64(load.Tenants)*fraction)))
-	return &counterCallsMeasure{
+	return &counterCallsMeasurement{
 		fleet: &fleet{
 			seed:       o.Seed,
 			gateways:   size.Gateways,
@@ -70,7 +70,7 @@
 }
 
 // run simulates the gateways together, as they share the counter.
-func (m *counterCallsMeasure) run(ctx context.Context, o *Options) error {
+func (m *counterCallsMeasurement) run(ctx context.Context, o *Options) error {
 	indexes := make([]int, m.simulated) // consecutive, as the gateways of a tenant are
 	for i := range indexes {
 		indexes[i] = i
@@ -105,7 +105,7 @@
 	return nil
 }
 
-func (m *counterCallsMeasure) report(rows sizedRows) {
+func (m *counterCallsMeasurement) report(rows sizedRows) {
 	calls := m.totals.CounterCalls()
 	perSecond := float64(calls) / callCountTime.Seconds()
 	rows.add("calls a door", "/s", perSecond/float64(m.simulated), fmt.Sprintf("%d consecutive gateways with %.3f "+
--- a/internal/fleetsim/doc.go
+++ b/internal/fleetsim/doc.go
@@ -7,7 +7,7 @@
 // A fleet consists of a number of gateways, a population of tenants that send requests through them, and a list of
 // backends. Only the decisions of a gateway are simulated: a [policy.Engine] stands in for the process. A simulation runs
 // some gateways of a fleet. It keeps a queue of events in virtual time and processes them in order: a request arrives, a
-// backend answers, the counter answers, a timer fires. It passes each event to the engine and performs the actions that
+// backend answers, the counter answers, a timer fires. It passes each event to the engine and executes the actions that
 // the engine returns, which adds further events to the queue.
 //
 //	arrival --> Engine.Step --> SendAttempt --> after the backend's answer time: AttemptResult --> Engine.Step
@@ -18,9 +18,9 @@
 // Backends answer after a random time and have no queue; the counter accepts every call. The network is not simulated: the
 // fleet tests of package fleettest cover it with real processes.
 //
-// Gateways affect each other only through the counter. A measurement of a whole fleet therefore simulates each gateway
-// separately, several at a time in separate goroutines, and adds up the results; each gateway then has its own counter.
-// Where the calls to the counter are measured, the gateways share one simulation.
+// Gateways affect each other only through the counter. Most measurements of a whole fleet leave this effect out: they
+// simulate each gateway separately, with a counter of its own, several at a time in separate goroutines, and add up the
+// results. Where the calls to the counter are measured, the gateways share one simulation and its counter.
 //
 // Everything that depends on the seed (requests, answers, the gateways' decisions) is reproducible, regardless of how many
 // simulations run concurrently. Times and bytes depend on the machine; compare only their ratios within one run.
@@ -46,5 +46,5 @@
 //	settings.go       the engines' settings, and the constants of the traffic
 //	fleet.go          the common input of all simulations of one measurement
 //	run.go            concurrent simulation of gateways, and the early end of a measurement
-//	computer.go       the machine's memory and load
+//	machine.go        the machine's memory and load
 package fleetsim
--- a/internal/fleetsim/endpointchanges.go
+++ b/internal/fleetsim/endpointchanges.go
@@ -19,8 +19,8 @@
 	name     string
 	how      string
 	backends []policy.Backend     // to be changed one after the other
-	timed    func(policy.Backend) // makes the change
-	undo     func(policy.Backend) // reverts the change, or drains a new backend; not timed; may be nil
+	timed    func(policy.Backend) // makes the change, and is timed
+	undo     func(policy.Backend) // reverts the change, or drains a new backend; not timed; nil: the change stays
 }
 
 // timeChanges times changes of single entries: of backends that the gateway has sent to, of other backends, and of new ones.
@@ -100,7 +100,7 @@
 	})
 }
 
-// apply changes one backend, reverts the change, and returns the processor time of the change.
+// apply changes one backend and calls undo. It returns the processor time of the change.
 func (c *endpointChange) apply(ctx context.Context, s *simulation, b policy.Backend) (time.Duration, error) {
 	c.timed(b)
 	took := s.meter.last
--- a/internal/fleetsim/eventqueue.go
+++ b/internal/fleetsim/eventqueue.go
@@ -7,19 +7,20 @@
 	"bellwood/internal/policy"
 )
 
-// stepKind classifies the event that is passed to Engine.Step.
+// stepKind classifies Steps by the event that is passed to Engine.Step. The kind of a queued event is that of the Step it
+// leads to.
 type stepKind int
 
 const (
-	requestStep stepKind = iota
-	resultStep           // the result of an attempt
-	counterStep          // the answer to a counter call
-	periodicStep
-	requestTimerStep
-	endpointStep
+	requestStep      stepKind = iota
+	resultStep                // the result of an attempt
+	counterStep               // the answer to a counter call
+	periodicStep              // the timer of the periodic check
+	requestTimerStep          // the timer of a request's deadline
+	endpointStep              // an update of the endpoint list
 	numStepKinds
 
-	requestArrival // not a Step: the simulation generates the request when the event is due
+	requestArrival // of queued events only: the simulation then generates a request, whose Step is a requestStep
 )
 
 // event is due at a gateway at a given virtual time.
--- a/internal/fleetsim/fleet.go
+++ b/internal/fleetsim/fleet.go
@@ -16,7 +16,7 @@
 // fleet is the common input of all simulations of one measurement. They only read it.
 type fleet struct {
 	seed       uint64
-	gateways   int // as configured in the engines; the population may cover only a part of them
+	gateways   int // the fleet size in the engines' settings; the population may cover fewer gateways
 	population *population
 	endpoints  []policy.Backend
 }
--- a/internal/fleetsim/helpers_test.go
+++ b/internal/fleetsim/helpers_test.go
@@ -12,15 +12,15 @@
 	medium = Size{Gateways: 30, Backends: 60}
 )
 
-// fastOptions returns options with the minimum number of timings.
+// fastOptions returns options with the minimum number of rounds for each timing.
 func fastOptions(seed uint64) Options {
 	o := Defaults()
 	o.Seed, o.TimingBudget, o.Workers = seed, 0, 2
 	return o
 }
 
-// runCountMeasures runs the measurements that count and don't measure time or memory (but not Audit), at small sizes.
-func runCountMeasures(t *testing.T, o Options) *Report {
+// runCountMeasurements runs the measurements of counts, rather than times or memory, at small sizes; it leaves out Audit.
+func runCountMeasurements(t *testing.T, o Options) *Report {
 	t.Helper()
 	rep, ctx := NewReport(o), context.Background()
 	for _, err := range []error{
--- a/internal/fleetsim/measures_test.go
+++ b/internal/fleetsim/measurements_test.go
@@ -11,9 +11,9 @@
 // The counts depend on the seed alone, not on the number of workers and the order in which gateways are simulated.
 func TestCountsDependOnSeedOnly(t *testing.T) {
 	o := fastOptions(1)
-	first := runCountMeasures(t, o)
+	first := runCountMeasurements(t, o)
 	o.Workers = 5
-	again, other := runCountMeasures(t, o), runCountMeasures(t, fastOptions(2))
+	again, other := runCountMeasurements(t, o), runCountMeasurements(t, fastOptions(2))
 	if !slices.Equal(first.Rows, again.Rows) {
 		for i := range first.Rows {
 			if first.Rows[i] != again.Rows[i] {
@@ -36,7 +36,7 @@
 
 // A measurement that is interrupted, or exceeds its time or memory limit, ends without an error and is listed as not
 // measured in the report.
-func TestMeasuresThatEndEarlyAreReportedAsNotMeasured(t *testing.T) {
+func TestMeasurementsThatEndEarlyAreReportedAsNotMeasured(t *testing.T) {
 	interrupted, cancel := context.WithCancel(context.Background())
 	cancel()
 	late, stop := context.WithDeadline(context.Background(), time.Now().Add(-time.Hour))
--- a/internal/fleetsim/memory.go
+++ b/internal/fleetsim/memory.go
@@ -26,7 +26,7 @@
 func Memory(ctx context.Context, o Options, rep *Report, size Size) error {
 	o.reportProgress("memory, %v", size)
 	indexes := measuredGateways(size)
-	m := memoryMeasure{rows: sizedRows{report: rep, size: size}, gateways: len(indexes)}
+	m := memoryMeasurement{rows: sizedRows{report: rep, size: size}, gateways: len(indexes)}
 	f := o.fleet(size, EvenTraffic)
 	m.heapBefore = heapInUse()
 	s, err := f.newSimulation(ctx, indexes, 1)
@@ -77,14 +77,14 @@
 	return engines
 }
 
-// memoryMeasure compares the heap with its size before the gateways were created.
-type memoryMeasure struct {
+// memoryMeasurement reports how much the heap has grown since before the gateways were created.
+type memoryMeasurement struct {
 	rows       sizedRows
 	gateways   int
-	heapBefore uint64 // bytes
+	heapBefore uint64 // bytes, before the gateways were created
 }
 
-func (m *memoryMeasure) report(name, state string) {
+func (m *memoryMeasurement) report(name, state string) {
 	each := (float64(heapInUse()) - float64(m.heapBefore)) / float64(m.gateways)
 	all := m.rows.size.Gateways
 	m.rows.add(name, "bytes", each, fmt.Sprintf("growth of the heap in use after a collection, for each of %d gateways; "+
--- a/internal/fleetsim/options.go
+++ b/internal/fleetsim/options.go
@@ -21,16 +21,17 @@
 	Seed         uint64
 	Workers      int           // gateways simulated concurrently where no time is measured
 	HeapLimit    uint64        // bytes; a measurement ends when the heap exceeds this
-	TimingBudget time.Duration // real time for the rounds of one timing beyond minRounds
+	TimingBudget time.Duration // real time for the rounds of one timing, of which at least minRounds run
 	NoisyAbove   float64       // a timing with a larger Row.Spread is marked as noisy
-	BackendRate  float64       // mean requests per second for each backend, as far as GatewayRate allows
-	GatewayRate  float64       // maximum of the gateways' mean requests per second
+	BackendRate  float64       // mean requests per second for each backend, unless GatewayRate limits them
+	GatewayRate  float64       // limit on the mean requests per second for each gateway
 	TenantRate   float64       // mean requests per second of each tenant
 	Progress     io.Writer     // receives a line as each measurement begins; must be safe for concurrent use
 }
 
 // Defaults returns options derived from a fleet of 810 gateways that receive 97,000 requests per second from 19,000 tenants,
-// for 11,000 backends. Smaller fleets get the same rate for each backend.
+// for 11,000 backends. Fleets of other sizes get the same rate for each backend, unless the rate for each gateway would then
+// be higher than in that fleet: in that case they get its rate for each gateway.
 func Defaults() Options {
 	return Options{
 		Seed:         1,
@@ -75,7 +76,7 @@
 // String formats a size as in stored reports, where gateways are called doors.
 func (s Size) String() string { return fmt.Sprintf("%d doors x %d backends", s.Gateways, s.Backends) }
 
-// fleetRate returns the requests per second of all gateways together.
+// fleetRate returns the requests per second that all gateways together receive in a fleet of the given size.
 func (o *Options) fleetRate(size Size) float64 {
 	return min(o.BackendRate*float64(size.Backends), o.GatewayRate*float64(size.Gateways))
 }
--- a/internal/fleetsim/population.go
+++ b/internal/fleetsim/population.go
@@ -35,12 +35,12 @@
 	busyGatewaySeed = 0x68656176
 )
 
-// tenantPair is a tenant's traffic through one gateway.
+// tenantPair is a pair of a gateway and a tenant that sends requests through it.
 type tenantPair struct {
 	tenant         string
 	plan           int
 	gateways       int     // number of gateways that the tenant uses
-	cumulativeRate float64 // requests per second of this gateway's pairs up to and including this one
+	cumulativeRate float64 // requests per second of the gateway's pairs up to and including this one
 }
 
 // population holds the tenants that send through each gateway, and their rates.
@@ -177,7 +177,7 @@
 	p.rates[gateway] = rate
 }
 
-// drawPair returns a random pair of a gateway, weighted by the pairs' rates.
+// drawPair chooses one of a gateway's pairs at random, with a probability proportional to its rate.
 func (p *population) drawPair(rng *rand.Rand, gateway int) *tenantPair {
 	pairs := p.pairs[gateway]
 	x := rng.Float64() * p.rates[gateway]
--- a/internal/fleetsim/population_test.go
+++ b/internal/fleetsim/population_test.go
@@ -23,10 +23,12 @@
 				}
 				mean := sum / float64(size.Gateways)
 				if traffic == UnevenTraffic && size.Gateways >= 30 && (busiest < 4.99*mean || busiest > 5.01*mean) {
-					t.Errorf("the busiest gateway has %.2f, the mean is %.2f", busiest, mean)
+					t.Errorf("uneven traffic: the busiest gateway gets %.2f requests per second, want five times the mean of %.2f",
+						busiest, mean)
 				}
 				if traffic == EvenTraffic && busiest > 1.001*mean {
-					t.Errorf("the busiest gateway has %.2f, the mean is %.2f", busiest, mean)
+					t.Errorf("even traffic: the busiest gateway gets %.2f requests per second, want the mean of %.2f",
+						busiest, mean)
 				}
 			})
 		}
@@ -39,7 +41,7 @@
 	for gateway, rate := range p.rates {
 		pairs := p.pairs[gateway]
 		if n := len(pairs); n == 0 || !approxEqual(pairs[n-1].cumulativeRate, rate) {
-			t.Errorf("gateway %d: %d pairs, which don't add up to its rate of %.2f", gateway, n, rate)
+			t.Errorf("gateway %d: got %d pairs, want at least one, with rates that add up to %.2f", gateway, n, rate)
 		}
 	}
 }
--- a/internal/fleetsim/report.go
+++ b/internal/fleetsim/report.go
@@ -102,8 +102,8 @@
 	r.LoadAfter, r.Seconds = loadAverage(), time.Since(r.startedAt).Seconds()
 	for i := range r.Rows {
 		if row := &r.Rows[i]; row.Timed() {
-			row.ByBackends = ratioToBaseline(row, r.sameGateways(row), closerToBaselineBackends)
-			row.ByGateways = ratioToBaseline(row, r.sameBackends(row), fewerGateways)
+			row.ByBackends = ratioToBaseline(row, r.sameGateways(row), preferBaselineBackends)
+			row.ByGateways = ratioToBaseline(row, r.sameBackends(row), preferFewerGateways)
 		}
 	}
 }
@@ -128,12 +128,12 @@
 	return found
 }
 
-// ratioToBaseline returns a row's value divided by that of the sweep's baseline, which isBetterBaseline selects. It
-// returns 0 if the sweep has fewer than two rows or no value other than 0.
-func ratioToBaseline(row *Row, sweep []*Row, isBetterBaseline func(other, baseline *Row) bool) float64 {
+// ratioToBaseline returns a row's value divided by that of the sweep's baseline: the row with a value other than 0 that
+// isPreferred prefers to all others. It returns 0 if the sweep has fewer than two rows or no value other than 0.
+func ratioToBaseline(row *Row, sweep []*Row, isPreferred func(other, baseline *Row) bool) float64 {
 	var baseline *Row
 	for _, other := range sweep {
-		if other.Value != 0 && (baseline == nil || isBetterBaseline(other, baseline)) {
+		if other.Value != 0 && (baseline == nil || isPreferred(other, baseline)) {
 			baseline = other
 		}
 	}
@@ -143,12 +143,14 @@
 	return row.Value / baseline.Value
 }
 
-// closerToBaselineBackends prefers the row with baselineBackends, and otherwise the one with fewer backends.
-func closerToBaselineBackends(other, baseline *Row) bool {
+// preferBaselineBackends reports whether other is the better baseline for Row.ByBackends: a row with baselineBackends, or
+// else the one with fewer backends.
+func preferBaselineBackends(other, baseline *Row) bool {
 	return other.Backends == baselineBackends || baseline.Backends != baselineBackends && other.Backends < baseline.Backends
 }
 
-func fewerGateways(other, baseline *Row) bool { return other.Gateways < baseline.Gateways }
+// preferFewerGateways reports whether other is the better baseline for Row.ByGateways.
+func preferFewerGateways(other, baseline *Row) bool { return other.Gateways < baseline.Gateways }
 
 // ReadReport reads a report from a file written by WriteFile.
 func ReadReport(path string) (*Report, error) {
--- a/internal/fleetsim/settings.go
+++ b/internal/fleetsim/settings.go
@@ -97,7 +97,7 @@
 	}
 	small, medium, large := plan(quotas[0], 5, 0.7), plan(quotas[1], 4, 1), plan(quotas[2], 2, 2)
 	small.OverQuotaPenalty = 1.2
-	large.MaxConcurrent = int(max(8, large.Rate/4)) // the mean answer time is 60 ms
+	large.MaxConcurrent = int(max(8, large.Rate/4)) // about four times the mean at that rate and 60 ms for each answer
 	large.HardLimitRate, large.HardLimitBurst = 2*large.Rate, 2*large.Burst
 	return []policy.Plan{small, medium, large}
 }
@@ -113,7 +113,7 @@
 func endpointList(n int) []policy.Backend {
 	all := make([]policy.Backend, n)
 	for i := range all {
-		// The odd multiplier makes the names unique and leaves them unsorted.
+		// Multiplicative hashing: the odd multiplier makes the names unique and leaves them unsorted.
 		all[i] = policy.Backend{Name: fmt.Sprintf("s-%08x", uint32(i+1)*2654435761), Zone: i % zones,
 			Cell: i / backendsPerCell, Weight: 1}
 	}
--- a/internal/fleetsim/simulation.go
+++ b/internal/fleetsim/simulation.go
@@ -9,7 +9,7 @@
 	"bellwood/internal/policy"
 )
 
-// maxTrafficTime limits the virtual time in which a gateway with little traffic gets its requests.
+// maxTrafficTime limits the virtual time that a simulation waits for a number of requests to a gateway with little traffic.
 const maxTrafficTime = 15 * time.Minute
 
 // eventsPerContextCheck is the number of events between two checks for cancellation. A check costs as much as a few events.
@@ -55,7 +55,7 @@
 	wait         time.Duration // since the request arrived
 }
 
-// startArrivals enables arrivals and schedules the first request of each gateway.
+// startArrivals enables the arrival of requests and schedules the first request of each gateway.
 func (s *simulation) startArrivals() {
 	s.arrivalsEnabled = true
 	for _, g := range s.gateways {
@@ -123,9 +123,9 @@
 	case resultStep:
 		s.deliverResult(e)
 	case requestTimerStep:
-		// Timers of answered requests are dropped: an event loop would deliver them, without any effect. This relies on
-		// the internal cookie format of policy/engine.go (deadlineCookie): a request's cookie is odd, and the bits above
-		// the lowest one are the request's ID.
+		// Timers of answered requests are dropped. A gateway's event loop delivers them, but they have no effect. This
+		// relies on the internal cookie format of policy/engine.go (deadlineCookie): a request's cookie is odd, and the
+		// bits above the lowest one are the request's ID.
 		if s.requests.unanswered(e.input.(policy.Timer).Cookie>>1) != nil {
 			s.step(e.gateway, e.kind, e.input)
 		}
@@ -155,7 +155,7 @@
 		TimeLeft: s.classes[class].ClientTimeout, Cost: 1, Gateways: pair.gateways})
 }
 
-// step passes an event to a gateway's engine and performs the resulting actions.
+// step passes an event to a gateway's engine and executes the resulting actions.
 func (s *simulation) step(g *simGateway, kind stepKind, input policy.Event) {
 	s.stepInput[0] = input
 	var actions []policy.Action
@@ -165,7 +165,7 @@
 		actions = g.engine.Step(s.now, s.stepInput[:])
 	}
 	for _, action := range actions {
-		s.perform(g, action)
+		s.execute(g, action)
 	}
 }
 
@@ -174,8 +174,8 @@
 	s.step(s.gateways[0], endpointStep, policy.EndpointUpdate{Kind: policy.Delta, Backends: changed})
 }
 
-// perform carries out an action of a gateway's engine.
-func (s *simulation) perform(g *simGateway, action policy.Action) {
+// execute executes an action of a gateway's engine.
+func (s *simulation) execute(g *simGateway, action policy.Action) {
 	switch action := action.(type) {
 	case policy.SendAttempt:
 		s.sendAttempt(g, action)
@@ -307,7 +307,7 @@
 	}
 }
 
-// callCounter performs a counter call and schedules its answer.
+// callCounter executes a counter call and schedules its answer.
 func (s *simulation) callCounter(g *simGateway, call policy.AddToCounter) {
 	total := s.counter.add(s.now, call.Name, call.Amount, call.TTL)
 	if call.Amount > 0 {
--- a/internal/fleetsim/simulation_test.go
+++ b/internal/fleetsim/simulation_test.go
@@ -31,13 +31,13 @@
 		t.Error(err)
 	}
 	if sent != all.Attempts || firsts != all.Forwarded {
-		t.Errorf("onAttempt got %d attempts and %d first ones, unlike the totals %+v", sent, firsts, all)
+		t.Errorf("onAttempt was called for %d attempts, %d of them first ones, but the totals are %+v", sent, firsts, all)
 	}
 	if all.Served > all.Forwarded || all.ForwardedImmediately > all.Forwarded {
 		t.Errorf("more requests were served, or forwarded immediately, than were forwarded: %+v", all)
 	}
 	if all.Requests < 100 || all.FailedAtClosedBackend == 0 || all.CounterCalls() == 0 {
-		t.Errorf("too little activity: %+v", all)
+		t.Errorf("got totals %+v, want at least 100 requests, attempts that failed at closed backends, and counter calls", all)
 	}
 }
 
@@ -67,7 +67,7 @@
 func TestCheckRejectsInconsistentTotals(t *testing.T) {
 	for _, bad := range []requestTotals{{Requests: 1}, {Requests: 1, Served: 1, Failed: 1}, {Attempts: 2, Results: 1}} {
 		if bad.Check() == nil {
-			t.Errorf("%+v: no error", bad)
+			t.Errorf("Check returned no error for %+v", bad)
 		}
 	}
 }
--- a/internal/fleetsim/slowstart.go
+++ b/internal/fleetsim/slowstart.go
@@ -24,9 +24,9 @@
 // be only the mean load that the other backends carried before.
 func SlowStart(ctx context.Context, o Options, rep *Report, size Size, traffic Traffic) error {
 	o.reportProgress("cold backend, %v, %s traffic", size, traffic)
-	m := newSlowStartMeasure(&o, size, traffic)
+	m := newSlowStartMeasurement(&o, size, traffic)
 	err := m.fleet.simulateEach(ctx, &o, sampleGateways(size.Gateways, 0), 1, func() gatewayRun {
-		return &slowStartRun{measure: m}
+		return &slowStartRun{measurement: m}
 	})
 	if err != nil {
 		return recordEarlyEnd(ctx, rep, fmt.Sprintf("cold backend, %v, %s traffic", size, traffic), err)
@@ -35,8 +35,8 @@
 	return nil
 }
 
-// slowStartMeasure holds the common input and the summed results of the runs of SlowStart.
-type slowStartMeasure struct {
+// slowStartMeasurement holds the common input and the summed results of the runs of SlowStart.
+type slowStartMeasurement struct {
 	fleet           *fleet
 	size            Size
 	traffic         Traffic
@@ -50,8 +50,8 @@
 	gatewaysSending int             // gateways that sent to the started backend
 }
 
-func newSlowStartMeasure(o *Options, size Size, traffic Traffic) *slowStartMeasure {
-	m := &slowStartMeasure{
+func newSlowStartMeasurement(o *Options, size Size, traffic Traffic) *slowStartMeasurement {
+	m := &slowStartMeasurement{
 		fleet:           o.fleet(size, traffic),
 		size:            size,
 		traffic:         traffic,
@@ -67,13 +67,13 @@
 
 // slowStartRun is one gateway's part in SlowStart.
 type slowStartRun struct {
-	measure        *slowStartMeasure
+	measurement    *slowStartMeasurement
 	attempts       []time.Duration // to the started backend: times since its start
 	othersAttempts int             // to the other backends in othersLoadWindow
 }
 
 func (r *slowStartRun) attemptSent(sent sentAttempt) {
-	m := r.measure
+	m := r.measurement
 	switch {
 	case sent.backend == m.startedBackend.Name:
 		if sent.sentAt < backendStartsAt+m.settings.SlowStartDuration { // later attempts, to a warm backend, do not count
@@ -85,7 +85,7 @@
 }
 
 func (r *slowStartRun) run(ctx context.Context, s *simulation) error {
-	m := r.measure
+	m := r.measurement
 	if err := s.runUntil(ctx, backendStartsAt); err != nil {
 		return err
 	}
@@ -100,7 +100,7 @@
 }
 
 func (r *slowStartRun) collect(s *simulation) {
-	m := r.measure
+	m := r.measurement
 	m.totals.Add(s.totals.sum())
 	m.attempts = append(m.attempts, r.attempts...)
 	m.othersAttempts += r.othersAttempts
@@ -109,7 +109,7 @@
 	}
 }
 
-func (m *slowStartMeasure) report(rows sizedRows) {
+func (m *slowStartMeasurement) report(rows sizedRows) {
 	capacity := float64(m.othersAttempts) / othersLoadWindow.Seconds() / float64(m.size.Backends) // requests per second
 	worst := worstWindow(m.attempts, &m.settings, capacity)
 	rows.add("cold sum", "sends", float64(worst.attempts), fmt.Sprintf("attempts by all %d gateways to a newly started "+
--- a/internal/fleetsim/slowstart_test.go
+++ b/internal/fleetsim/slowstart_test.go
@@ -21,13 +21,13 @@
 		t.Errorf("got %+v, want 60 attempts from 1 s", worst)
 	}
 	if worst.budget < budget-1e-9 || worst.budget > budget+1e-9 || worst.allowed <= worst.budget {
-		t.Errorf("got %+v, want a budget of %.2f and more than that allowed", worst, budget)
+		t.Errorf("got %+v, want a budget of %.2f, and more attempts allowed than the budget", worst, budget)
 	}
 }
 
 func TestWorstWindowIsEmptyWithoutAttempts(t *testing.T) {
 	settings := gatewaySettings(3, 0, 1)
 	if worst := worstWindow(nil, &settings, 10); worst.attempts != 0 || worst.allowed <= 0 {
-		t.Errorf("got %+v, want no attempts and some allowed", worst)
+		t.Errorf("got %+v, want no attempts, and a number above 0 allowed", worst)
 	}
 }
--- a/internal/fleetsim/spread.go
+++ b/internal/fleetsim/spread.go
@@ -20,7 +20,7 @@
 	numSpreadPhases
 )
 
-// spreadPhaseNames are suffixes of row names, for the phases from spreadNoChange on.
+// spreadPhaseNames are suffixes of row names. The phases before spreadNoChange have no such rows.
 var spreadPhaseNames = [numSpreadPhases]string{
 	spreadNoChange:  "no change",
 	spreadOneLeaves: "one leaves",
@@ -30,13 +30,13 @@
 // Spread simulates gateways for three periods of equal length: with all backends, after one backend has left, and after
 // another has joined in its place. It reports how many gateways send to each backend, how evenly the load is distributed,
 // and how many gateways send to backends for the first time. It simulates the given number of gateways, or all if that is
-// 0. Figures that require all gateways are omitted otherwise.
+// 0. If it simulates only some of them, it omits the rows that require all gateways.
 func Spread(ctx context.Context, o Options, rep *Report, size Size, period time.Duration, gateways int) error {
 	indexes := sampleGateways(size.Gateways, gateways)
 	o.reportProgress("connections and load, %v, %d simulated", size, len(indexes))
-	m := newSpreadMeasure(&o, size, period)
+	m := newSpreadMeasurement(&o, size, period)
 	err := m.fleet.simulateEach(ctx, &o, indexes, numSpreadPhases, func() gatewayRun {
-		return &spreadRun{measure: m, everSentTo: map[string]bool{}, attempts: map[string]int{}}
+		return &spreadRun{measurement: m, everSentTo: map[string]bool{}, attempts: map[string]int{}}
 	})
 	if err != nil {
 		return recordEarlyEnd(ctx, rep, fmt.Sprintf("connections and load, %v", size), err)
@@ -45,8 +45,8 @@
 	return nil
 }
 
-// spreadMeasure holds the common input and the summed results of the runs of Spread.
-type spreadMeasure struct {
+// spreadMeasurement holds the common input and the summed results of the runs of Spread.
+type spreadMeasurement struct {
 	fleet          *fleet
 	size           Size
 	period         time.Duration
@@ -57,14 +57,14 @@
 	attempts             map[string]int       // by backend: attempts in the first period
 	gatewaysSending      map[string]int       // by backend: gateways that sent to it in the first period
 	backendsUsed         map[int]int          // by gateway: backends that it sent to in the first period
-	gatewaysWithNewPairs [numSpreadPhases]int // by phase
-	newPairs             [numSpreadPhases]int // by phase: gateway and backend with their first attempt
-	gatewaysOnLeaving    int                  // gateways that ever sent to leavingBackend
-	gatewaysOnJoining    int                  // gateways that ever sent to joiningBackend
+	gatewaysWithNewPairs [numSpreadPhases]int // by phase: gateways with a new pair
+	newPairs             [numSpreadPhases]int // by phase: pairs of gateway and backend with their first attempt
+	gatewaysUsingLeaving int                  // gateways that ever sent to leavingBackend
+	gatewaysUsingJoining int                  // gateways that ever sent to joiningBackend
 }
 
-func newSpreadMeasure(o *Options, size Size, period time.Duration) *spreadMeasure {
-	m := &spreadMeasure{
+func newSpreadMeasurement(o *Options, size Size, period time.Duration) *spreadMeasurement {
+	m := &spreadMeasurement{
 		fleet:           o.fleet(size, EvenTraffic),
 		size:            size,
 		period:          period,
@@ -81,7 +81,7 @@
 
 // spreadRun is one gateway's part in Spread.
 type spreadRun struct {
-	measure     *spreadMeasure
+	measurement *spreadMeasurement
 	everSentTo  map[string]bool
 	newBackends [numSpreadPhases]int // by phase: backends that it sent to for the first time
 	attempts    map[string]int       // by backend: attempts in the first period
@@ -98,7 +98,7 @@
 }
 
 func (r *spreadRun) run(ctx context.Context, s *simulation) error {
-	period := r.measure.period
+	period := r.measurement.period
 	durations := [numSpreadPhases]time.Duration{
 		spreadWarmUp:    s.warmUpTime(),
 		spreadFirstHalf: period / 2,
@@ -110,9 +110,9 @@
 		s.totals.phase = phase
 		switch phase {
 		case spreadOneLeaves:
-			s.sendDelta(r.measure.leavingBackend)
+			s.sendDelta(r.measurement.leavingBackend)
 		case spreadOneJoins:
-			s.sendDelta(r.measure.joiningBackend)
+			s.sendDelta(r.measurement.joiningBackend)
 		}
 		if err := s.runFor(ctx, duration); err != nil {
 			return err
@@ -122,7 +122,7 @@
 }
 
 func (r *spreadRun) collect(s *simulation) {
-	m := r.measure
+	m := r.measurement
 	m.totals.Add(s.totals.sum())
 	for backend, attempts := range r.attempts {
 		m.attempts[backend] += attempts
@@ -136,14 +136,14 @@
 		}
 	}
 	if r.everSentTo[m.leavingBackend.Name] {
-		m.gatewaysOnLeaving++
+		m.gatewaysUsingLeaving++
 	}
 	if r.everSentTo[m.joiningBackend.Name] {
-		m.gatewaysOnJoining++
+		m.gatewaysUsingJoining++
 	}
 }
 
-func (m *spreadMeasure) report(rows sizedRows) {
+func (m *spreadMeasurement) report(rows sizedRows) {
 	simulated := len(m.backendsUsed)
 	how := fmt.Sprintf("%d of %d gateways, even traffic, over %v", simulated, m.size.Gateways, m.period)
 	used := statsOf(m.backendsUsed, simulated)
@@ -162,22 +162,22 @@
 
 // reportBackends reports the distribution of connections and load over the backends. It requires that all gateways were
 // simulated.
-func (m *spreadMeasure) reportBackends(rows sizedRows, how string) {
+func (m *spreadMeasurement) reportBackends(rows sizedRows, how string) {
 	connections := statsOf(m.gatewaysSending, m.size.Backends)
 	rows.add("connections most", "doors", connections.max, "the same, maximum of the backends")
 	rows.add("connections least", "doors", connections.min, "the same, minimum of the backends")
 
 	load := statsOf(m.attempts, m.size.Backends)
-	noise := 1 / math.Sqrt(max(1, load.mean))
-	busiestByChance := 1 + noise*math.Sqrt(2*math.Log(float64(m.size.Backends)))
+	deviation := 1 / math.Sqrt(max(1, load.mean))
+	busiestByChance := 1 + deviation*math.Sqrt(2*math.Log(float64(m.size.Backends)))
 	rows.add("load most", "x mean", load.max/load.mean, fmt.Sprintf("attempts sent to the busiest backend divided by the "+
 		"mean of %.0f; random variation alone is %.1f%% for each backend and would give about %.2f for the busiest; %s",
-		load.mean, 100*noise, busiestByChance, how))
+		load.mean, 100*deviation, busiestByChance, how))
 	rows.add("load least", "x mean", load.min/load.mean, "the same for the backend with the fewest attempts")
 }
 
 // reportNewPairs reports, by phase, the gateways that sent to backends for the first time.
-func (m *spreadMeasure) reportNewPairs(rows sizedRows, simulated int) {
+func (m *spreadMeasurement) reportNewPairs(rows sizedRows, simulated int) {
 	for phase := spreadNoChange; phase < numSpreadPhases; phase++ {
 		duration := m.period
 		if phase == spreadNoChange {
@@ -188,9 +188,9 @@
 			"those that send to a backend for the first time since their start, in this phase of %v", simulated, duration))
 		rows.add("pairs new, "+name, "pairs", float64(m.newPairs[phase]), "pairs of such a gateway and such a backend")
 	}
-	rows.add("doors of the leaver", "doors", float64(m.gatewaysOnLeaving),
+	rows.add("doors of the leaver", "doors", float64(m.gatewaysUsingLeaving),
 		fmt.Sprintf("of %d gateways: those that ever sent to the backend that leaves", simulated))
-	rows.add("doors of the comer", "doors", float64(m.gatewaysOnJoining),
+	rows.add("doors of the comer", "doors", float64(m.gatewaysUsingJoining),
 		"the same for the backend that joins; these gateways are included in doors moved")
 }
 
--- a/internal/fleetsim/stepmeter.go
+++ b/internal/fleetsim/stepmeter.go
@@ -14,7 +14,7 @@
 	minRounds = 3
 	// maxRounds is the maximum number of rounds within the time budget.
 	maxRounds = 8
-	// overheadSamples is the number of samples from which clockOverhead determines the cost of reading the clock.
+	// overheadSamples is the number of measurements of which clockOverhead returns the shortest.
 	overheadSamples = 2000
 )
 
@@ -40,7 +40,7 @@
 
 // stepMeter accumulates the processor time of Steps by kind. It may be used only by one goroutine, locked to its thread.
 type stepMeter struct {
-	clockOverhead time.Duration // of one reading of the clock
+	clockOverhead time.Duration // part of each measured time; subtracted from it
 	sums          [numStepKinds]time.Duration
 	counts        [numStepKinds]int
 	last          time.Duration           // duration of the last Step
--- a/internal/fleetsim/totals.go
+++ b/internal/fleetsim/totals.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// maxImmediateWait is the longest wait with which a request counts as forwarded immediately. It leaves time for a call to
-// the counter.
+// maxImmediateWait is the longest wait for the first attempt with which a request counts as forwarded immediately. It leaves
+// time for a call to the counter.
 const maxImmediateWait = 10 * ms
 
 // requestTotals counts requests by outcome, attempts and counter calls. Once no request is open, Requests equals the sum of
--- a/internal/fleetsim/zoneloss.go
+++ b/internal/fleetsim/zoneloss.go
@@ -33,16 +33,16 @@
 	numLossPhases
 )
 
-// ZoneLoss removes every divisor-th backend at the same time. The gateways are told immediately. It reports how many
-// requests are forwarded immediately and served before and after. It simulates the given number of gateways, or all if
-// that is 0.
+// ZoneLoss removes every divisor-th backend at the same time, which is a whole zone if the divisor is the number of zones.
+// The gateways are told immediately. It reports how many requests are forwarded immediately and served, before and after
+// the loss. It simulates the given number of gateways, or all if that is 0.
 func ZoneLoss(ctx context.Context, o Options, rep *Report, size Size, divisor, gateways int) error {
 	what := fmt.Sprintf("1/%d lost", divisor)
 	o.reportProgress("%s, %v", what, size)
 	indexes := sampleGateways(size.Gateways, gateways)
-	m := newZoneLossMeasure(&o, size, divisor)
+	m := newZoneLossMeasurement(&o, size, divisor)
 	err := m.fleet.simulateEach(ctx, &o, indexes, numLossPhases, func() gatewayRun {
-		return &zoneLossRun{measure: m, usedAfterLoss: map[string]bool{}, waits: newWaitHistogram()}
+		return &zoneLossRun{measurement: m, usedAfterLoss: map[string]bool{}, waits: newWaitHistogram()}
 	})
 	if err != nil {
 		return recordEarlyEnd(ctx, rep, fmt.Sprintf("%s, %v", what, size), err)
@@ -51,21 +51,21 @@
 	return nil
 }
 
-// zoneLossMeasure holds the common input and the summed results of the runs of ZoneLoss.
-type zoneLossMeasure struct {
+// zoneLossMeasurement holds the common input and the summed results of the runs of ZoneLoss.
+type zoneLossMeasurement struct {
 	fleet     *fleet
 	size      Size
 	lost      map[string]bool
 	lostDelta []policy.Backend // the lost backends, as terminated
 
 	byPhase     [numLossPhases]requestTotals
-	minBackends int     // minimum of the gateways: backends that it sent to after the loss
-	sumBackends float64 // the same, sum of the gateways
-	waits       *hdrhistogram.Histogram
+	minBackends int                     // backends that a gateway sent to after the loss: minimum over the gateways
+	sumBackends float64                 // the same: sum over the gateways
+	waits       *hdrhistogram.Histogram // see zoneLossRun.waits; of all gateways
 }
 
-func newZoneLossMeasure(o *Options, size Size, divisor int) *zoneLossMeasure {
-	m := &zoneLossMeasure{
+func newZoneLossMeasurement(o *Options, size Size, divisor int) *zoneLossMeasurement {
+	m := &zoneLossMeasurement{
 		fleet:       o.fleet(size, EvenTraffic),
 		size:        size,
 		lost:        map[string]bool{},
@@ -92,9 +92,9 @@
 
 // zoneLossRun is one gateway's part in ZoneLoss.
 type zoneLossRun struct {
-	measure       *zoneLossMeasure
+	measurement   *zoneLossMeasurement
 	usedAfterLoss map[string]bool         // backends that it sends to after the loss
-	waits         *hdrhistogram.Histogram // for the first attempt, of requests just after the loss
+	waits         *hdrhistogram.Histogram // from arrival to first attempt, of the requests of lossFirst
 }
 
 func (r *zoneLossRun) attemptSent(sent sentAttempt) {
@@ -117,8 +117,8 @@
 	for phase, until := range ends {
 		s.totals.phase = phase
 		if phase == lossFirst {
-			s.closeBackends(r.measure.lost)
-			s.sendDelta(r.measure.lostDelta...)
+			s.closeBackends(r.measurement.lost)
+			s.sendDelta(r.measurement.lostDelta...)
 		}
 		if err := s.runUntil(ctx, until); err != nil {
 			return err
@@ -128,7 +128,7 @@
 }
 
 func (r *zoneLossRun) collect(s *simulation) {
-	m := r.measure
+	m := r.measurement
 	for phase := range m.byPhase {
 		m.byPhase[phase].Add(s.totals.byPhase[phase])
 	}
@@ -137,7 +137,7 @@
 	m.waits.Merge(r.waits)
 }
 
-func (m *zoneLossMeasure) report(rows sizedRows, simulated int) {
+func (m *zoneLossMeasurement) report(rows sizedRows, simulated int) {
 	immediateShare := func(phase int) float64 {
 		totals := &m.byPhase[phase]
 		return totals.shareOfRequests(totals.ForwardedImmediately)
