--- a/internal/fleetsim/eventqueue_test.go
+++ b/internal/fleetsim/eventqueue_test.go
@@ -17,7 +17,7 @@
 		q.push(&e)
 	}
 	if q.hasEventBy(time.Second - 1) {
-		t.Error("an event is due before its due time")
+		t.Error("hasEventBy returned true for a time before the first event is due")
 	}
 	for _, want := range []stepKind{requestStep, resultStep, counterStep, periodicStep} {
 		if !q.hasEventBy(2 * time.Second) {
@@ -28,6 +28,6 @@
 		}
 	}
 	if q.hasEventBy(time.Hour) {
-		t.Error("an empty queue has an event due")
+		t.Error("hasEventBy returned true for an empty queue")
 	}
 }
--- a/internal/fleetsim/measurements_test.go
+++ b/internal/fleetsim/measurements_test.go
@@ -17,7 +17,7 @@
 	if !slices.Equal(first.Rows, again.Rows) {
 		for i := range first.Rows {
 			if first.Rows[i] != again.Rows[i] {
-				t.Errorf("the first run got %+v, the second %+v", first.Rows[i], again.Rows[i])
+				t.Errorf("two workers gave %+v, five workers %+v", first.Rows[i], again.Rows[i])
 			}
 		}
 	}
@@ -29,7 +29,7 @@
 			t.Errorf("invalid row for a count: %+v", r)
 		}
 		if strings.HasPrefix(r.Name, "cold ratio") && r.Value > 1 {
-			t.Errorf("a newly started backend was sent more than its budget: %+v", r)
+			t.Errorf("a newly started backend was sent more attempts than allowed: %+v", r)
 		}
 	}
 }
--- a/internal/fleetsim/report_test.go
+++ b/internal/fleetsim/report_test.go
@@ -72,7 +72,7 @@
 	}
 	for name, n := range missing {
 		if n != 0 {
-			t.Errorf("%s: %d rows missing", name, n)
+			t.Errorf("%s: %d rows missing (below 0: too many rows)", name, n)
 		}
 	}
 }
@@ -85,7 +85,8 @@
 	later.Rows = append(later.Rows, Row{Name: "none before", Unit: "x"})
 	later.CompareWith(earlier)
 	if later.Rows[0].Before*3 != later.Rows[0].Value || later.Rows[len(rep.Rows)].Before != 0 {
-		t.Errorf("wrong value from the earlier report: %+v and %+v", later.Rows[0], later.Rows[len(rep.Rows)])
+		t.Errorf("Before is not a third of the value in %+v, or not 0 in a row that the earlier report lacks: %+v",
+			later.Rows[0], later.Rows[len(rep.Rows)])
 	}
 	var both strings.Builder
 	if later.WriteTable(&both); !strings.Contains(both.String(), "  3.00") {
--- a/internal/fleettest/process_test.go
+++ b/internal/fleettest/process_test.go
@@ -60,10 +60,10 @@
 	}
 	usage, err := p.usage()
 	if err != nil || usage.residentBytes <= 0 || usage.peakResident < usage.residentBytes || usage.openDescriptors < 3 {
-		t.Errorf("implausible resource usage %+v, %v", usage, err)
+		t.Errorf("implausible resource usage %+v (error %v)", usage, err)
 	}
 	if _, err := p.terminate(50 * time.Millisecond); err == nil || !strings.Contains(err.Error(), "SIGKILL was needed") {
-		t.Errorf("terminate returned %v, want that SIGKILL was needed", err)
+		t.Errorf("terminate returned %v, want an error which says that SIGKILL was needed", err)
 	}
 	if running := remainingProcesses(t, p.pid()); len(running) > 0 {
 		t.Errorf("processes of the group still run: %q", running)
--- a/internal/fleettest/run_test.go
+++ b/internal/fleettest/run_test.go
@@ -43,7 +43,7 @@
 		}
 	}
 	if left, err := os.ReadDir(os.Getenv("TMPDIR")); len(left) > 0 || err != nil {
-		t.Errorf("files left in the temporary directory: %v, %v", left, err)
+		t.Errorf("files left in the temporary directory: %v (error %v)", left, err)
 	}
 }
 
--- a/internal/fleettest/sockets_test.go
+++ b/internal/fleettest/sockets_test.go
@@ -26,8 +26,8 @@
 	return client, server
 }
 
-// expectUnread checks that both methods return the number of unread bytes of a socket, after waiting for the first one to do
-// so.
+// expectUnread waits until /proc/net/tcp shows the wanted number of unread bytes of a socket, and checks that sock_diag
+// returns the same.
 func expectUnread(t *testing.T, local, remote netip.AddrPort, want int) {
 	t.Helper()
 	n, err := unreadBySocketTable(local, remote)
@@ -36,7 +36,7 @@
 		n, err = unreadBySocketTable(local, remote)
 	}
 	if n != want || err != nil {
-		t.Errorf("%d unread bytes according to /proc/net/tcp, %v; want %d", n, err, want)
+		t.Errorf("%d unread bytes according to /proc/net/tcp (error %v), want %d", n, err, want)
 	}
 	if n, err := unreadBySockDiag(local, remote); err == nil && n != want { // the kernel may lack sock_diag
 		t.Errorf("%d unread bytes according to sock_diag, want %d", n, want)
