--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -20,23 +20,23 @@
 type Clients struct {
 	addr       string
 	replyGrace time.Duration // how long a reply is awaited beyond the request's ClientTimeout
-	slots      chan struct{} // semaphore: an element for each connection in use
+	slots      chan struct{} // semaphore: one element for each request in progress
 
 	mu     sync.Mutex    // guards all fields below
-	idle   []*clientConn // the one used last is at the end
+	idle   []*clientConn // the connection used last is at the end
 	conns  map[*clientConn]bool
 	closed bool
 }
 
 // clientConn is a connection to the gateway. One request at a time uses it.
 type clientConn struct {
-	conn   net.Conn
+	tcp    net.Conn
 	in     *bufio.Reader
 	reused bool // has carried a request before
 }
 
-// NewClients returns clients for the gateway at addr. They hold at most maxConns connections; further requests wait.
-// A reply is awaited for the request's ClientTimeout plus replyGrace.
+// NewClients returns clients for the gateway at addr. They hold at most maxConns connections at a time, and further requests
+// wait. A reply is awaited for the request's ClientTimeout plus replyGrace.
 func NewClients(addr string, maxConns int, replyGrace time.Duration) *Clients {
 	return &Clients{addr: addr, replyGrace: replyGrace, slots: make(chan struct{}, maxConns),
 		conns: map[*clientConn]bool{}}
@@ -48,7 +48,7 @@
 	defer c.mu.Unlock()
 	c.closed = true
 	for conn := range c.conns {
-		conn.conn.Close()
+		conn.tcp.Close()
 	}
 	c.idle = nil
 }
@@ -73,9 +73,9 @@
 }
 
 // Do sends a request and waits for its reply. The latency runs from before the command is encoded and written until the
-// whole reply is read; it is 0 if there was no reply. It includes neither the wait for a connection nor tries on
+// whole reply is read; it is 0 if there is no complete reply. It includes neither the wait for a connection nor tries on
 // connections that the gateway had closed.
-func (c *Clients) Do(ctx context.Context, request *Request) (ending Ending, latency time.Duration) {
+func (c *Clients) Do(ctx context.Context, request *Request) (outcome Outcome, latency time.Duration) {
 	select {
 	case c.slots <- struct{}{}:
 		defer func() { <-c.slots }()
@@ -92,7 +92,7 @@
 		latency = time.Since(start)
 		if err == nil {
 			c.release(conn)
-			return endingOf(request, reply), latency
+			return outcomeOf(request, reply), latency
 		}
 		c.discard(conn)
 		// The gateway may close a connection between two requests. Then the next idle one is tried, and finally a new one.
@@ -103,8 +103,8 @@
 	}
 }
 
-// endingOf returns how a request ends with the given reply.
-func endingOf(request *Request, reply reply) Ending {
+// outcomeOf returns the outcome of a request that got the given reply.
+func outcomeOf(request *Request, reply reply) Outcome {
 	switch {
 	case reply.isValue && reply.value == request.ID:
 		return Served
@@ -126,7 +126,7 @@
 	if err != nil {
 		return nil, err
 	}
-	conn := &clientConn{conn: tcp, in: bufio.NewReaderSize(tcp, clientReadBuffer)}
+	conn := &clientConn{tcp: tcp, in: bufio.NewReaderSize(tcp, clientReadBuffer)}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
@@ -161,7 +161,7 @@
 
 // discard closes a connection that failed.
 func (c *Clients) discard(conn *clientConn) {
-	conn.conn.Close()
+	conn.tcp.Close()
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.conns, conn)
@@ -172,8 +172,8 @@
 
 // roundTrip sends a command and reads its reply.
 func (c *clientConn) roundTrip(command []byte, timeout time.Duration) (reply, error) {
-	c.conn.SetDeadline(time.Now().Add(timeout))
-	if _, err := c.conn.Write(command); err != nil {
+	c.tcp.SetDeadline(time.Now().Add(timeout))
+	if _, err := c.tcp.Write(command); err != nil {
 		return reply{}, errClosedBeforeReply
 	}
 	if _, err := c.in.Peek(1); err != nil {
--- a/internal/emulator/ledger.go
+++ b/internal/emulator/ledger.go
@@ -5,19 +5,19 @@
 	"time"
 )
 
-// Ending is how a request ended for its client.
-type Ending int
+// Outcome is how a request ended for its client.
+type Outcome int
 
-// The ways in which a request can end.
+// The outcomes of a request.
 const (
-	Unanswered Ending = iota // no reply, or an incomplete one
+	Unanswered Outcome = iota // no complete reply
 	Served
 	Rejected // the client can safely retry
 	Failed
-	Wrong // served with the value of another request
+	Wrong // the reply has the value of another request
 )
 
-// maxLedgerEntries limits the requests that a ledger holds. Events of further requests are only counted.
+// maxLedgerEntries limits the requests that a ledger holds. Events of further requests are dropped and counted.
 const maxLedgerEntries = 1 << 20
 
 // ledgerEntry records the events of one request.
@@ -25,23 +25,23 @@
 	idempotency     Idempotency
 	attemptsStarted int // by backends
 	serviceTime     time.Duration
-	ended           bool // at the client
-	ending          Ending
+	ended           bool    // for its client
+	outcome         Outcome // if ended
 }
 
 // Ledger records, per request ID, what the backends did and which result the client received. It is safe for concurrent
 // use.
 type Ledger struct {
-	mu      sync.Mutex // guards all fields below
-	entries map[string]*ledgerEntry
-	notKept int // events of requests that no longer fitted into the ledger
+	mu            sync.Mutex // guards all fields below
+	entries       map[string]*ledgerEntry
+	droppedEvents int // events of requests that didn't fit into the ledger
 }
 
 // NewLedger returns an empty ledger.
 func NewLedger() *Ledger { return &Ledger{entries: map[string]*ledgerEntry{}} }
 
-// entry returns the entry of a request and creates it if necessary. If the ledger is full, the new entry is not stored. The
-// caller holds mu.
+// entry returns the entry of a request, in which the caller records one event, and creates it if necessary. If the ledger is
+// full, the new entry is not stored, and the event counts as dropped. The caller holds mu.
 func (l *Ledger) entry(id string) *ledgerEntry {
 	entry := l.entries[id]
 	if entry != nil {
@@ -49,7 +49,7 @@
 	}
 	entry = &ledgerEntry{}
 	if len(l.entries) >= maxLedgerEntries {
-		l.notKept++
+		l.droppedEvents++
 		return entry
 	}
 	l.entries[id] = entry
@@ -63,7 +63,8 @@
 	l.entry(id).attemptsStarted++
 }
 
-// AttemptServed records the time that an attempt took at a backend, from the last byte of the command to the reply.
+// AttemptServed records the service time of an attempt: from when the backend has read the whole command until it writes the
+// reply.
 func (l *Ledger) AttemptServed(id string, serviceTime time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -81,60 +82,61 @@
 }
 
 // RequestEnded records how a request ended for the client.
-func (l *Ledger) RequestEnded(request *Request, ending Ending) {
+func (l *Ledger) RequestEnded(request *Request, outcome Outcome) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	entry := l.entry(request.ID)
-	entry.idempotency, entry.ended, entry.ending = request.Idempotency, true, ending
+	entry.idempotency, entry.ended, entry.outcome = request.Idempotency, true, outcome
 }
 
-// Sums compares, request by request, what the backends did with the results that the clients received. It is part of the
-// JSON that a fleettest.Report writes.
+// Sums compares, request by request, what the backends did with the results that the clients received. A request counts as
+// started once a backend has started an attempt of it. Sums is part of the JSON that a fleettest.Report writes.
 type Sums struct {
-	Requests   int `json:"requests"` // that ended at a client
+	Requests   int `json:"requests"` // that have ended for their clients; the next five fields count them by outcome
 	Served     int `json:"served"`
 	Rejected   int `json:"refused"`
 	Failed     int `json:"failed"`
 	Unanswered int `json:"unanswered"`
-	Wrong      int `json:"wrong"` // served with the value of another request
-
-	Runs         int `json:"runs"`        // attempts that backends started
-	Ran          int `json:"ran"`         // requests with at least one started attempt
-	RanNotServed int `json:"ran_unsaid"`  // requests with a started attempt that were not served or have not ended
-	Phantom      int `json:"phantom"`     // requests served without any started attempt
-	Doubled      int `json:"doubled"`     // non-idempotent requests with more than one started attempt
-	RejectedRan  int `json:"refused_ran"` // non-idempotent requests that were rejected although an attempt started
-	NotKept      int `json:"lost"`        // events of requests that no longer fitted into the ledger
+	Wrong      int `json:"wrong"`
+
+	AttemptsStarted    int `json:"runs"`        // attempts that backends started
+	Started            int `json:"ran"`         // started requests
+	StartedNotServed   int `json:"ran_unsaid"`  // started requests that were not served or have not ended
+	Phantom            int `json:"phantom"`     // requests that were served without having been started
+	Doubled            int `json:"doubled"`     // non-idempotent requests with more than one started attempt
+	RejectedButStarted int `json:"refused_ran"` // non-idempotent requests that were rejected although they had been started
+	DroppedEvents      int `json:"lost"`        // events of requests that didn't fit into the ledger
 }
 
-// Sums returns the sums of the requests whose ids match; if matches is nil, of all requests.
+// Sums returns the sums of the requests whose ids match, or of all requests if matches is nil. DroppedEvents always concerns
+// all requests.
 func (l *Ledger) Sums(matches func(id string) bool) Sums {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	sums := Sums{NotKept: l.notKept}
+	sums := Sums{DroppedEvents: l.droppedEvents}
 	for id, entry := range l.entries {
 		if matches == nil || matches(id) {
 			sums.addAttempts(entry)
-			sums.addEnding(entry)
+			sums.addOutcome(entry)
 		}
 	}
 	return sums
 }
 
-// addAttempts counts what the backends did.
+// addAttempts counts the attempts that backends started and the requests with such an attempt.
 func (s *Sums) addAttempts(entry *ledgerEntry) {
-	s.Runs += entry.attemptsStarted
+	s.AttemptsStarted += entry.attemptsStarted
 	if entry.attemptsStarted == 0 {
 		return
 	}
-	s.Ran++
-	if entry.ending != Served {
-		s.RanNotServed++
+	s.Started++
+	if entry.outcome != Served {
+		s.StartedNotServed++
 	}
 }
 
-// addEnding counts the result that the client received, and the violations: Phantom, Doubled and RejectedRan.
-func (s *Sums) addEnding(entry *ledgerEntry) {
+// addOutcome counts the request by its outcome, and the violations: Phantom, Doubled and RejectedButStarted.
+func (s *Sums) addOutcome(entry *ledgerEntry) {
 	if !entry.ended {
 		return
 	}
@@ -143,7 +145,7 @@
 	if nonIdempotent && entry.attemptsStarted > 1 {
 		s.Doubled++
 	}
-	switch entry.ending {
+	switch entry.outcome {
 	case Served:
 		s.Served++
 		if entry.attemptsStarted == 0 {
@@ -152,7 +154,7 @@
 	case Rejected:
 		s.Rejected++
 		if nonIdempotent && entry.attemptsStarted > 0 {
-			s.RejectedRan++
+			s.RejectedButStarted++
 		}
 	case Failed:
 		s.Failed++
--- a/internal/policy/selection.go
+++ b/internal/policy/selection.go
@@ -60,7 +60,8 @@
 }
 
 // cheapestInSubset examines the backends of the subset from the round-robin position on. It stops when it has
-// compared maxCompared of them and found one with a free slot, or has examined all.
+// compared maxCompared of them and found one with a free slot and slow-start budget left, or has examined
+// all.
 func (e *Engine) cheapestInSubset(r *request) candidate {
 	best, compared := noCandidate, 0
 	randomPart := e.sparseness()
@@ -110,8 +111,8 @@
 //
 // A fraction randomPart of the cost, from 0 to 1, is random; a random number is drawn only if it is over 0.
 // This is for a gateway that sends to each backend so rarely that what it knows of them is outdated or due to
-// chance (a departure: all gateways together then distribute requests by weight and speed, instead of all
-// sending to the same backend).
+// chance. Unlike the paper, the engine randomizes the cost so that all gateways together distribute requests
+// by weight and speed, instead of all sending to the same backend.
 func (e *Engine) loadCost(b *backend, capacityShare, randomPart float64) float64 {
 	cost := (float64(len(b.inFlight)+b.queue.length) + 1) * b.latencyFactor.Value() / (b.weight * capacityShare)
 	if b.zone != e.settings.Zone {
