--- a/internal/fleetsim/measures_test.go
+++ b/internal/fleetsim/measurements_test.go
@@ -11,13 +11,13 @@
 // The counts depend on the seed alone, not on the number of workers and the order in which gateways are simulated.
 func TestCountsDependOnSeedOnly(t *testing.T) {
 	o := fastOptions(1)
-	first := runCountMeasures(t, o)
+	first := runCountMeasurements(t, o)
 	o.Workers = 5
-	again, other := runCountMeasures(t, o), runCountMeasures(t, fastOptions(2))
+	again, other := runCountMeasurements(t, o), runCountMeasurements(t, fastOptions(2))
 	if !slices.Equal(first.Rows, again.Rows) {
 		for i := range first.Rows {
 			if first.Rows[i] != again.Rows[i] {
-				t.Errorf("the first run got %+v, the second %+v", first.Rows[i], again.Rows[i])
+				t.Errorf("two workers gave %+v, five workers %+v", first.Rows[i], again.Rows[i])
 			}
 		}
 	}
@@ -29,14 +29,14 @@
 			t.Errorf("invalid row for a count: %+v", r)
 		}
 		if strings.HasPrefix(r.Name, "cold ratio") && r.Value > 1 {
-			t.Errorf("a newly started backend was sent more than its budget: %+v", r)
+			t.Errorf("a newly started backend was sent more attempts than allowed: %+v", r)
 		}
 	}
 }
 
 // A measurement that is interrupted, or exceeds its time or memory limit, ends without an error and is listed as not
 // measured in the report.
-func TestMeasuresThatEndEarlyAreReportedAsNotMeasured(t *testing.T) {
+func TestMeasurementsThatEndEarlyAreReportedAsNotMeasured(t *testing.T) {
 	interrupted, cancel := context.WithCancel(context.Background())
 	cancel()
 	late, stop := context.WithDeadline(context.Background(), time.Now().Add(-time.Hour))
@@ -57,7 +57,7 @@
 			for _, err := range []error{
 				StepTimes(c.ctx, c.o, rep, small),
 				Memory(c.ctx, c.o, rep, small),
-				Spread(c.ctx, c.o, rep, small, time.Second, 0),
+				LoadSpread(c.ctx, c.o, rep, small, time.Second, 0),
 				SlowStart(c.ctx, c.o, rep, small, EvenTraffic),
 				ZoneLoss(c.ctx, c.o, rep, small, 7, 0),
 				CounterCalls(c.ctx, c.o, rep, small, TenantLoad{Tenants: 20, Rate: 10}, 3),
--- a/internal/fleettest/run.go
+++ b/internal/fleettest/run.go
@@ -34,9 +34,9 @@
 // measuredGateway is a real gateway with its configuration files and measurements.
 type measuredGateway struct {
 	*realGateway
-	configFiles   map[knownList]string
-	requestsEnded atomic.Int64 // requests that ended while loadMetrics.measuring was set
-	addedLatency  *histogram   // the latency that the gateway adds to a request
+	configFiles   map[knownList]string // paths
+	requestsEnded atomic.Int64         // requests that ended while loadMetrics.measuring was set
+	addedLatency  *histogram           // the latency that the gateway adds to a request
 }
 
 // knownList says which endpoint list a configuration contains in its known field.
@@ -107,7 +107,7 @@
 	opened, err := openRealGateway(realGatewaySetup{index: index, program: &r.program,
 		settings: newSettings(index, fleet.ConfiguredGateways, fleet.Zones), seed: r.options.Load.Seed + uint64(index),
 		memoryMB: r.options.Process.MemoryMB, listenHost: gatewayHost, emulatorHost: emulatorHost,
-		catalog: r.emulated.catalog, onWatchSent: r.drains.watchSent, counterValues: r.emulated.counterValues,
+		catalog: r.emulated.catalog, onUpdateSent: r.drains.updateSent, counterValues: r.emulated.counterValues,
 		replyGrace: clientReplyGrace})
 	gateway := &measuredGateway{realGateway: opened, configFiles: map[knownList]string{}, addedLatency: newHistogram()}
 	r.real = append(r.real, gateway)
@@ -236,7 +236,8 @@
 	}
 }
 
-// fillTotals sets the report's totals. The ids of the direct requests contain gateway indexes above those of all gateways.
+// fillTotals sets the report's totals. The ids of direct requests contain a gateway index above those of all gateways; see
+// sendDirect.
 func (r *fleetRun) fillTotals() {
 	firstSimulated, firstDirect := r.options.Fleet.RealGateways, r.options.Fleet.ConfiguredGateways
 	totals, ledger := &r.reporter.report.Totals, r.emulated.ledger
