--- a/internal/audit/doc.go
+++ b/internal/audit/doc.go
@@ -13,7 +13,7 @@
 //     gateway that acts on that version or a newer one votes for it, and a gateway that is behind the proposal reads the
 //     vote count. One window in eight compares the configuration instead.
 //   - A quorum of different voters proves that the fleet acts on a newer version. Only such a proof marks a gateway as
-//     behind, whether a verdict in a window or its own check after its process was paused finds it.
+//     behind. The gateway finds it by comparing the votes in a window, or by its check after its process was paused.
 //   - A gateway is behind if a quorum is ahead of it. It then goes through stages: it waits, reopens the watch, fetches
 //     the whole list, and is stale if all of that has failed. A stale gateway has to be out of service until it has
 //     caught up.
--- a/internal/audit/round.go
+++ b/internal/audit/round.go
@@ -8,8 +8,8 @@
 	readStart = 0.15
 	readEnd   = 0.85
 	// A gateway that is behind the proposal reads the vote count this fraction of a window after it has read the proposal,
-	// when all gateways have voted. If the pacer denies the call it retries it for up to the fraction maxCompareOverdue of
-	// a window, and then drops the comparison.
+	// when all gateways have voted. If the pacer denies the call, the gateway retries for up to the fraction
+	// maxCompareOverdue of a window, and then drops the comparison.
 	compareDelay      = 0.85
 	maxCompareOverdue = 0.5
 )
--- a/internal/audit/slotlease.go
+++ b/internal/audit/slotlease.go
@@ -11,7 +11,7 @@
 	// Holders renew before this: they claim their own slots for the next epoch.
 	renewEnd = 0.2
 	// Other gateways claim the remaining slots at a random moment between claimStart and claimSpreadEnd, so that few claim
-	// at the same time. If the pacer denies the call they retry it until claimEnd.
+	// at the same time. If the pacer denies the call, they retry until claimEnd.
 	claimStart     = 0.25
 	claimSpreadEnd = 0.45
 	claimEnd       = 0.5
@@ -98,7 +98,7 @@
 }
 
 // recordLeaseChange records what a new epoch means for a gateway that needs a slot. In the text for a lost slot "it serves
-// on" means "it serves again"; log texts are not changed.
+// on" means "it serves again". The wording is kept because the log's texts must not change.
 func (l *slotLease) recordLeaseChange(wasHeld bool, need slotNeed) {
 	if need.kind != acquireSlot {
 		l.noSlotLogged = false
--- a/internal/audit/staleness.go
+++ b/internal/audit/staleness.go
@@ -108,7 +108,7 @@
 	// grows while the gateway is in sync.
 	notBehindCount int
 
-	lastRetryAt       time.Duration // when discovery was last retried, or the remedies had failed
+	lastRetryAt       time.Duration // time of the last retry of discovery; until the first one, the start of the stage stale
 	fetchSnapshotNext bool          // the next retry fetches the whole list; otherwise it reopens the watch
 	recoveryTime      time.Duration // length of the current or last stage recovering
 	recoveredAt       time.Duration // when the last stage recovering ended
--- a/internal/audit/staleness_test.go
+++ b/internal/audit/staleness_test.go
@@ -23,10 +23,10 @@
 			staleGateway := f.gateways[2]
 			staleGateway.agentCut = true
 			f.step(1) // the change that it misses
-			foundAfter, outAfter := f.timesUntilOut(staleGateway)
-			t.Logf("window %v, first remedy after %v, out of service after %v", window, foundAfter, outAfter)
-			if bound := 3*window + behindTimeout + time.Second; foundAfter == 0 || foundAfter > bound {
-				t.Errorf("first remedy after %v, want within %v", foundAfter, bound)
+			remedyAfter, outAfter := f.timesUntilOut(staleGateway)
+			t.Logf("window %v, first remedy after %v, out of service after %v", window, remedyAfter, outAfter)
+			if bound := 3*window + behindTimeout + time.Second; remedyAfter == 0 || remedyAfter > bound {
+				t.Errorf("first remedy after %v, want within %v", remedyAfter, bound)
 			}
 			bound := 3*window + behindTimeout + watchTimeout + snapshotTimeout + 2*epoch + time.Second
 			if outAfter == 0 || outAfter > bound {
@@ -50,19 +50,19 @@
 
 // timesUntilOut runs the simulation until a gateway is out of service, or until long after it should have been. It returns
 // the times until the gateway's first remedy and until it is out of service; 0: that did not happen.
-func (f *simFleet) timesUntilOut(staleGateway *simGateway) (foundAfter, outAfter time.Duration) {
+func (f *simFleet) timesUntilOut(staleGateway *simGateway) (remedyAfter, outAfter time.Duration) {
 	f.t.Helper()
 	start := f.now
 	for f.now-start < 12*f.schedule.window+60*time.Second && outAfter == 0 {
 		f.step(0)
-		if foundAfter == 0 && staleGateway.machine.staleness.stage >= watchReopened {
-			foundAfter = f.now - start
+		if remedyAfter == 0 && staleGateway.machine.staleness.stage >= watchReopened {
+			remedyAfter = f.now - start
 		}
 		if staleGateway.outOfService {
 			outAfter = f.now - start
 		}
 	}
-	return foundAfter, outAfter
+	return remedyAfter, outAfter
 }
 
 // Guards against a transition table whose result depends on the order of its rows: each combination of a stage, a trigger
