--- a/internal/emulator/backends.go
+++ b/internal/emulator/backends.go
@@ -12,7 +12,8 @@
 const (
 	// Connections per listener: enough for several connections from each of 1,024 gateways.
 	maxBackendConns = 4096
-	// Replies that are queued per connection. While the queue is full, no further commands are read.
+	// Replies that are queued per connection: those of commands that have been started before earlier ones are answered.
+	// While the queue is full, reading waits.
 	maxPipelined      = 8
 	backendReadBuffer = 4096
 	tenantBytes       = 16 // length of a tenant's name in a command
--- a/internal/emulator/backends_test.go
+++ b/internal/emulator/backends_test.go
@@ -24,6 +24,7 @@
 		if interval2, request2 := sameTraffic.Next(); interval != interval2 || *request != *request2 {
 			t.Fatalf("the same seed gives %+v after %v and %+v after %v", request, interval, request2, interval2)
 		}
+		// The tenant's two gateways of three are FirstGateway and the next one, with index 0 after 2.
 		if (2-request.FirstGateway+3)%3 >= 2 || GatewayOf(request.ID) != 2 {
 			t.Errorf("traffic of gateway 2 contains %+v, which is not for that gateway", request)
 		}
--- a/internal/emulator/ledger.go
+++ b/internal/emulator/ledger.go
@@ -14,7 +14,7 @@
 	Served
 	Rejected // the client can safely retry
 	Failed
-	Wrong // the reply has the value of another request
+	Wrong // the reply has a value other than the one for this request
 )
 
 // maxLedgerEntries limits the requests that a ledger holds. Events of further requests are dropped and counted.
--- a/internal/emulator/link.go
+++ b/internal/emulator/link.go
@@ -126,7 +126,8 @@
 	return open
 }
 
-// serveConn relays one connection until it has ended. It resets the connection if the server can't be reached.
+// serveConn relays one connection until both of its directions have ended. It resets the connection if the server can't be
+// reached.
 func (l *Link) serveConn(accepted net.Conn) {
 	client := accepted
 	if metered, ok := accepted.(*meteredConn); ok { // SetLinger and CloseWrite need the TCP connection
--- a/internal/emulator/listener.go
+++ b/internal/emulator/listener.go
@@ -9,7 +9,8 @@
 )
 
 const (
-	// A write that takes longer than this fails, and the connection is closed. Links also use it to dial their server.
+	// A peer that accepts no data for this long counts as gone: the write to it fails and the connection is closed. Links
+	// use this time only as the limit for dialing their server.
 	writeTimeout = 2 * time.Second
 	// Delay after a failed accept, such as when no file descriptors are left.
 	acceptRetryDelay = 10 * time.Millisecond
