--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -20,7 +20,7 @@
 	}
 }
 
-const writeBufferBytes = 1 << 20 // a reply may have several megabytes
+const writeBufferBytes = 1 << 20 // a reply may be several megabytes long
 
 // run replies to each batch until the input ends between two batches.
 func run(in io.Reader, out io.Writer) error {
--- a/internal/resp/reader.go
+++ b/internal/resp/reader.go
@@ -23,7 +23,7 @@
 	MaxMessageBytes  = MaxValueBytes + 8<<10 // of a whole command or reply
 	BufferBytes      = 4 << 10               // initial size of a Reader's buffer, which grows when it is full
 	maxArrayItems    = 64                    // a command has at most 5 items, a reply 3
-	maxArrayDepth    = 2                     // an array may contain arrays, which redcon parses as well
+	maxArrayDepth    = 2                     // an array within an array, which redcon parses as well, but no deeper
 	maxSizeLineBytes = 32                    // of the first line of a bulk string or an array, which gives its size
 	maxLineBytes     = 4 << 10               // of a simple string, an error or an integer
 )
--- a/internal/simprotocol/fields.go
+++ b/internal/simprotocol/fields.go
@@ -30,7 +30,7 @@
 // isAbsent reports whether the next field is missing or marked as absent.
 func (f *fieldReader) isAbsent() bool { return f.next >= len(f.fields) || f.fields[f.next] == absent }
 
-// raw returns the next field unparsed, or the value of absent at the end of the line.
+// raw returns the next field unparsed, or the constant absent if the line has no further field.
 func (f *fieldReader) raw() string {
 	f.next++
 	if f.next > len(f.fields) {
--- a/internal/simprotocol/parse.go
+++ b/internal/simprotocol/parse.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	readBufferBytes = 1 << 20 // a batch may have several megabytes
+	readBufferBytes = 1 << 20 // a batch may be several megabytes long
 	// maxPreallocatedEntries limits the entries allocated before they are read, whatever number the list announces.
 	maxPreallocatedEntries = 1 << 16
 )
--- a/internal/simprotocol/words.go
+++ b/internal/simprotocol/words.go
@@ -2,10 +2,10 @@
 
 import "bellwood/internal/policy"
 
-// absent stands for a value that is not given.
+// absent is the text that the protocol writes for a value that is not given.
 const absent = "-"
 
-// updateKinds maps the field scope of a VIEW line.
+// updateKinds maps the words of the field scope of a VIEW line.
 var updateKinds = map[string]policy.UpdateKind{
 	"delta":  policy.Delta,
 	"full":   policy.Snapshot,
@@ -13,21 +13,21 @@
 	"failed": policy.UpdateFailed,
 }
 
-// backendStates maps the field state of a BACKEND line.
+// backendStates maps the words of the field state of a BACKEND line.
 var backendStates = map[string]policy.BackendState{
 	"in_service":  policy.InService,
 	"terminating": policy.Draining,
 	"terminated":  policy.Terminated,
 }
 
-// idempotencies maps the setting classes[].effect.
+// idempotencies maps the words of the setting classes[].effect.
 var idempotencies = map[string]policy.Idempotency{
 	"safe":   policy.Idempotent,
 	"keyed":  policy.IdempotentWithKey,
 	"unsafe": policy.NonIdempotent,
 }
 
-// dedupScopes maps the setting classes[].group, which applies only to keyed classes; other classes may omit it.
+// dedupScopes maps the words of the setting classes[].group, which applies only to keyed classes; other classes may omit it.
 //
 // WIRE-bellwood doesn't define a keyed class without a group. Unlike a missing effect it is not an error here, but counts as
 // "all". If the backends in fact share their keys only within a zone or a cell, a retry may go to a backend that doesn't
@@ -42,13 +42,13 @@
 	absent: policy.DedupAllBackends,
 }
 
-// pollsEndpoints maps the setting discovery: whether the gateway has to poll the endpoint list.
+// pollsEndpoints maps the words of the setting discovery to whether the gateway has to poll the endpoint list.
 var pollsEndpoints = map[string]bool{
 	"pushed":     false,
 	"on_request": true,
 }
 
-// flags maps every boolean setting.
+// flags maps the words of every boolean setting.
 var flags = map[string]bool{
 	"true":  true,
 	"1":     true,
