--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -53,8 +53,9 @@
 }
 
 // deadlineBudget returns how long after its arrival an answer to the request is still useful: the time
-// its client has left, or at most the latency objective if a late answer earns nothing. Unlike in the
-// paper, which has a single time limit, clients wait beyond the time at which an answer loses its value.
+// its client has left, or at most the latency objective if a late answer earns nothing.
+// Unlike in the paper, which has a single time limit, clients wait beyond the time at which an answer
+// loses its value.
 //
 // If the gateway stalled for over 100 ms, the request has waited unnoticed. That wait is estimated as
 // the largest TimeLeft seen for the class minus this request's TimeLeft, capped at the length of the
@@ -114,7 +115,7 @@
 type quotaDecision int
 
 const (
-	proceed              quotaDecision = iota // within the limits; and paid, on credit or without a rate
+	proceed              quotaDecision = iota // within the limits, and paid, on credit or free (no rate)
 	mustWait                                  // for the counter, an admitted request's end or the hard limit
 	overConcurrencyLimit                      // too late to wait for an admitted request to end
 	overHardLimit                             // the hard limit's share does not refill in time
--- a/internal/policy/dispatch.go
+++ b/internal/policy/dispatch.go
@@ -54,9 +54,9 @@
 }
 
 // checkOverload reports whether it is better to reject a request now than to queue it at backend b, and
-// for which reason. Rejecting now leaves the client time to retry. The paper instead lets the request
-// wait until it is stale; under overload, every answer would then arrive at the last moment and every
-// client's retry would come too late.
+// for which reason. Rejecting now leaves the client time to retry. Unlike in the paper, a request is not
+// left waiting until it is stale: under overload, every answer would then arrive at the last moment and
+// every client's retry would come too late.
 //
 // If the backend has a free slot, shedByLatency decides. If not, waitsTooLong decides, and only for
 // first attempts.
@@ -120,8 +120,8 @@
 func (e *Engine) canSendTo(b *backend) bool { return b.hasFreeSlot(e.now) && !e.slowStartSpent(b) }
 
 // queueToServe returns the backend whose queue supplies b's next request: b itself, or if its queue is
-// empty, the backend with the longest queue among those without a free slot. It returns nil if nothing
-// is queued.
+// empty, the backend with the longest queue among those without a free slot. A backend outside the subset
+// serves its own queue only. queueToServe returns nil if there is no queue to serve.
 func (e *Engine) queueToServe(b *backend) *backend {
 	if b.queue.length > 0 {
 		return b
@@ -134,7 +134,8 @@
 
 // nextRequest returns the request from one backend's queue that is to fill a free slot of another
 // backend, usually the same one. It compares the first requests of all eligible levels (levelIsEligible)
-// and returns the oldest. It also rejects the stale requests that it meets.
+// and returns the oldest of those that may be sent there (mayRepeat). It also rejects the stale requests
+// that it meets.
 func (e *Engine) nextRequest(from, to *backend) *request {
 	var oldest *request
 	waiting := 0
--- a/internal/policy/engine.go
+++ b/internal/policy/engine.go
@@ -97,7 +97,7 @@
 // start initializes the engine on the first Step.
 func (e *Engine) start() {
 	e.started, e.startedAt = true, e.now
-	e.roundRobin = e.rng.IntN(1 << 16) // gateways that start together begin with different backends
+	e.roundRobin = e.rng.IntN(1 << 16) // not all gateways begin with the same backend
 	e.throughput.Start(e.now)
 	e.emit(SetTimer{e.now + checkInterval, checkCookie})
 	if e.settings.PollEndpoints {
--- a/internal/policy/lease/lease.go
+++ b/internal/policy/lease/lease.go
@@ -168,7 +168,7 @@
 // HasFallback reports whether fallback tokens are left.
 func (l *Lease) HasFallback() bool { return l.fallback > 0 }
 
-// Refund returns the cost of a request that was paid for but never sent.
+// Refund adds the cost of a request that was paid for but never sent to the leased tokens.
 func (l *Lease) Refund(cost float64) { l.tokens += cost }
 
 // CorrectCost replaces the estimated cost that was charged for a request by the actual one.
@@ -252,7 +252,7 @@
 	callShare float64) Settlement {
 	l.awaitingAnswer = false
 	var settlement Settlement
-	held := l.bucket.Burst + l.bucket.Rate*sinceWindow.Seconds() - total + call.Amount // before this call
+	held := l.bucket.Burst + l.bucket.Rate*sinceWindow.Seconds() - total + call.Amount // level before this call
 	held, settlement.Overflow = l.splitOverflow(now, held, callShare)
 	granted := min(call.Block, held-call.Unreported)
 	settlement.CostCovered = granted >= call.Cost
--- a/internal/policy/randomevents_test.go
+++ b/internal/policy/randomevents_test.go
@@ -25,7 +25,7 @@
 	inFlight []randomAttempt
 	calls    []AddToCounter
 	timers   []SetTimer
-	totals   map[uint64]float64 // of the counter's numbers, by name
+	totals   map[uint64]float64 // the totals that the counter keeps, by name
 	outOfUse map[string]bool    // backends that are draining or terminated
 
 	deadlines        map[uint64]time.Duration // of requests without a final answer
@@ -124,7 +124,7 @@
 	return events
 }
 
-// counterResults answers some counter calls. Occasionally the counter loses a number.
+// counterResults answers some counter calls. Occasionally the counter loses a total.
 func (r *randomRun) counterResults() (events []Event) {
 	for len(r.calls) > 0 && r.rng.IntN(2) == 0 {
 		call := r.calls[0]
--- a/internal/policy/rejection.go
+++ b/internal/policy/rejection.go
@@ -154,8 +154,8 @@
 	return r.mayHaveRun() && !repeatIsHarmless(&e.settings.Classes[r.class])
 }
 
-// mayHaveRun reports whether a backend may have acted on the request: an attempt ended without
-// certainty, or one is in flight.
+// mayHaveRun reports whether a backend may have acted on the request: an attempt is in flight, or one has
+// ended that may have run.
 func (r *request) mayHaveRun() bool { return r.firstInDoubt != nil || r.attemptsInFlight > 0 }
 
 // repeatIsHarmless reports whether a request of the class may be sent again to any backend, since a
--- a/internal/policy/simulatedfleet_test.go
+++ b/internal/policy/simulatedfleet_test.go
@@ -42,7 +42,7 @@
 const (
 	simulationStep    = 20 * ms
 	workersPerMachine = 4
-	maxPendingSteps   = 400      // the number of steps in which a pending result must be due
+	maxPendingSteps   = 400      // a result must be due within fewer steps than this
 	maxMachineWait    = 400 * ms // a machine rejects an attempt that would wait longer for a worker
 )
 
--- a/internal/policy/slowstart_test.go
+++ b/internal/policy/slowstart_test.go
@@ -30,7 +30,7 @@
 			f.backends[i].Weight = 8
 		}
 	}, trigger: func(f *simulatedFleet) { f.restart(3, len(f.backends)) }},
-	{name: "one warm, larger", prepare: func(f *simulatedFleet) { // the one observed carries more than the others
+	{name: "one warm, larger", prepare: func(f *simulatedFleet) { // the one that stays warm has more capacity than the mean
 		for i := range f.machines {
 			f.machines[i].capacity *= 0.72 + 0.56*float64((i+1)%2)
 		}
--- a/internal/policy/subset.go
+++ b/internal/policy/subset.go
@@ -13,13 +13,13 @@
 
 const (
 	// targetGatewaysPerBackend is how many gateways should have a given backend in their subsets on average. It
-	// is large enough that the sum of their traffic to the backend is even. In a short list there are more,
-	// because of minSubset.
+	// is large enough that the sum of their traffic to the backend is even. If the list is short, a backend is
+	// in more subsets, because a subset has at least minSubset backends.
 	targetGatewaysPerBackend = 16.0
 	// minSubset is the minimum size of a subset, so that losing one backend loses only a small part of it.
 	minSubset = 8
-	// zoneDiverseSubset is the size from which a subset, which is assigned by hash, has enough backends outside
-	// any one zone without a check.
+	// zoneDiverseSubset is the subset size from which shortage does not check zones: so many backends, assigned
+	// by hash, include enough outside any one zone.
 	zoneDiverseSubset = 4 * minSubset
 	// subsetSlack is by how much a gateway's part may exceed the mean, as a share of the mean, so that few
 	// subsets change when a backend is removed.
@@ -29,13 +29,15 @@
 	keepBinsShare = 0.6
 )
 
-// backendSubset is the subset of the backends that one gateway uses. The paper has a single balancer, which
-// uses all backends. If each of many gateways did so, the connections and handshakes of a backend would grow
-// with the number of gateways, and each gateway would send to a backend too rarely to know its state.
+// backendSubset is the subset of the backends that one gateway uses. Unlike the paper's single balancer, a
+// gateway does not use all backends. If each of many gateways did so, the connections and handshakes of a
+// backend would grow with the number of gateways, and each gateway would send to a backend too rarely to know
+// its state.
 //
-// The gateways are grouped into rounds. Those of one round divide the whole list among them, so that every
-// backend is in one subset of each round; the last round may have too few gateways to use all backends. They
-// divide it by consistent hashing with bounded loads, so that a change of the list moves few backends.
+// The gateways are grouped into rounds. A round divides the whole list into bins, one for each of its
+// gateways, so that every backend is in one bin of each round; the last round may have fewer gateways than
+// bins, so that they do not use all backends. Package subset divides the list by consistent hashing with
+// bounded loads, so that a change of the list moves few backends.
 type backendSubset struct {
 	gateways           int
 	gatewayIndex       int
