--- a/internal/gateway/clientclose.go
+++ b/internal/gateway/clientclose.go
@@ -8,7 +8,7 @@
 
 const (
 	lingerTimeout     = 1500 * time.Millisecond // how long input of a lingering connection is discarded
-	maxDiscardedBytes = 64 << 20                // input discarded on one lingering or rejected connection
+	maxDiscardedBytes = 64 << 20                // limit on input discarded on one lingering or rejected connection
 	maxLingering      = 16                      // limit on lingering connections
 )
 
--- a/internal/gateway/clientreply.go
+++ b/internal/gateway/clientreply.go
@@ -12,7 +12,7 @@
 	maxPipelined        = 256             // limit on commands of one connection that wait for their replies
 	pauseUnwrittenBytes = 256 << 10       // above this many unwritten reply bytes, no command is read
 	maxUnwrittenBytes   = 1 << 20         // above this many unwritten reply bytes, the connection is closed
-	writeTimeout        = 5 * time.Second // for one write of replies; then the connection is closed
+	writeTimeout        = 5 * time.Second // for one write; a client that has not read enough by then counts as disconnected
 )
 
 // pendingReply is a command's entry in the reply queue of its connection. The connection's lock guards it.
--- a/internal/gateway/counter/client.go
+++ b/internal/gateway/counter/client.go
@@ -54,7 +54,7 @@
 type Options struct {
 	Enabled     bool          // whether there is a counter; if not, every call ends immediately as policy.ConnectFailed
 	Address     string        // IP address and port
-	Timeout     time.Duration // of a call
+	Timeout     time.Duration // after which a call without a reply ends
 	DialTimeout time.Duration
 }
 
--- a/internal/gateway/discovery/client.go
+++ b/internal/gateway/discovery/client.go
@@ -122,7 +122,7 @@
 	go c.watchUntilCancelled(c.followCtx, address, c.index)
 }
 
-// Stop ends the watch.
+// Stop ends the watch, which is then not reopened.
 func (c *Client) Stop() { c.cancelFollow() }
 
 // Fetch gets the full list once, for an engine that polls. It does not advance the index, so it does not affect what the
--- a/internal/gateway/discovery/receiver_test.go
+++ b/internal/gateway/discovery/receiver_test.go
@@ -130,9 +130,9 @@
 
 // The fields of a list may come in any order, with unknown fields between them, and the index after the entries.
 func TestListFieldsInAnyOrder(t *testing.T) {
-	drain := endpoint.List{Index: 4, Endpoints: discoverytest.Fleet(4, 1).Endpoints}
-	drain.Endpoints[0].Status = "DELETED"
-	lists := []endpoint.List{discoverytest.Fleet(2, 200), discoverytest.Fleet(3, 150), drain}
+	termination := endpoint.List{Index: 4, Endpoints: discoverytest.Fleet(4, 1).Endpoints}
+	termination.Endpoints[0].Status = "DELETED"
+	lists := []endpoint.List{discoverytest.Fleet(2, 200), discoverytest.Fleet(3, 150), termination}
 	for name, form := range map[string]string{
 		"entries first":                 `{"endpoints":%[3]s,"snapshot":%[2]v,"index":%[1]d}`,
 		"kind first, in another case":   `{"Snapshot":%[2]v,"endpoints":%[3]s,"index":%[1]d}`,
--- a/internal/gateway/discovery/table.go
+++ b/internal/gateway/discovery/table.go
@@ -21,10 +21,10 @@
 // table holds the state of each backend as last reported to the engine. It is owned by the event loop's goroutine.
 //
 // Several lists may be open at the same time: the response to a fetch may be read after a change that the watch received
-// since the fetch was requested. If it were applied regardless, the older list could return a draining backend to
-// service, and requests would be sent to it. Lists are therefore numbered: fetched ones in the order in which they were
-// requested, watched ones when they begin to arrive. Each backend records the number of the latest list containing it,
-// and older lists do not change it.
+// since the fetch was requested. If that response, the older list, were applied regardless, it could return a draining
+// backend to service, and requests would be sent to the backend. Lists are therefore numbered: fetched ones in the order
+// in which they were requested, watched ones when they begin to arrive. Each backend records the number of the latest
+// list containing it, and older lists do not change it.
 type table struct {
 	names    endpoint.Names
 	log      *slog.Logger
--- a/internal/gateway/downstream_test.go
+++ b/internal/gateway/downstream_test.go
@@ -116,7 +116,7 @@
 	}
 }
 
-// When a client disconnects, its request is cancelled and the backend connection is closed.
+// When a client disconnects, its request is cancelled: the backend connection is closed, and nothing more is sent on it.
 func TestClientDisconnectClosesTheBackendConnection(t *testing.T) {
 	gateway, ln := startWithBackend(t)
 	client := gateway.dial()
--- a/internal/gateway/undetecteddisconnect_test.go
+++ b/internal/gateway/undetecteddisconnect_test.go
@@ -45,7 +45,8 @@
 	}
 }
 
-// undetectedDisconnectTest is a client with two open requests, whose reader has stopped reading after them.
+// undetectedDisconnectTest is a client with two open requests. The reader of its connection does not run before
+// wantAllEnded starts it.
 type undetectedDisconnectTest struct {
 	t              *testing.T
 	server         *Server
--- a/internal/gateway/upstream.go
+++ b/internal/gateway/upstream.go
@@ -36,7 +36,7 @@
 	owner              attemptOwner
 	dialTimeout        time.Duration
 	backendIdleTimeout time.Duration // after which backends close an idle connection; 0: never
-	reuseDelay         time.Duration // see the constant
+	reuseDelay         time.Duration // see the constant reuseDelay
 	maxRequestCost     float64       // higher costs in replies are ignored; 0: no limit
 
 	pools     map[string]*backendPool // by backend name
--- a/internal/gateway/upstream_test.go
+++ b/internal/gateway/upstream_test.go
@@ -274,7 +274,7 @@
 	}
 }
 
-// The pool of a terminated backend is removed with its last connection, also if that ends by a timeout.
+// The pool of a terminated backend is removed with its last connection, also if the attempt on that connection times out.
 func TestPoolOfTerminatedBackendIsRemoved(t *testing.T) {
 	ln := listen(t)
 	server := newServerWithoutLoop(t, ln.Addr().String())
