--- a/internal/fleetsim/spread.go
+++ b/internal/fleetsim/spread.go
@@ -36,7 +36,7 @@
 	o.reportProgress("connections and load, %v, %d simulated", size, len(indexes))
 	m := newSpreadMeasurement(&o, size, period)
 	err := m.fleet.simulateEach(ctx, &o, indexes, numSpreadPhases, func() gatewayRun {
-		return &spreadRun{measurement: m, everSentTo: map[string]bool{}, attempts: map[string]int{}}
+		return &spreadRun{measurement: m, backendsSentTo: map[string]bool{}, attempts: map[string]int{}}
 	})
 	if err != nil {
 		return recordEarlyEnd(ctx, rep, fmt.Sprintf("connections and load, %v", size), err)
@@ -81,15 +81,15 @@
 
 // spreadRun is one gateway's part in LoadSpread.
 type spreadRun struct {
-	measurement *spreadMeasurement
-	everSentTo  map[string]bool
-	newBackends [numSpreadPhases]int // by phase: backends that it sent to for the first time
-	attempts    map[string]int       // by backend: attempts in the first period
+	measurement    *spreadMeasurement
+	backendsSentTo map[string]bool      // since the gateway's start, warm-up included
+	newBackends    [numSpreadPhases]int // by phase: backends that it sent to for the first time
+	attempts       map[string]int       // by backend: attempts in the first period
 }
 
 func (r *spreadRun) attemptSent(sent sentAttempt) {
-	if !r.everSentTo[sent.backend] {
-		r.everSentTo[sent.backend] = true
+	if !r.backendsSentTo[sent.backend] {
+		r.backendsSentTo[sent.backend] = true
 		r.newBackends[sent.phase]++
 	}
 	if sent.phase == spreadFirstHalf || sent.phase == spreadNoChange {
@@ -135,10 +135,10 @@
 			m.gatewaysWithNewPairs[phase]++
 		}
 	}
-	if r.everSentTo[m.leavingBackend.Name] {
+	if r.backendsSentTo[m.leavingBackend.Name] {
 		m.gatewaysUsingLeaving++
 	}
-	if r.everSentTo[m.joiningBackend.Name] {
+	if r.backendsSentTo[m.joiningBackend.Name] {
 		m.gatewaysUsingJoining++
 	}
 }
--- a/internal/fleetsim/zoneloss.go
+++ b/internal/fleetsim/zoneloss.go
@@ -16,20 +16,21 @@
 	lossWarmUpTime = 5 * time.Second
 	// backendsLostAt is the time of the loss.
 	backendsLostAt = 10 * time.Second
-	// lossFirstTime is the duration of the phase right after the loss.
-	lossFirstTime = 2 * time.Second
-	// minLossLaterTime is the minimum duration of the phase after that.
-	minLossLaterTime = 3 * time.Second
-	// lossLaterRequests is the mean number of requests of a gateway in that phase, which is extended if they take longer.
-	lossLaterRequests = 100
+	// rightAfterLossTime is the duration of the phase right after the loss.
+	rightAfterLossTime = 2 * time.Second
+	// minLaterAfterLossTime is the minimum duration of the phase after that.
+	minLaterAfterLossTime = 3 * time.Second
+	// laterAfterLossRequests is the mean number of requests of a gateway in that phase, which is extended if they take
+	// longer.
+	laterAfterLossRequests = 100
 )
 
 // The phases of ZoneLoss.
 const (
 	lossWarmUp = iota
-	lossBefore
-	lossFirst // lasts lossFirstTime
-	lossLater
+	beforeLoss
+	rightAfterLoss // lasts rightAfterLossTime
+	laterAfterLoss
 	numLossPhases
 )
 
@@ -94,29 +95,29 @@
 type zoneLossRun struct {
 	measurement   *zoneLossMeasurement
 	usedAfterLoss map[string]bool         // backends that it sends to after the loss
-	waits         *hdrhistogram.Histogram // from arrival to first attempt, of the requests of lossFirst
+	waits         *hdrhistogram.Histogram // from arrival to first attempt, of the requests of rightAfterLoss
 }
 
 func (r *zoneLossRun) attemptSent(sent sentAttempt) {
 	if sent.sentAt >= backendsLostAt {
 		r.usedAfterLoss[sent.backend] = true
 	}
-	if sent.first && sent.requestPhase == lossFirst {
+	if sent.first && sent.requestPhase == rightAfterLoss {
 		r.waits.RecordValue(int64(min(sent.wait, maxRecordedWait)/time.Microsecond) + 1)
 	}
 }
 
 func (r *zoneLossRun) run(ctx context.Context, s *simulation) error {
-	end := backendsLostAt + lossFirstTime + max(minLossLaterTime, s.timeForRequests(lossLaterRequests))
+	end := backendsLostAt + rightAfterLossTime + max(minLaterAfterLossTime, s.timeForRequests(laterAfterLossRequests))
 	ends := [numLossPhases]time.Duration{
-		lossWarmUp: lossWarmUpTime,
-		lossBefore: backendsLostAt,
-		lossFirst:  backendsLostAt + lossFirstTime,
-		lossLater:  end,
+		lossWarmUp:     lossWarmUpTime,
+		beforeLoss:     backendsLostAt,
+		rightAfterLoss: backendsLostAt + rightAfterLossTime,
+		laterAfterLoss: end,
 	}
 	for phase, until := range ends {
 		s.totals.phase = phase
-		if phase == lossFirst {
+		if phase == rightAfterLoss {
 			s.closeBackends(r.measurement.lost)
 			s.sendDelta(r.measurement.lostDelta...)
 		}
@@ -143,17 +144,18 @@
 		return totals.shareOfRequests(totals.ForwardedImmediately)
 	}
 	gateways := fmt.Sprintf("%d of %d gateways, even traffic", simulated, m.size.Gateways)
-	rows.add("at once before", "share", immediateShare(lossBefore), fmt.Sprintf("share of the requests in the %v before the "+
-		"loss whose first attempt was sent within %v; %s", backendsLostAt-lossWarmUpTime, maxImmediateWait, gateways))
-	rows.add("at once after", "share", immediateShare(lossFirst), fmt.Sprintf("the same in the first %v after the loss; 99th "+
-		"percentile of the wait for the first attempt: %.1f ms", lossFirstTime, float64(m.waits.ValueAtQuantile(99))/1e3))
-	rows.add("at once then", "share", immediateShare(lossLater), "the same for later requests")
-	rows.add("served before", "share", m.byPhase[lossBefore].servedShare(), "of the requests before the loss; "+gateways)
-	rows.add("served after", "share", m.byPhase[lossFirst].servedShare(), fmt.Sprintf("of the requests in the first %v after "+
-		"the loss", lossFirstTime))
+	rows.add("at once before", "share", immediateShare(beforeLoss), fmt.Sprintf("share of the requests in the %v before "+
+		"the loss whose first attempt was sent within %v; %s", backendsLostAt-lossWarmUpTime, maxImmediateWait, gateways))
+	rows.add("at once after", "share", immediateShare(rightAfterLoss), fmt.Sprintf("the same in the first %v after the "+
+		"loss; 99th percentile of the wait for the first attempt: %.1f ms", rightAfterLossTime,
+		float64(m.waits.ValueAtQuantile(99))/1e3))
+	rows.add("at once then", "share", immediateShare(laterAfterLoss), "the same for later requests")
+	rows.add("served before", "share", m.byPhase[beforeLoss].servedShare(), "of the requests before the loss; "+gateways)
+	rows.add("served after", "share", m.byPhase[rightAfterLoss].servedShare(), fmt.Sprintf("of the requests in the first "+
+		"%v after the loss", rightAfterLossTime))
 	rows.add("least backends", "backends", float64(m.minBackends), fmt.Sprintf("that a gateway sends to after the loss, "+
-		"minimum of these gateways, in at least %v and the time of %d later requests", lossFirstTime+minLossLaterTime,
-		lossLaterRequests))
+		"minimum of these gateways, in at least %v and the time of %d later requests",
+		rightAfterLossTime+minLaterAfterLossTime, laterAfterLossRequests))
 	rows.add("mean backends", "backends", m.sumBackends/float64(simulated), "the same, mean of these gateways")
 	atClosed := 0
 	for phase := range m.byPhase {
