--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -65,7 +65,7 @@
 // Reasons of a SettingError, besides ErrNoSharedCounter.
 var (
 	ErrNegative    = errors.New("must not be negative")
-	ErrNotPositive = errors.New("must be greater than 0")
+	ErrNotPositive = errors.New("must be above 0")
 )
 
 // ReadConfig reads a Config from its JSON form. It rejects only input that it cannot parse; Check validates the result. The
