--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -1,12 +1,11 @@
 package policy
 
-// Admission: the way of a request from its arrival until it is dispatched, rejected, or kept waiting for its
-// tenant's quota or limits.
+// Admission: processing a request from its arrival until it is dispatched, rejected or made to wait for
+// its tenant's quota or limits.
 //
-// In the paper's terms a token bucket promotes what the contract guarantees (stage 2); what follows is in
-// dispatch.go (stages 3 and 4). See doc.go for the whole way.
-//
-// The order of the rules that can reject, here and later, stands at the head of rejection.go.
+// In the paper, a token bucket promotes the traffic that the contract guarantees (stage 2). Stages 3 and
+// 4 are in dispatch.go. See doc.go for the whole request path, and the head of rejection.go for the
+// order in which rules can reject a request, here and later.
 
 import (
 	"maps"
@@ -14,13 +13,14 @@
 	"time"
 )
 
-// admit handles a request's arrival: it is rejected at once, or waits behind its tenant's other requests,
-// which are then served in order. A second event with the ID of a request that is still known is ignored.
+// admit handles the arrival of a request: it either rejects the request immediately or appends it to its
+// tenant's waiting requests and serves these in order. A Request event whose ID belongs to a request
+// that is still known is ignored.
 func (e *Engine) admit(ev Request) {
 	if e.requests[ev.ID] != nil {
 		return
 	}
-	if !e.settings.have(ev.Class, ev.Plan) {
+	if !e.settings.hasClassAndPlan(ev.Class, ev.Plan) {
 		e.rejections.add(UnknownClassOrPlan)
 		e.emit(Reject{ID: ev.ID})
 		return
@@ -38,7 +38,7 @@
 	}
 	e.emit(SetTimer{e.now + r.deadlineBudget - e.settings.TimerResolution, deadlineCookie(r.id)})
 	r.tenant.noteRequest(e.now, r.cost)
-	// The queue for the hard limit must stay short, or each request that still leaves it is nearly late.
+	// A long queue for the hard limit would leave every request that clears it close to its deadline.
 	if wait := e.hardLimitQueueWait(r); wait > e.maxHardLimitWait(r) && !e.mayBorrow(r) {
 		e.reject(r, rejection{HardLimitQueueTooLong, time.Duration(wait * float64(time.Second))})
 		return
@@ -47,20 +47,21 @@
 	e.serve(r.tenant)
 }
 
-// have says whether the settings have a class and a plan with these numbers.
-func (s *Settings) have(class, plan int) bool {
+// hasClassAndPlan reports whether both indexes are within the settings' classes and plans.
+func (s *Settings) hasClassAndPlan(class, plan int) bool {
 	return 0 <= class && class < len(s.Classes) && 0 <= plan && plan < len(s.Plans)
 }
 
-// deadlineBudget is the time in which an answer to a request is of use: the time that its client has left,
-// but where a late answer earns nothing at most the latency objective (a departure: the paper knows one
-// limit; here the client waits for longer than the answer has worth).
+// deadlineBudget returns how long after its arrival an answer to the request is still useful: the time
+// its client has left, or at most the latency objective if a late answer earns nothing. (A departure:
+// the paper has a single time limit, whereas here clients wait beyond the time at which an answer loses
+// its value.)
 //
-// After a stall of over 100 ms a request has waited unseen. The time waited is estimated as the most that a
-// client of the class ever had left, less what this one has left, and no more than the stall. The budget is
-// then at most the latency objective less that time: what a late answer earns counts for nothing, and where
-// the class has no latency objective the budget is 0 or less. A client's retry has less time left from the
-// start, so its budget stays as it is.
+// If the gateway stalled for over 100 ms, the request has waited unnoticed. That wait is estimated as
+// the largest TimeLeft seen for the class minus this request's TimeLeft, capped at the length of the
+// stall. The budget is then at most the latency objective minus that wait: the value of a late answer is
+// ignored, and a class without a latency objective gets a budget of 0 or less. A client's retry has less
+// time left to begin with, so its budget is not adjusted.
 func (e *Engine) deadlineBudget(ev Request) time.Duration {
 	class := &e.settings.Classes[ev.Class]
 	budget := ev.TimeLeft
@@ -75,22 +76,23 @@
 	return budget
 }
 
-// deadlineCannotBeMet says whether half of a usual answer's time or less is left. Half, as some answers are
-// faster than usual. A request that has to wait is held to tooLateToWait instead.
+// deadlineCannotBeMet reports whether the deadline budget is half of the expected latency or less. Half,
+// because some answers are faster than expected. Requests that have to wait are checked by tooLateToWait
+// instead.
 func (e *Engine) deadlineCannotBeMet(r *request) bool {
 	return r.deadlineBudget.Seconds() <= e.expectedLatency(r)/2
 }
 
-// serve decides for a tenant's requests in the order they came, until one has to wait: for the counter's
-// answer, for one of the tenant's admitted requests to end, or for this gateway's share of the hard limit to
-// fill.
+// serve processes a tenant's waiting requests in arrival order until one has to keep waiting: for the
+// counter's answer, for one of the tenant's admitted requests to end, or for this gateway's share of the
+// hard limit to refill.
 func (e *Engine) serve(t *tenant) {
 	for r := t.firstWaiting(); r != nil; r = t.firstWaiting() {
 		switch decision := e.decideQuota(r); decision {
 		case mustWait:
 			e.tenants.noteWaiting(t)
 			return
-		case goesOn:
+		case proceed:
 			t.removeFirstWaiting()
 			e.dispatch(r)
 		default:
@@ -100,8 +102,8 @@
 	}
 }
 
-// serveWaitingTenants serves again those tenants whose first request had to wait: no event tells that a hard
-// limit's share has filled or that a request has become late.
+// serveWaitingTenants serves the tenants whose first request had to wait. It runs periodically because
+// no event signals that a hard limit's share has refilled or that a request has become too late.
 func (e *Engine) serveWaitingTenants() {
 	for _, t := range e.tenants.takeWaiting() {
 		t.noLongerNoted()
@@ -109,18 +111,18 @@
 	}
 }
 
-// quotaDecision says how a request stands with its tenant's limits and its quota.
+// quotaDecision is the result of checking a request against its tenant's limits and quota.
 type quotaDecision int
 
 const (
-	goesOn               quotaDecision = iota // within the limits, and paid, on credit or of no rate
-	mustWait                                  // for the counter, an admitted request's end, or the hard limit
-	overConcurrencyLimit                      // admitted requests kept it waiting until it was too late
-	overHardLimit                             // the hard limit's share does not fill in time
-	overQuota                                 // no tokens pay for it, and it may not go on credit
+	proceed              quotaDecision = iota // within the limits; and paid, on credit or without a rate
+	mustWait                                  // for the counter, an admitted request's end or the hard limit
+	overConcurrencyLimit                      // too late to wait for an admitted request to end
+	overHardLimit                             // the hard limit's share does not refill in time
+	overQuota                                 // no tokens to pay for it, and credit is not allowed
 )
 
-// rejectReason is the reason for a rejection that follows from the decision.
+// rejectReason returns the reject reason that corresponds to the decision.
 func (q quotaDecision) rejectReason() RejectReason {
 	switch q {
 	case overConcurrencyLimit:
@@ -131,14 +133,15 @@
 	return OverQuota
 }
 
-// decideQuota holds a request against its tenant's limits, then pays for it. What goes on gets its priority
-// level, counts as admitted and reserves its cost in the hard limit's share from here on.
+// decideQuota checks a request against its tenant's limits and pays for it. A request that may proceed
+// is given its priority level, is counted as admitted, and from here on reserves its cost in the hard
+// limit's share.
 func (e *Engine) decideQuota(r *request) quotaDecision {
-	if decision := e.checkLimits(r); decision != goesOn {
+	if decision := e.checkLimits(r); decision != proceed {
 		return decision
 	}
 	r.level = e.priorityBand(r)
-	if decision := e.payOrDemote(r); decision != goesOn {
+	if decision := e.payOrDemote(r); decision != proceed {
 		return decision
 	}
 	r.quota.promoted = r.level < priorityBands
@@ -146,17 +149,17 @@
 	if !r.hardLimit.hasBorrowed(e.now) {
 		e.reserveHardLimit(r)
 	}
-	return goesOn
+	return proceed
 }
 
-// checkLimits holds a request against the two limits of its plan that no tokens replace: requests admitted
-// at once, and the hard limit's rate. Where only the hard limit is in the way it also calls the counter to
-// borrow (borrow), if it may.
+// checkLimits checks a request against the two limits of its plan that tokens can't replace: the number
+// of concurrently admitted requests and the rate of the hard limit. If only the hard limit is exceeded,
+// it also calls the counter to borrow units, where that is allowed.
 func (e *Engine) checkLimits(r *request) quotaDecision {
 	full := e.concurrencyLimitReached(r)
 	short := r.tenant.hardLimit.Shortfall(e.now, r.cost)
 	if !full && (short <= 0 || r.hardLimit.hasBorrowed(e.now)) {
-		return goesOn
+		return proceed
 	}
 	late := e.tooLateToWait(r)
 	if !full && !late && e.mayBorrow(r) {
@@ -173,19 +176,20 @@
 	return mustWait
 }
 
-// tooLateToWait says whether a usual answer's time no longer fits into the deadline budget, less the margin
-// for the error of the estimate. rejectStale asks the same for the backend in question.
+// tooLateToWait reports whether the expected latency no longer fits into the deadline budget, reduced by
+// a margin for the estimation error. rejectStale makes the same check with the latency of a specific
+// backend.
 func (e *Engine) tooLateToWait(r *request) bool {
 	return e.answeredAfter(r, e.expectedLatency(r)) >= r.deadlineBudget.Seconds()*deadlineMargin
 }
 
-// payOrDemote pays for a request of a plan that has a rate (stage 2 of the paper). It demotes a request that
-// goes on credit, or whose plan guarantees nothing, to its band in the second group of levels: see
+// payOrDemote pays for a request whose plan has a rate (stage 2 of the paper). A request that goes on
+// credit, or whose plan guarantees nothing, is demoted to its band in the second group of levels; see
 // priority.go.
 func (e *Engine) payOrDemote(r *request) quotaDecision {
 	plan := &e.settings.Plans[r.plan]
 	if plan.Rate > 0 {
-		if decision := e.payCost(r); decision != goesOn {
+		if decision := e.payCost(r); decision != proceed {
 			return decision
 		}
 		if r.quota.onCredit {
@@ -194,17 +198,18 @@
 	} else if plan.MaxConcurrent == 0 {
 		r.level += priorityBands
 	}
-	return goesOn
+	return proceed
 }
 
-// placeOverQuota dispatches a request that is over a limit or its quota at the lowest level, if its plan
-// earns something for it there and its hard limit holds it. Else it is rejected: for what it is over, or for
-// the hard limit. At the lowest level a first attempt goes only to a backend with a free slot (waitsTooLong);
-// it waits in that backend's queue only where its slow-start budget is spent.
+// placeOverQuota dispatches a request that exceeds a limit or its quota at the lowest level, provided
+// that its plan earns something for such requests and the hard limit's share holds the cost. Otherwise
+// the request is rejected, for what it exceeds or for the hard limit. At the lowest level a first
+// attempt goes only to a backend with a free slot (waitsTooLong); it is queued at that backend only if
+// the backend's slow-start budget is spent.
 //
-// The advice when to come back is always the quota's, also where it was another limit: the time until the
-// quota's bucket should hold the cost (lease.TimeUntil), which for a plan without a rate counts as filling by
-// 0.1 units a second.
+// The retry-after advice always comes from the quota, whichever limit was exceeded: it is the time until
+// the quota's bucket is expected to hold the cost (lease.TimeUntil). For a plan without a rate, the
+// bucket counts as refilling at 0.1 units a second.
 func (e *Engine) placeOverQuota(r *request, decision quotaDecision) {
 	if !e.earnsOverQuota(r) {
 		e.reject(r, rejection{decision.rejectReason(), r.tenant.lease.TimeUntil(e.now, r.cost)})
@@ -219,8 +224,8 @@
 	e.dispatch(r)
 }
 
-// suspend begins or ends a time in which nothing is sent. Requests with no attempt in flight are rejected at
-// once, in the order of their IDs.
+// suspend starts or ends a period in which nothing is sent. Requests without an attempt in flight are
+// rejected immediately, in the order of their IDs.
 func (e *Engine) suspend(on bool) {
 	e.suspended = on
 	for _, id := range slices.Sorted(maps.Keys(e.requests)) {
--- a/internal/policy/attempt.go
+++ b/internal/policy/attempt.go
@@ -1,11 +1,11 @@
 package policy
 
-// Attempts: the guards before each, and what follows from its result.
+// Attempts: the checks before each attempt and the handling of its result.
 
-// send starts an attempt. It is the one place that does. It asks all guards again, whatever was decided
-// before, and may reject the request or dispatch it to another backend.
+// send starts an attempt. It is the only method that emits SendAttempt. It repeats all checks, whatever
+// was decided earlier, and may instead reject the request or dispatch it to another backend.
 func (e *Engine) send(r *request, b *backend, kind attemptKind) {
-	if !b.inService { // nothing new from the moment it is known to be draining
+	if !b.inService { // no new attempts once it is known to be draining
 		e.dispatch(r)
 		return
 	}
@@ -13,7 +13,7 @@
 		e.reject(r, rejection{reason: reason})
 		return
 	}
-	if len(r.attempts) == 0 && !e.spendHardLimit(r) { // the advice is the quota's: see placeOverQuota
+	if len(r.attempts) == 0 && !e.spendHardLimit(r) { // advice: see placeOverQuota
 		e.reject(r, rejection{OverHardLimit, r.tenant.lease.TimeUntil(e.now, r.cost)})
 		return
 	}
@@ -32,7 +32,8 @@
 	e.emit(SendAttempt{ID: r.id, Backend: b.name, Timeout: timeout, SendBefore: e.sendBefore(r)})
 }
 
-// attemptForbidden says why a request may not have an attempt at a backend that is in service.
+// attemptForbidden reports whether, and for which reason, a request may not start an attempt at a
+// backend in service.
 func (e *Engine) attemptForbidden(r *request, b *backend) (reason RejectReason, forbidden bool) {
 	switch {
 	case e.suspended:
@@ -49,8 +50,8 @@
 	return 0, false
 }
 
-// attemptEnded handles the result of an attempt: what it tells of the backend, what it means for the
-// request, and what may be sent to the backend instead.
+// attemptEnded handles the result of an attempt: it updates what is known about the backend, ends or
+// retries the request, and sends queued requests to the freed slot.
 func (e *Engine) attemptEnded(result AttemptResult) {
 	r := e.requests[result.ID]
 	if r == nil {
@@ -61,20 +62,21 @@
 		return
 	}
 	a.finish(result.Status)
-	e.learn(a, result)
+	e.recordResult(a, result)
 	e.correctCost(r, result)
 	if result.RequestClosed || result.Status == OK {
-		e.end(r)
+		e.endRequest(r)
 	}
 	if r.ended {
-		e.forget(r)
+		e.deleteIfDone(r)
 	} else if !r.streaming && r.attemptsInFlight == 0 {
 		e.retry(r)
 	}
 	e.sendQueued(a.backend)
 }
 
-// correctCost replaces what a request has paid by its true cost, where only the answer tells it.
+// correctCost replaces the cost that a request has paid by its true cost, if only the response reveals
+// it.
 func (e *Engine) correctCost(r *request, result AttemptResult) {
 	costKnown := result.Status == OK && e.settings.CostSettledOnResponse && result.Cost > 0
 	if costKnown && r.quota.promoted {
@@ -82,30 +84,31 @@
 	}
 }
 
-// firstByte notes that a streamed answer has begun: its deadline no longer runs, and it is not tried again.
+// firstByte records that a streamed response has started: the request's deadline no longer applies, and
+// it is not retried.
 func (e *Engine) firstByte(ev FirstByte) {
 	if r := e.requests[ev.ID]; r != nil {
 		r.streaming = true
 	}
 }
 
-// hasTimeForAttempt says whether an attempt that starts now would be answered before the deadline. It counts
-// the whole deadline budget, where tooLateToWait and rejectStale keep a tenth for the error of the estimate:
-// it is asked for a request that has already been sent.
+// hasTimeForAttempt reports whether an attempt that starts now is expected to be answered before the
+// deadline. It uses the whole deadline budget, whereas tooLateToWait and rejectStale keep a tenth for
+// the estimation error, because it is called for requests that have already been sent.
 func (e *Engine) hasTimeForAttempt(r *request) bool {
 	return e.answeredAfter(r, e.expectedLatency(r)) < r.deadlineBudget.Seconds()
 }
 
-// deadlinePassed rejects a request whose deadline has come, unless its answer has begun.
+// deadlinePassed rejects a request whose deadline has passed, unless its response has started.
 func (e *Engine) deadlinePassed(id uint64) {
 	if r := e.requests[id]; r != nil && !r.streaming {
 		e.reject(r, rejection{reason: DeadlinePassed})
 	}
 }
 
-// clientGone ends a request that nobody waits for any more.
+// clientGone ends a request whose client has disconnected.
 func (e *Engine) clientGone(ev ClientGone) {
 	if r := e.requests[ev.ID]; r != nil {
-		e.end(r)
+		e.endRequest(r)
 	}
 }
--- a/internal/policy/dispatch.go
+++ b/internal/policy/dispatch.go
@@ -1,31 +1,35 @@
 package policy
 
-// Dispatch: from a request that may go on to the attempt that is sent. A request joins the queue of the
-// backend that choose picks, and leaves it when that backend, or another whose own queue is empty, has a free
+// Dispatch: moving a request that may proceed to a backend. The request joins the queue of the backend
+// that choose picks and leaves it when that backend, or another one whose own queue is empty, has a free
 // slot (stage 4 of the paper).
 
 import "cmp"
 
 const (
-	// deadlineMargin is the share of the deadline budget that waiting and answer may take by estimate: f
-	// of EQ 3 and EQ 4 of the paper.
+	// deadlineMargin is the share of the deadline budget that the waiting time and the expected latency
+	// together may take: f of EQ 3 and EQ 4 of the paper.
 	deadlineMargin = 0.9
-	// maxQueueShare is the share of that time that a request of the top level may be expected to take when it
-	// joins a queue, and that the requests of the open levels may take.
+	// maxQueueShare is a share of that time. It bounds the expected completion time of a top-level
+	// request that joins a queue, and the expected completion time of all requests of the eligible
+	// levels (levelIsEligible).
 	maxQueueShare = 0.5
 
-	// Where the backends' latency tells of queues inside of them, requests are rejected by chance: none while
-	// the queues take less than minShedShare of the deadline budget, and more and more up to fullShedShare.
-	// From there on the chance is maxShedChance: the answers to the rest tell when it is over.
+	// If the backends' latency indicates queues inside the backends, requests are rejected at random. No
+	// request is rejected while those queues take less than minShedShare of the deadline budget. From
+	// there the probability rises linearly up to fullShedShare, where it would reach 1, but it is capped
+	// at maxShedChance: the answers to the remaining requests show when the overload is over.
 	minShedShare  = 0.25
 	fullShedShare = 0.6
 	maxShedChance = 0.97
-	// shedLevelSlope is by how much of itself that share counts for more at the lowest level.
+	// shedLevelSlope is how much that share is scaled up for lower levels: by a factor of 1 at level 0,
+	// rising to 1 + shedLevelSlope at the lowest level.
 	shedLevelSlope = 1.5
 )
 
-// dispatch queues a request at a backend, and sends what this one has room for. A request may also be sent at
-// once as a probe, kept until there is a backend for it, or rejected.
+// dispatch queues a request at a backend and then sends whatever that backend has free slots for.
+// Alternatively, the request is sent immediately as a probe, kept until a backend is available, or
+// rejected.
 func (e *Engine) dispatch(r *request) {
 	if b := e.backendToProbe(r); b != nil {
 		e.send(r, b, probeRequest)
@@ -48,22 +52,26 @@
 	e.sendQueued(b)
 }
 
-// overload says whether, and by which of two rules, a request is better rejected now than queued at a
-// backend, while its client can still try again in time (a departure: the paper lets it wait until it is
-// stale; under overload every answer then comes at the last moment, and each client's retry too late). Where
-// the backend has a free slot shedByLatency decides; where not, waitsTooLong, for first attempts only.
-func (e *Engine) overload(r *request, b *backend) (reason RejectReason, overload bool) {
+// overload reports whether it is better to reject a request now than to queue it at backend b, and for
+// which reason. Rejecting now leaves the client time to retry. (A departure: the paper lets the request
+// wait until it is stale. Under overload every answer then arrives at the last moment and every client's
+// retry comes too late.) If the backend has a free slot, shedByLatency decides. If not, waitsTooLong
+// decides, and only for first attempts.
+func (e *Engine) overload(r *request, b *backend) (reason RejectReason, overloaded bool) {
 	if b.hasFreeSlot(e.now) {
 		return BackendsOverloaded, e.shedByLatency(r)
 	}
 	return QueueTooLong, len(r.attempts) == 0 && e.waitsTooLong(r, b)
 }
 
-// shedByLatency decides by chance whether a request is rejected for the latency of all backends: with many
-// gateways the queue is inside the backends (a departure: the paper has one balancer). What latency exceeds
-// that of an idle fleet by counts as a share of the time that is left beside an idle answer. A gateway that
-// gets half an answer a second or more of each backend rejects fewer, one that gets an answer a second none
-// (sparseness): it knows its backends, and queues at them. One random number is drawn whatever comes of it.
+// shedByLatency decides at random whether to reject a request because of the latency of all backends.
+// With many gateways the queues form inside the backends. (A departure: the paper has one load
+// balancer.) The latency in excess of an idle fleet's is measured as a share of the time left beside an
+// idle answer.
+//
+// A gateway that receives half an answer a second or more from each backend rejects fewer requests, and
+// one that receives an answer a second rejects none (see sparseness): it knows its backends well and
+// queues requests itself. Each call draws exactly one random number, whatever the result.
 func (e *Engine) shedByLatency(r *request) bool {
 	latency := e.expectedLatency(r) * max(1, e.latencies.FleetPressure())
 	idle := cmp.Or(e.latencies.Idle(r.class), latency)
@@ -74,10 +82,10 @@
 	return drawn < min(1, 2*e.sparseness())*chance
 }
 
-// waitsTooLong is EQ 4 of the paper seen from the back of the queue: it says whether the time since arrival,
-// the wait for those of the same level and above, and the answer would together take a share of the deadline
-// budget or more. The share falls from 45% at level 0 to nothing at the lowest level: there the answer is
-// always yes, so that what is over its quota is sent only where a slot is free.
+// waitsTooLong applies EQ 4 of the paper from the back of the queue. It reports whether the time since
+// arrival, the wait for requests of the same and higher levels, and the latency together are expected to
+// reach a share of the deadline budget. The share falls from 45% at level 0 to nothing at the lowest
+// level, where the result is always true: requests over their quota are sent only if a slot is free.
 func (e *Engine) waitsTooLong(r *request, b *backend) bool {
 	ahead := 1 + b.queue.countUpTo(r.level)
 	latency := e.expectedLatencyAt(r, b)
@@ -86,18 +94,18 @@
 		r.deadlineBudget.Seconds()*deadlineMargin*queueShare
 }
 
-// sendQueued sends queued requests to a backend while it has room for them.
+// sendQueued sends queued requests to a backend while it can take more.
 func (e *Engine) sendQueued(b *backend) {
-	for b.usable() && e.hasRoom(b) {
+	for b.usable() && e.canSendTo(b) {
 		from := e.queueToServe(b)
 		if from == nil {
 			return
 		}
-		r := e.pick(from, b)
+		r := e.nextRequest(from, b)
 		if r == nil {
 			return
 		}
-		if r.queuedOn != from || !e.hasRoom(b) { // a rejection by pick can have let other requests in meanwhile
+		if r.queuedOn != from || !e.canSendTo(b) { // nextRequest may reject requests, which can dispatch others
 			continue
 		}
 		e.queues.remove(r)
@@ -105,11 +113,12 @@
 	}
 }
 
-// hasRoom says whether a backend has a free slot, and budget if it is warming up.
-func (e *Engine) hasRoom(b *backend) bool { return b.hasFreeSlot(e.now) && !e.slowStartSpent(b) }
+// canSendTo reports whether a backend has a free slot and, if it is warming up, slow-start budget left.
+func (e *Engine) canSendTo(b *backend) bool { return b.hasFreeSlot(e.now) && !e.slowStartSpent(b) }
 
-// queueToServe returns the backend from whose queue another takes its next request: its own, or if that is
-// empty, the longest of those that have no free slot. It is nil if nothing waits.
+// queueToServe returns the backend whose queue supplies b's next request: b itself, or if its queue is
+// empty, the backend with the longest queue among those without a free slot. It returns nil if nothing
+// is queued.
 func (e *Engine) queueToServe(b *backend) *backend {
 	if b.queue.length > 0 {
 		return b
@@ -120,9 +129,10 @@
 	return e.queues.longestWithoutSlot(e.now)
 }
 
-// pick chooses a request from the queue of one backend for a slot of another, mostly the same: the oldest
-// of those in front of the open levels (levelIsOpen). It rejects what is stale.
-func (e *Engine) pick(from, to *backend) *request {
+// nextRequest returns the request from one backend's queue that is to fill a free slot of another
+// backend, usually the same one. It compares the first requests of all eligible levels (levelIsEligible)
+// and returns the oldest. It also rejects the stale requests that it meets.
+func (e *Engine) nextRequest(from, to *backend) *request {
 	var oldest *request
 	waiting := 0
 	for level := range lowestLevel + 1 {
@@ -132,7 +142,7 @@
 		}
 		r := from.queue.first(level)
 		waiting += from.queue.count(level)
-		if oldest != nil && !e.levelIsOpen(r, to, waiting) {
+		if oldest != nil && !e.levelIsEligible(r, to, waiting) {
 			break
 		}
 		if (oldest == nil || r.arrivedAt < oldest.arrivedAt) && e.mayRepeat(r, to) {
@@ -142,8 +152,9 @@
 	return oldest
 }
 
-// rejectStale rejects what can no longer be answered in time, up to the first of a level that can (EQ 3 of
-// the paper; a departure: in the promoted levels too, as what can't be in time only delays the rest).
+// rejectStale rejects requests from the front of a level until it reaches one that can still be answered
+// in time (EQ 3 of the paper). A departure: the promoted levels are checked too, since a request that
+// can't be answered in time only delays the others.
 func (e *Engine) rejectStale(from, to *backend, level int) {
 	for from.queue.count(level) > 0 {
 		r := from.queue.first(level)
@@ -154,17 +165,18 @@
 	}
 }
 
-// levelIsOpen says whether a level is served beside the ones above it: while all that wait down to it, and
-// what is in flight, would take less than a share of the deadline budget (EQ 4 of the paper). The first
-// level with a request is always open.
-func (e *Engine) levelIsOpen(first *request, to *backend, waiting int) bool {
+// levelIsEligible reports whether a level competes for a free slot with the levels above it. It does so
+// while all requests queued down to this level, together with those in flight, are expected to complete
+// within a share of the deadline budget (EQ 4 of the paper). The highest non-empty level is always
+// eligible.
+func (e *Engine) levelIsEligible(first *request, to *backend, waiting int) bool {
 	ahead := float64(waiting + len(to.inFlight))
 	return ahead*e.expectedLatencyAt(first, to)/to.limiter.Limit() <
 		first.deadlineBudget.Seconds()*deadlineMargin*maxQueueShare
 }
 
-// sendAllQueued sends what is queued where there is room: first each backend takes from its own queue, then
-// those with nothing queued take from others'.
+// sendAllQueued sends queued requests wherever there are free slots. First each backend serves its own
+// queue, then the backends with empty queues take requests from the others' queues.
 func (e *Engine) sendAllQueued() {
 	for _, backends := range [2][]*backend{e.queues.backlogged, e.subset.backends} {
 		for _, b := range backends {
@@ -177,7 +189,7 @@
 	e.queues.prune()
 }
 
-// dispatchUnplaced dispatches again what had no backend.
+// dispatchUnplaced dispatches again the requests for which no backend was available.
 func (e *Engine) dispatchUnplaced() {
 	for _, r := range e.queues.takeUnplaced() {
 		if !r.ended {
@@ -186,8 +198,8 @@
 	}
 }
 
-// moveQueue dispatches anew what is queued at a backend that is no longer usable. All is taken out first:
-// dispatching one request may release others.
+// moveQueue dispatches again the requests queued at a backend that is no longer usable. All requests are
+// removed from the queue first, because dispatching one may release others.
 func (e *Engine) moveQueue(b *backend) {
 	moving := b.queue.requests()
 	for _, r := range moving {
--- a/internal/policy/doc.go
+++ b/internal/policy/doc.go
@@ -24,12 +24,12 @@
 //	  |                              from the lease, from fallback tokens, or by a call to the counter
 //	  dispatch        dispatch.go    choose (selection.go) picks a backend; is there overload?
 //	  priority queue  priorityqueue.go
-//	  sendQueued      dispatch.go    a backend has a free slot: who goes next (pick), who has become stale?
+//	  sendQueued      dispatch.go    a backend has a free slot: who goes next (nextRequest), who is stale?
 //	  send            attempt.go     the last guards
 //	SendAttempt
 //	AttemptResult
 //	  attemptEnded    attempt.go
-//	  learn           result.go      what it tells of the backend
+//	  recordResult    result.go      what it tells of the backend
 //	  retry           retry.go       a retry goes back to dispatch
 //	  end             requestend.go  what is in flight is cancelled, what it holds goes back
 //
--- a/internal/policy/quota.go
+++ b/internal/policy/quota.go
@@ -102,9 +102,9 @@
 		if e.mayRequestTokens(r) && l.RunsLow(r.cost) {
 			e.requestTokens(r)
 		}
-		return goesOn
+		return proceed
 	case l.TakeFallback(r.cost):
-		return goesOn
+		return proceed
 	case l.AwaitsAnswer():
 		return mustWait
 	case e.mayRequestTokens(r) && e.rng.Float64() < e.callChance(r):
@@ -114,7 +114,7 @@
 	case e.mayGoOnCredit(r):
 		l.TakeOnCredit(r.cost)
 		r.quota.onCredit = true
-		return goesOn
+		return proceed
 	}
 	return overQuota
 }
--- a/internal/policy/rejection.go
+++ b/internal/policy/rejection.go
@@ -1,79 +1,86 @@
 package policy
 
-// Rejections: why a request is given up, and its final answer.
+// Rejections: the reasons for which requests are rejected, and the final answer.
 //
-// A request meets the rules in this order; the first that holds wins:
+// A request is checked by these rules in order, and the first one that applies rejects it:
 //
 //  1. On arrival, admit: UnknownClassOrPlan, OutOfService, DeadlineCannotBeMet, HardLimitQueueTooLong.
-//  2. On its turn among its tenant's requests, decideQuota: of the limits (checkLimits) OverConcurrencyLimit
-//     before OverHardLimit, then the quota (payOrDemote), OverQuota. All three go through placeOverQuota:
-//     where the plan earns beyond its quota the request goes on at the lowest level, or ends as
-//     OverHardLimit.
-//  3. dispatch: NoBackendForRetry; then overload, which gives BackendsOverloaded only where the chosen
-//     backend has a free slot, and QueueTooLong only where it has none, and for first attempts.
+//  2. When its turn among its tenant's requests comes, decideQuota: first the limits (checkLimits), with
+//     OverConcurrencyLimit before OverHardLimit, then the quota (payOrDemote) with OverQuota. All three
+//     lead to placeOverQuota: if the plan earns something beyond its quota, the request proceeds at the
+//     lowest level or ends with OverHardLimit.
+//  3. dispatch: NoBackendForRetry; then overload, which gives BackendsOverloaded only if the chosen
+//     backend has a free slot, and QueueTooLong only if it has none and the request has had no attempt.
 //  4. In the queue, rejectStale: StaleInQueue.
-//  5. send: attemptForbidden with OutOfService, AttemptInFlight, AttemptsExhausted, NoBackendForRetry,
+//  5. send: attemptForbidden with OutOfService, AttemptInFlight, AttemptsExhausted, NoBackendForRetry or
 //     DeadlinePassed; then, for a first attempt, spendHardLimit with OverHardLimit.
-//  6. After a failed attempt, retry: AttemptsExhausted, NoTimeForRetry; then on at 3.
-//  7. At any time: DeadlinePassed by the request's timer (deadlinePassed), and OutOfService by suspend.
+//  6. After a failed attempt, retry: AttemptsExhausted, NoTimeForRetry; otherwise the request continues
+//     with rule 3.
+//  7. At any time: DeadlinePassed when the request's timer fires (deadlinePassed), and OutOfService by
+//     suspend.
 //
-// The gateway also rejects requests by itself, without a RejectReason: see package gateway.
+// The gateway also rejects requests on its own, without a RejectReason; see package gateway.
 
 import (
 	"fmt"
 	"time"
 )
 
-// RejectReason says which rule gave a request up. It goes from that rule to the one place of the engine that
-// answers, reject.
+// RejectReason identifies the rule that rejected a request. Every rule passes its reason to reject, the
+// only method that answers a rejected request (admit itself answers UnknownClassOrPlan).
 type RejectReason int
 
-// The reasons. The order in which a request meets the rules stands at the head of this file.
+// The reject reasons. The head of this file lists the order in which the rules are checked.
 const (
-	// UnknownClassOrPlan: the request names a class or a plan that the settings do not have (admit).
+	// UnknownClassOrPlan: the request refers to a class or plan that the settings do not define (admit).
 	UnknownClassOrPlan RejectReason = iota
-	// OutOfService: the gateway is suspended; no request is forwarded (admit, suspend, attemptForbidden).
+	// OutOfService: the gateway is suspended and forwards no requests (admit, suspend,
+	// attemptForbidden).
 	OutOfService
-	// DeadlineCannotBeMet: on arrival half of a usual answer's time or less is left (admit).
+	// DeadlineCannotBeMet: on arrival, half of the expected latency or less is left (admit).
 	DeadlineCannotBeMet
-	// HardLimitQueueTooLong: the tenant's requests that wait for its hard limit would let this one wait for more
-	// than its part of the deadline budget (admit, hardLimitQueueWait).
+	// HardLimitQueueTooLong: the tenant's requests that already wait for its hard limit would make this
+	// one wait longer than the part of its deadline budget allowed for that (admit, hardLimitQueueWait).
 	HardLimitQueueTooLong
-	// OverConcurrencyLimit: the tenant's admitted requests kept this one waiting until it was too late, and its
-	// plan earns nothing beyond the quota (checkLimits, placeOverQuota).
+	// OverConcurrencyLimit: the tenant's admitted requests kept this one waiting until it was too late,
+	// and its plan earns nothing beyond the quota (checkLimits, placeOverQuota).
 	OverConcurrencyLimit
-	// OverHardLimit: this gateway's share of the tenant's hard limit does not hold the request's cost and does
-	// not fill in time (checkLimits, placeOverQuota, send).
+	// OverHardLimit: this gateway's share of the tenant's hard limit does not hold the request's cost
+	// and does not refill in time (checkLimits, placeOverQuota, send).
 	OverHardLimit
-	// OverQuota: neither leased nor fallback tokens pay for the request, it may not go on credit, and its plan
-	// earns nothing beyond the quota (payCost, placeOverQuota).
+	// OverQuota: neither leased nor fallback tokens pay for the request, it may not go on credit, and
+	// its plan earns nothing beyond the quota (payCost, placeOverQuota).
 	OverQuota
-	// BackendsOverloaded: by their latency the backends hold queues of their own; a part of the requests is
-	// rejected by chance, more at lower levels (overload, shedByLatency).
+	// BackendsOverloaded: the backends' latency indicates queues inside the backends, so a fraction of
+	// the requests is rejected at random, more of them at lower priority levels (overload,
+	// shedByLatency).
 	BackendsOverloaded
-	// QueueTooLong: by what waits before the request at the chosen backend, its answer would come after 45% of
-	// its deadline budget or more, at lower levels after less (overload, waitsTooLong).
+	// QueueTooLong: given the requests queued ahead at the chosen backend, the answer is expected after
+	// 45% of the deadline budget or more; the bound is lower at lower priority levels (overload,
+	// waitsTooLong).
 	QueueTooLong
-	// StaleInQueue: the time since arrival and a usual answer's time together reach 90% of the deadline budget
-	// (pick, rejectStale: EQ 3 of the paper).
+	// StaleInQueue: the time since arrival plus the expected latency has reached 90% of the deadline
+	// budget (nextRequest, rejectStale: EQ 3 of the paper).
 	StaleInQueue
-	// NoBackendForRetry: the request may have run, and no backend is in use that may be sent it again
-	// (dispatch, attemptForbidden).
+	// NoBackendForRetry: the request may have run, and no usable backend may receive it again (dispatch,
+	// attemptForbidden).
 	NoBackendForRetry
-	// AttemptInFlight: an attempt is still in flight, so another may not start (attemptForbidden).
+	// AttemptInFlight: an attempt is still in flight, so no other may start (attemptForbidden).
 	AttemptInFlight
-	// AttemptsExhausted: the request has had all its attempts (retry, attemptForbidden).
+	// AttemptsExhausted: the request has used all its attempts (retry, attemptForbidden).
 	AttemptsExhausted
-	// NoTimeForRetry: an attempt failed, and a usual answer's time no longer fits before the deadline (retry).
+	// NoTimeForRetry: an attempt failed, and the expected latency no longer fits before the deadline
+	// (retry).
 	NoTimeForRetry
-	// DeadlinePassed: the deadline came while the request waited, be it for an attempt in flight, for a quota or
-	// for a backend, of which there may be none at all (deadlinePassed, attemptForbidden).
+	// DeadlinePassed: the deadline passed while the request waited for an attempt in flight, for a
+	// quota, or for a backend, including the case that there is no backend at all (deadlinePassed,
+	// attemptForbidden).
 	DeadlinePassed
 
-	rejectReasons // how many there are
+	rejectReasons // the number of reasons
 )
 
-// String gives the reason in words, for tests and logs.
+// String returns the reason as text for tests and logs.
 func (r RejectReason) String() string {
 	switch r {
 	case UnknownClassOrPlan:
@@ -110,47 +117,50 @@
 	return fmt.Sprintf("RejectReason(%d)", int(r))
 }
 
-// rejection is what a rule says when it gives a request up.
+// rejection is the outcome of a rule that rejects a request.
 type rejection struct {
 	reason     RejectReason
-	retryAfter time.Duration // advice to the client when to come back; 0: none
+	retryAfter time.Duration // how long the client should wait before it retries; 0: no advice
 }
 
-// rejectionCounts counts the rejections by their reason.
+// rejectionCounts counts rejections by reason.
 type rejectionCounts [rejectReasons]uint64
 
 func (c *rejectionCounts) add(reason RejectReason) { c[reason]++ }
 
-// reject ends a request for a reason and answers it. A request that has ended has its answer already.
+// reject ends a request for the given reason and sends its final answer. It does nothing for a request
+// that has already ended.
 func (e *Engine) reject(r *request, why rejection) {
 	if r.ended {
 		return
 	}
 	mayRunTwice := e.clientRetryMayRunTwice(r)
-	e.end(r)
+	e.endRequest(r)
 	e.rejections.add(why.reason)
 	if mayRunTwice {
 		e.emit(Fail{r.id})
 	} else {
-		e.emit(Reject{r.id, e.adviceToClient(why)})
+		e.emit(Reject{r.id, e.clientRetryAfter(why)})
 	}
-	e.forget(r)
+	e.deleteIfDone(r)
 }
 
-// clientRetryMayRunTwice says whether a client that tries again could have its request take effect twice. A
-// Reject promises that trying again is harmless, so such a request ends with Fail (WIRE-bellwood.md, The
-// contract, rule 2, "No effect done twice": a request with a key that may have run is rejected only where all
-// backends drop repeats, one that is not idempotent only where it provably never ran).
+// clientRetryMayRunTwice reports whether a client's retry could make the request take effect twice.
+// Reject promises that retrying is harmless, so such a request is answered with Fail instead
+// (WIRE-bellwood.md, The contract, rule 2, "No effect done twice": a request with a key that may have
+// run is rejected only if all backends drop repeats, a non-idempotent request only if it provably never
+// ran).
 func (e *Engine) clientRetryMayRunTwice(r *request) bool {
 	return r.mayHaveRun() && !repeatIsHarmless(&e.settings.Classes[r.class])
 }
 
-// mayHaveRun says whether a backend may have acted on the request: an attempt ended in doubt or is in flight.
+// mayHaveRun reports whether a backend may have acted on the request: an attempt ended without
+// certainty, or one is in flight.
 func (r *request) mayHaveRun() bool { return r.firstInDoubt != nil || r.attemptsInFlight > 0 }
 
-// repeatIsHarmless says whether a request of the class may be sent again to any backend, as a client that
-// tries again may reach any. It leaves out DedupWindow, which mayRepeat heeds: it assumes that a client
-// itself repeats a request within the window only (WIRE-bellwood.md, The other side).
+// repeatIsHarmless reports whether a request of the class may be sent again to any backend, since a
+// client's retry may reach any of them. Unlike mayRepeat it ignores DedupWindow: clients are assumed to
+// repeat a request only within the window (WIRE-bellwood.md, The other side).
 func repeatIsHarmless(class *Class) bool {
 	switch class.Idempotency {
 	case NonIdempotent:
@@ -161,9 +171,9 @@
 	return true
 }
 
-// adviceToClient bounds the advice by the longest that clients heed. Where the settings give them none it is
-// 0.
-func (e *Engine) adviceToClient(why rejection) time.Duration {
+// clientRetryAfter caps the retry-after advice at the longest that clients heed. It returns 0 if the
+// settings disable the advice.
+func (e *Engine) clientRetryAfter(why rejection) time.Duration {
 	advice := why.retryAfter
 	if !e.settings.SendRetryAfter {
 		advice = 0
--- a/internal/policy/request.go
+++ b/internal/policy/request.go
@@ -5,48 +5,48 @@
 	"time"
 )
 
-// request is a request that has no final answer yet, or an attempt in flight.
+// request is a request that has no final answer yet or still has an attempt in flight.
 type request struct {
 	id             uint64
 	class, plan    int // indexes of Settings.Classes and Settings.Plans
 	tenant         *tenant
 	cost           float64 // units
 	arrivedAt      time.Duration
-	deadlineBudget time.Duration // from arrivedAt on; a later answer is of no use (see Engine.deadlineBudget)
-	clientRetry    bool          // a client's repeat of a request that was rejected or failed
+	deadlineBudget time.Duration // since arrivedAt; later answers are useless (Engine.deadlineBudget)
+	clientRetry    bool          // the client repeats a request that was rejected or failed
 	level          int           // priority level; 0 is the highest
 	quota          quotaState
 	hardLimit      hardLimitState
 
-	queueEntry *queueEntry // of the priorityQueues; nil: not queued
-	queuedOn   *backend    // where; nil: not queued
+	queueEntry *queueEntry // its entry in the priorityQueues; nil: not queued
+	queuedOn   *backend    // the backend in whose queue it is; nil: not queued
 
-	attempts         []*attempt // by their numbers
+	attempts         []*attempt // indexed by attempt number
 	attemptsInFlight int
-	firstInDoubt     *attempt // the first that ended and on which the backend may have acted; nil: none
-	streaming        bool     // the answer has begun
-	ended            bool     // it has its final answer, or its client is gone
+	firstInDoubt     *attempt // the first ended attempt that may have run; nil: none
+	streaming        bool     // the response has started
+	ended            bool     // it has its final answer, or its client has gone
 }
 
-// attempt is an attempt to have a request served by a backend.
+// attempt is one try to have a request served by a backend.
 type attempt struct {
 	request  *request
-	number   int // 0, 1, 2, ... of the request's attempts
+	number   int // counts the request's attempts from 0
 	backend  *backend
 	sentAt   time.Duration
 	kind     attemptKind
 	inFlight bool
 }
 
-// attemptKind says what an attempt is for.
+// attemptKind is the purpose of an attempt.
 type attemptKind int
 
 const (
-	ordinary     attemptKind = iota // to have the request served
-	probeRequest                    // also to find out whether an ejected backend answers again
+	ordinary     attemptKind = iota // serves the request
+	probeRequest                    // also tests whether an ejected backend responds again
 )
 
-// addAttempt puts an attempt in flight.
+// addAttempt records a new attempt of the request as in flight.
 func (r *request) addAttempt(b *backend, kind attemptKind, now time.Duration) {
 	a := &attempt{request: r, number: len(r.attempts), backend: b, sentAt: now, kind: kind, inFlight: true}
 	r.attempts = append(r.attempts, a)
@@ -54,7 +54,7 @@
 	b.inFlight = append(b.inFlight, a)
 }
 
-// attemptInFlight returns the attempt of a number, or nil if there is none in flight.
+// attemptInFlight returns the attempt with the given number, or nil if it is not in flight.
 func (r *request) attemptInFlight(number int) *attempt {
 	if number < 0 || number >= len(r.attempts) || !r.attempts[number].inFlight {
 		return nil
@@ -62,7 +62,7 @@
 	return r.attempts[number]
 }
 
-// finish takes an attempt that has ended out of those in flight, and notes whether it may have run.
+// finish removes an ended attempt from those in flight and records whether it may have run.
 func (a *attempt) finish(status Status) {
 	r := a.request
 	a.inFlight = false
@@ -73,8 +73,8 @@
 	}
 }
 
-// forget drops a request that has ended and has no attempt in flight; another it keeps.
-func (e *Engine) forget(r *request) {
+// deleteIfDone deletes a request that has ended and has no attempt in flight; it keeps any other.
+func (e *Engine) deleteIfDone(r *request) {
 	if r.ended && r.attemptsInFlight == 0 {
 		delete(e.requests, r.id)
 	}
--- a/internal/policy/result.go
+++ b/internal/policy/result.go
@@ -1,36 +1,37 @@
 package policy
 
-// What the result of an attempt tells of its backend: latency, concurrency limit, signs of life.
+// Results: what an attempt's result reveals about its backend, namely its latency, its concurrency limit
+// and whether it responds.
 
 import (
 	"bellwood/internal/policy/concurrency"
 	"bellwood/internal/policy/outlier"
 )
 
-// minLatency is the least latency that counts, in seconds: results come in whole steps of the caller's
-// clock.
+// minLatency is the smallest latency that is recorded, in seconds, because results come in whole steps
+// of the caller's clock.
 const minLatency = 1e-3
 
-// learn notes what a result tells of its backend.
-func (e *Engine) learn(a *attempt, result AttemptResult) {
+// recordResult updates what is known about a backend from the result of an attempt.
+func (e *Engine) recordResult(a *attempt, result AttemptResult) {
 	b := a.backend
 	took := max(minLatency, result.Latency.Seconds())
 	ratio := e.latencies.Ratio(a.request.class, took)
-	e.learnPressure(b, result.Status, ratio)
+	e.recordPressure(b, result.Status, ratio)
 	switch result.Status {
 	case ConnectionReset, ConnectFailed:
-		e.learnBrokenConnection(b)
+		e.recordBrokenConnection(b)
 	case TimedOut:
-		e.learnTimeout(b, ratio)
+		e.recordTimeout(b, ratio)
 	case Rejected:
-		e.learnResponse(b, outlier.Rejection)
+		e.recordResponse(b, outlier.Rejection)
 		b.limiter.RecordRejection()
 	case Failed:
-		e.learnResponse(b, outlier.Answer)
+		e.recordResponse(b, outlier.Answer)
 	case OK:
-		e.learnResponse(b, outlier.Answer)
+		e.recordResponse(b, outlier.Answer)
 		b.latencyFactor.RecordAnswer(ratio)
-		e.learnAnswer(b, a.request, took)
+		e.recordAnswer(b, a.request, took)
 	}
 	if a.kind == probeRequest && b.detector.Ejected() {
 		b.detector.ProbeFailed(e.now, e.subset.gatewaysPerBackend)
@@ -38,19 +39,20 @@
 	b.limiter.Pause(e.now, e.expectedLatencyAt(a.request, b))
 }
 
-// learnPressure notes what a result tells of the whole fleet. A backend that rejects again and again is
-// draining or has no connection left: that is its own state, unless most do so.
-func (e *Engine) learnPressure(b *backend, status Status, ratio float64) {
+// recordPressure updates the estimate of the whole fleet's load. A backend that rejects repeatedly is
+// draining or has no free connection. That is its own state and says nothing about the fleet, unless
+// most backends reject.
+func (e *Engine) recordPressure(b *backend, status Status, ratio float64) {
 	switch {
-	case status == Rejected && (!b.detector.LastRejected() || e.mostReject()):
+	case status == Rejected && (!b.detector.LastRejected() || e.mostBackendsReject()):
 		e.latencies.RecordRejection(e.now)
 	case status == OK, status == TimedOut && !b.detector.Ejected():
 		e.latencies.RecordRatio(e.now, ratio)
 	}
 }
 
-// mostReject says whether half of the subset's backends, or more, rejected their last request.
-func (e *Engine) mostReject() bool {
+// mostBackendsReject reports whether at least half of the subset's backends rejected their last request.
+func (e *Engine) mostBackendsReject() bool {
 	rejecting := 0
 	for _, b := range e.subset.backends {
 		if b.detector.LastRejected() {
@@ -60,8 +62,8 @@
 	return 2*rejecting >= len(e.subset.backends)
 }
 
-// learnBrokenConnection notes a broken connection. One alone says nothing of its backend.
-func (e *Engine) learnBrokenConnection(b *backend) {
+// recordBrokenConnection records a broken connection. A single one says nothing about its backend.
+func (e *Engine) recordBrokenConnection(b *backend) {
 	if b.detector.RecordBrokenConnection() > 1 {
 		b.limiter.RecordBroken()
 	}
@@ -70,8 +72,8 @@
 	}
 }
 
-// learnTimeout notes an attempt without an answer in time. At an ejected backend that tells nothing new.
-func (e *Engine) learnTimeout(b *backend, ratio float64) {
+// recordTimeout records an attempt that timed out. At an ejected backend that is no new information.
+func (e *Engine) recordTimeout(b *backend, ratio float64) {
 	if b.detector.Ejected() {
 		return
 	}
@@ -80,9 +82,9 @@
 	b.limiter.RecordTimeout()
 }
 
-// learnResponse notes a sign of life, which brings an ejected backend back. It begins no slow start: a
-// restart is suspected only where a health check ends a long silence (healthChecked).
-func (e *Engine) learnResponse(b *backend, response outlier.Response) {
+// recordResponse records that a backend responded, which restores an ejected one. No slow start begins
+// here: a restart is suspected only if a health check ends a long silence (healthChecked).
+func (e *Engine) recordResponse(b *backend, response outlier.Response) {
 	b.detector.RecordResponse(e.now, response)
 	if b.detector.Ejected() {
 		e.restore(b)
@@ -90,9 +92,10 @@
 	}
 }
 
-// learnAnswer notes the latency of an answer: for the class's latency, the backend's concurrency limit, and
-// if the backend is in use and warm for the throughput of the warm ones.
-func (e *Engine) learnAnswer(b *backend, r *request, took float64) {
+// recordAnswer records the latency of an answer for the class's latency estimate and the backend's
+// concurrency limit. If the backend is usable and warm, the answer also counts towards the throughput of
+// warm backends.
+func (e *Engine) recordAnswer(b *backend, r *request, took float64) {
 	if b.warmMark.Warm() {
 		e.throughput.RecordAnswer(e.now)
 	}
--- a/internal/policy/retry.go
+++ b/internal/policy/retry.go
@@ -1,15 +1,20 @@
 package policy
 
-// Retries: whether a request goes on after an attempt has failed, and where to. What may have run must not
-// take effect twice (WIRE-bellwood.md, The contract, rule 2): an idempotent request may be repeated anywhere;
-// one with a key only at backends that together drop repeats, and within DedupWindow of the first attempt in
-// doubt; one that is not idempotent nowhere. mayRepeat reads nothing but the request, its class and the
-// backend.
+// Retries: whether and where a request is sent again after a failed attempt. A request that may have run
+// must not take effect twice (WIRE-bellwood.md, The contract, rule 2):
+//
+//   - An idempotent request may be repeated at any backend.
+//   - A request with an idempotency key may be repeated only at backends that drop repeats together, and
+//     within DedupWindow of the first attempt that may have run.
+//   - A non-idempotent request may not be repeated.
+//
+// mayRepeat depends only on the request, its class and the backend.
 
 import "time"
 
-// retry dispatches a request again after an attempt that brought no answer, if it may have another and an
-// answer could still be in time. Else it is rejected. choose asks mayRepeat which backends may have it.
+// retry dispatches a request again after an attempt without an answer, if it has attempts left and an
+// answer can still arrive in time. Otherwise it rejects the request. choose calls mayRepeat to find the
+// backends that are allowed.
 func (e *Engine) retry(r *request) {
 	if len(r.attempts) >= e.settings.MaxAttempts {
 		e.reject(r, rejection{reason: AttemptsExhausted})
@@ -22,8 +27,8 @@
 	e.dispatch(r)
 }
 
-// mayRepeat says whether a request may be sent to a backend: always if it can't have run yet, else only if it
-// can't take effect twice.
+// mayRepeat reports whether a request may be sent to a backend: always if it can't have run yet,
+// otherwise only if it can't take effect twice.
 func (e *Engine) mayRepeat(r *request, b *backend) bool {
 	first := r.firstInDoubt
 	if first == nil {
@@ -34,14 +39,14 @@
 	case Idempotent:
 		return true
 	case IdempotentWithKey:
-		return e.now < first.sentAt+class.DedupWindow && dropsRepeats(class.DedupScope, first.backend, b)
+		return e.now < first.sentAt+class.DedupWindow && inSameDedupScope(class.DedupScope, first.backend, b)
 	}
 	return false
 }
 
-// dropsRepeats says whether two backends are of one scope, so that the next drops the repeat of a request
-// that the first may have run.
-func dropsRepeats(scope DedupScope, first, next *backend) bool {
+// inSameDedupScope reports whether two backends belong to the same scope, so that the second drops a
+// repeat of a request that the first may have run.
+func inSameDedupScope(scope DedupScope, first, next *backend) bool {
 	switch scope {
 	case DedupAllBackends:
 		return true
@@ -51,7 +56,8 @@
 	return next.zone == first.zone && next.cell == first.cell
 }
 
-// sendBefore is the time by which a repeat must be sent, where repeats are dropped for a while only; else 0.
+// sendBefore returns the time by which a repeat must be sent if backends drop repeats only for a limited
+// time; otherwise 0.
 func (e *Engine) sendBefore(r *request) time.Duration {
 	class := &e.settings.Classes[r.class]
 	if r.firstInDoubt != nil && class.Idempotency == IdempotentWithKey {
