--- a/internal/policy/callshare/callshare.go
+++ b/internal/policy/callshare/callshare.go
@@ -1,8 +1,10 @@
-// Package callshare finds how much a shared service of unknown capacity can be called.
+// Package callshare controls how much of the load a gateway puts on a shared service of unknown capacity, by the
+// share of its requests that may call it.
 //
-// Each gateway lets a share of its requests call the counter. The counter's state shows in its answers alone:
-// each that comes in time lets a larger share call, each that comes late or fails a smaller one. So all
-// gateways together settle at what the counter bears, without talking to each other.
+// Each gateway lets a share of its requests call the shared counter. It observes the counter only through the
+// answers to its own calls: an answer in time raises the share, a late answer or a failure lowers it. In this
+// way all gateways together converge on the load that the counter can bear, without communicating with each
+// other.
 package callshare
 
 import (
@@ -11,43 +13,47 @@
 )
 
 const (
-	// MinShare is the smallest share. It is not 0, so that a counter that is back is found. How often a counter
-	// that does not respond is tested is the caller's to bound.
+	// MinShare is the smallest share after failures. It is above 0 so that a counter that has recovered is found.
+	// The caller must limit how often it probes a counter that does not respond.
 	MinShare = 0.02
-	// SilentShare is the share at or below which the counter counts as silent or swamped. One answer lifts a
-	// smaller share to it or just above, the next in good time above it in any case.
-	SilentShare = 0.05
-	// timelyPart is the part of its time-out that a call should take at most: later answers lower the share.
-	timelyPart = 0.5
-	// growth is by which part of itself the share grows with an answer that took no time.
+	// UnresponsiveShare is the share at or below which the counter is considered unresponsive or overloaded. One
+	// answer raises a smaller share to this value or just above it. The next answer in good time always raises it
+	// above.
+	UnresponsiveShare = 0.05
+	// targetLatencyFraction is the longest that a call should take, as a fraction of its time-out: slower answers
+	// lower the share.
+	targetLatencyFraction = 0.5
+	// growth is the relative increase of the share after an answer that took no time.
 	growth = 0.2
-	// failureFactor is the factor for each call that failed.
+	// failureFactor multiplies the share after each failed call.
 	failureFactor = 0.8
 )
 
-// Controller holds the share of one gateway. The zero value's share is 0: nobody calls. It is not safe for
-// concurrent use.
+// Controller holds the share of one gateway. The zero value has a share of 0, so no request may call. It is not
+// safe for concurrent use.
 type Controller struct{ share float64 }
 
-// New starts with a share from 0 to 1: with 1, every request may call, as long as nothing is known.
+// New returns a controller with an initial share from 0 to 1. A share of 1 lets every request call until the
+// first answers arrive.
 func New(share float64) Controller { return Controller{share} }
 
-// Share is the share of the requests that may call, from 0 to 1.
+// Share returns the share of the requests that may call, from 0 to 1.
 func (c *Controller) Share() float64 { return c.share }
 
-// Responds says whether the counter can be relied on: the share is over SilentShare.
-func (c *Controller) Responds() bool { return c.share > SilentShare }
+// Responds reports whether the counter can be relied on: the share is above UnresponsiveShare.
+func (c *Controller) Responds() bool { return c.share > UnresponsiveShare }
 
-// Answered notes an answer before the time-out. The share grows by up to a fifth of itself for one that came
-// at once, stays for one at half the time-out, and shrinks by up to a fifth for a later one.
+// Answered records an answer that arrived before the time-out. The share grows by up to a fifth of itself for an
+// immediate answer, stays the same for one at half the time-out, and shrinks by up to a fifth for a later one.
 func (c *Controller) Answered(took, timeout time.Duration) {
-	lateness := took.Seconds() / timeout.Seconds() / timelyPart // 1: just in time
-	c.share = min(1, max(SilentShare, c.share*(1+growth*max(-1, 1-lateness))))
+	lateness := took.Seconds() / timeout.Seconds() / targetLatencyFraction // 1: exactly on target
+	c.share = min(1, max(UnresponsiveShare, c.share*(1+growth*max(-1, 1-lateness))))
 }
 
-// Failed notes a call that was rejected or had no answer in time.
+// Failed records a call that was rejected or timed out.
 func (c *Controller) Failed() { c.share = max(MinShare, c.share*failureFactor) }
 
-// Chance is the chance that a request of a rank calls, share^rank. Rank 1 has the share itself; the higher
-// the rank, the more it gives way to others when not all can call.
-func (c *Controller) Chance(rank float64) float64 { return math.Pow(c.share, rank) }
+// Probability returns the probability that a request of the given rank calls, share^rank. A request of rank 1
+// calls with a probability of the share itself. The higher the rank, the less likely the request calls when not
+// all requests may.
+func (c *Controller) Probability(rank float64) float64 { return math.Pow(c.share, rank) }
--- a/internal/policy/countercalls.go
+++ b/internal/policy/countercalls.go
@@ -12,7 +12,7 @@
 //     counter counts as one that does not respond.
 //   - From then on a gateway calls for tokens at most once in 100 ms or in 5 ms for each gateway, whichever
 //     is longer: for a request that neither leased nor fallback tokens pay, with the chance share^rank
-//     (callChance), or to renew leased tokens, if it has any left. So tests of the counter are rare, and a
+//     (callProbability), or to renew leased tokens, if it has any left. So tests of the counter are rare, and a
 //     gateway whose fallback tokens suffice soon makes none. A request that calls waits for the answer or the
 //     time-out, and so do those of its tenant that come meanwhile and find too few tokens. Without a call,
 //     one that finds too few fallback tokens goes on credit, and one that finds none is over its quota; so
@@ -39,12 +39,12 @@
 	// it: past the end of its window for the last answers, and within the 60 s that the counter keeps anything.
 	quotaWindow = 30 * time.Second
 	quotaTTL    = 50 * time.Second
-	// maxPendingNumbers bounds the numbers on the counter for which calls are in flight.
-	maxPendingNumbers = 32
-	// minTestPause and testPausePerGateway give the pause between the calls that test a counter which does not
+	// maxPendingKeys bounds the numbers on the counter for which calls are in flight.
+	maxPendingKeys = 32
+	// minProbeInterval and probeIntervalPerGateway give the pause between the calls that test a counter which does not
 	// respond, the longer of the two: all gateways test it, and together they must not be what keeps it down.
-	minTestPause        = 100 * time.Millisecond
-	testPausePerGateway = 5 * time.Millisecond
+	minProbeInterval        = 100 * time.Millisecond
+	probeIntervalPerGateway = 5 * time.Millisecond
 )
 
 // counterCalls are this gateway's calls of the shared counter: which are in flight, and how many it bears.
@@ -60,7 +60,7 @@
 	tenant    *tenant
 	calledAt  time.Duration
 	window    int64      // of the number that it adds to
-	forTokens lease.Call // zero: it requests no tokens
+	tokenCall lease.Call // zero: it requests no tokens
 	borrower  *request   // waits for units of its hard limit's common part; nil: none does
 }
 
@@ -76,8 +76,8 @@
 
 // mayCall says whether the counter can be called: it responds, or the pause between tests is over.
 func (c *counterCalls) mayCall(now time.Duration, gateways int) bool {
-	testPause := max(minTestPause, time.Duration(gateways)*testPausePerGateway)
-	return len(c.inFlight) < maxPendingNumbers && (c.share.Responds() || now-c.lastTokenCall >= testPause)
+	probeInterval := max(minProbeInterval, time.Duration(gateways)*probeIntervalPerGateway)
+	return len(c.inFlight) < maxPendingKeys && (c.share.Responds() || now-c.lastTokenCall >= probeInterval)
 }
 
 // add keeps a call until its answer.
@@ -101,11 +101,11 @@
 // callShare is the share of the requests without tokens that may call.
 func (c *counterCalls) callShare() float64 { return c.share.Share() }
 
-// callChance is the chance that a request of a rank calls, given that it may.
-func (c *counterCalls) callChance(rank float64) float64 { return c.share.Chance(rank) }
+// callProbability is the chance that a request of a rank calls, given that it may.
+func (c *counterCalls) callProbability(rank float64) float64 { return c.share.Probability(rank) }
 
-// noteTokenCall notes a call for tokens; the next test of a counter that does not respond waits from here.
-func (c *counterCalls) noteTokenCall(now time.Duration) { c.lastTokenCall = now }
+// recordTokenCall notes a call for tokens; the next test of a counter that does not respond waits from here.
+func (c *counterCalls) recordTokenCall(now time.Duration) { c.lastTokenCall = now }
 
 // callEnded notes how a call ended, and so how many more the counter bears.
 func (c *counterCalls) callEnded(call *counterCall, status Status, now, timeout time.Duration) {
@@ -126,10 +126,10 @@
 
 // reportUsage calls the counter to add an amount to what has been taken of a tenant's quota in the present
 // window. With a lease.Call that has a block it requests tokens as well.
-func (e *Engine) reportUsage(t *tenant, amount float64, forTokens lease.Call) {
+func (e *Engine) reportUsage(t *tenant, amount float64, tokenCall lease.Call) {
 	window := int64(e.now / quotaWindow)
-	call := &counterCall{tenant: t, window: window, forTokens: forTokens}
-	e.callCounter(quotaNumber(t.key, window), amount, quotaTTL, call)
+	call := &counterCall{tenant: t, window: window, tokenCall: tokenCall}
+	e.callCounter(quotaCounterKey(t.key, window), amount, quotaTTL, call)
 }
 
 // callCounter is the one place of the engine that calls the counter. A number that is new is kept there for
@@ -150,7 +150,7 @@
 	switch {
 	case call.borrower != nil:
 		e.borrowAnswered(call, ev)
-	case call.forTokens.Block > 0:
+	case call.tokenCall.Block > 0:
 		e.tokensAnswered(call, ev)
 	}
 	e.serve(call.tenant)
@@ -159,14 +159,14 @@
 // windowStart is when a window of the quotas' numbers began.
 func windowStart(window int64) time.Duration { return time.Duration(window) * quotaWindow }
 
-// quotaNumber is the counter's name for a quota in a window, within 63 bits.
-func quotaNumber(key tenantKey, window int64) uint64 {
+// quotaCounterKey is the counter's name for a quota in a window, within 63 bits.
+func quotaCounterKey(key tenantKey, window int64) uint64 {
 	return hash("%s %d %d", key.name, key.plan, window)
 }
 
-// hardLimitNumber is the counter's name for the common part of a tenant's hard limit in a window. Its text is
+// hardLimitCounterKey is the counter's name for the common part of a tenant's hard limit in a window. Its text is
 // part of what all gateways agree on, so it keeps its word for the limit.
-func hardLimitNumber(key tenantKey, window int64) uint64 {
+func hardLimitCounterKey(key tenantKey, window int64) uint64 {
 	return hash("%s %d ceiling %d", key.name, key.plan, window)
 }
 
--- a/internal/policy/demand/demand.go
+++ b/internal/policy/demand/demand.go
@@ -1,5 +1,5 @@
-// Package demand estimates how much of a quota a tenant uses: an average rate in which what is older counts
-// exponentially less.
+// Package demand estimates a tenant's demand on its quota as an exponentially weighted moving average of its
+// usage rate.
 package demand
 
 import (
@@ -7,29 +7,29 @@
 	"time"
 )
 
-// AveragingTime is the time constant of the average: what is older by this much weighs less by the factor e.
+// AveragingTime is the time constant of the average: an observation's weight falls by the factor e in this time.
 const AveragingTime = 2 * time.Second
 
-// Estimator is the estimate for one tenant. The zero value has seen nothing, at time 0. It is not safe for
-// concurrent use.
+// Estimator estimates the demand of one tenant. The zero value has no observations and starts at time 0. It is
+// not safe for concurrent use.
 type Estimator struct {
-	rate   float64 // units a second, as of seenAt
+	rate   float64 // units per second, as of seenAt
 	seenAt time.Duration
 }
 
-// New returns an estimator that has seen nothing until now.
+// New returns an estimator without observations that starts at the given time.
 func New(now time.Duration) Estimator { return Estimator{seenAt: now} }
 
-// Add notes a use of so many units. Times must not go back.
+// Add records usage in units. Times must not decrease from call to call.
 func (e *Estimator) Add(now time.Duration, units float64) {
 	elapsed := (now - e.seenAt).Seconds() / AveragingTime.Seconds()
 	e.rate = e.rate*math.Exp(-elapsed) + units/AveragingTime.Seconds()
 	e.seenAt = now
 }
 
-// Over is the use to expect in a span of time, in units, at the rate as of the last Add.
-func (e *Estimator) Over(span time.Duration) float64 { return e.rate * span.Seconds() }
+// ExpectedUse returns the units expected to be used in a span of time, at the rate as of the last Add.
+func (e *Estimator) ExpectedUse(span time.Duration) float64 { return e.rate * span.Seconds() }
 
-// Weight is the weight of an observation over a span of time in an average of this time constant: 0 for none,
-// towards 1 for a span that is far longer.
+// Weight returns the weight of an observation over a span of time in an average with this time constant: 0 for an
+// empty span, approaching 1 for spans much longer than AveragingTime.
 func Weight(span time.Duration) float64 { return 1 - math.Exp(-span.Seconds()/AveragingTime.Seconds()) }
--- a/internal/policy/hardlimit.go
+++ b/internal/policy/hardlimit.go
@@ -91,10 +91,10 @@
 // be asked twice, on its arrival (admit) and on its turn (checkLimits), with a new draw each time.
 func (e *Engine) mayBorrow(r *request) bool {
 	limit := &r.tenant.hardLimit
-	if !limit.HasCommonPart() || r.hardLimit.borrowRequested {
+	if !limit.HasSharedPool() || r.hardLimit.borrowRequested {
 		return false
 	}
-	if !e.counterResponds() || !e.mayCallCounter() || limit.CommonPartSpent(e.now) {
+	if !e.counterResponds() || !e.mayCallCounter() || limit.SharedPoolExhausted(e.now) {
 		return false
 	}
 	return !r.clientRetry || e.rng.Float64() < e.counter.callShare()
@@ -105,7 +105,7 @@
 	r.hardLimit.borrowRequested, r.hardLimit.borrowPending = true, true
 	t := r.tenant
 	window := t.hardLimit.Window(e.now)
-	e.callCounter(hardLimitNumber(t.key, window), r.cost, t.hardLimit.CounterTTL(e.settings.CounterTimeout),
+	e.callCounter(hardLimitCounterKey(t.key, window), r.cost, t.hardLimit.CounterTTL(e.settings.CounterTimeout),
 		&counterCall{tenant: t, window: window, borrower: r})
 }
 
--- a/internal/policy/hardlimit/hardlimit.go
+++ b/internal/policy/hardlimit/hardlimit.go
@@ -1,12 +1,14 @@
-// Package hardlimit keeps one gateway's share of a tenant's hard limit.
+// Package hardlimit enforces one gateway's share of a tenant's hard limit.
 //
 // A hard limit is a token bucket that all gateways together must never overdraw (WIRE-bellwood.md, The
-// contract, rule 5, "Ceiling never passed": the bucket starts full, fills at a rate, and the first attempt of
-// each request takes its cost; a gateway's restart does not fill it). It holds without any call: rate and
-// burst are divided by the gateways, and each keeps its own part. Where such an even part holds few requests,
-// traffic is never as even; then a part of the limit is kept in common, and a gateway whose own part is spent
-// borrows units of it by counter calls. The common part is a number on the counter for each window of time:
-// what is added while the total stays within what the window lends is borrowed.
+// contract, rule 5, "Ceiling never passed": the bucket starts full, refills at a rate, and the first attempt of
+// each request takes its cost; restarting a gateway does not refill it). It is enforced without counter calls:
+// rate and burst are divided by the number of gateways, and each gateway enforces its own share.
+//
+// If such an even share holds only a few requests, it is too small for real traffic, which is never spread that
+// evenly. A part of the limit is then kept in a shared pool. A gateway whose own share is used up borrows units
+// from the pool by calling the shared counter. For each window of time the counter keeps the total of the units
+// requested; a request is granted while this total stays within the window's allowance.
 package hardlimit
 
 import (
@@ -15,140 +17,149 @@
 )
 
 const (
-	// ownPart is the part of a limit that is divided by the gateways where the rest is kept in common.
-	ownPart = 0.75
-	// fewRequests is how many of the costliest requests an even share must hold, else a part is kept in common.
-	fewRequests = 4.0
-	// afterWindow is how long what was borrowed may be sent after its window: a request may still have to queue.
-	afterWindow = 100 * time.Millisecond
-	// maxWindow and minWindow bound a window.
+	// localFraction is the fraction of a limit that is divided among the gateways if the rest goes into a shared
+	// pool.
+	localFraction = 0.75
+	// minRequestsPerShare is how many requests of the largest cost an even share must hold; otherwise there is a
+	// shared pool.
+	minRequestsPerShare = 4.0
+	// borrowGrace is how long borrowed units may still be used after their window has ended, because the request
+	// may first have to queue.
+	borrowGrace = 100 * time.Millisecond
+	// maxWindow and minWindow bound the length of a window.
 	maxWindow = 30 * time.Second
 	minWindow = time.Millisecond
 )
 
-// Limit is the hard limit of a plan, over all gateways together.
+// Limit is the hard limit of a plan, across all gateways.
 type Limit struct {
-	Rate  float64 // units a second by which it fills; 0: the plan has none
-	Burst float64 // units that it holds at most; it starts full
+	Rate  float64 // refill rate in units per second; 0: the plan has no hard limit
+	Burst float64 // capacity in units; the bucket starts full
 }
 
-// Terms apply to all tenants of a plan.
-type Terms struct {
+// Config holds the parameters that all tenants of a plan have in common.
+type Config struct {
 	Limit         Limit
-	LargestCost   float64 // the most units that one request takes, 1 at least
-	SharedCounter bool    // there is a counter, so a part may be kept in common
+	LargestCost   float64 // the largest cost of one request in units, at least 1
+	SharedCounter bool    // a shared counter exists, so there may be a shared pool
 }
 
-// Share is one gateway's share of one tenant's limit. It is not safe for concurrent use. Times that it is
-// given must not go back.
+// Share is one gateway's share of one tenant's limit. It is not safe for concurrent use. The times passed to its
+// methods must not decrease.
 type Share struct {
-	terms    Terms
-	gateways float64 // through which the tenant's requests come
-	units    float64 // in the share, as of filledAt
-	filledAt time.Duration
-	reserved float64 // units of requests that are queued
-	spent    int64   // 1 + the window whose common part is spent; 0: none
+	config          Config
+	gateways        float64 // number of gateways that receive the tenant's requests
+	units           float64 // in the share, as of filledAt
+	filledAt        time.Duration
+	reserved        float64 // units reserved for queued requests
+	exhaustedWindow int64   // 1 + the number of the window whose pool is used up; 0: none
 }
 
-// New returns the share of a tenant that was not seen before. It is empty at the gateway's start: what it
-// held may have been spent before a restart.
-func New(terms Terms, gateways float64, started time.Duration) Share {
-	return Share{terms: terms, gateways: gateways, filledAt: started}
+// New returns the share of a tenant without any history. It counts as empty at the time the gateway started,
+// because its units may have been spent before a restart.
+func New(config Config, gateways float64, started time.Duration) Share {
+	return Share{config: config, gateways: gateways, filledAt: started}
 }
 
-// SetGateways sets through how many gateways the tenant's requests come.
+// SetGateways sets the number of gateways that receive the tenant's requests.
 func (s *Share) SetGateways(gateways float64) { s.gateways = gateways }
 
-// Limited says whether there is a limit at all.
-func (s *Share) Limited() bool { return s.terms.Limit.Rate != 0 }
+// Limited reports whether the plan has a hard limit.
+func (s *Share) Limited() bool { return s.config.Limit.Rate != 0 }
 
-// Available is what the share holds now, what is reserved included; without a limit it is infinite.
+// Available returns the units in the share, including reserved ones; without a limit it is infinite.
 func (s *Share) Available(now time.Duration) float64 {
 	if !s.Limited() {
 		return math.Inf(1)
 	}
-	limit := s.terms.Limit
+	limit := s.config.Limit
 	rate := s.Rate()
 	s.units += rate * (now - s.filledAt).Seconds()
 	s.units, s.filledAt = min(s.units, limit.Burst*rate/limit.Rate), now
 	return s.units
 }
 
-// HoldsUnreserved says whether the share holds a cost beside what is reserved.
+// HoldsUnreserved reports whether the unreserved units in the share cover a cost.
 func (s *Share) HoldsUnreserved(now time.Duration, cost float64) bool {
 	return s.Available(now)-s.reserved >= cost
 }
 
-// Shortfall is what the share lacks to hold a cost beside what is reserved; 0 or less: it holds it.
+// Shortfall returns how many unreserved units are missing to cover a cost; 0 or less: none.
 func (s *Share) Shortfall(now time.Duration, cost float64) float64 {
 	return cost + s.reserved - s.Available(now)
 }
 
-// FillSeconds is the time in which the share gains so many units, in seconds. There must be a limit.
+// FillSeconds returns the seconds that the share takes to gain the given units. There must be a limit.
 func (s *Share) FillSeconds(units float64) float64 { return units / s.Rate() }
 
-// Reserve keeps units for a queued request until Release.
+// Reserve sets units aside for a queued request until Release.
 func (s *Share) Reserve(units float64) { s.reserved += units }
 
-// Release gives back what Reserve kept.
+// Release cancels a reservation made with Reserve.
 func (s *Share) Release(units float64) { s.reserved -= units }
 
-// Spend takes units for a request that is sent.
+// Spend takes the units of a request that is being sent.
 func (s *Share) Spend(units float64) { s.units -= units }
 
-// Rate is this gateway's own part of the limit's rate, in units a second.
+// Rate returns the refill rate of this gateway's share, in units per second.
 func (s *Share) Rate() float64 {
-	if s.HasCommonPart() {
-		return s.terms.Limit.Rate / s.gateways * ownPart
+	if s.HasSharedPool() {
+		return s.config.Limit.Rate / s.gateways * localFraction
 	}
-	return s.terms.Limit.Rate / s.gateways
+	return s.config.Limit.Rate / s.gateways
 }
 
-// HasCommonPart says whether a part of the limit is kept in common: an even share holds few requests, and
-// what the gateway keeps of it, as well as what a window lends, holds one of the costliest.
-func (s *Share) HasCommonPart() bool {
-	limit, largest := s.terms.Limit, s.terms.LargestCost
-	if !s.terms.SharedCounter || limit.Rate <= 0 {
+// HasSharedPool reports whether a part of the limit is in a shared pool. That is so if an even share holds fewer
+// than minRequestsPerShare requests of the largest cost, and if both the gateway's own share and a window's
+// allowance hold at least one.
+func (s *Share) HasSharedPool() bool {
+	limit, largest := s.config.Limit, s.config.LargestCost
+	if !s.config.SharedCounter || limit.Rate <= 0 {
 		return false
 	}
-	even := limit.Burst / s.gateways
-	return even < fewRequests*largest && even*ownPart >= largest && limit.windowLimit() >= largest
+	evenShare := limit.Burst / s.gateways
+	return evenShare < minRequestsPerShare*largest && evenShare*localFraction >= largest &&
+		limit.windowAllowance() >= largest
 }
 
-// window is how long one number of the common part serves. What a window lends may be sent until afterWindow
-// after its end. So in a span of time T at most T/window + afterWindow/window + 2 windows' lendings are sent,
-// each (1-ownPart) x Rate x window. A window is so short that this stays within the common part of the limit,
-// (1-ownPart) x (Rate x T + Burst), and no overflow has to be told to the counter:
+// window returns the length of a window of the shared pool.
+//
+// Units borrowed in a window may be used until borrowGrace after its end. So within a time span T, gateways use
+// the allowances of at most T/window + borrowGrace/window + 2 windows, each (1-localFraction) x Rate x window.
+// The window is chosen so short that this stays within the pool's part of the limit,
+// (1-localFraction) x (Rate x T + Burst), without having to correct the counter for overflow:
 //
-//	2 x window + afterWindow <= Burst/Rate
+//	2 x window + borrowGrace <= Burst/Rate
 //
-// Where Burst/Rate is under afterWindow + 2 x minWindow, minWindow wins and this does not hold.
+// If Burst/Rate is less than borrowGrace + 2 x minWindow, the window is minWindow and this does not hold.
 func (l Limit) window() time.Duration {
-	full := time.Duration(l.Burst / l.Rate * float64(time.Second))
-	return max(minWindow, min(maxWindow, (full-afterWindow)/2))
+	fillTime := time.Duration(l.Burst / l.Rate * float64(time.Second))
+	return max(minWindow, min(maxWindow, (fillTime-borrowGrace)/2))
 }
 
-// windowLimit is how many units one window lends.
-func (l Limit) windowLimit() float64 { return (1 - ownPart) * l.Rate * l.window().Seconds() }
+// windowAllowance is how many units all gateways together may borrow in one window.
+func (l Limit) windowAllowance() float64 { return (1 - localFraction) * l.Rate * l.window().Seconds() }
 
-// Window is the number of the window that a time falls into. HasCommonPart must be true, as for all that
-// follows.
-func (s *Share) Window(now time.Duration) int64 { return int64(now / s.terms.Limit.window()) }
+// Window returns the number of the window that contains a time. It and the methods below require HasSharedPool.
+func (s *Share) Window(now time.Duration) int64 { return int64(now / s.config.Limit.window()) }
 
-// CommonPartSpent says whether the common part of the present window is known to be spent.
-func (s *Share) CommonPartSpent(now time.Duration) bool { return s.spent == s.Window(now)+1 }
+// SharedPoolExhausted reports whether the allowance of the present window is known to be used up.
+func (s *Share) SharedPoolExhausted(now time.Duration) bool {
+	return s.exhaustedWindow == s.Window(now)+1
+}
 
-// Borrow is told the total that the counter gives for a window, the units requested included. It says until
-// when these may be sent, or that the window has lent all.
+// Borrow evaluates the counter's answer to a borrow call. The total is what all gateways have requested in the
+// window so far, this call included. Borrow returns until when the units may be used, or false if the window's
+// allowance is used up.
 func (s *Share) Borrow(window int64, total float64) (until time.Duration, granted bool) {
-	if total <= s.terms.Limit.windowLimit() {
-		return time.Duration(window+1)*s.terms.Limit.window() + afterWindow, true
+	if total <= s.config.Limit.windowAllowance() {
+		return time.Duration(window+1)*s.config.Limit.window() + borrowGrace, true
 	}
-	s.spent = window + 1
+	s.exhaustedWindow = window + 1
 	return 0, false
 }
 
-// CounterTTL is how long the counter must keep the number of a window: until the last call for it has ended.
+// CounterTTL returns how long the counter must keep a window's total: until the last call for it has ended.
 func (s *Share) CounterTTL(callTimeout time.Duration) time.Duration {
-	return 2*s.terms.Limit.window() + callTimeout
+	return 2*s.config.Limit.window() + callTimeout
 }
--- a/internal/policy/lease/lease.go
+++ b/internal/policy/lease/lease.go
@@ -1,20 +1,27 @@
-// Package lease keeps what one gateway holds of one tenant's quota.
+// Package lease tracks the tokens that one gateway holds of one tenant's quota.
 //
-// The quota is a token bucket that all gateways share. Its state lies on the shared counter, as the sum of
-// what has left the bucket: a gateway adds what it takes, and the answer tells the bucket's level, also to a
-// gateway that has never seen the tenant. So that not every request needs a call, a gateway takes a block of
-// tokens for the demand of the next seconds: the lease.
+// The quota is a token bucket that all gateways share. The shared counter stores the bucket's state as the sum
+// of tokens taken from it: a gateway adds what it takes, and the answer reveals the bucket's level, even to a
+// gateway that has never seen the tenant. To avoid a call per request, a gateway takes a block of tokens that
+// covers the expected demand of the next seconds: the lease.
 //
-// Beside the leased tokens a gateway has fallback tokens, an even share of the bucket, for when the counter
-// has not been called or does not answer. What is paid with them is unreported usage until the next call adds
-// it to the counter. Fallback tokens may go below zero: requests that go on credit, without a look at the
-// counter.
+// In addition to leased tokens a gateway has fallback tokens, its even share of the bucket, for when the
+// counter has not been called or does not answer. Usage paid with fallback tokens is unreported until the next
+// call adds it to the counter. The fallback balance may go below zero: this is how requests go on credit,
+// without a check against the counter.
 //
-// A Lease decides nothing about the counter: its caller says when to call it (BeginCall) and hands in the
-// answer (Settle) or the failure (CallRejected, AnswerLost). The rules are those of DESIGN-bellwood.md,
-// Promotion: adds on the counter, named by tenant and window; blocks sized by recent demand, granted while
-// the window's total stays within rate x time + burst; settled differences added later; a new tenant, or one
-// whose counter is silent, has its burst divided by its gateways. Sizes and lifetimes are left open there.
+// A Lease does not decide when to call the counter. Its caller does: it begins a call with BeginCall and passes
+// the outcome to Settle, CallRejected or AnswerLost.
+//
+// The rules are those of DESIGN-bellwood.md, Promotion:
+//
+//   - Tokens are taken by adding to the counter, under a key of tenant and window.
+//   - Blocks are sized by recent demand and granted while the window's total stays within
+//     rate x time + burst.
+//   - Differences found after the fact are added later.
+//   - For a new tenant, or one whose counter does not answer, the burst is divided by its gateways.
+//
+// That page leaves the sizes and lifetimes open.
 package lease
 
 import (
@@ -25,104 +32,108 @@
 )
 
 const (
-	// coveredDemand is the span of demand that a block should cover: longer means fewer calls, and more tokens
-	// that lie where nobody needs them.
-	coveredDemand = 1500 * time.Millisecond
-	// renewalLead is the span of demand that the tokens left must cover, else the next block is requested. It is
-	// several times what the counter takes to answer.
+	// blockDemandSpan is the span of demand that a block should cover. A longer span means fewer calls, but more
+	// tokens that sit unused at a gateway while others need them.
+	blockDemandSpan = 1500 * time.Millisecond
+	// renewalLead is the span of demand that the remaining tokens must cover; below it the next block is
+	// requested. It is several times the counter's usual response time.
 	renewalLead = 300 * time.Millisecond
-	// lifetime is how long leased tokens may lie unspent before they are given back.
-	lifetime = 3 * time.Second
-	// minCostsForRenewal is the demand within a lifetime, in costs of the present request, from which a block is
-	// renewed before it is spent: a tenant that comes rarely would find the tokens expired.
+	// tokenLifetime is how long leased tokens may stay unspent before they are returned.
+	tokenLifetime = 3 * time.Second
+	// minCostsForRenewal is the expected demand within tokenLifetime, as a multiple of the present request's
+	// cost, from which a block is renewed before it is spent. With less demand the tokens would expire unused.
 	minCostsForRenewal = 2.0
-	// maxRequestsPerCall bounds the requests for which one call stands, where only a share of them may call.
+	// maxRequestsPerCall bounds how many requests one call accounts for when only a share of them may call.
 	maxRequestsPerCall = 3.0
 	// creditBurstShare is the share of the burst that one gateway may let through on credit.
 	creditBurstShare = 0.5
-	// creditBursts is how many bursts all gateways together may let through on credit.
-	creditBursts = 20.0
-	// overflowSlack, divided by the share of requests that may call, is by how many bursts the bucket's level
-	// must exceed what it can be before it is corrected: a correction is a call too.
+	// fleetCreditBursts is how many bursts all gateways together may let through on credit.
+	fleetCreditBursts = 20.0
+	// overflowSlack, divided by the share of requests that may call, is the tolerance for a level above the
+	// highest possible one, in bursts. Only a larger excess is corrected, because a correction costs a call.
 	overflowSlack = 0.5
-	// gatewaysPerToken is how many gateways an empty bucket serves in the time in which it gains one token. Each
-	// of them leaves the bucket alone for max(missing, gateways/gatewaysPerToken)/rate seconds.
+	// gatewaysPerToken is how many gateways may call for an empty bucket in the time in which it gains one
+	// token. Each of them backs off for max(missing, gateways/gatewaysPerToken)/rate seconds.
 	gatewaysPerToken = 4.0
-	// maxEmptyPause bounds the time for which a gateway leaves an empty bucket alone.
-	maxEmptyPause = 8 * time.Second
-	// minRefillTime and minRefillRate bound the advice for Retry-After, in seconds and tokens a second.
-	minRefillTime = 0.01
+	// maxEmptyBackoff bounds the time for which a gateway does not call for an empty bucket.
+	maxEmptyBackoff = 8 * time.Second
+	// minRetryAfter is the shortest advice for Retry-After, in seconds. minRefillRate is the lowest rate that the
+	// advice is computed with, in tokens per second.
+	minRetryAfter = 0.01
 	minRefillRate = 0.1
 )
 
-// Bucket is the quota of a plan, over all gateways together.
+// Bucket describes the quota of a plan, across all gateways.
 type Bucket struct {
-	Rate  float64 // tokens a second by which it fills; 0: the plan has no such quota
-	Burst float64 // tokens that it holds at most; it starts full
+	Rate  float64 // refill rate in tokens per second; 0: the plan has no rate quota
+	Burst float64 // capacity in tokens; the bucket starts full
 }
 
-// Lease is one gateway's part of one tenant's bucket. It is not safe for concurrent use. Times that it is
-// given must not go back.
+// Lease is one gateway's portion of one tenant's bucket. It is not safe for concurrent use. The times passed to
+// its methods must not decrease.
 type Lease struct {
 	bucket   Bucket
-	gateways float64 // through which the tenant's requests come
+	gateways float64 // number of gateways that receive the tenant's requests
 	demand   demand.Estimator
 
-	tokens     float64 // leased and not spent; below 0 where true costs were higher than told
-	grantedAt  time.Duration
-	fallback   float64       // fallback tokens; below 0: on credit
-	fallbackAt time.Duration // when they were filled last
-	unreported float64       // paid without a lease and not added to the counter yet; below 0: to be given back
+	tokens           float64 // leased and unspent; below 0 if actual costs exceeded the estimates
+	grantedAt        time.Duration
+	fallback         float64       // fallback tokens; below 0: on credit
+	fallbackFilledAt time.Duration // when fallback was last refilled
+	unreported       float64       // usage not yet added to the counter; below 0: tokens to return
 
 	awaitingAnswer bool          // a call for a block is in flight
-	levelKnown     bool          // an answer has come
-	level          float64       // of the bucket, by the last answer; full before the first
-	levelAt        time.Duration // when it was so
-	othersRate     float64       // tokens a second that the other gateways take, by the levels
-	emptyUntil     time.Duration // the bucket was found empty: it is left alone until then
+	levelKnown     bool          // the counter has answered at least once
+	level          float64       // the bucket's level after the last answer; full before the first
+	levelAt        time.Duration // when level was observed
+	othersRate     float64       // tokens per second taken by the other gateways, estimated from the levels
+	emptyUntil     time.Duration // the bucket was found empty: no calls until then
 }
 
-// New returns the lease of a tenant that was not seen before: its bucket counts as full.
+// New returns the lease of a tenant without any history, whose bucket is assumed to be full.
 func New(bucket Bucket, gateways float64, now time.Duration) Lease {
 	return Lease{bucket: bucket, gateways: gateways, demand: demand.New(now), fallback: bucket.Burst / gateways,
-		fallbackAt: now, level: bucket.Burst, levelAt: now}
+		fallbackFilledAt: now, level: bucket.Burst, levelAt: now}
 }
 
-// SetGateways sets through how many gateways the tenant's requests come.
+// SetGateways sets the number of gateways that receive the tenant's requests.
 func (l *Lease) SetGateways(gateways float64) { l.gateways = gateways }
 
-// NoteDemand notes a request of a cost, whatever comes of it.
-func (l *Lease) NoteDemand(now time.Duration, cost float64) { l.demand.Add(now, cost) }
+// RecordDemand records a request's cost as demand, whether or not the request is admitted.
+func (l *Lease) RecordDemand(now time.Duration, cost float64) { l.demand.Add(now, cost) }
 
-// AwaitsAnswer says whether a call for a block is in flight.
+// AwaitsAnswer reports whether a call for a block is in flight.
 func (l *Lease) AwaitsAnswer() bool { return l.awaitingAnswer }
 
-// KnownLevel is the bucket's level as of the last answer; before the first it is not known and counts as
-// full.
+// KnownLevel returns the bucket's level as of the last answer. Before the first answer it returns the full burst
+// and false.
 func (l *Lease) KnownLevel() (tokens float64, known bool) { return l.level, l.levelKnown }
 
-// OthersRate is how many tokens a second the other gateways take, as the bucket's levels tell.
+// OthersRate estimates how many tokens per second the other gateways take, from the bucket's levels.
 func (l *Lease) OthersRate() float64 { return l.othersRate }
 
-// Refresh brings the lease up to now, before a request is paid: tokens that have lain unspent for the
-// lifetime are given back with the next call, as what the bucket holds may have changed, and fallback tokens
-// fill at 1-callShare of this gateway's even share of the rate. CallShare is the share of requests that may
-// call the counter: the smaller it is, the more is paid with fallback tokens. Below zero they fill at the
-// whole even share.
+// Refresh updates the lease to the present time; call it before paying for a request.
+//
+// Leased tokens that stayed unspent for longer than tokenLifetime are returned with the next call, because the
+// bucket's level may have changed.
+//
+// Fallback tokens refill at 1-callShare of this gateway's even share of the rate, where callShare is the share
+// of requests that may call the counter: the fewer may call, the more is paid with fallback tokens. A negative
+// balance refills at the whole even share.
 func (l *Lease) Refresh(now time.Duration, callShare float64) {
-	if l.tokens > 0 && now-l.grantedAt > lifetime && !l.awaitingAnswer {
+	if l.tokens > 0 && now-l.grantedAt > tokenLifetime && !l.awaitingAnswer {
 		l.unreported -= l.tokens
 		l.tokens = 0
 	}
-	fill := l.bucket.Rate / l.gateways * (now - l.fallbackAt).Seconds()
+	fill := l.bucket.Rate / l.gateways * (now - l.fallbackFilledAt).Seconds()
 	if l.fallback+fill > 0 {
 		fill = max(-l.fallback, fill*(1-callShare))
 	}
 	l.fallback = min(max(l.fallback, l.bucket.Burst/l.gateways), l.fallback+fill)
-	l.fallbackAt = now
+	l.fallbackFilledAt = now
 }
 
-// TakeTokens pays a cost with leased tokens, or says that they do not hold it.
+// TakeTokens pays a cost with leased tokens, or returns false if there are too few.
 func (l *Lease) TakeTokens(cost float64) bool {
 	if l.tokens < cost {
 		return false
@@ -131,8 +142,8 @@
 	return true
 }
 
-// TakeFallback pays a cost with what is left of the leased tokens and, for the rest, with fallback tokens, or
-// says that they do not hold it together.
+// TakeFallback pays a cost with the remaining leased tokens and covers the rest with fallback tokens. It returns
+// false if both together are too few.
 func (l *Lease) TakeFallback(cost float64) bool {
 	if l.fallback+max(0, l.tokens) < cost {
 		return false
@@ -143,137 +154,142 @@
 	return true
 }
 
-// TakeOnCredit lets a cost go on fallback tokens that are not there. It is not reported: the calls of other
-// requests stand for it, which add for those that may not call (see BeginCall).
+// TakeOnCredit charges a cost to the fallback balance, which may go below zero. The cost is not reported to the
+// counter: the calls of other requests already account for those that may not call (see BeginCall).
 func (l *Lease) TakeOnCredit(cost float64) { l.fallback -= cost }
 
-// HasCredit says whether a cost may go on credit: while fallback tokens are left, and beyond that as long as
-// the debt, this cost included, stays within this gateway's part of the burst.
+// HasCredit reports whether a cost may go on credit: while fallback tokens are left, and after that as long as
+// the debt, this cost included, stays within this gateway's credit limit. The limit is the burst times
+// creditBurstShare, or this gateway's part of fleetCreditBursts if that is less.
 func (l *Lease) HasCredit(cost float64) bool {
-	return l.fallback > min(0, cost-l.bucket.Burst*min(creditBurstShare, creditBursts/l.gateways))
+	return l.fallback > min(0, cost-l.bucket.Burst*min(creditBurstShare, fleetCreditBursts/l.gateways))
 }
 
-// HasFallback says whether fallback tokens are left.
+// HasFallback reports whether fallback tokens are left.
 func (l *Lease) HasFallback() bool { return l.fallback > 0 }
 
-// Refund returns the cost of a request that was paid and never sent.
+// Refund returns the cost of a request that was paid for but never sent.
 func (l *Lease) Refund(cost float64) { l.tokens += cost }
 
-// CorrectCost replaces the cost that was taken for a request by the true one.
-func (l *Lease) CorrectCost(taken, actual float64) { l.tokens -= actual - taken }
+// CorrectCost replaces the estimated cost that was charged for a request by the actual one.
+func (l *Lease) CorrectCost(charged, actual float64) { l.tokens -= actual - charged }
 
-// RunsLow says whether the next block should be requested, after a request of this cost: the tokens do not
-// cover the demand until it is there, and the tenant comes often enough to use it.
+// RunsLow reports whether to request the next block after a request of this cost: the tokens left do not cover
+// the demand of renewalLead, and the tenant's demand is high enough to use another block.
 func (l *Lease) RunsLow(cost float64) bool {
-	return !l.awaitingAnswer && l.tokens < l.demand.Over(renewalLead) && l.ExpectsUse(cost)
+	return !l.awaitingAnswer && l.tokens < l.demand.ExpectedUse(renewalLead) && l.ExpectsUse(cost)
 }
 
-// ExpectsUse says whether within a lifetime several requests of this cost are to be expected.
+// ExpectsUse reports whether the demand expected within tokenLifetime is at least minCostsForRenewal requests of
+// this cost.
 func (l *Lease) ExpectsUse(cost float64) bool {
-	return l.demand.Over(lifetime) >= minCostsForRenewal*cost
+	return l.demand.ExpectedUse(tokenLifetime) >= minCostsForRenewal*cost
 }
 
-// SeemsEmpty says whether the bucket was found empty and will not have filled for this gateway yet.
+// SeemsEmpty reports whether the bucket was found empty and this gateway still has to wait for it to refill.
 func (l *Lease) SeemsEmpty(now time.Duration) bool { return now < l.emptyUntil }
 
-// expectedLevel is what the bucket should hold now if nobody took anything since the last answer.
+// expectedLevel is the level that the bucket should have now if no gateway took tokens since the last answer.
 func (l *Lease) expectedLevel(now time.Duration) float64 {
 	return min(l.bucket.Burst, l.level+l.bucket.Rate*(now-l.levelAt).Seconds())
 }
 
-// TimeUntil is the time until the bucket should hold a cost, as advice for a client.
+// TimeUntil estimates the time until the bucket holds a cost, as Retry-After advice for a client.
 func (l *Lease) TimeUntil(now time.Duration, cost float64) time.Duration {
 	seconds := (cost - l.expectedLevel(now)) / max(l.bucket.Rate, minRefillRate)
-	return time.Duration(max(minRefillTime, seconds) * float64(time.Second))
+	return time.Duration(max(minRetryAfter, seconds) * float64(time.Second))
 }
 
 // Call is a call for a block of tokens.
 type Call struct {
-	Cost       float64 // of the request that calls: a smaller block pays none
+	Cost       float64 // of the calling request; a grant below it would pay for no request
 	Block      float64 // tokens requested
-	Unreported float64 // unreported usage that the call reports
-	Amount     float64 // what it adds to the counter in all
+	Unreported float64 // previously unreported usage that the call reports
+	Amount     float64 // total that the call adds to the counter
 }
 
-// BeginCall sizes a call for a block that holds at least a request's cost. Where only a share of the requests
-// may call, it adds for those too that do not. The answer must be handed to Settle, CallRejected or
+// BeginCall starts a call for a block of at least the request's cost. When only a share of the requests may call,
+// the amount also accounts for those that may not. The outcome must be passed to Settle, CallRejected or
 // AnswerLost.
 func (l *Lease) BeginCall(now time.Duration, cost, callShare float64) Call {
-	fairPart := l.expectedLevel(now) / l.gateways
-	block := max(cost, math.Floor(min(l.demand.Over(coveredDemand), fairPart)))
+	evenShare := l.expectedLevel(now) / l.gateways
+	block := max(cost, math.Floor(min(l.demand.ExpectedUse(blockDemandSpan), evenShare)))
 	call := Call{Cost: cost, Block: block, Unreported: l.unreported,
 		Amount: block/max(callShare, 1/maxRequestsPerCall) + l.unreported}
 	l.awaitingAnswer, l.unreported = true, 0
 	return call
 }
 
-// CallRejected ends a call of which nothing was added to the counter.
+// CallRejected ends a call that added nothing to the counter.
 func (l *Lease) CallRejected(call Call) {
 	l.awaitingAnswer = false
 	l.unreported += call.Unreported
 }
 
-// AnswerLost ends a call that has no answer. It may have been added to the counter and counts as reported.
+// AnswerLost ends a call that got no answer. Its amount may have been added to the counter, so its usage counts
+// as reported.
 func (l *Lease) AnswerLost() { l.awaitingAnswer = false }
 
-// Settlement is what follows from the answer to a call, beside the tokens that the lease has now.
+// Settlement is the outcome of a call, apart from the tokens added to the lease.
 type Settlement struct {
-	// Found says that the bucket held the cost of the request that called.
-	Found bool
-	// Overflow is to be added to the counter at once if it is above 0: what the bucket held beyond its burst has
-	// overflowed, and what it seems to have gained beyond its rate the counter has lost.
+	// CostCovered is true if the bucket held the cost of the calling request.
+	CostCovered bool
+	// Overflow, if above 0, must be added to the counter at once. It is the part of the bucket's level above what
+	// the bucket can hold: tokens beyond its burst have overflowed, and a gain beyond its rate means that the
+	// counter lost usage.
 	Overflow float64
-	// Short says that the bucket did not hold the block.
-	Short bool
-	// Correction takes back what the call added too much, if Short. It is negative, and is to be added to the
-	// counter at once or by AddWithNextCall.
+	// Reduced is true if the bucket did not hold the whole block.
+	Reduced bool
+	// Correction is set if Reduced. It takes back the excess that the call added. It is negative and must be added
+	// to the counter at once or passed to AddWithNextCall.
 	Correction float64
 }
 
-// Settle turns the counter's answer into tokens. Total is what has left the bucket since the counter's window
-// began, this call included; sinceWindow is how long ago that was. CallShare is the share of requests that
-// may call the counter and must be above 0.
+// Settle converts the counter's answer to a call into tokens. The total is what has been taken from the bucket
+// since the counter's window began, this call included; sinceWindow is the time since then. callShare is the
+// share of requests that may call the counter and must be above 0.
 func (l *Lease) Settle(now time.Duration, call Call, total float64, sinceWindow time.Duration,
 	callShare float64) Settlement {
 	l.awaitingAnswer = false
 	var s Settlement
 	held := l.bucket.Burst + l.bucket.Rate*sinceWindow.Seconds() - total + call.Amount // before this call
-	held, s.Overflow = l.withoutOverflow(now, held, callShare)
+	held, s.Overflow = l.splitOverflow(now, held, callShare)
 	granted := min(call.Block, held-call.Unreported)
-	s.Found = granted >= call.Cost
-	if !s.Found {
-		granted = 0 // a part that pays no request is of use to other gateways only
+	s.CostCovered = granted >= call.Cost
+	if !s.CostCovered {
+		granted = 0 // a grant that pays for no request is left to the other gateways
 	}
 	added := call.Amount
 	if granted < call.Block {
-		s.Short, s.Correction = true, granted+call.Unreported-call.Amount
+		s.Reduced, s.Correction = true, granted+call.Unreported-call.Amount
 		added = granted + call.Unreported
-		l.leaveAlone(now, call.Block-held)
+		l.backOff(now, call.Block-held)
 	}
 	if !l.levelKnown {
-		l.levelKnown, l.fallback = true, min(l.fallback, 0) // the share of a tenant never seen is no longer due
+		l.levelKnown, l.fallback = true, min(l.fallback, 0) // the initial fallback share no longer applies
 	}
 	l.level, l.levelAt = max(held-added, -l.bucket.Burst/2), now
 	l.tokens, l.grantedAt = l.tokens+granted, now
 	return s
 }
 
-// withoutOverflow bounds a level by what the bucket can hold now, and returns what is beyond it if that is
-// worth a correction. It learns from the level what the other gateways take.
-func (l *Lease) withoutOverflow(now time.Duration, held, callShare float64) (level, overflow float64) {
-	possible := l.bucket.Burst
+// splitOverflow splits a level into the highest that the bucket can have now and the excess, if the excess is
+// large enough to justify a correction. It also updates the estimate of what the other gateways take.
+func (l *Lease) splitOverflow(now time.Duration, held, callShare float64) (level, overflow float64) {
+	maxLevel := l.bucket.Burst
 	if l.levelKnown {
-		possible = l.expectedLevel(now)
-		l.observeOthers(now, possible, held)
+		maxLevel = l.expectedLevel(now)
+		l.updateOthersRate(now, maxLevel, held)
 	}
-	if held > possible+l.bucket.Burst*overflowSlack/callShare {
-		return possible, held - possible
+	if held > maxLevel+l.bucket.Burst*overflowSlack/callShare {
+		return maxLevel, held - maxLevel
 	}
 	return held, 0
 }
 
-// observeOthers learns from the bucket's level how many tokens the other gateways took since the last answer.
-func (l *Lease) observeOthers(now time.Duration, expected, held float64) {
+// updateOthersRate updates the estimate of what the other gateways take, from how far the bucket's level lies
+// below the expected one.
+func (l *Lease) updateOthersRate(now time.Duration, expected, held float64) {
 	span := now - l.levelAt
 	if span <= 0 {
 		return
@@ -281,12 +297,12 @@
 	l.othersRate += demand.Weight(span) * (max(0, expected-held)/span.Seconds() - l.othersRate)
 }
 
-// leaveAlone keeps this gateway from calling until the bucket should have filled by what is missing, or for
-// longer if many gateways wait for the same tokens (see gatewaysPerToken).
-func (l *Lease) leaveAlone(now time.Duration, missing float64) {
-	pause := max(missing, l.gateways/gatewaysPerToken) / l.bucket.Rate
-	l.emptyUntil = now + min(maxEmptyPause, time.Duration(pause*float64(time.Second)))
+// backOff stops this gateway from calling until the bucket should have gained the missing tokens, or for longer
+// if many gateways wait for the same tokens (see gatewaysPerToken). It never lasts longer than maxEmptyBackoff.
+func (l *Lease) backOff(now time.Duration, missing float64) {
+	seconds := max(missing, l.gateways/gatewaysPerToken) / l.bucket.Rate
+	l.emptyUntil = now + min(maxEmptyBackoff, time.Duration(seconds*float64(time.Second)))
 }
 
-// AddWithNextCall lets the next call add an amount to the counter.
+// AddWithNextCall adds an amount to what the next call reports to the counter.
 func (l *Lease) AddWithNextCall(amount float64) { l.unreported += amount }
--- a/internal/policy/quota.go
+++ b/internal/policy/quota.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	// creditPrice is the part of what a plan's requests earn that their penalties may cost if they go on credit:
+	// maxCreditCostRatio is the part of what a plan's requests earn that their penalties may cost if they go on credit:
 	// once these cost more, every request must call.
-	creditPrice = 0.25
-	// emptyShareGain is the weight of one call in callEstimates.emptyShare of its plan.
-	emptyShareGain = 0.1
-	// maxSavingsRank is how many ranks lie at most between the calls that save most and least.
-	maxSavingsRank = 5.0
+	maxCreditCostRatio = 0.25
+	// emptyShareSmoothing is the weight of one call in callEstimates.emptyShare of its plan.
+	emptyShareSmoothing = 0.1
+	// maxRankSpread is how many ranks lie at most between the calls that save most and least.
+	maxRankSpread = 5.0
 	// debtRankFactor lowers the rank of a request whose tenant has no fallback tokens left, so that it calls
 	// more often than others.
 	debtRankFactor = 0.5
@@ -62,7 +62,7 @@
 	if c.maxSavings <= 0 {
 		return 1
 	}
-	return 1 + min(maxSavingsRank, math.Log2(c.maxSavings/callSavings(settings, class, plan)))
+	return 1 + min(maxRankSpread, math.Log2(c.maxSavings/callSavings(settings, class, plan)))
 }
 
 // record notes for a plan whether a call found the bucket to hold its cost.
@@ -71,7 +71,7 @@
 	if found {
 		empty = 0
 	}
-	c.emptyShare[plan] += emptyShareGain * (empty - c.emptyShare[plan])
+	c.emptyShare[plan] += emptyShareSmoothing * (empty - c.emptyShare[plan])
 }
 
 // creditCost is what a request of a plan that goes on credit costs on average, by the penalty for being over
@@ -107,7 +107,7 @@
 		return goesOn
 	case l.AwaitsAnswer():
 		return mustWait
-	case e.mayRequestTokens(r) && e.rng.Float64() < e.callChance(r):
+	case e.mayRequestTokens(r) && e.rng.Float64() < e.callProbability(r):
 		r.quota.calledCounter = true
 		e.requestTokens(r)
 		return mustWait
@@ -124,16 +124,16 @@
 	return !r.quota.calledCounter && !r.tenant.lease.SeemsEmpty(e.now) && e.mayCallCounter()
 }
 
-// callChance is the chance that a request calls. Where not all can, the calls go where they save most: to
+// callProbability is the chance that a request calls. Where not all can, the calls go where they save most: to
 // requests with a high penalty over their quota, of plans with a small burst, whose buckets are often empty.
-func (e *Engine) callChance(r *request) float64 {
+func (e *Engine) callProbability(r *request) float64 {
 	rank := e.callEstimates.rank(&e.settings, r.class, r.plan)
 	if r.clientRetry {
 		rank *= retryRankFactor
 	} else if !r.tenant.lease.HasFallback() {
 		rank *= debtRankFactor
 	}
-	return e.counter.callChance(rank)
+	return e.counter.callProbability(rank)
 }
 
 // mayGoOnCredit says whether a request may go on without tokens: its tenant has credit, or at least fallback
@@ -148,23 +148,23 @@
 	if e.counterResponds() {
 		hasCredit = l.HasCredit(r.cost)
 	}
-	return hasCredit && e.creditPays(r.plan)
+	return hasCredit && e.creditWorthwhile(r.plan)
 }
 
-// creditPays says whether a request of a plan should go on credit: the more such requests cost against what
+// creditWorthwhile says whether a request of a plan should go on credit: the more such requests cost against what
 // they earn, the fewer do. Calls of a counter that does not respond tell nothing of that. It may draw a
 // random number.
-func (e *Engine) creditPays(plan int) bool {
+func (e *Engine) creditWorthwhile(plan int) bool {
 	if !e.counterResponds() {
 		return true
 	}
 	cost, earned := e.callEstimates.creditCost(&e.settings, plan)
-	return cost <= 0 || e.rng.Float64()*earned*creditPrice >= cost
+	return cost <= 0 || e.rng.Float64()*earned*maxCreditCostRatio >= cost
 }
 
 // requestTokens calls the counter for a block of tokens that holds the request's cost.
 func (e *Engine) requestTokens(r *request) {
-	e.counter.noteTokenCall(e.now)
+	e.counter.recordTokenCall(e.now)
 	call := r.tenant.lease.BeginCall(e.now, r.cost, e.counter.callShare())
 	e.reportUsage(r.tenant, call.Amount, call)
 }
@@ -177,7 +177,7 @@
 	case TimedOut:
 		call.tenant.lease.AnswerLost()
 	default:
-		call.tenant.lease.CallRejected(call.forTokens)
+		call.tenant.lease.CallRejected(call.tokenCall)
 	}
 }
 
@@ -189,15 +189,15 @@
 func (e *Engine) settleTokens(call *counterCall, total float64) {
 	t := call.tenant
 	sinceWindow := e.now - windowStart(call.window)
-	settled := t.lease.Settle(e.now, call.forTokens, total, sinceWindow, e.counter.callShare())
+	settled := t.lease.Settle(e.now, call.tokenCall, total, sinceWindow, e.counter.callShare())
 	if settled.Overflow > 0 {
 		e.reportUsage(t, settled.Overflow, lease.Call{})
 	}
-	e.callEstimates.record(t.key.plan, settled.Found)
-	if !settled.Short {
+	e.callEstimates.record(t.key.plan, settled.CostCovered)
+	if !settled.Reduced {
 		return
 	}
-	if e.sparseness() == 0 && t.lease.ExpectsUse(call.forTokens.Block) {
+	if e.sparseness() == 0 && t.lease.ExpectsUse(call.tokenCall.Block) {
 		t.lease.AddWithNextCall(settled.Correction)
 	} else {
 		e.reportUsage(t, settled.Correction, lease.Call{})
--- a/internal/policy/tenants.go
+++ b/internal/policy/tenants.go
@@ -48,7 +48,7 @@
 // the queue for the hard limit may still be too long for it.
 func (t *tenant) recordRequest(now time.Duration, cost float64) {
 	t.lastSeen = now
-	t.lease.NoteDemand(now, cost)
+	t.lease.RecordDemand(now, cost)
 }
 
 // firstWaiting is the first request that waits and has not ended; nil: none waits.
@@ -78,10 +78,10 @@
 
 // tenantRegistry holds all tenants that were seen of late.
 type tenantRegistry struct {
-	byKey    map[tenantKey]*tenant
-	order    []*tenant // all, for eviction to go round
-	evicting int       // where in order it stands
-	waiting  []*tenant // those with waiting requests, and maybe others
+	byKey       map[tenantKey]*tenant
+	order       []*tenant // all, for eviction to go round
+	evictCursor int       // where in order it stands
+	waiting     []*tenant // those with waiting requests, and maybe others
 }
 
 func newTenantRegistry() tenantRegistry { return tenantRegistry{byKey: map[tenantKey]*tenant{}} }
@@ -110,11 +110,11 @@
 // evictIdle looks at a few tenants and forgets those that are idle.
 func (t *tenantRegistry) evictIdle(now time.Duration) {
 	for i := 0; i < evictionsPerCheck && len(t.order) > 0; i++ {
-		t.evicting = (t.evicting + 1) % len(t.order)
-		if seen := t.order[t.evicting]; seen.isIdle(now) {
+		t.evictCursor = (t.evictCursor + 1) % len(t.order)
+		if seen := t.order[t.evictCursor]; seen.isIdle(now) {
 			delete(t.byKey, seen.key)
 			last := len(t.order) - 1
-			t.order[t.evicting] = t.order[last]
+			t.order[t.evictCursor] = t.order[last]
 			t.order = t.order[:last]
 		}
 	}
@@ -135,7 +135,7 @@
 
 func (e *Engine) newTenant(key tenantKey, gateways float64) *tenant {
 	plan := &e.settings.Plans[key.plan]
-	terms := hardlimit.Terms{
+	config := hardlimit.Config{
 		Limit:         hardlimit.Limit{Rate: plan.HardLimitRate, Burst: plan.HardLimitBurst},
 		LargestCost:   max(1, e.settings.MaxRequestCost),
 		SharedCounter: e.settings.SharedCounter,
@@ -143,6 +143,6 @@
 	return &tenant{
 		key:       key,
 		lease:     lease.New(lease.Bucket{Rate: plan.Rate, Burst: plan.Burst}, gateways, e.now),
-		hardLimit: hardlimit.New(terms, gateways, e.startedAt),
+		hardLimit: hardlimit.New(config, gateways, e.startedAt),
 	}
 }
