--- a/internal/policy/demand/demand.go
+++ b/internal/policy/demand/demand.go
@@ -7,11 +7,12 @@
 	"time"
 )
 
-// AveragingTime is the time constant of the average: an observation's weight falls by the factor e in this time.
+// AveragingTime is the time constant of the average: an observation's weight falls by the factor e in this
+// time.
 const AveragingTime = 2 * time.Second
 
-// Estimator estimates the demand of one tenant. The zero value has no observations and starts at time 0. It is
-// not safe for concurrent use.
+// Estimator estimates the demand of one tenant. The zero value has no observations and starts at time 0. It
+// is not safe for concurrent use.
 type Estimator struct {
 	rate   float64 // units per second, as of seenAt
 	seenAt time.Duration
@@ -30,6 +31,6 @@
 // ExpectedUse returns the units expected to be used in a span of time, at the rate as of the last Add.
 func (e *Estimator) ExpectedUse(span time.Duration) float64 { return e.rate * span.Seconds() }
 
-// Weight returns the weight of an observation over a span of time in an average with this time constant: 0 for an
-// empty span, approaching 1 for spans much longer than AveragingTime.
+// Weight returns the weight of an observation over a span of time in an average with this time constant: 0
+// for an empty span, approaching 1 for spans much longer than AveragingTime.
 func Weight(span time.Duration) float64 { return 1 - math.Exp(-span.Seconds()/AveragingTime.Seconds()) }
--- a/internal/policy/hardlimit/hardlimit.go
+++ b/internal/policy/hardlimit/hardlimit.go
@@ -1,14 +1,15 @@
 // Package hardlimit enforces one gateway's share of a tenant's hard limit.
 //
 // A hard limit is a token bucket that all gateways together must never overdraw (WIRE-bellwood.md, The
-// contract, rule 5, "Ceiling never passed": the bucket starts full, refills at a rate, and the first attempt of
-// each request takes its cost; restarting a gateway does not refill it). It is enforced without counter calls:
-// rate and burst are divided by the number of gateways, and each gateway enforces its own share.
+// contract, rule 5, "Ceiling never passed": the bucket starts full, refills at a rate, and the first
+// attempt of each request takes its cost; restarting a gateway does not refill it). It is enforced without
+// counter calls: rate and burst are divided by the number of gateways, and each gateway enforces its own
+// share.
 //
-// If such an even share holds only a few requests, it is too small for real traffic, which is never spread that
-// evenly. A part of the limit is then kept in a shared pool. A gateway whose own share is used up borrows units
-// from the pool by calling the shared counter. For each window of time the counter keeps the total of the units
-// requested; a request is granted while this total stays within the window's allowance.
+// If such an even share holds only a few requests, it is too small for real traffic, which is never spread
+// that evenly. A part of the limit is then kept in a shared pool. A gateway whose own share is used up
+// borrows units from the pool by calling the shared counter. For each window of time the counter keeps the
+// total of the units requested; a request is granted while this total stays within the window's allowance.
 package hardlimit
 
 import (
@@ -44,8 +45,8 @@
 	SharedCounter bool    // a shared counter exists, so there may be a shared pool
 }
 
-// Share is one gateway's share of one tenant's limit. It is not safe for concurrent use. The times passed to its
-// methods must not decrease.
+// Share is one gateway's share of one tenant's limit. It is not safe for concurrent use. The times passed
+// to its methods must not decrease.
 type Share struct {
 	config          Config
 	gateways        float64 // number of gateways that receive the tenant's requests
@@ -109,9 +110,9 @@
 	return s.config.Limit.Rate / s.gateways
 }
 
-// HasSharedPool reports whether a part of the limit is in a shared pool. That is so if an even share holds fewer
-// than minRequestsPerShare requests of the largest cost, and if both the gateway's own share and a window's
-// allowance hold at least one.
+// HasSharedPool reports whether a part of the limit is in a shared pool. That is so if an even share holds
+// fewer than minRequestsPerShare requests of the largest cost, and if both the gateway's own share and a
+// window's allowance hold at least one.
 func (s *Share) HasSharedPool() bool {
 	limit, largest := s.config.Limit, s.config.LargestCost
 	if !s.config.SharedCounter || limit.Rate <= 0 {
@@ -124,9 +125,9 @@
 
 // window returns the length of a window of the shared pool.
 //
-// Units borrowed in a window may be used until borrowGrace after its end. So within a time span T, gateways use
-// the allowances of at most T/window + borrowGrace/window + 2 windows, each (1-localFraction) x Rate x window.
-// The window is chosen so short that this stays within the pool's part of the limit,
+// Units borrowed in a window may be used until borrowGrace after its end. So within a time span T, gateways
+// use the allowances of at most T/window + borrowGrace/window + 2 windows, each (1-localFraction) x Rate x
+// window. The window is chosen so short that this stays within the pool's part of the limit,
 // (1-localFraction) x (Rate x T + Burst), without having to correct the counter for overflow:
 //
 //	2 x window + borrowGrace <= Burst/Rate
@@ -140,7 +141,8 @@
 // windowAllowance is how many units all gateways together may borrow in one window.
 func (l Limit) windowAllowance() float64 { return (1 - localFraction) * l.Rate * l.window().Seconds() }
 
-// Window returns the number of the window that contains a time. It and the methods below require HasSharedPool.
+// Window returns the number of the window that contains a time. It and the methods below require
+// HasSharedPool.
 func (s *Share) Window(now time.Duration) int64 { return int64(now / s.config.Limit.window()) }
 
 // SharedPoolExhausted reports whether the allowance of the present window is known to be used up.
@@ -148,9 +150,9 @@
 	return s.exhaustedWindow == s.Window(now)+1
 }
 
-// Borrow evaluates the counter's answer to a borrow call. The total is what all gateways have requested in the
-// window so far, this call included. Borrow returns until when the units may be used, or false if the window's
-// allowance is used up.
+// Borrow evaluates the counter's answer to a borrow call. The total is what all gateways have requested in
+// the window so far, this call included. Borrow returns until when the units may be used, or false if the
+// window's allowance is used up.
 func (s *Share) Borrow(window int64, total float64) (until time.Duration, granted bool) {
 	if total <= s.config.Limit.windowAllowance() {
 		return time.Duration(window+1)*s.config.Limit.window() + borrowGrace, true
--- a/internal/policy/lease/lease.go
+++ b/internal/policy/lease/lease.go
@@ -1,17 +1,17 @@
 // Package lease tracks the tokens that one gateway holds of one tenant's quota.
 //
-// The quota is a token bucket that all gateways share. The shared counter stores the bucket's state as the sum
-// of tokens taken from it: a gateway adds what it takes, and the answer reveals the bucket's level, even to a
-// gateway that has never seen the tenant. To avoid a call per request, a gateway takes a block of tokens that
-// covers the expected demand of the next seconds: the lease.
+// The quota is a token bucket that all gateways share. The shared counter stores the bucket's state as the
+// sum of tokens taken from it: a gateway adds what it takes, and the answer reveals the bucket's level,
+// even to a gateway that has never seen the tenant. To avoid a call per request, a gateway takes a block of
+// tokens that covers the expected demand of the next seconds: the lease.
 //
 // In addition to leased tokens a gateway has fallback tokens, its even share of the bucket, for when the
-// counter has not been called or does not answer. Usage paid with fallback tokens is unreported until the next
-// call adds it to the counter. The fallback balance may go below zero: this is how requests go on credit,
-// without a check against the counter.
+// counter has not been called or does not answer. Usage paid with fallback tokens is unreported until the
+// next call adds it to the counter. The fallback balance may go below zero: this is how requests go on
+// credit, without a check against the counter.
 //
-// A Lease does not decide when to call the counter. Its caller does: it begins a call with BeginCall and passes
-// the outcome to Settle, CallRejected or AnswerLost.
+// A Lease does not decide when to call the counter. Its caller does: it begins a call with BeginCall and
+// passes the outcome to Settle, CallRejected or AnswerLost.
 //
 // The rules are those of DESIGN-bellwood.md, Promotion:
 //
@@ -57,8 +57,8 @@
 	gatewaysPerToken = 4.0
 	// maxEmptyBackoff bounds the time for which a gateway does not call for an empty bucket.
 	maxEmptyBackoff = 8 * time.Second
-	// minRetryAfter is the shortest advice for Retry-After, in seconds. minRefillRate is the lowest rate that the
-	// advice is computed with, in tokens per second.
+	// minRetryAfter is the shortest advice for Retry-After, in seconds. minRefillRate is the lowest rate that
+	// the advice is computed with, in tokens per second.
 	minRetryAfter = 0.01
 	minRefillRate = 0.1
 )
@@ -69,8 +69,8 @@
 	Burst float64 // capacity in tokens; the bucket starts full
 }
 
-// Lease is one gateway's portion of one tenant's bucket. It is not safe for concurrent use. The times passed to
-// its methods must not decrease.
+// Lease is one gateway's portion of one tenant's bucket. It is not safe for concurrent use. The times
+// passed to its methods must not decrease.
 type Lease struct {
 	bucket   Bucket
 	gateways float64 // number of gateways that receive the tenant's requests
@@ -105,8 +105,8 @@
 // AwaitsAnswer reports whether a call for a block is in flight.
 func (l *Lease) AwaitsAnswer() bool { return l.awaitingAnswer }
 
-// KnownLevel returns the bucket's level as of the last answer. Before the first answer it returns the full burst
-// and false.
+// KnownLevel returns the bucket's level as of the last answer. Before the first answer it returns the full
+// burst and false.
 func (l *Lease) KnownLevel() (tokens float64, known bool) { return l.level, l.levelKnown }
 
 // OthersRate estimates how many tokens per second the other gateways take, from the bucket's levels.
@@ -114,12 +114,12 @@
 
 // Refresh updates the lease to the present time; call it before paying for a request.
 //
-// Leased tokens that stayed unspent for longer than tokenLifetime are returned with the next call, because the
-// bucket's level may have changed.
+// Leased tokens that stayed unspent for longer than tokenLifetime are returned with the next call, because
+// the bucket's level may have changed.
 //
-// Fallback tokens refill at 1-callShare of this gateway's even share of the rate, where callShare is the share
-// of requests that may call the counter: the fewer may call, the more is paid with fallback tokens. A negative
-// balance refills at the whole even share.
+// Fallback tokens refill at 1-callShare of this gateway's even share of the rate, where callShare is the
+// share of requests that may call the counter: the fewer may call, the more is paid with fallback tokens. A
+// negative balance refills at the whole even share.
 func (l *Lease) Refresh(now time.Duration, callShare float64) {
 	if l.tokens > 0 && now-l.grantedAt > tokenLifetime && !l.awaitingAnswer {
 		l.unreported -= l.tokens
@@ -142,8 +142,8 @@
 	return true
 }
 
-// TakeFallback pays a cost with the remaining leased tokens and covers the rest with fallback tokens. It returns
-// false if both together are too few.
+// TakeFallback pays a cost with the remaining leased tokens and covers the rest with fallback tokens. It
+// returns false if both together are too few.
 func (l *Lease) TakeFallback(cost float64) bool {
 	if l.fallback+max(0, l.tokens) < cost {
 		return false
@@ -154,12 +154,12 @@
 	return true
 }
 
-// TakeOnCredit charges a cost to the fallback balance, which may go below zero. The cost is not reported to the
-// counter: the calls of other requests already account for those that may not call (see BeginCall).
+// TakeOnCredit charges a cost to the fallback balance, which may go below zero. The cost is not reported to
+// the counter: the calls of other requests already account for those that may not call (see BeginCall).
 func (l *Lease) TakeOnCredit(cost float64) { l.fallback -= cost }
 
-// HasCredit reports whether a cost may go on credit: while fallback tokens are left, and after that as long as
-// the debt, this cost included, stays within this gateway's credit limit. The limit is the burst times
+// HasCredit reports whether a cost may go on credit: while fallback tokens are left, and after that as long
+// as the debt, this cost included, stays within this gateway's credit limit. The limit is the burst times
 // creditBurstShare, or this gateway's part of fleetCreditBursts if that is less.
 func (l *Lease) HasCredit(cost float64) bool {
 	return l.fallback > min(0, cost-l.bucket.Burst*min(creditBurstShare, fleetCreditBursts/l.gateways))
@@ -174,14 +174,14 @@
 // CorrectCost replaces the estimated cost that was charged for a request by the actual one.
 func (l *Lease) CorrectCost(charged, actual float64) { l.tokens -= actual - charged }
 
-// RunsLow reports whether to request the next block after a request of this cost: the tokens left do not cover
-// the demand of renewalLead, and the tenant's demand is high enough to use another block.
+// RunsLow reports whether to request the next block after a request of this cost: the tokens left do not
+// cover the demand of renewalLead, and the tenant's demand is high enough to use another block.
 func (l *Lease) RunsLow(cost float64) bool {
 	return !l.awaitingAnswer && l.tokens < l.demand.ExpectedUse(renewalLead) && l.ExpectsUse(cost)
 }
 
-// ExpectsUse reports whether the demand expected within tokenLifetime is at least minCostsForRenewal requests of
-// this cost.
+// ExpectsUse reports whether the demand expected within tokenLifetime is at least minCostsForRenewal
+// requests of this cost.
 func (l *Lease) ExpectsUse(cost float64) bool {
 	return l.demand.ExpectedUse(tokenLifetime) >= minCostsForRenewal*cost
 }
@@ -208,9 +208,9 @@
 	Amount     float64 // total that the call adds to the counter
 }
 
-// BeginCall starts a call for a block of at least the request's cost. When only a share of the requests may call,
-// the amount also accounts for those that may not. The outcome must be passed to Settle, CallRejected or
-// AnswerLost.
+// BeginCall starts a call for a block of at least the request's cost. When only a share of the requests may
+// call, the amount also accounts for those that may not. The outcome must be passed to Settle, CallRejected
+// or AnswerLost.
 func (l *Lease) BeginCall(now time.Duration, cost, callShare float64) Call {
 	evenShare := l.expectedLevel(now) / l.gateways
 	block := max(cost, math.Floor(min(l.demand.ExpectedUse(blockDemandSpan), evenShare)))
@@ -226,28 +226,28 @@
 	l.unreported += call.Unreported
 }
 
-// AnswerLost ends a call that got no answer. Its amount may have been added to the counter, so its usage counts
-// as reported.
+// AnswerLost ends a call that got no answer. Its amount may have been added to the counter, so its usage
+// counts as reported.
 func (l *Lease) AnswerLost() { l.awaitingAnswer = false }
 
 // Settlement is the outcome of a call, apart from the tokens added to the lease.
 type Settlement struct {
 	// CostCovered is true if the bucket held the cost of the calling request.
 	CostCovered bool
-	// Overflow, if above 0, must be added to the counter at once. It is the part of the bucket's level above what
-	// the bucket can hold: tokens beyond its burst have overflowed, and a gain beyond its rate means that the
-	// counter lost usage.
+	// Overflow, if above 0, must be added to the counter at once. It is the part of the bucket's level above
+	// what the bucket can hold: tokens beyond its burst have overflowed, and a gain beyond its rate means that
+	// the counter lost usage.
 	Overflow float64
 	// Reduced is true if the bucket did not hold the whole block.
 	Reduced bool
-	// Correction is set if Reduced. It takes back the excess that the call added. It is negative and must be added
-	// to the counter at once or passed to AddWithNextCall.
+	// Correction is set if Reduced. It takes back the excess that the call added. It is negative and must be
+	// added to the counter at once or passed to AddWithNextCall.
 	Correction float64
 }
 
-// Settle converts the counter's answer to a call into tokens. The total is what has been taken from the bucket
-// since the counter's window began, this call included; sinceWindow is the time since then. callShare is the
-// share of requests that may call the counter and must be above 0.
+// Settle converts the counter's answer to a call into tokens. The total is what has been taken from the
+// bucket since the counter's window began, this call included; sinceWindow is the time since then.
+// callShare is the share of requests that may call the counter and must be above 0.
 func (l *Lease) Settle(now time.Duration, call Call, total float64, sinceWindow time.Duration,
 	callShare float64) Settlement {
 	l.awaitingAnswer = false
@@ -297,8 +297,9 @@
 	l.othersRate += demand.Weight(span) * (max(0, expected-held)/span.Seconds() - l.othersRate)
 }
 
-// backOff stops this gateway from calling until the bucket should have gained the missing tokens, or for longer
-// if many gateways wait for the same tokens (see gatewaysPerToken). It never lasts longer than maxEmptyBackoff.
+// backOff stops this gateway from calling until the bucket should have gained the missing tokens, or for
+// longer if many gateways wait for the same tokens (see gatewaysPerToken). It never lasts longer than
+// maxEmptyBackoff.
 func (l *Lease) backOff(now time.Duration, missing float64) {
 	seconds := max(missing, l.gateways/gatewaysPerToken) / l.bucket.Rate
 	l.emptyUntil = now + min(maxEmptyBackoff, time.Duration(seconds*float64(time.Second)))
--- a/internal/policy/quota.go
+++ b/internal/policy/quota.go
@@ -1,8 +1,8 @@
 package policy
 
-// Quotas on a request's way: paying its cost from the lease, calling the counter for more, and going on
-// credit where not every request can call. Package lease keeps the tokens; the head of countercalls.go says
-// what happens while the counter is silent.
+// Quotas: paying a request's cost from the lease, calling the shared counter for more tokens, and letting
+// requests go on credit when not all of them may call. Package lease keeps the tokens. The comment at the top
+// of countercalls.go describes what happens while the counter does not respond.
 
 import (
 	"math"
@@ -11,32 +11,33 @@
 )
 
 const (
-	// maxCreditCostRatio is the part of what a plan's requests earn that their penalties may cost if they go on credit:
-	// once these cost more, every request must call.
+	// maxCreditCostRatio is the highest ratio, for a plan, of the expected penalty of a request on credit to
+	// its expected value. Above it no request of the plan goes on credit: each must call.
 	maxCreditCostRatio = 0.25
-	// emptyShareSmoothing is the weight of one call in callEstimates.emptyShare of its plan.
+	// emptyShareSmoothing is the weight of one call in the moving average callEstimates.emptyShare.
 	emptyShareSmoothing = 0.1
-	// maxRankSpread is how many ranks lie at most between the calls that save most and least.
+	// maxRankSpread bounds the difference in rank between the calls that save the most and the least.
 	maxRankSpread = 5.0
-	// debtRankFactor lowers the rank of a request whose tenant has no fallback tokens left, so that it calls
-	// more often than others.
+	// debtRankFactor lowers the rank of a request whose tenant has no fallback tokens left, so that it is
+	// more likely to call than others.
 	debtRankFactor = 0.5
-	// retryRankFactor raises the rank of a client's retry: most are of what lacked tokens before.
+	// retryRankFactor raises the rank of a client's retry, because most retries follow a rejection for lack of
+	// tokens.
 	retryRankFactor = 2.0
 )
 
-// quotaState is how a request stands with its tenant's quota.
+// quotaState is the state of a request with respect to its tenant's quota.
 type quotaState struct {
-	promoted      bool // its level is one of the upper group: see priority.go
-	onCredit      bool // neither paid by the lease nor looked up on the counter
-	calledCounter bool // it has called for tokens; it does so once
-	admitted      bool // it counts in tenant.admitted
+	promoted      bool // its priority level is in the upper group: see priority.go
+	onCredit      bool // neither paid for with tokens nor checked against the counter
+	calledCounter bool // it has called for tokens, which each request does at most once
+	admitted      bool // counted in tenant.admitted
 }
 
-// callEstimates tells for which requests it is most useful to call the counter for tokens.
+// callEstimates estimates for which requests a call for tokens is most useful.
 type callEstimates struct {
-	emptyShare []float64 // by plan, the share of calls that found the bucket empty
-	maxSavings float64   // the most that one call can save
+	emptyShare []float64 // by plan: share of calls that found too few tokens in the bucket
+	maxSavings float64   // the highest callSavings of any class and plan
 }
 
 func newCallEstimates(settings *Settings) callEstimates {
@@ -49,15 +50,15 @@
 	return c
 }
 
-// callSavings is what a call for tokens saves for a request of a class and a plan. Only its ratio to
-// another's has a meaning.
+// callSavings estimates the benefit of a call for tokens for a request of a class and plan. Only ratios of
+// these values are meaningful.
 func callSavings(settings *Settings, class, plan int) float64 {
 	p := &settings.Plans[plan]
 	return settings.Classes[class].PriorityWeight * p.WeightFactor * p.OverQuotaPenalty / max(1, p.Burst)
 }
 
-// rank is 1 for the calls that save most, and one more for each halving of what is saved. Where no call saves
-// anything, all have rank 1.
+// rank returns 1 for the calls with the highest savings, and one more for each halving of the savings. If no
+// call saves anything, all have rank 1.
 func (c *callEstimates) rank(settings *Settings, class, plan int) float64 {
 	if c.maxSavings <= 0 {
 		return 1
@@ -65,35 +66,40 @@
 	return 1 + min(maxRankSpread, math.Log2(c.maxSavings/callSavings(settings, class, plan)))
 }
 
-// record notes for a plan whether a call found the bucket to hold its cost.
-func (c *callEstimates) record(plan int, found bool) {
+// record updates a plan's estimate with a call: whether the bucket covered the cost of the calling request.
+func (c *callEstimates) record(plan int, costCovered bool) {
 	empty := 1.0
-	if found {
+	if costCovered {
 		empty = 0
 	}
 	c.emptyShare[plan] += emptyShareSmoothing * (empty - c.emptyShare[plan])
 }
 
-// creditCost is what a request of a plan that goes on credit costs on average, by the penalty for being over
-// the quota, and what it earns, both as shares of its value. The share of calls that found the bucket empty
-// stands for the share of requests that are over the quota.
-func (c *callEstimates) creditCost(settings *Settings, plan int) (cost, earned float64) {
+// creditCostAndValue returns the expected penalty and the expected value of a request that goes on credit,
+// both as shares of the request's full value. The share of calls that found the bucket empty serves as an
+// estimate of the share of requests that are over the quota.
+func (c *callEstimates) creditCostAndValue(settings *Settings, plan int) (cost, value float64) {
 	p, over := &settings.Plans[plan], c.emptyShare[plan]
 	return over * p.OverQuotaPenalty, 1 - over + over*p.OverQuotaValue
 }
 
-// earnsOverQuota says whether a request's plan earns something for what is over its quota.
+// earnsOverQuota reports whether a request over its plan's quota earns more than the penalty for it.
 func (e *Engine) earnsOverQuota(r *request) bool {
 	plan := &e.settings.Plans[r.plan]
 	return plan.OverQuotaValue > plan.OverQuotaPenalty
 }
 
-// payCost pays for a request from leased tokens, else from fallback tokens, or calls the counter for more and
-// lets it wait for the answer. Only a share of the requests may call, as large as the counter bears; each
-// that calls stands for the others too, and these go on credit (a departure: with many gateways the fallback
-// tokens of one are less than one request's cost). A bucket that was found empty is not called for again
-// until the tenant's gateways, taken together, would find it filled. The chance of a call and that of going
-// on credit may each draw a random number.
+// payCost pays for a request with leased tokens, or else with fallback tokens. If neither suffice, it calls
+// the counter for more and lets the request wait for the answer.
+//
+// Only a share of the requests may call, as many as the counter can bear. Each call also accounts for the
+// requests that may not, and these go on credit (a departure from the paper: with many gateways the fallback
+// tokens of one gateway are less than the cost of one request).
+//
+// After finding a bucket empty, a gateway does not call for it again until the bucket should have refilled
+// for it, given that the tenant's other gateways wait for the same tokens.
+//
+// The decisions to call and to go on credit may each draw a random number.
 func (e *Engine) payCost(r *request) quotaDecision {
 	l := &r.tenant.lease
 	l.Refresh(e.now, e.counter.callShare())
@@ -111,7 +117,7 @@
 		r.quota.calledCounter = true
 		e.requestTokens(r)
 		return mustWait
-	case e.mayGoOnCredit(r):
+	case e.mayUseCredit(r):
 		l.TakeOnCredit(r.cost)
 		r.quota.onCredit = true
 		return goesOn
@@ -119,13 +125,14 @@
 	return overQuota
 }
 
-// mayRequestTokens says whether a request may call the counter for tokens.
+// mayRequestTokens reports whether a request may call the counter for tokens.
 func (e *Engine) mayRequestTokens(r *request) bool {
 	return !r.quota.calledCounter && !r.tenant.lease.SeemsEmpty(e.now) && e.mayCallCounter()
 }
 
-// callProbability is the chance that a request calls. Where not all can, the calls go where they save most: to
-// requests with a high penalty over their quota, of plans with a small burst, whose buckets are often empty.
+// callProbability returns the probability that a request calls the counter. When not all requests may, calls
+// are given to those that save the most: requests with a high penalty over their quota, on plans with a small
+// burst, whose buckets are often empty.
 func (e *Engine) callProbability(r *request) float64 {
 	rank := e.callEstimates.rank(&e.settings, r.class, r.plan)
 	if r.clientRetry {
@@ -136,10 +143,10 @@
 	return e.counter.callProbability(rank)
 }
 
-// mayGoOnCredit says whether a request may go on without tokens: its tenant has credit, or at least fallback
-// tokens where the counter does not respond, and what the calls of its plan find speaks for it. A client's
-// retry must call.
-func (e *Engine) mayGoOnCredit(r *request) bool {
+// mayUseCredit reports whether a request may go on without tokens. The bucket must not be known to be empty.
+// The tenant must have credit left or, while the counter does not respond, some fallback tokens. Credit must
+// also be worthwhile for the plan. With a shared counter a client's retry never goes on credit: it must call.
+func (e *Engine) mayUseCredit(r *request) bool {
 	l := &r.tenant.lease
 	if l.SeemsEmpty(e.now) || r.clientRetry && e.settings.SharedCounter {
 		return false
@@ -151,25 +158,25 @@
 	return hasCredit && e.creditWorthwhile(r.plan)
 }
 
-// creditWorthwhile says whether a request of a plan should go on credit: the more such requests cost against what
-// they earn, the fewer do. Calls of a counter that does not respond tell nothing of that. It may draw a
-// random number.
+// creditWorthwhile decides whether a request of a plan should go on credit. The higher the expected penalty
+// relative to the expected value, the fewer do. While the counter does not respond there is no estimate to
+// rely on, so all do. It may draw a random number.
 func (e *Engine) creditWorthwhile(plan int) bool {
 	if !e.counterResponds() {
 		return true
 	}
-	cost, earned := e.callEstimates.creditCost(&e.settings, plan)
-	return cost <= 0 || e.rng.Float64()*earned*maxCreditCostRatio >= cost
+	cost, value := e.callEstimates.creditCostAndValue(&e.settings, plan)
+	return cost <= 0 || e.rng.Float64()*value*maxCreditCostRatio >= cost
 }
 
-// requestTokens calls the counter for a block of tokens that holds the request's cost.
+// requestTokens calls the counter for a block of tokens that covers at least the request's cost.
 func (e *Engine) requestTokens(r *request) {
 	e.counter.recordTokenCall(e.now)
 	call := r.tenant.lease.BeginCall(e.now, r.cost, e.counter.callShare())
 	e.reportUsage(r.tenant, call.Amount, call)
 }
 
-// tokensAnswered tells the lease how a call for tokens has ended.
+// tokensAnswered passes the outcome of a call for tokens to the lease.
 func (e *Engine) tokensAnswered(call *counterCall, ev CounterResult) {
 	switch ev.Status {
 	case OK:
@@ -181,11 +188,12 @@
 	}
 }
 
-// settleTokens turns the counter's total into tokens, and calls it again to correct the number where that is
-// worth a call: for what has overflowed, and for what the bucket did not hold. The latter waits for the next
-// call where that comes soon: the tenant's demand says so, and this gateway is busy (sparseness is 0: its
-// part of a warm backend's answers is one a second or more). Why a figure of the backends is asked here is
-// not recorded.
+// settleTokens converts the counter's total into tokens. It calls the counter again if the total has to be
+// corrected: for tokens that overflowed the bucket, and for tokens that the bucket did not hold.
+//
+// The second correction is left to the next call if that is expected soon: the tenant's demand is high
+// enough, and this gateway is busy. Busy means that sparseness is 0: this gateway's part of a warm
+// backend's answers is one a second or more. Why a figure about backends is consulted here is not recorded.
 func (e *Engine) settleTokens(call *counterCall, total float64) {
 	t := call.tenant
 	sinceWindow := e.now - windowStart(call.window)
--- a/internal/policy/tenants.go
+++ b/internal/policy/tenants.go
@@ -9,49 +9,50 @@
 )
 
 const (
-	// tenantIdleTime is how long a tenant is kept without a request. One that comes back later is as one that
-	// was never seen: what its lease held has expired by then. Its unreported usage is forgotten with it, and
-	// its share of a hard limit counts as having filled since the engine's start.
+	// tenantIdleTime is how long a tenant is kept without a request. A tenant that returns later is treated as a
+	// new one: the tokens of its lease have expired by then. Its unreported usage is lost, and its share of a
+	// hard limit counts as having filled since the engine started.
 	tenantIdleTime = 60 * time.Second
-	// evictionsPerCheck is how many tenants one periodic check looks at, so that its cost does not grow with
-	// their number.
+	// evictionsPerCheck is how many tenants one periodic check examines, so that its cost does not grow with the
+	// number of tenants.
 	evictionsPerCheck = 8
 )
 
-// tenantKey names a quota: one tenant's on one plan. A request in a tenant's name that names another plan
-// must not change its figures.
+// tenantKey identifies a quota: that of one tenant on one plan. A request that names the same tenant but
+// another plan must not affect it.
 type tenantKey struct {
 	name string
 	plan int
 }
 
-// tenant is what this gateway keeps for the quota of one tenant on one plan.
+// tenant is this gateway's state for the quota of one tenant on one plan.
 type tenant struct {
 	key           tenantKey
-	gateways      float64 // through which its requests come, this one included
+	gateways      float64 // number of gateways that receive its requests, this one included
 	lastSeen      time.Duration
 	lease         lease.Lease
 	hardLimit     hardlimit.Share
-	admitted      int        // its requests that count against the plan's MaxConcurrent
-	waiting       []*request // for its quota or limits, in the order of their arrival; some may have ended
-	markedWaiting bool       // in tenantRegistry.waiting
+	admitted      int        // requests that count against the plan's MaxConcurrent
+	waiting       []*request // requests waiting for the quota or limits, oldest first; some may have ended
+	markedWaiting bool       // it is listed in tenantRegistry.waiting
 }
 
-// setGateways sets through how many gateways the tenant's requests come, by its latest one.
+// setGateways sets the number of gateways that receive the tenant's requests, as told by its latest request.
 func (t *tenant) setGateways(gateways float64) {
 	t.gateways = gateways
 	t.lease.SetGateways(gateways)
 	t.hardLimit.SetGateways(gateways)
 }
 
-// recordRequest notes a request that came while the gateway was in service and with enough time for an answer;
-// the queue for the hard limit may still be too long for it.
+// recordRequest records a request that arrived while the gateway was in service and with enough time left for
+// an answer. It may still be rejected because the queue for the hard limit is too long.
 func (t *tenant) recordRequest(now time.Duration, cost float64) {
 	t.lastSeen = now
 	t.lease.RecordDemand(now, cost)
 }
 
-// firstWaiting is the first request that waits and has not ended; nil: none waits.
+// firstWaiting returns the first waiting request that has not ended, or nil if none waits. It drops requests
+// before it that have ended.
 func (t *tenant) firstWaiting() *request {
 	for len(t.waiting) > 0 && t.waiting[0].ended {
 		t.removeFirstWaiting()
@@ -62,26 +63,26 @@
 	return t.waiting[0]
 }
 
-// addWaiting lets a request wait behind those that wait already.
+// addWaiting appends a request to those that wait.
 func (t *tenant) addWaiting(r *request) { t.waiting = append(t.waiting, r) }
 
 func (t *tenant) removeFirstWaiting() { t.waiting = t.waiting[1:] }
 
-// clearWaitingMark allows markWaiting to note the tenant again.
+// clearWaitingMark lets markWaiting list the tenant again.
 func (t *tenant) clearWaitingMark() { t.markedWaiting = false }
 
-// isIdle says whether the tenant may be forgotten: no request came for tenantIdleTime, no answer is awaited
-// and none of its requests is admitted. Usage that was not reported to the counter is lost.
+// isIdle reports whether the tenant may be evicted: no request arrived for tenantIdleTime, its lease awaits
+// no answer, and none of its requests is admitted. Eviction loses usage not yet reported to the counter.
 func (t *tenant) isIdle(now time.Duration) bool {
 	return now-t.lastSeen > tenantIdleTime && !t.lease.AwaitsAnswer() && t.admitted == 0
 }
 
-// tenantRegistry holds all tenants that were seen of late.
+// tenantRegistry holds all tenants with recent requests.
 type tenantRegistry struct {
 	byKey       map[tenantKey]*tenant
-	order       []*tenant // all, for eviction to go round
-	evictCursor int       // where in order it stands
-	waiting     []*tenant // those with waiting requests, and maybe others
+	order       []*tenant // all tenants; evictIdle cycles through them
+	evictCursor int       // index in order of the tenant examined last
+	waiting     []*tenant // tenants marked as waiting; some may no longer have waiting requests
 }
 
 func newTenantRegistry() tenantRegistry { return tenantRegistry{byKey: map[tenantKey]*tenant{}} }
@@ -91,7 +92,7 @@
 	t.order = append(t.order, added)
 }
 
-// markWaiting makes the next periodic check serve a tenant.
+// markWaiting lists a tenant to be served by the next periodic check.
 func (t *tenantRegistry) markWaiting(waiting *tenant) {
 	if !waiting.markedWaiting {
 		waiting.markedWaiting = true
@@ -99,20 +100,20 @@
 	}
 }
 
-// takeWaiting returns the tenants noted. Each counts as noted until noLongerNoted, so that serving one of
-// them does not note another twice.
+// takeWaiting returns the listed tenants and empties the list. Each stays marked until clearWaitingMark, so
+// that serving one of them cannot list another a second time.
 func (t *tenantRegistry) takeWaiting() []*tenant {
 	taken := t.waiting
 	t.waiting = nil
 	return taken
 }
 
-// evictIdle looks at a few tenants and forgets those that are idle.
+// evictIdle examines the next evictionsPerCheck tenants and removes those that are idle.
 func (t *tenantRegistry) evictIdle(now time.Duration) {
 	for i := 0; i < evictionsPerCheck && len(t.order) > 0; i++ {
 		t.evictCursor = (t.evictCursor + 1) % len(t.order)
-		if seen := t.order[t.evictCursor]; seen.isIdle(now) {
-			delete(t.byKey, seen.key)
+		if candidate := t.order[t.evictCursor]; candidate.isIdle(now) {
+			delete(t.byKey, candidate.key)
 			last := len(t.order) - 1
 			t.order[t.evictCursor] = t.order[last]
 			t.order = t.order[:last]
@@ -120,7 +121,7 @@
 	}
 }
 
-// tenantOf finds the tenant of a request, or adds it as one that was never seen.
+// tenantOf returns the tenant of a request and adds it if it is not known.
 func (e *Engine) tenantOf(ev Request) *tenant {
 	key := tenantKey{ev.Tenant, ev.Plan}
 	gateways := float64(cmp.Or(max(0, ev.Gateways), e.settings.Gateways))
