--- a/internal/policy/hardlimit/hardlimit.go
+++ b/internal/policy/hardlimit/hardlimit.go
@@ -1,4 +1,4 @@
-// Package hardlimit enforces one gateway's share of a tenant's hard limit.
+// Package hardlimit tracks one gateway's share of a tenant's hard limit.
 //
 // A hard limit is a token bucket that all gateways together must never overdraw (WIRE-bellwood.md, The
 // contract, rule 5, "Ceiling never passed": the bucket starts full, refills at a rate, and the first
