--- a/internal/fleetsim/computer.go
+++ b/internal/fleetsim/computer.go
@@ -9,25 +9,26 @@
 	"strings"
 )
 
-// heapInUse is the size of the spans of the heap that are in use after a collection, in bytes: what objects take, and the
-// room beside them that the process holds as well.
+// heapInUse returns the size in bytes of the heap spans in use after a garbage collection: the objects, and the unused space
+// in their spans, which the process holds as well.
 func heapInUse() uint64 {
 	runtime.GC()
-	runtime.GC() // what the first one's finalizers let go
+	runtime.GC() // frees the objects released by finalizers that the first collection ran
 	var stats runtime.MemStats
 	runtime.ReadMemStats(&stats)
 	return stats.HeapInuse
 }
 
-// heapNow is what objects on the heap take, dead ones included, in bytes. It stops nothing, so it may be called often.
-func heapNow() uint64 {
+// heapObjectBytes returns the size in bytes of all heap objects, including dead ones not yet swept. It does not stop the
+// world, so it can be called often.
+func heapObjectBytes() uint64 {
 	s := []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}
 	metrics.Read(s)
 	return s[0].Value.Uint64()
 }
 
-// computerMemory is the memory of the computer in bytes; 0 if it is not known.
-func computerMemory() uint64 {
+// systemMemory returns the machine's memory in bytes, or 0 if it is unknown.
+func systemMemory() uint64 {
 	f, err := os.Open("/proc/meminfo")
 	if err != nil {
 		return 0
@@ -42,7 +43,8 @@
 	return 0
 }
 
-// loadAverage is the computer's over the last one, five and fifteen minutes, as the system words it.
+// loadAverage returns the machine's load averages over 1, 5 and 15 minutes as /proc/loadavg shows them, or "not told" if
+// they are unknown; stored reports contain that text.
 func loadAverage() string {
 	b, err := os.ReadFile("/proc/loadavg")
 	if fields := strings.Fields(string(b)); err == nil && len(fields) >= 3 {
--- a/internal/fleetsim/doc.go
+++ b/internal/fleetsim/doc.go
@@ -1,49 +1,50 @@
-// Package fleetsim measures how the work and the memory of a gateway, and what all gateways together send, grow with the
-// number of gateways and of backends. Everything runs in one process and in virtual time.
+// Package fleetsim measures how a gateway's processor time and memory, and the load that all gateways together put on the
+// backends and the counter, grow with the number of gateways and backends. Everything runs in one process and in virtual
+// time.
 //
 // # The model
 //
-// A fleet is a number of gateways, a population of tenants whose requests come through them, and a list of backends. Of
-// each gateway only the decisions are played: a [policy.Engine] takes the place of the process. A simulation plays some
-// gateways of a fleet. It holds a queue of events in virtual time, and each step does the next one: a request arrives, a
-// backend answers, the counter answers, a timer is due. It hands the event to the engine and carries out the actions that
-// come back, which puts further events into the queue.
+// A fleet consists of a number of gateways, a population of tenants that send requests through them, and a list of
+// backends. Only the decisions of a gateway are simulated: a [policy.Engine] stands in for the process. A simulation runs
+// some gateways of a fleet. It keeps a queue of events in virtual time and processes them in order: a request arrives, a
+// backend answers, the counter answers, a timer fires. It passes each event to the engine and performs the actions that
+// the engine returns, which adds further events to the queue.
 //
 //	arrival --> Engine.Step --> SendAttempt --> after the backend's answer time: AttemptResult --> Engine.Step
-//	                        --> AddToCounter --> after the way to the counter and back: CounterResult --> Engine.Step
+//	                        --> AddToCounter --> after the round trip to the counter: CounterResult --> Engine.Step
 //	                        --> SetTimer --> Timer --> Engine.Step
 //	                        --> Reject, Fail: the request's final answer
 //
-// Backends answer after a random time and have no queue; the counter takes every call. Nothing of the network is played:
-// the fleet tests of package fleettest do that, with real processes.
+// Backends answer after a random time and have no queue; the counter accepts every call. The network is not simulated: the
+// fleet tests of package fleettest cover it with real processes.
 //
-// Gateways don't see each other but through the counter. A measure of a whole fleet therefore plays its gateways one by
-// one, several at a time in goroutines of their own, and adds up what they did; each has a counter to itself. Where the
-// calls to the counter are measured, the gateways share one simulation.
+// Gateways affect each other only through the counter. A measurement of a whole fleet therefore simulates each gateway
+// separately, several at a time in separate goroutines, and adds up the results; each gateway then has its own counter.
+// Where the calls to the counter are measured, the gateways share one simulation.
 //
-// What a seed decides (requests, answers, what gateways do) repeats with it, whatever runs side by side. Times and bytes
-// are the computer's, and only their ratios within one run count.
+// Everything that depends on the seed (requests, answers, the gateways' decisions) is reproducible, regardless of how many
+// simulations run concurrently. Times and bytes depend on the machine; compare only their ratios within one run.
 //
-// # Which measure stands where
+// # Measurements and their files
 //
-//	how long an engine's Steps take           steptimes.go, endpointchanges.go; stepmeter.go has the clock
-//	what an engine holds                      memory.go
-//	what a backend just started is sent       slowstart.go
-//	who sends to which backend                spread.go
-//	what the loss of many backends does       zoneloss.go
-//	how many calls the counter gets           countercalls.go
-//	how long a gateway behind goes unnoticed  audit.go, which plays package audit instead of package policy
+//	processor time of an engine's Steps            steptimes.go, endpointchanges.go; stepmeter.go has the clock
+//	memory of an engine                            memory.go
+//	load on a newly started backend                slowstart.go
+//	which gateways send to which backends          spread.go
+//	effect of losing many backends                 zoneloss.go
+//	calls to the counter                           countercalls.go
+//	time until a stale gateway is detected         audit.go, which runs package audit instead of package policy
 //
-// Each adds rows to a [Report] (report.go, table.go), under [Options] (options.go). What they share:
+// Each adds rows to a [Report] (report.go, table.go), as configured by [Options] (options.go). Shared parts:
 //
-//	simulation.go     the simulation: its clock, its gateways, and what each event leads to
-//	eventqueue.go     what is to come, in order
+//	simulation.go     the simulation: its clock, its gateways, and the handling of each event
+//	eventqueue.go     pending events in order of time
 //	requests.go       open requests and their attempts
-//	totals.go         counts of what became of them
-//	simcounter.go     the counter's numbers
-//	population.go     the tenants, and how many requests come through each gateway
-//	settings.go       the engines' settings, and the traffic's constants
-//	fleet.go          what all simulations of one measure start from
-//	run.go            gateways side by side; what ends a measure early
-//	computer.go       the computer's memory and load
+//	totals.go         counts of requests, attempts and counter calls
+//	simcounter.go     the simulated counter
+//	population.go     the tenants, and the request rate of each gateway
+//	settings.go       the engines' settings, and the constants of the traffic
+//	fleet.go          the common input of all simulations of one measurement
+//	run.go            concurrent simulation of gateways, and the early end of a measurement
+//	computer.go       the machine's memory and load
 package fleetsim
--- a/internal/fleetsim/settings.go
+++ b/internal/fleetsim/settings.go
@@ -9,26 +9,26 @@
 
 const ms = time.Millisecond
 
-// The fleet and the traffic that gateways are measured under. No page gives these: they are round numbers.
+// Parameters of the simulated fleet and traffic. They are round numbers that come from no specification.
 const (
-	// zones: backends and gateways are dealt out to so many zones in turn.
+	// zones is the number of zones, to which backends and gateways are assigned in turn.
 	zones = 7
-	// backendsPerCell: so many neighbours in the list share a cell.
+	// backendsPerCell is the number of consecutive backends in the list that share a cell.
 	backendsPerCell = 8
-	// minAnswerTime is the quickest answer of a backend.
+	// minAnswerTime is a backend's shortest answer time.
 	minAnswerTime = 20 * ms
-	// meanExtraAnswerTime is the mean of what comes on top of it, exponentially distributed.
+	// meanExtraAnswerTime is the mean of the exponentially distributed time on top of minAnswerTime.
 	meanExtraAnswerTime = 40 * ms
-	// counterRoundTrip is the way to the counter and back, its work included.
+	// counterRoundTrip is the time from a counter call to its answer.
 	counterRoundTrip = 2 * ms
-	// connectionEventTime: a reset, a connection that fails or a cancel shows after this.
-	connectionEventTime = 1 * ms
-	// quotaUse is the demand of all tenants over the sum of their quotas.
-	quotaUse = 0.5
+	// connectionEventDelay is the time until the gateway sees a reset, a failed connection or a cancellation.
+	connectionEventDelay = 1 * ms
+	// quotaUtilization is the demand of all tenants divided by the sum of their quotas.
+	quotaUtilization = 0.5
 )
 
-// gatewaySettings returns the settings of a gateway: three classes and three plans. The quotas of the plans are scaled so that
-// tenants who send meanTenantRate requests a second on average ask for half of the sum of their quotas.
+// gatewaySettings returns a gateway's settings, with three classes and three plans. The plans' quotas are scaled so that
+// tenants that send meanTenantRate requests per second on average use half of the sum of their quotas.
 func gatewaySettings(gateways, index int, meanTenantRate float64) policy.Settings {
 	return policy.Settings{
 		Gateways:        gateways,
@@ -84,9 +84,9 @@
 	}
 }
 
-// plans are the small, the medium and the large one.
+// plans returns the small, the medium and the large plan, with their quotas scaled to the tenants' mean rate.
 func plans(meanTenantRate float64) []policy.Plan {
-	scale := meanTenantRate / (quotaUse * meanQuota)
+	scale := meanTenantRate / (quotaUtilization * meanQuota)
 	plan := func(quota, burstSeconds, weightFactor float64) policy.Plan {
 		return policy.Plan{
 			Rate:             quota * scale,
@@ -97,7 +97,7 @@
 	}
 	small, medium, large := plan(quotas[0], 5, 0.7), plan(quotas[1], 4, 1), plan(quotas[2], 2, 2)
 	small.OverQuotaPenalty = 1.2
-	large.MaxConcurrent = int(max(8, large.Rate/4)) // answers take 60 ms on average
+	large.MaxConcurrent = int(max(8, large.Rate/4)) // the mean answer time is 60 ms
 	large.HardLimitRate, large.HardLimitBurst = 2*large.Rate, 2*large.Burst
 	return []policy.Plan{small, medium, large}
 }
@@ -105,20 +105,20 @@
 var (
 	classShares = []float64{0.4, 0.35, 0.25} // of the requests
 	planShares  = []float64{0.6, 0.3, 0.1}   // of the tenants
-	quotas      = []float64{1, 3, 12}        // by plan: units a second, before they are scaled
-	meanQuota   = 0.6*1 + 0.3*3 + 0.1*12     // of a tenant
+	quotas      = []float64{1, 3, 12}        // by plan: units per second, before scaling
+	meanQuota   = 0.6*1 + 0.3*3 + 0.1*12     // of all tenants, before scaling
 )
 
-// endpointList returns n backends of equal weight, dealt out over the zones, all started long ago.
+// endpointList returns n backends of equal weight, distributed over the zones and past their slow start.
 func endpointList(n int) []policy.Backend {
 	all := make([]policy.Backend, n)
 	for i := range all {
-		// The multiplier is odd, so the names differ, and they come in no order.
+		// The odd multiplier makes the names unique and leaves them unsorted.
 		all[i] = policy.Backend{Name: fmt.Sprintf("s-%08x", uint32(i+1)*2654435761), Zone: i % zones,
 			Cell: i / backendsPerCell, Weight: 1}
 	}
 	return all
 }
 
-// newBackendName is the name of the n-th backend that joins, from 1. No listed backend has it.
+// newBackendName returns the name of the n-th backend that joins, counted from 1. It differs from all names of endpointList.
 func newBackendName(n int) string { return fmt.Sprintf("n-%08x", n) }
--- a/internal/fleetsim/totals.go
+++ b/internal/fleetsim/totals.go
@@ -2,47 +2,47 @@
 
 import "fmt"
 
-// forwardedAtOnceWithin is the wait up to which a request counts as forwarded at once. A call to the counter and its answer
-// fit in.
-const forwardedAtOnceWithin = 10 * ms
+// maxImmediateWait is the longest wait with which a request counts as forwarded immediately. It leaves time for a call to
+// the counter.
+const maxImmediateWait = 10 * ms
 
-// requestTotals counts what became of requests, counter calls and attempts. Once nothing is open any more, Requests add up to
-// Served, Rejected and Failed, and Attempts to Results.
+// requestTotals counts requests by outcome, attempts and counter calls. Once no request is open, Requests equals the sum of
+// Served, Rejected and Failed, and Attempts equals Results.
 type requestTotals struct {
-	Requests        int // that came
-	Forwarded       int // with one attempt or more
-	ForwardedAtOnce int // whose first attempt went out within forwardedAtOnceWithin
-	Served          int
-	Rejected        int
-	Failed          int
+	Requests             int // received
+	Forwarded            int // with at least one attempt
+	ForwardedImmediately int // with the first attempt sent within maxImmediateWait
+	Served               int
+	Rejected             int
+	Failed               int
 
-	Attempts        int
-	Results         int // of attempts
-	AtClosedBackend int // attempts that failed since their backend had closed
+	Attempts              int
+	Results               int // of attempts
+	FailedAtClosedBackend int // attempts that failed because their backend had closed
 
 	CounterAdds         int // counter calls with an amount above 0
-	CounterSubtractions int // all other counter calls: they subtract, as corrections and what is given back do
+	CounterSubtractions int // all other counter calls: corrections and returned units, which subtract
 }
 
-// CounterCalls is the number of counter calls.
+// CounterCalls returns the number of all counter calls.
 func (t *requestTotals) CounterCalls() int { return t.CounterAdds + t.CounterSubtractions }
 
-// Add adds another's counts.
+// Add adds the counts of o.
 func (t *requestTotals) Add(o requestTotals) {
 	t.Requests += o.Requests
 	t.Forwarded += o.Forwarded
-	t.ForwardedAtOnce += o.ForwardedAtOnce
+	t.ForwardedImmediately += o.ForwardedImmediately
 	t.Served += o.Served
 	t.Rejected += o.Rejected
 	t.Failed += o.Failed
 	t.Attempts += o.Attempts
 	t.Results += o.Results
-	t.AtClosedBackend += o.AtClosedBackend
+	t.FailedAtClosedBackend += o.FailedAtClosedBackend
 	t.CounterAdds += o.CounterAdds
 	t.CounterSubtractions += o.CounterSubtractions
 }
 
-// Check says what does not add up, of totals with nothing open.
+// Check returns an error if the counts are inconsistent. It expects that no request is open.
 func (t *requestTotals) Check() error {
 	switch {
 	case t.Requests != t.Served+t.Rejected+t.Failed:
@@ -53,28 +53,28 @@
 	return nil
 }
 
-// servedShare is the share of the requests that were served.
+// servedShare returns the share of the requests that were served.
 func (t *requestTotals) servedShare() float64 { return t.shareOfRequests(t.Served) }
 
-// shareOfRequests is a count over the number of requests; 0 if none came.
+// shareOfRequests returns a count divided by the number of requests. Without requests the divisor is 1.
 func (t *requestTotals) shareOfRequests(count int) float64 {
 	return float64(count) / float64(max(1, t.Requests))
 }
 
-// tally counts by phases of a run: requests and their attempts by the phase in which the request came, counter calls by
-// that in which they were made.
-type tally struct {
-	phase   int // that runs
+// phaseTotals holds the totals of each phase of a run. Requests and their attempts count in the phase in which the request
+// arrived, counter calls in the phase in which they were made.
+type phaseTotals struct {
+	phase   int // current phase
 	byPhase []requestTotals
 }
 
-func (t *tally) now() *requestTotals { return &t.byPhase[t.phase] }
+func (t *phaseTotals) current() *requestTotals { return &t.byPhase[t.phase] }
 
-// of returns the totals that a request counts in.
-func (t *tally) of(r *request) *requestTotals { return &t.byPhase[r.phase] }
+// forRequest returns the totals of the phase in which a request arrived.
+func (t *phaseTotals) forRequest(r *request) *requestTotals { return &t.byPhase[r.phase] }
 
-// sum adds up the phases.
-func (t *tally) sum() (all requestTotals) {
+// sum returns the totals of all phases together.
+func (t *phaseTotals) sum() (all requestTotals) {
 	for _, phase := range t.byPhase {
 		all.Add(phase)
 	}
