--- a/cmd/fleetbench/mixed.go
+++ b/cmd/fleetbench/mixed.go
@@ -32,9 +32,9 @@
 // mixedCommand builds the subcommand that starts real gateways.
 func (b *benchmark) mixedCommand(newCommand commandBuilder) *cobra.Command {
 	var mixed mixedFlags
-	subcommand := newCommand("mixed", "Start real gateways beside simulated ones, in real time",
+	subcommand := newCommand("mixed", "Start real gateways alongside simulated ones, in real time",
 		func(ctx context.Context, report *fleetsim.Report) error { return mixed.measure(ctx, b, report) })
-	subcommand.Long = "mixed starts a few real gateways on loopback, as configured in deploy/balancer.toml, beside decision\n" +
+	subcommand.Long = "mixed starts a few real gateways on loopback, as configured in deploy/balancer.toml, alongside decision\n" +
 		"engines that run in this process. All use the same emulated discovery agent, counter and backends. Build the\n" +
 		"gateway first with the build command of that file. Times depend on the machine; a row's text marks those\n" +
 		"that are unreliable."
--- a/internal/fleetsim/population_test.go
+++ b/internal/fleetsim/population_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// approxEqual says whether a value is within a thousandth of another.
+// approxEqual reports whether got is within a thousandth of want.
 func approxEqual(got, want float64) bool { return got >= want*0.999 && got <= want*1.001 }
 
 // The gateways' rates add up to the fleet's rate. With even traffic they are equal; with uneven traffic the busiest gateways
