--- a/internal/fleettest/histogram.go
+++ b/internal/fleettest/histogram.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// A goroutine sleeps so long, again and again, to find out how late it is woken.
+	// delayProbeInterval is how long the goroutine that measures scheduling delays sleeps each time.
 	delayProbeInterval = 5 * time.Millisecond
-	// Times are not to be trusted where the scheduling delay's 99th percentile is above this.
+	// noisySchedulingDelay is the 99th percentile of the scheduling delay above which measured times are unreliable.
 	noisySchedulingDelay = 5 * time.Millisecond
 )
 
-// histogram is a histogram of times in microseconds, up to a minute. It is safe for concurrent use.
+// histogram records times in microseconds, from 1 us to a minute; others are clamped. It is safe for concurrent use.
 type histogram struct {
 	mu    sync.Mutex // guards times
 	times *hdrhistogram.Histogram
@@ -31,7 +31,7 @@
 	h.times.RecordValue(min(max(1, d.Microseconds()), time.Minute.Microseconds()))
 }
 
-// percentile returns the value at a percentile, in microseconds, and how many values there are.
+// percentile returns the value at a percentile, in microseconds, and the number of recorded values.
 func (h *histogram) percentile(percent float64) (microseconds float64, count int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -44,12 +44,12 @@
 	h.times.Reset()
 }
 
-// schedulingDelayMeter measures how late this process's own goroutines are woken. It is safe for concurrent use.
+// schedulingDelayMeter measures how late goroutines of this process wake from a sleep. It is safe for concurrent use.
 type schedulingDelayMeter struct {
 	delays *histogram
 }
 
-// measure measures until the context ends.
+// measure records delays until the context ends.
 func (s *schedulingDelayMeter) measure(ctx context.Context) {
 	next := time.Now()
 	for ctx.Err() == nil {
@@ -63,7 +63,7 @@
 	}
 }
 
-// takeP99 returns the 99th percentile since the last call.
+// takeP99 returns the 99th percentile of the delays since the last call.
 func (s *schedulingDelayMeter) takeP99() time.Duration {
 	p99, _ := s.delays.percentile(99)
 	s.delays.reset()
--- a/internal/fleettest/report.go
+++ b/internal/fleettest/report.go
@@ -12,57 +12,57 @@
 	"bellwood/internal/emulator"
 )
 
-// failedPrefix begins the text of a row that has no value.
+// failedPrefix starts the How text of a row that has no value.
 const failedPrefix = "failed: "
 
-// Row is one figure of a report. fleetbench mixed puts the rows, without Spread, into its own report, which is stored and
-// compared with others by the rows' names; in these a gateway is a door, and a simulated one a hollow door.
+// Row is one measurement of a report. fleetbench mixed copies the rows, without Spread, into its own report, which is stored
+// and compared with other reports by row name. The names call a gateway a door and a simulated gateway a hollow door.
 type Row struct {
 	Name     string  `json:"name"`
 	Unit     string  `json:"unit"`
-	Gateways int     `json:"doors"` // over which it was taken
+	Gateways int     `json:"doors"` // number of gateways measured
 	Backends int     `json:"backends"`
 	Value    float64 `json:"value"`
-	Spread   float64 `json:"spread"` // largest less smallest, of the gateways or of the repeats
-	// How it was measured. It begins with "failed:" where there is no value, and ends with "noisy" where that is not to
-	// be trusted.
+	Spread   float64 `json:"spread"` // maximum less minimum, over the gateways or the repetitions
+	// How says how the value was measured. It starts with "failed:" if there is no value, and ends with "noisy" if the
+	// value is not reliable.
 	How string `json:"how"`
 }
 
-// Setup is what a report says of the options.
+// Setup is the part of the options that a report contains.
 type Setup struct {
 	RealGateways       int     `json:"real_doors"`
 	SimulatedGateways  int     `json:"hollow_doors"`
-	ConfiguredGateways int     `json:"doors"` // how many all are told there are
+	ConfiguredGateways int     `json:"doors"` // the fleet size in every gateway's settings
 	Backends           int     `json:"backends"`
 	Tenants            int     `json:"customers"`
 	RequestsPerSecond  float64 `json:"rate"` // at each gateway
 	Seed               uint64  `json:"seed"`
 }
 
-// Totals are sums over a whole run.
+// Totals holds the sums of a whole run, by the kind of gateway that the requests went through.
 type Totals struct {
-	Real             emulator.Sums `json:"real"`   // requests of the real gateways
-	Simulated        emulator.Sums `json:"hollow"` // ... and of the simulated ones
-	Direct           emulator.Sums `json:"direct"` // ... and of those that went from clients to a backend with no gateway between
-	AttemptsStarted  int           `json:"begun"`  // by the backends' own count
+	Real             emulator.Sums `json:"real"`   // requests through real gateways
+	Simulated        emulator.Sums `json:"hollow"` // requests through simulated gateways
+	Direct           emulator.Sums `json:"direct"` // requests that clients sent to a backend without a gateway
+	AttemptsStarted  int           `json:"begun"`  // as the backends counted them
 	AttemptsRejected int           `json:"turned_away"`
-	RequestsSkipped  int64         `json:"skipped"` // by simulated gateways, which came to them too late
+	RequestsSkipped  int64         `json:"skipped"` // by simulated gateways that were too far behind schedule
 }
 
-// Report is what a run measured. fleetbench mixed takes the rows alone: Setup, Totals, Seconds, Noisy and WriteJSON are read
-// by tests alone. These check in Totals what must not happen: Phantom, Doubled, RejectedRan, Wrong and NotKept are 0.
+// Report is the result of a run. fleetbench mixed uses only the rows; only tests use Setup, Totals, Seconds, Noisy and
+// WriteJSON. The tests check that the counts of faults in Totals (Phantom, Doubled, RejectedRan, Wrong and NotKept) are 0.
 type Report struct {
 	Setup
-	Seconds float64 `json:"seconds"` // how long was measured
-	Noisy   bool    `json:"noisy"`   // the computer was too busy for some of the figures; see takeNoiseSuffix
+	Seconds float64 `json:"seconds"` // length of the measurement
+	Noisy   bool    `json:"noisy"`   // the computer was too busy for some of the values; see takeNoiseSuffix
 	Totals
 	Rows []Row `json:"rows"`
 
-	processIDs []int // of the processes started
+	processIDs []int // of all processes that the run started
 }
 
-// Failed returns the rows that have no value, since something failed.
+// Failed returns the rows that have no value because their measurement failed.
 func (r *Report) Failed() (rows []Row) {
 	for _, row := range r.Rows {
 		if strings.HasPrefix(row.How, failedPrefix) {
@@ -79,7 +79,7 @@
 	return encoder.Encode(r)
 }
 
-// reporter fills in the report and tells how the run proceeds. It belongs to the goroutine of the run, but for
+// reporter fills in the report and writes progress lines. Only the goroutine of the run may use it, except for
 // processStarted.
 type reporter struct {
 	report          *Report
@@ -87,29 +87,30 @@
 	startedAt       time.Time
 	schedulingDelay schedulingDelayMeter
 
-	processMu sync.Mutex // guards report.processIDs: gateways start side by side
+	processMu sync.Mutex // guards report.processIDs; gateways are started concurrently
 }
 
 func newReporter(o Options, startedAt time.Time) *reporter {
-	return &reporter{progress: o.Progress, startedAt: startedAt, schedulingDelay: schedulingDelayMeter{delays: newHistogram()},
+	return &reporter{progress: o.Progress, startedAt: startedAt,
+		schedulingDelay: schedulingDelayMeter{delays: newHistogram()},
 		report: &Report{Setup: Setup{RealGateways: o.Fleet.RealGateways, SimulatedGateways: o.Fleet.SimulatedGateways,
 			ConfiguredGateways: o.Fleet.ConfiguredGateways, Backends: o.Fleet.Backends, Tenants: o.Fleet.Tenants,
 			RequestsPerSecond: o.Load.RequestsPerSecond, Seed: o.Load.Seed}}}
 }
 
-// phase tells what begins now.
+// logPhase writes a progress line with the time since the run began.
 func (r *reporter) logPhase(format string, args ...any) {
 	fmt.Fprintf(r.progress, "%6.1f s  %s\n", time.Since(r.startedAt).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// processStarted notes a process. It may be called from any goroutine.
+// processStarted records a process id. It is safe for concurrent use.
 func (r *reporter) processStarted(pid int) {
 	r.processMu.Lock()
 	defer r.processMu.Unlock()
 	r.report.processIDs = append(r.report.processIDs, pid)
 }
 
-// row adds a figure with the mean of some values and their spread.
+// addRow adds a row with the mean and the spread of values. Without values, the row is a failed one.
 func (r *reporter) addRow(name, unit string, gateways int, values []float64, how string) {
 	row := Row{Name: name, Unit: unit, Gateways: gateways, Backends: r.report.Backends, How: how}
 	if len(values) == 0 {
@@ -121,7 +122,7 @@
 	r.report.Rows = append(r.report.Rows, row)
 }
 
-// addPooledRow adds a figure that was taken over all gateways together, with the spread of the gateways' own values.
+// addPooledRow adds a row whose value covers all gateways together, with the spread of the values of each gateway.
 func (r *reporter) addPooledRow(row Row, perGateway []float64) {
 	row.Backends = r.report.Backends
 	if len(perGateway) > 0 {
@@ -130,7 +131,7 @@
 	r.report.Rows = append(r.report.Rows, row)
 }
 
-// failure adds a row for what has no value.
+// addFailure adds a row without a value, with the error on one line as its text.
 func (r *reporter) addFailure(name, unit string, gateways int, err error) {
 	text := strings.Join(strings.Fields(err.Error()), " ")
 	r.report.Rows = append(r.report.Rows, Row{Name: name, Unit: unit, Gateways: gateways, Backends: r.report.Backends,
@@ -138,18 +139,20 @@
 	r.logPhase("%s failed: %s", name, text)
 }
 
-// takeNoiseSuffix returns what to add to a row's text, and marks the report as noisy, where this process was woken too late to
-// trust times since takeNoiseSuffix or resetSchedulingDelays was called last; it forgets these delays.
+// takeNoiseSuffix returns the suffix for the How texts of rows with times, and resets the scheduling delays. The suffix is
+// empty unless this process's goroutines were woken so late since the last reset that times are unreliable; in that case
+// the report is marked as noisy too.
 func (r *reporter) takeNoiseSuffix() string {
 	p99 := r.schedulingDelay.takeP99()
 	if p99 <= noisySchedulingDelay {
 		return ""
 	}
 	r.report.Noisy = true
-	return fmt.Sprintf("; own scheduling delay p99 %.1f ms: noisy", milliseconds(p99))
+	return fmt.Sprintf("; scheduling delay of this process p99 %.1f ms: noisy", milliseconds(p99))
 }
 
-// resetSchedulingDelays forgets the delays so far, before what is measured next. They mark the report as noisy all the same.
+// resetSchedulingDelays discards the scheduling delays before a new measurement. If they were too long, they still mark the
+// report as noisy.
 func (r *reporter) resetSchedulingDelays() { r.takeNoiseSuffix() }
 
 func mean(values []float64) (mean float64) {
--- a/internal/fleettest/run.go
+++ b/internal/fleettest/run.go
@@ -14,10 +14,11 @@
 	"bellwood/internal/emulator"
 )
 
-// clientReplyGrace is how long clients wait for an answer beyond their own time.
+// clientReplyGrace is how long clients wait for an answer beyond their request's timeout.
 const clientReplyGrace = 3 * time.Second
 
-// fleetRun is one run with all that takes part in it. The goroutine of Run owns it.
+// fleetRun holds the state of one run: its gateways, the emulated systems and the measurements. Only the goroutine of Run
+// uses it, except where a field's type is safe for concurrent use.
 type fleetRun struct {
 	options   Options
 	reporter  *reporter
@@ -25,30 +26,30 @@
 	emulated  *emulatedSystems
 	load      *loadMetrics
 	drains    *drainMonitor
-	real      []*measuredGateway // all that were opened
-	ready     []*measuredGateway // of them, those that became ready
+	real      []*measuredGateway // all real gateways that were opened
+	ready     []*measuredGateway // the real gateways that became ready
 	simulated *simulatedFleet
 }
 
-// measuredGateway is a real gateway with what is measured at it.
+// measuredGateway is a real gateway with its configuration files and measurements.
 type measuredGateway struct {
 	*realGateway
 	configFiles   map[knownList]string
-	requestsEnded atomic.Int64 // while loadMetrics.measuring was set
-	addedLatency  *histogram   // the time that it adds to a request
+	requestsEnded atomic.Int64 // requests that ended while loadMetrics.measuring was set
+	addedLatency  *histogram   // the latency that the gateway adds to a request
 }
 
-// knownList says which endpoint list a configuration names as known.
+// knownList says which endpoint list a configuration contains in its known field.
 type knownList string
 
 const (
 	wholeListKnown knownList = "whole"
-	noListKnown    knownList = "none" // the agent tells it
+	noListKnown    knownList = "none" // the gateway gets the list from its agent
 )
 
-// Run carries out a run and cleans up after it, however it ends. Failures of gateways become rows; an error tells that
-// the run itself failed, or was cancelled, with what was measured until then. The report is nil where the options can't be
-// used or what takes part can't be opened.
+// Run executes a run and always cleans up after it. A failure of a gateway becomes a row of the report. An error means that
+// the run itself failed or was cancelled; the report then holds what was measured until then. The report is nil if the
+// options are invalid or the gateways or emulated systems can't be opened.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	o = o.withDefaults()
 	if err := o.validate(); err != nil {
@@ -65,7 +66,8 @@
 	return r.reporter.report, err
 }
 
-// newFleetRun opens all that takes part, but starts no gateway. The caller closes the run, also after an error.
+// newFleetRun starts the emulated systems and opens the gateways without starting them. The caller closes the run, even
+// after an error.
 func newFleetRun(o Options) (*fleetRun, error) {
 	startedAt := time.Now()
 	r := &fleetRun{options: o, reporter: newReporter(o, startedAt), load: newLoadMetrics(), drains: newDrainMonitor(o)}
@@ -99,7 +101,7 @@
 	return r, nil
 }
 
-// openGateway opens a real gateway and writes its configurations.
+// openGateway opens a real gateway and writes one configuration file for each knownList.
 func (r *fleetRun) openGateway(index int) error {
 	fleet := &r.options.Fleet
 	opened, err := openRealGateway(realGatewaySetup{index: index, program: &r.program,
@@ -129,8 +131,8 @@
 	return nil
 }
 
-// run goes through the phases. It returns an error only where the run itself can't go on. The goroutines that it starts
-// end before it returns, but for that of startSenders which waits for the others: it ends soon after.
+// run executes the phases. It returns an error only if the run itself can't continue. The goroutines that it starts end
+// before it returns, except the one in startSenders that waits for the others; that one ends soon after.
 func (r *fleetRun) run(ctx context.Context) error {
 	var background sync.WaitGroup
 	defer background.Wait()
@@ -146,10 +148,10 @@
 	}
 	if n := len(r.simulated.gateways); n > 0 {
 		r.reporter.addRow("memory of a hollow door", "MB", n, []float64{megabytes(heapAllocated()-heapBefore) / float64(n)},
-			"of the heap, with the list taken in and no load yet")
+			"heap memory, after the endpoint list was applied and before any load")
 	}
 	if r.runningGateways() == 0 {
-		return errors.New("no gateway is ready")
+		return errors.New("no real gateway became ready and there are no simulated gateways")
 	}
 	r.reporter.logPhase("%d real and %d simulated gateways are ready", len(r.ready), len(r.simulated.gateways))
 	if err := r.runLoad(ctx, load); err != nil {
@@ -165,7 +167,7 @@
 // running is how many gateways run, real and simulated.
 func (r *fleetRun) runningGateways() int { return len(r.ready) + len(r.simulated.gateways) }
 
-// heapAllocated returns how many bytes objects on the heap take after a collection.
+// heapAllocated runs a garbage collection and returns the size of the heap's objects in bytes.
 func heapAllocated() int64 {
 	runtime.GC()
 	var stats runtime.MemStats
@@ -173,8 +175,8 @@
 	return int64(stats.HeapAlloc)
 }
 
-// startGateways starts the real gateways together and waits for all gateways. A real one that does not become ready is
-// left out.
+// startGateways starts all real gateways at once and waits until all gateways, real and simulated, are ready. A real gateway
+// that does not become ready is killed, reported as a failed row and excluded from the run.
 func (r *fleetRun) startGateways(ctx context.Context) error {
 	const rowName = "time to ready, first start"
 	errs := make([]error, len(r.real))
@@ -204,12 +206,13 @@
 	noise := r.reporter.takeNoiseSuffix()
 	if len(ready) > 0 {
 		r.reporter.addRow(rowName, "ms", len(ready), ready,
-			"all real gateways at once, from fork to +PONG, whole list known"+noise)
+			"all real gateways started at once, from fork to +PONG, whole list in known"+noise)
 	}
 	return r.simulated.awaitReady(ctx)
 }
 
-// startGateway starts a gateway's process and waits until it is ready. It returns the time from its start to its +PONG.
+// startGateway starts a gateway's process and waits until it is ready. It returns the time from the process's start to its
+// first +PONG.
 func (r *fleetRun) startGateway(ctx context.Context, gateway *measuredGateway, known knownList) (time.Duration, error) {
 	if err := gateway.start(gateway.configFiles[known], nil); err != nil {
 		return 0, err
@@ -218,7 +221,7 @@
 	return gateway.awaitReady(ctx, r.options.Process.ReadyTimeout)
 }
 
-// close ends all that newFleetRun and run started and have not ended.
+// close stops everything that newFleetRun and run started and that still runs, and removes the temporary directory.
 func (r *fleetRun) close() {
 	var closing sync.WaitGroup
 	for _, gateway := range r.real {
@@ -233,7 +236,7 @@
 	}
 }
 
-// fillTotals fills in the totals.
+// fillTotals sets the report's totals. The ids of the direct requests contain gateway indexes above those of all gateways.
 func (r *fleetRun) fillTotals() {
 	firstSimulated, firstDirect := r.options.Fleet.RealGateways, r.options.Fleet.ConfiguredGateways
 	totals, ledger := &r.reporter.report.Totals, r.emulated.ledger
@@ -251,7 +254,7 @@
 	totals.RequestsSkipped = r.simulated.requestsSkipped()
 }
 
-// pause waits, but not beyond the context's end, whose error it returns.
+// sleep waits for a duration, or until the context ends; it then returns the context's error.
 func sleep(ctx context.Context, d time.Duration) error {
 	select {
 	case <-ctx.Done():
