--- a/internal/emulator/ledger.go
+++ b/internal/emulator/ledger.go
@@ -88,8 +88,8 @@
 	entry.idempotency, entry.ended, entry.outcome = request.Idempotency, true, outcome
 }
 
-// Sums compares, request by request, what the backends did with the results that the clients received. It is part of the
-// JSON that a fleettest.Report writes.
+// Sums compares, request by request, what the backends did with the results that the clients received. A request counts as
+// started once a backend has started an attempt of it. Sums is part of the JSON that a fleettest.Report writes.
 type Sums struct {
 	Requests   int `json:"requests"` // that ended at a client
 	Served     int `json:"served"`
@@ -99,11 +99,11 @@
 	Wrong      int `json:"wrong"` // served with the value of another request
 
 	AttemptsStarted    int `json:"runs"`        // attempts that backends started
-	Ran                int `json:"ran"`         // requests with at least one started attempt
-	StartedNotServed   int `json:"ran_unsaid"`  // requests with a started attempt that were not served or have not ended
-	Phantom            int `json:"phantom"`     // requests served without any started attempt
+	Started            int `json:"ran"`         // started requests
+	StartedNotServed   int `json:"ran_unsaid"`  // started requests that were not served or have not ended
+	Phantom            int `json:"phantom"`     // requests that were served without having been started
 	Doubled            int `json:"doubled"`     // non-idempotent requests with more than one started attempt
-	RejectedButStarted int `json:"refused_ran"` // non-idempotent requests that were rejected although an attempt started
+	RejectedButStarted int `json:"refused_ran"` // non-idempotent requests that were rejected although they had been started
 	DroppedEvents      int `json:"lost"`        // events of requests that no longer fitted into the ledger
 }
 
@@ -127,7 +127,7 @@
 	if entry.attemptsStarted == 0 {
 		return
 	}
-	s.Ran++
+	s.Started++
 	if entry.outcome != Served {
 		s.StartedNotServed++
 	}
--- a/internal/fleettest/report.go
+++ b/internal/fleettest/report.go
@@ -51,7 +51,8 @@
 }
 
 // Report is what a run measured. fleetbench mixed takes the rows alone: Setup, Totals, Seconds, Noisy and WriteJSON are read
-// by tests alone. These check in Totals what must not happen: Phantom, Doubled, RejectedButStarted, Wrong and DroppedEvents are 0.
+// by tests alone. These check in Totals what must not happen: Phantom, Doubled, RejectedButStarted, Wrong and DroppedEvents
+// are 0.
 type Report struct {
 	Setup
 	Seconds float64 `json:"seconds"` // how long was measured
