--- a/internal/emulator/agent.go
+++ b/internal/emulator/agent.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// A watch gets an empty line at this interval while nothing changes.
+	// While the list doesn't change, a watch gets an empty line at this interval.
 	heartbeatInterval = 2 * time.Second
 	maxAgentConns     = 16
 	maxHeaderBytes    = 8 << 10
@@ -19,8 +19,8 @@
 	agentIdleTimeout  = 10 * time.Second
 )
 
-// WatchSent describes an update that was sent on a watch.
-type WatchSent struct {
+// WatchUpdate describes an update that was sent on a watch.
+type WatchUpdate struct {
 	Index    int64     // of the list after the update
 	Entries  int       // number of backends in the update
 	Snapshot bool      // whether the update is the whole list
@@ -34,7 +34,7 @@
 type Agent struct {
 	Meter      Meter
 	catalog    *Catalog
-	onSent     func(WatchSent) // may be nil
+	onSent     func(WatchUpdate) // may be nil
 	listener   *listener
 	server     *http.Server
 	serveEnded chan struct{} // closed when the server's accept loop has ended
@@ -42,7 +42,7 @@
 
 // StartAgent starts an agent on a loopback address. It calls onSent, if not nil, after each update sent on a watch. Calls
 // come from several goroutines.
-func StartAgent(addr string, catalog *Catalog, onSent func(WatchSent)) (*Agent, error) {
+func StartAgent(addr string, catalog *Catalog, onSent func(WatchUpdate)) (*Agent, error) {
 	a := &Agent{catalog: catalog, onSent: onSent, serveEnded: make(chan struct{})}
 	var err error
 	if a.listener, err = listen(addr, maxAgentConns, &a.Meter); err != nil {
@@ -108,7 +108,7 @@
 	w                      http.ResponseWriter
 	controller             *http.ResponseController
 	gatewayAddr, agentAddr netip.AddrPort
-	lastLine               watchLine // of the latest sendUpdate
+	lastLine               watchLine // of the last sendUpdate
 }
 
 func newWatchStream(w http.ResponseWriter, r *http.Request) *watchStream {
@@ -122,7 +122,7 @@
 
 // sendUpdate sends the changes after an index, if there are any. It reports whether the connection is still usable.
 func (s *watchStream) sendUpdate(a *Agent, index int64) bool {
-	s.lastLine = a.catalog.watchLine(index)
+	s.lastLine = a.catalog.watchLineSince(index)
 	s.controller.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if s.lastLine.text != nil {
 		s.w.Write(s.lastLine.text)
@@ -132,7 +132,7 @@
 		return false
 	}
 	if s.lastLine.text != nil && a.onSent != nil {
-		a.onSent(WatchSent{Index: s.lastLine.index, Entries: s.lastLine.entries, Snapshot: s.lastLine.snapshot,
+		a.onSent(WatchUpdate{Index: s.lastLine.index, Entries: s.lastLine.entries, Snapshot: s.lastLine.snapshot,
 			Bytes: len(s.lastLine.text) + 1, SentAt: time.Now(), GatewayAddr: s.gatewayAddr, AgentAddr: s.agentAddr})
 	}
 	return true
--- a/internal/fleettest/realgateway.go
+++ b/internal/fleettest/realgateway.go
@@ -56,7 +56,7 @@
 	listenHost    string // loopback address; a free port is chosen
 	emulatorHost  string // loopback address of its agent and its counter
 	catalog       *emulator.Catalog
-	onWatchSent   func(emulator.WatchSent) // passed to emulator.StartAgent; may be nil
+	onWatchSent   func(emulator.WatchUpdate) // passed to emulator.StartAgent; may be nil
 	counterValues *emulator.CounterStore
 	replyGrace    time.Duration // how long clients wait beyond their request's timeout
 }
--- a/internal/fleettest/report.go
+++ b/internal/fleettest/report.go
@@ -51,7 +51,8 @@
 }
 
 // Report is the result of a run. fleetbench mixed uses only the rows; only tests use Setup, Totals, Seconds, Noisy and
-// WriteJSON. The tests check that the counts of faults in Totals (Phantom, Doubled, RejectedRan, Wrong and NotKept) are 0.
+// WriteJSON. The tests check that the counts of faults in Totals (Phantom, Doubled, RejectedButStarted, Wrong and
+// DroppedEvents) are 0.
 type Report struct {
 	Setup
 	Seconds float64 `json:"seconds"` // length of the measurement
