--- a/cmd/fleetbench/mixed.go
+++ b/cmd/fleetbench/mixed.go
@@ -34,8 +34,8 @@
 	var mixed mixedFlags
 	subcommand := newCommand("mixed", "Start real gateways alongside simulated ones, in real time",
 		func(ctx context.Context, report *fleetsim.Report) error { return mixed.measure(ctx, b, report) })
-	subcommand.Long = "mixed starts a few real gateways on loopback, as configured in deploy/balancer.toml, alongside decision\n" +
-		"engines that run in this process. All use the same emulated discovery agent, counter and backends. Build the\n" +
+	subcommand.Long = "mixed starts a few real gateways on loopback, as configured in deploy/balancer.toml, alongside\n" +
+		"decision engines that run in this process. All use the same emulated discovery agent, counter and backends. Build the\n" +
 		"gateway first with the build command of that file. Times depend on the machine; a row's text marks those\n" +
 		"that are unreliable."
 	flags := subcommand.Flags()
@@ -55,8 +55,8 @@
 }
 
 // measure makes one run for each number of backends. A gateway's failure is reported and is an error. The totals of a run
-// (fleettest.Totals) are neither reported nor checked: this subcommand doesn't fail if requests were served without being
-// run, ran twice or got another request's value. The tests of package fleettest check that.
+// (fleettest.Totals) are neither reported nor checked: this subcommand doesn't fail if a request was answered although no
+// backend ran it, ran twice, or got the answer to another request. The tests of package fleettest check that.
 func (m *mixedFlags) measure(ctx context.Context, b *benchmark, report *fleetsim.Report) error {
 	var errs []error
 	for _, backends := range m.backends {
--- a/internal/fleettest/doc.go
+++ b/internal/fleettest/doc.go
@@ -3,11 +3,11 @@
 // A real gateway is the bellwood program: a process that is started with the command from deploy/balancer.toml and is
 // reached only through loopback sockets. A simulated gateway is a decision engine (policy.Engine) in this process: a
 // goroutine feeds it events and executes its actions, without sockets. Simulated gateways make a fleet of hundreds of
-// gateways possible where one computer could not run as many processes. Package emulator emulates the systems outside a
-// gateway: discovery's agent, the counter, the backends and the clients.
+// gateways possible where one machine could not run as many processes. Package emulator emulates the systems outside a
+// gateway: the discovery agent, the counter, the backends and the clients.
 //
 // All gateways of a run receive the same endpoint list, share the counter's values and send to the same model of the
-// backends, so the real gateways are exposed to the combined effect of the whole fleet. Everything runs on the computer's
+// backends, so the real gateways are exposed to the combined effect of the whole fleet. Everything runs on the machine's
 // clock. A simulated gateway's clock starts at the Unix time at which the run began, as a real gateway's does. Nothing here
 // runs in virtual time; package fleetsim does that. Every measurement of a real gateway is counted by the emulated systems
 // or read from the kernel; none relies on what the gateway reports about itself.
--- a/internal/fleettest/drain.go
+++ b/internal/fleettest/drain.go
@@ -12,11 +12,11 @@
 
 const (
 	attemptRateWindow  = 300 * time.Millisecond // in which attempts at backends are counted before they drain
-	listReadTimeout    = 5 * time.Second        // for the gateways to read the change of the endpoint list
-	listReadPoll       = 50 * time.Microsecond  // interval between checks of a socket's receive queue
-	drainPoll          = time.Millisecond       // interval between checks whether all gateways have read the change
+	updateReadTimeout  = 5 * time.Second        // for the gateways to read the update of the endpoint list
+	updateReadPoll     = 50 * time.Microsecond  // interval between checks of a socket's receive queue
+	drainPoll          = time.Millisecond       // interval between checks whether all gateways have read the update
 	pauseBetweenDrains = 100 * time.Millisecond // from restoring the backends to the next drain
-	maxListsRecorded   = 1 << 12                // for each drain
+	maxUpdatesRecorded = 1 << 12                // for each drain
 	// A large drain drains one in largeDrainDivisor backends, and at least minLargeDrain.
 	largeDrainDivisor = 5
 	minLargeDrain     = 2
@@ -27,9 +27,9 @@
 	realGateways, configuredGateways int
 
 	mu         sync.Mutex // guards the fields below, and the fields of each drain
-	attempts   []int      // by real gateways since the last takeBusiest, by index of the backend, for dedicatedBackends
+	attempts   []int      // by real gateways since the last takeBusiest, by index of the dedicated backend
 	current    *drain     // the drain being monitored; nil: none
-	readMethod string     // how the last read of a list was detected; see unreadBytes
+	readMethod string     // how the last read of an update was detected; see unreadBytes
 }
 
 // drain is one change of the endpoint list that drains backends, with its observed effects.
@@ -38,8 +38,8 @@
 	pushedAt    time.Time
 	lastAttempt map[int]time.Time // arrival of the first byte of the last attempt after the push, by gateway index
 	attempts    int               // after the push
-	listBytes   []float64         // size of the line sent to each real gateway
-	readDelays  []time.Duration   // from the sending of the line to its being read, for each real gateway
+	updateBytes []float64         // size of the update's line, for each real gateway
+	readDelays  []time.Duration   // from the sending of the update to its being read, for each real gateway
 }
 
 // drainResults accumulates the results of several drains.
@@ -48,7 +48,7 @@
 	attempts                           []float64 // for each drain
 	rateBefore                         []float64 // attempts/s, for each drain
 	readDelays                         []float64 // ms, for each drain and real gateway
-	listBytes                          []float64 // for each drain and real gateway
+	updateBytes                        []float64 // for each drain and real gateway
 }
 
 func newDrainMonitor(o Options) *drainMonitor {
@@ -69,14 +69,14 @@
 	}
 }
 
-// watchSent records a change of the endpoint list that was sent to a real gateway, and polls the gateway's socket until the
-// change has been read. An agent calls it on the goroutine of the watch, which continues when it returns.
+// watchSent records an update of the endpoint list that was sent to a real gateway, and polls the gateway's socket until the
+// update has been read. An agent calls it on the goroutine of the watch, which continues when it returns.
 func (m *drainMonitor) watchSent(sent emulator.WatchSent) {
 	watched := m.recordWatchSent(sent)
 	if watched == nil {
 		return
 	}
-	for time.Since(sent.SentAt) < listReadTimeout {
+	for time.Since(sent.SentAt) < updateReadTimeout {
 		unread, method, err := unreadBytes(sent.GatewayAddr, sent.AgentAddr)
 		if err != nil {
 			return
@@ -87,24 +87,25 @@
 			watched.readDelays, m.readMethod = append(watched.readDelays, time.Since(sent.SentAt)), method
 			return
 		}
-		time.Sleep(listReadPoll)
+		time.Sleep(updateReadPoll)
 	}
 }
 
-// recordWatchSent records a list that was sent. It returns the monitored drain that the list announces, or nil if there is
-// none.
+// recordWatchSent records an update that was sent. It returns the monitored drain that the update announces, or nil if there
+// is none.
 func (m *drainMonitor) recordWatchSent(sent emulator.WatchSent) *drain {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	d := m.current
-	if d == nil || sent.Snapshot || sent.Entries != len(d.backends) || len(d.listBytes) >= maxListsRecorded {
+	if d == nil || sent.Snapshot || sent.Entries != len(d.backends) || len(d.updateBytes) >= maxUpdatesRecorded {
 		return nil
 	}
-	d.listBytes = append(d.listBytes, float64(sent.Bytes))
+	d.updateBytes = append(d.updateBytes, float64(sent.Bytes))
 	return d
 }
 
-// takeBusiest returns the backends that received the most attempts from real gateways since the last call.
+// takeBusiest returns the given number of dedicated backends that received the most attempts from real gateways since the
+// last call.
 func (m *drainMonitor) takeBusiest(count int) []int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -129,7 +130,7 @@
 	return m.current.pushedAt
 }
 
-// readCount returns how many gateways have read the monitored drain; there must be one.
+// readCount returns how many gateways have read the update of the monitored drain. There must be a monitored drain.
 func (m *drainMonitor) readCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -152,13 +153,13 @@
 	results.effectiveAfter = append(results.effectiveAfter, milliseconds(effectiveAfter))
 	results.effectiveAfterReal = append(results.effectiveAfterReal, milliseconds(effectiveAfterReal))
 	results.attempts = append(results.attempts, float64(d.attempts))
-	results.listBytes = append(results.listBytes, d.listBytes...)
+	results.updateBytes = append(results.updateBytes, d.updateBytes...)
 	for _, after := range d.readDelays {
 		results.readDelays = append(results.readDelays, milliseconds(after))
 	}
 }
 
-// method returns how the last read of a list was detected.
+// method returns how the last read of an update was detected.
 func (m *drainMonitor) method() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -188,7 +189,7 @@
 	return nil
 }
 
-// drainOnce drains a number of backends in one push, and restores them after awaitListReads.
+// drainOnce drains a number of backends in one push, and restores them after awaitUpdateReads.
 func (r *fleetRun) drainOnce(ctx context.Context, count int, results *drainResults) error {
 	backends := r.drains.takeBusiest(count)
 	drained, restored := make([]emulator.Endpoint, count), make([]emulator.Endpoint, count)
@@ -203,17 +204,17 @@
 	results.rateBefore = append(results.rateBefore, rate)
 	pushedAt := r.drains.start(backends)
 	r.emulated.catalog.Apply(drained...)
-	err = r.awaitListReads(ctx, pushedAt)
+	err = r.awaitUpdateReads(ctx, pushedAt)
 	r.drains.finish(results)
 	r.emulated.catalog.Apply(restored...)
 	if err != nil {
 		return err
 	}
-	return sleep(ctx, pauseBetweenDrains) // otherwise the agents could combine this change and the next drain into one
+	return sleep(ctx, pauseBetweenDrains) // otherwise an agent could send this update and the next drain as one
 }
 
-// attemptRate measures the current rate of attempts a second at some backends. takeBusiest's counts are older and can't be
-// used for it.
+// attemptRate measures the current number of attempts per second at some backends. takeBusiest's counts are older and can't
+// be used for it.
 func (r *fleetRun) attemptRate(ctx context.Context, backends []int) (float64, error) {
 	before, _ := r.emulated.model.Attempts()
 	start := time.Now()
@@ -228,11 +229,11 @@
 	return float64(attempts) / time.Since(start).Seconds(), nil
 }
 
-// awaitListReads waits for the drain duration, and then until all real gateways have read the change or listReadTimeout has
-// passed since the push.
-func (r *fleetRun) awaitListReads(ctx context.Context, pushedAt time.Time) error {
+// awaitUpdateReads waits for the drain duration, and then until all real gateways have read the update or updateReadTimeout
+// has passed since the push.
+func (r *fleetRun) awaitUpdateReads(ctx context.Context, pushedAt time.Time) error {
 	err := sleep(ctx, r.options.Changes.drainDuration)
-	for end := pushedAt.Add(listReadTimeout); err == nil && time.Now().Before(end) && r.drains.readCount() < len(r.ready); {
+	for end := pushedAt.Add(updateReadTimeout); err == nil && time.Now().Before(end) && r.drains.readCount() < len(r.ready); {
 		err = sleep(ctx, drainPoll)
 	}
 	return err
@@ -258,7 +259,7 @@
 		r.reporter.addRow(drain+", read by the door", "ms", realGateways, results.readDelays, fmt.Sprintf(
 			"from the agent's write until the gateway's socket is empty, by %s, %d observed", r.drains.method(),
 			len(results.readDelays)))
-		r.reporter.addRow(drain+", line of the watch", "bytes", realGateways, results.listBytes,
-			fmt.Sprintf("%d observed", len(results.listBytes)))
+		r.reporter.addRow(drain+", line of the watch", "bytes", realGateways, results.updateBytes,
+			fmt.Sprintf("%d observed", len(results.updateBytes)))
 	}
 }
--- a/internal/fleettest/load.go
+++ b/internal/fleettest/load.go
@@ -13,8 +13,9 @@
 const (
 	warmUp                   = time.Second            // from the start of the load to the start of the measurement
 	connectionSampleInterval = 100 * time.Millisecond // between samples of the connections that backends hold
-	// requestsTimeoutFactor bounds a run of a number of requests: it fails when they take longer than this factor times the
-	// sum of their expected duration at the configured rate and the longest duration of one request.
+	// requestsTimeoutFactor limits a run with a fixed number of requests (LoadOptions.Requests). The run fails if they take
+	// longer than this factor times the sum of two durations: sending them all at the configured rate, and the longest time
+	// that a client waits for an answer.
 	requestsTimeoutFactor = 3
 )
 
@@ -39,7 +40,7 @@
 // loadMetrics records what clients observe. It is safe for concurrent use.
 type loadMetrics struct {
 	measuring     atomic.Bool  // whether requests that end are recorded
-	arrivals      atomic.Int64 // requests that reached all gateways, real and simulated
+	arrivals      atomic.Int64 // requests that reached any gateway, real or simulated
 	addedLatency  *histogram   // the client's latency less the backend's service time, through real gateways
 	directLatency *histogram   // the same without a gateway
 }
@@ -57,8 +58,8 @@
 	stop       func()        // stops the goroutines and waits for them to end
 }
 
-// startSenders starts the requests at all gateways. When the context ends, it closes the clients: they would otherwise keep
-// waiting for answers.
+// startSenders starts sending requests through all gateways, and directly to a backend. When the context ends, the clients
+// are closed: they would otherwise keep waiting for answers.
 func (r *fleetRun) startSenders(ctx context.Context, load *loadSignals) *senders {
 	s := &senders{ended: make(chan struct{})}
 	load.start()
@@ -86,7 +87,7 @@
 	return s
 }
 
-// sendViaGateway sends requests through a gateway until stopped is closed or the requested number has been sent.
+// sendViaGateway sends requests through a gateway until stopped is closed or LoadOptions.Requests have been sent.
 func (r *fleetRun) sendViaGateway(ctx context.Context, gateway *measuredGateway, stopped <-chan struct{}) {
 	schedule := requestSchedule{traffic: emulator.NewTraffic(r.emulated.traffic, gateway.index()),
 		requests: r.options.Load.Requests, stopped: stopped}
@@ -106,7 +107,7 @@
 }
 
 // sendDirect sends requests to a backend without a gateway, one at a time, to measure the overhead of the measurement
-// itself. The gateway index in their ids is one above the last gateway's, so it belongs to no gateway.
+// itself. The gateway index in their ids is one above the last index of the configured fleet, so it belongs to no gateway.
 func (r *fleetRun) sendDirect(ctx context.Context, stopped <-chan struct{}) {
 	clients := emulator.NewClients(r.emulated.backends.Addr(0), 1, clientReplyGrace)
 	defer clients.Close()
--- a/internal/fleettest/measure.go
+++ b/internal/fleettest/measure.go
@@ -15,7 +15,7 @@
 	readAt                        time.Time
 	gateways                      []gatewayMetrics // of the real gateways that became ready
 	counterCalls, counterRejected int64            // of all gateways
-	arrivals                      int64            // requests that reached all gateways
+	arrivals                      int64            // requests that reached any gateway, real or simulated
 	connectionsOpened             int64            // accepted by the backends
 	simulatedSteps                int64
 }
@@ -57,7 +57,7 @@
 type connectionSamples struct {
 	samples int64
 	sum     int64 // of the connections of all backends, over all samples
-	max     int64 // of the connections of one backend in one sample
+	max     int64 // of the connections of one dedicated backend in one sample
 }
 
 // sample adds one sample.
@@ -82,7 +82,7 @@
 	noise         string // see reporter.takeNoiseSuffix
 }
 
-// rate returns how much a metric grew a second.
+// rate returns by how much a metric grew per second.
 func (m *loadMeasurement) rate(before, after int64) float64 { return float64(after-before) / m.seconds }
 
 // rates returns the rate of one metric for each real gateway.
@@ -134,9 +134,9 @@
 	}
 }
 
-// reportAddedLatency adds two rows of a percentile of the latency added to a request. The first is the latency that the real
-// gateways add, over all their requests together, with the spread between the gateways. The second is the same for requests
-// that were sent to a backend without a gateway.
+// reportAddedLatency adds two rows with a percentile of the latency added to a request. The first is the latency that the
+// real gateways add, over all their requests together, with the range of the gateways' values. The second is the same for
+// requests that were sent to a backend without a gateway.
 func (r *fleetRun) reportAddedLatency(percent float64, noise string) {
 	name := fmt.Sprintf("added by the door, p%.0f", percent)
 	if value, count := r.load.addedLatency.percentile(percent); count == 0 {
@@ -203,7 +203,7 @@
 		fmt.Sprintf("of all gateways; %d rejected", m.after.counterRejected-m.before.counterRejected))
 	if requests > 0 {
 		r.reporter.addRow("counter calls for a request", "", r.runningGateways(), []float64{calls / requests},
-			fmt.Sprintf("%.0f requests reached all gateways", requests))
+			fmt.Sprintf("%.0f requests reached the gateways", requests))
 	}
 }
 
--- a/internal/fleettest/options.go
+++ b/internal/fleettest/options.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// maxRealGateways bounds the number of gateway processes on one computer.
+// maxRealGateways bounds the number of gateway processes on one machine.
 const maxRealGateways = 1024
 
 // defaultDrainDuration is the time from a drain to the next change. By then the drained backends have received their last
@@ -31,7 +31,7 @@
 type FleetOptions struct {
 	RealGateways       int // default 3; below 0: none
 	SimulatedGateways  int // default 30; below 0: none
-	ConfiguredGateways int // the fleet size in every gateway's settings; default and minimum: the gateways that run
+	ConfiguredGateways int // the fleet size in every gateway's settings; default and minimum: the number that run
 	Backends           int // default 200
 	Tenants            int // of the whole configured fleet; default 60 for each of the ConfiguredGateways
 	Zones              int // default 7; gateways and backends are distributed over them round robin
@@ -40,7 +40,7 @@
 // LoadOptions sets the requests that the gateways receive.
 type LoadOptions struct {
 	RequestsPerSecond float64       // at each gateway; default 20
-	Duration          time.Duration // of the measurement, which starts a second after the load does; default 20 s
+	Duration          time.Duration // of the measurement, which starts a second (warmUp) after the load; default 20 s
 	Requests          int           // above 0: each gateway receives this many, without warm-up, and Duration is ignored
 	Seed              uint64        // of the requests, the service times and the gateways
 }
--- a/internal/fleettest/report.go
+++ b/internal/fleettest/report.go
@@ -15,7 +15,7 @@
 // failedPrefix starts the How text of a row that has no value.
 const failedPrefix = "failed: "
 
-// Row is one measurement of a report. fleetbench mixed copies the rows, without Spread, into its own report, which is stored
+// Row is one measurement of a report. fleetbench mixed copies the rows, without Range, into its own report, which is stored
 // and compared with other reports by row name. The names call a gateway a door and a simulated gateway a hollow door.
 type Row struct {
 	Name     string  `json:"name"`
@@ -23,7 +23,7 @@
 	Gateways int     `json:"doors"` // number of gateways measured
 	Backends int     `json:"backends"`
 	Value    float64 `json:"value"`
-	Spread   float64 `json:"spread"` // maximum less minimum, over the gateways or the repetitions
+	Range    float64 `json:"spread"` // maximum less minimum, over the gateways or the repetitions
 	// How says how the value was measured. It starts with "failed:" if there is no value, and ends with "noisy" if the
 	// value is not reliable.
 	How string `json:"how"`
@@ -55,7 +55,7 @@
 type Report struct {
 	Setup
 	Seconds float64 `json:"seconds"` // length of the measurement
-	Noisy   bool    `json:"noisy"`   // the computer was too busy for some of the values; see takeNoiseSuffix
+	Noisy   bool    `json:"noisy"`   // the machine was too busy for some of the values; see takeNoiseSuffix
 	Totals
 	Rows []Row `json:"rows"`
 
@@ -110,23 +110,23 @@
 	r.report.processIDs = append(r.report.processIDs, pid)
 }
 
-// addRow adds a row with the mean and the spread of values. Without values, the row is a failed one.
+// addRow adds a row with the mean and the range of values. Without values, the row is a failed one.
 func (r *reporter) addRow(name, unit string, gateways int, values []float64, how string) {
 	row := Row{Name: name, Unit: unit, Gateways: gateways, Backends: r.report.Backends, How: how}
 	if len(values) == 0 {
 		row.How = failedPrefix + "nothing to measure: " + how
 	} else {
 		row.Value = mean(values)
-		row.Spread = slices.Max(values) - slices.Min(values)
+		row.Range = slices.Max(values) - slices.Min(values)
 	}
 	r.report.Rows = append(r.report.Rows, row)
 }
 
-// addPooledRow adds a row whose value covers all gateways together, with the spread of the values of each gateway.
+// addPooledRow adds a row whose value covers all gateways together, with the range of the gateways' values.
 func (r *reporter) addPooledRow(row Row, perGateway []float64) {
 	row.Backends = r.report.Backends
 	if len(perGateway) > 0 {
-		row.Spread = slices.Max(perGateway) - slices.Min(perGateway)
+		row.Range = slices.Max(perGateway) - slices.Min(perGateway)
 	}
 	r.report.Rows = append(r.report.Rows, row)
 }
--- a/internal/fleettest/run.go
+++ b/internal/fleettest/run.go
@@ -34,9 +34,9 @@
 // measuredGateway is a real gateway with its configuration files and measurements.
 type measuredGateway struct {
 	*realGateway
-	configFiles   map[knownList]string
-	requestsEnded atomic.Int64 // requests that ended while loadMetrics.measuring was set
-	addedLatency  *histogram   // the latency that the gateway adds to a request
+	configFiles   map[knownList]string // paths
+	requestsEnded atomic.Int64         // requests that ended while loadMetrics.measuring was set
+	addedLatency  *histogram           // the latency that the gateway adds to a request
 }
 
 // knownList says which endpoint list a configuration contains in its known field.
@@ -236,7 +236,8 @@
 	}
 }
 
-// fillTotals sets the report's totals. The ids of the direct requests contain gateway indexes above those of all gateways.
+// fillTotals sets the report's totals. The ids of direct requests contain a gateway index above those of all gateways; see
+// sendDirect.
 func (r *fleetRun) fillTotals() {
 	firstSimulated, firstDirect := r.options.Fleet.RealGateways, r.options.Fleet.ConfiguredGateways
 	totals, ledger := &r.reporter.report.Totals, r.emulated.ledger
--- a/internal/fleettest/simulatedrequest.go
+++ b/internal/fleettest/simulatedrequest.go
@@ -10,7 +10,7 @@
 
 const (
 	unlimitedRequests  = -1          // as arrivalSchedule.remaining
-	maxBehindSchedule  = time.Second // a gateway that is later than this for a request skips it
+	maxBehindSchedule  = time.Second // a gateway skips a request for which it is later than this
 	maxArrivalsPerStep = 64
 )
 
@@ -28,7 +28,7 @@
 	deadline      time.Duration // when its client gives up
 	clientTimer   *timerqueue.Timer
 	attempts      []*simulatedAttempt // all attempts, by number
-	openAttempts  int                 // attempts without a result
+	inFlight      int                 // attempts without a result
 	ended         bool                // the client has its answer or has given up
 }
 
@@ -97,10 +97,10 @@
 		deadline = min(deadline, now+action.Timeout)
 	}
 	request.attempts = append(request.attempts, attempt)
-	request.openAttempts++
+	request.inFlight++
 	backend, known := g.fleet.emulated.indexOf[action.Backend]
 	tooLate := deadline <= now || action.SendBefore > 0 && now >= action.SendBefore
-	if request.ended || tooLate || request.openAttempts > 1 || !known || !g.inService[backend] {
+	if request.ended || tooLate || request.inFlight > 1 || !known || !g.inService[backend] {
 		g.endAttempt(attempt, policy.NotSent)
 		return
 	}
@@ -119,8 +119,8 @@
 	attempt.resultTimer = g.timers.Add(now+serviceTime, func() { g.attemptServed(attempt, serviceTime) })
 }
 
-// attemptServed answers the request and then ends its attempt. No other attempt can be open, since the settings allow no
-// hedged requests.
+// attemptServed answers the request and then ends its attempt. No other attempt can be in flight, since the settings allow
+// no hedged requests.
 func (g *simulatedGateway) attemptServed(attempt *simulatedAttempt, serviceTime time.Duration) {
 	g.fleet.emulated.ledger.AttemptServed(attempt.request.clientRequest.ID, serviceTime)
 	g.answerRequest(attempt.request, emulator.Served)
@@ -134,7 +134,7 @@
 	}
 	attempt.ended = true
 	g.timers.Stop(attempt.resultTimer)
-	attempt.request.openAttempts--
+	attempt.request.inFlight--
 	g.queueEvent(policy.AttemptResult{ID: attempt.request.id, Attempt: attempt.number, Backend: attempt.backend,
 		Status: status, Latency: g.fleet.now() - attempt.sentAt, RequestClosed: attempt.request.ended})
 	g.removeIfDone(attempt.request)
@@ -147,7 +147,7 @@
 	}
 }
 
-// endRequest ends a request for its client and, unless it was served, cancels its open attempts.
+// endRequest ends a request for its client and, unless it was served, cancels its attempts in flight.
 func (g *simulatedGateway) endRequest(request *simulatedRequest, ending emulator.Ending) {
 	request.ended = true
 	g.timers.Stop(request.clientTimer)
@@ -160,9 +160,9 @@
 	g.removeIfDone(request)
 }
 
-// removeIfDone forgets a request that has ended and has no open attempts.
+// removeIfDone forgets a request that has ended and has no attempts in flight.
 func (g *simulatedGateway) removeIfDone(request *simulatedRequest) {
-	if request.ended && request.openAttempts == 0 {
+	if request.ended && request.inFlight == 0 {
 		delete(g.requests, request.id)
 	}
 }
