--- a/cmd/fleetbench/flags.go
+++ b/cmd/fleetbench/flags.go
@@ -20,7 +20,7 @@
 	quiet       bool
 
 	sweeps             sweepSettings
-	spreadPeriod       time.Duration // period argument of fleetsim.Spread
+	spreadPeriod       time.Duration // period argument of fleetsim.LoadSpread
 	counters           counterSettings
 	simulateWholeFleet bool // simulate all gateways even where the default is a sample
 }
--- a/cmd/fleetbench/mixed.go
+++ b/cmd/fleetbench/mixed.go
@@ -55,8 +55,9 @@
 }
 
 // measure makes one run for each number of backends. A gateway's failure is reported and is an error. The totals of a run
-// (fleettest.Totals) are neither reported nor checked: this subcommand doesn't fail if a request was answered although no
-// backend ran it, ran twice, or got the answer to another request. The tests of package fleettest check that.
+// (fleettest.Totals) are neither reported nor checked: this subcommand doesn't fail if a request was served although no
+// backend started an attempt, was started more often than allowed, or got the value of another request. The tests of package
+// fleettest check that.
 func (m *mixedFlags) measure(ctx context.Context, b *benchmark, report *fleetsim.Report) error {
 	var errs []error
 	for _, backends := range m.backends {
--- a/internal/fleetsim/spread.go
+++ b/internal/fleetsim/spread.go
@@ -9,8 +9,8 @@
 	"bellwood/internal/policy"
 )
 
-// The phases of Spread. The first period is split into halves: the second half shows how many gateways send to a backend for
-// the first time by chance, without any change.
+// The phases of LoadSpread. The first period is split into halves: the second half shows how many gateways send to a backend
+// for the first time by chance, without any change.
 const (
 	spreadWarmUp = iota
 	spreadFirstHalf
@@ -27,11 +27,11 @@
 	spreadOneJoins:  "one comes",
 }
 
-// Spread simulates gateways for three periods of equal length: with all backends, after one backend has left, and after
+// LoadSpread simulates gateways for three periods of equal length: with all backends, after one backend has left, and after
 // another has joined in its place. It reports how many gateways send to each backend, how evenly the load is distributed,
 // and how many gateways send to backends for the first time. It simulates the given number of gateways, or all if that is
 // 0. If it simulates only some of them, it omits the rows that require all gateways.
-func Spread(ctx context.Context, o Options, rep *Report, size Size, period time.Duration, gateways int) error {
+func LoadSpread(ctx context.Context, o Options, rep *Report, size Size, period time.Duration, gateways int) error {
 	indexes := sampleGateways(size.Gateways, gateways)
 	o.reportProgress("connections and load, %v, %d simulated", size, len(indexes))
 	m := newSpreadMeasurement(&o, size, period)
@@ -45,7 +45,7 @@
 	return nil
 }
 
-// spreadMeasurement holds the common input and the summed results of the runs of Spread.
+// spreadMeasurement holds the common input and the summed results of the runs of LoadSpread.
 type spreadMeasurement struct {
 	fleet          *fleet
 	size           Size
@@ -79,7 +79,7 @@
 	return m
 }
 
-// spreadRun is one gateway's part in Spread.
+// spreadRun is one gateway's part in LoadSpread.
 type spreadRun struct {
 	measurement *spreadMeasurement
 	everSentTo  map[string]bool
--- a/internal/fleettest/drain.go
+++ b/internal/fleettest/drain.go
@@ -69,10 +69,10 @@
 	}
 }
 
-// watchSent records an update of the endpoint list that was sent to a real gateway, and polls the gateway's socket until the
-// update has been read. An agent calls it on the goroutine of the watch, which continues when it returns.
-func (m *drainMonitor) watchSent(sent emulator.WatchUpdate) {
-	watched := m.recordWatchSent(sent)
+// updateSent records an update of the endpoint list that was sent to a real gateway, and polls the gateway's socket until
+// the update has been read. An agent calls it on the goroutine of the watch, which continues when it returns.
+func (m *drainMonitor) updateSent(sent emulator.WatchUpdate) {
+	watched := m.recordUpdateSent(sent)
 	if watched == nil {
 		return
 	}
@@ -91,9 +91,9 @@
 	}
 }
 
-// recordWatchSent records an update that was sent. It returns the monitored drain that the update announces, or nil if there
-// is none.
-func (m *drainMonitor) recordWatchSent(sent emulator.WatchUpdate) *drain {
+// recordUpdateSent records an update that was sent. It returns the monitored drain that the update announces, or nil if
+// there is none.
+func (m *drainMonitor) recordUpdateSent(sent emulator.WatchUpdate) *drain {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	d := m.current
--- a/internal/fleettest/load.go
+++ b/internal/fleettest/load.go
@@ -93,13 +93,13 @@
 		requests: r.options.Load.Requests, stopped: stopped}
 	schedule.run(ctx, func(request *emulator.Request) {
 		r.load.requestArrived()
-		ending, took := gateway.clients.Do(ctx, request)
-		r.emulated.ledger.RequestEnded(request, ending)
+		outcome, took := gateway.clients.Do(ctx, request)
+		r.emulated.ledger.RequestEnded(request, outcome)
 		if !r.load.measuring.Load() {
 			return
 		}
 		gateway.requestsEnded.Add(1)
-		if service := r.emulated.ledger.ServiceTime(request.ID); ending == emulator.Served && service > 0 {
+		if service := r.emulated.ledger.ServiceTime(request.ID); outcome == emulator.Served && service > 0 {
 			r.load.addedLatency.record(took - service)
 			gateway.addedLatency.record(took - service)
 		}
@@ -123,9 +123,9 @@
 		case <-ctx.Done():
 			return
 		}
-		ending, took := clients.Do(ctx, request)
-		r.emulated.ledger.RequestEnded(request, ending)
-		if service := r.emulated.ledger.ServiceTime(request.ID); ending == emulator.Served && r.load.measuring.Load() {
+		outcome, took := clients.Do(ctx, request)
+		r.emulated.ledger.RequestEnded(request, outcome)
+		if service := r.emulated.ledger.ServiceTime(request.ID); outcome == emulator.Served && r.load.measuring.Load() {
 			r.load.directLatency.record(took - service)
 		}
 	}
--- a/internal/fleettest/realgateway.go
+++ b/internal/fleettest/realgateway.go
@@ -56,7 +56,7 @@
 	listenHost    string // loopback address; a free port is chosen
 	emulatorHost  string // loopback address of its agent and its counter
 	catalog       *emulator.Catalog
-	onWatchSent   func(emulator.WatchUpdate) // passed to emulator.StartAgent; may be nil
+	onUpdateSent  func(emulator.WatchUpdate) // passed to emulator.StartAgent; may be nil
 	counterValues *emulator.CounterStore
 	replyGrace    time.Duration // how long clients wait beyond their request's timeout
 }
@@ -81,7 +81,7 @@
 func openRealGateway(setup realGatewaySetup) (gateway *realGateway, err error) {
 	gateway = &realGateway{setup: setup}
 	emulatorAddr := net.JoinHostPort(setup.emulatorHost, "0")
-	if gateway.agent, err = emulator.StartAgent(emulatorAddr, setup.catalog, setup.onWatchSent); err != nil {
+	if gateway.agent, err = emulator.StartAgent(emulatorAddr, setup.catalog, setup.onUpdateSent); err != nil {
 		return gateway, err
 	}
 	if gateway.counter, err = emulator.StartCounter(emulatorAddr, setup.counterValues); err != nil {
--- a/internal/fleettest/run.go
+++ b/internal/fleettest/run.go
@@ -107,7 +107,7 @@
 	opened, err := openRealGateway(realGatewaySetup{index: index, program: &r.program,
 		settings: newSettings(index, fleet.ConfiguredGateways, fleet.Zones), seed: r.options.Load.Seed + uint64(index),
 		memoryMB: r.options.Process.MemoryMB, listenHost: gatewayHost, emulatorHost: emulatorHost,
-		catalog: r.emulated.catalog, onWatchSent: r.drains.watchSent, counterValues: r.emulated.counterValues,
+		catalog: r.emulated.catalog, onUpdateSent: r.drains.updateSent, counterValues: r.emulated.counterValues,
 		replyGrace: clientReplyGrace})
 	gateway := &measuredGateway{realGateway: opened, configFiles: map[knownList]string{}, addedLatency: newHistogram()}
 	r.real = append(r.real, gateway)
