--- a/cmd/fleetbench/mixed.go
+++ b/cmd/fleetbench/mixed.go
@@ -56,8 +56,8 @@
 
 // measure makes one run for each number of backends. A gateway's failure is reported and is an error. The totals of a run
 // (fleettest.Totals) are neither reported nor checked: this subcommand doesn't fail if a request was served although no
-// backend started an attempt, was started more often than allowed, or got the value of another request. The tests of package
-// fleettest check that.
+// backend started it, if a non-idempotent request was started twice, or if a request got the value of another one. The tests
+// of package fleettest check that.
 func (m *mixedFlags) measure(ctx context.Context, b *benchmark, report *fleetsim.Report) error {
 	var errs []error
 	for _, backends := range m.backends {
--- a/internal/fleetsim/audit.go
+++ b/internal/fleetsim/audit.go
@@ -39,7 +39,7 @@
 const (
 	callsPerCounter       = 830
 	largeFleetCounters    = 5
-	maxGatewaysPerCounter = 300 // with more gateways a fleet counts as large
+	maxGatewaysPerCounter = 300 // one counter is enough for these; a larger fleet counts as large
 )
 
 // Changes is the way in which the endpoint list changes while a gateway gets no updates.
--- a/internal/fleetsim/population_test.go
+++ b/internal/fleetsim/population_test.go
@@ -5,8 +5,8 @@
 // approxEqual reports whether got is within a thousandth of want.
 func approxEqual(got, want float64) bool { return got >= want*0.999 && got <= want*1.001 }
 
-// The gateways' rates add up to the fleet's rate. With even traffic they are equal; with uneven traffic the busiest gateways
-// get five times the mean.
+// The gateways' rates add up to the fleet's rate. With even traffic they are equal; with uneven traffic the busiest
+// gateways, a tenth of all, get five times the mean.
 func TestPopulationRatesAddUpToFleetRate(t *testing.T) {
 	o := fastOptions(5)
 	for _, size := range []Size{{1, 1}, small, medium, {100, 2}} {
--- a/internal/fleetsim/report.go
+++ b/internal/fleetsim/report.go
@@ -9,7 +9,7 @@
 )
 
 // The JSON keys, row names and units must remain as in stored reports, where a gateway is called a door and a tenant a
-// customer. Report.CompareWith matches rows by their names.
+// customer. Report.CompareWith matches rows by name and size.
 
 // Row is the result of one measurement at one size.
 type Row struct {
--- a/internal/fleetsim/simulation.go
+++ b/internal/fleetsim/simulation.go
@@ -9,7 +9,7 @@
 	"bellwood/internal/policy"
 )
 
-// maxTrafficTime limits the virtual time that a simulation waits for a number of requests to a gateway with little traffic.
+// maxTrafficTime limits the result of timeForRequests, which would be very long for a gateway with little traffic.
 const maxTrafficTime = 15 * time.Minute
 
 // eventsPerContextCheck is the number of events between two checks for cancellation. A check costs as much as a few events.
--- a/internal/fleetsim/spread.go
+++ b/internal/fleetsim/spread.go
@@ -57,8 +57,8 @@
 	attempts             map[string]int       // by backend: attempts in the first period
 	gatewaysSending      map[string]int       // by backend: gateways that sent to it in the first period
 	backendsUsed         map[int]int          // by gateway: backends that it sent to in the first period
-	gatewaysWithNewPairs [numSpreadPhases]int // by phase: gateways with a new pair
-	newPairs             [numSpreadPhases]int // by phase: pairs of gateway and backend with their first attempt
+	gatewaysWithNewPairs [numSpreadPhases]int // by phase: gateways that sent to a backend for the first time
+	newPairs             [numSpreadPhases]int // by phase: pairs of a gateway and a backend that is new to it
 	gatewaysUsingLeaving int                  // gateways that ever sent to leavingBackend
 	gatewaysUsingJoining int                  // gateways that ever sent to joiningBackend
 }
--- a/internal/fleettest/drain.go
+++ b/internal/fleettest/drain.go
@@ -39,7 +39,7 @@
 	lastAttempt map[int]time.Time // arrival of the first byte of the last attempt after the push, by gateway index
 	attempts    int               // after the push
 	updateBytes []float64         // size of the update's line, for each real gateway
-	readDelays  []time.Duration   // from the sending of the update to its being read, for each real gateway
+	readDelays  []time.Duration   // from the sending of the update until it was read, for each real gateway
 }
 
 // drainResults accumulates the results of several drains.
@@ -210,7 +210,7 @@
 	if err != nil {
 		return err
 	}
-	return sleep(ctx, pauseBetweenDrains) // otherwise an agent could send this update and the next drain as one
+	return sleep(ctx, pauseBetweenDrains) // otherwise an agent could send the restoration and the next drain in one update
 }
 
 // attemptRate measures the current number of attempts per second at some backends. takeBusiest's counts are older and can't
@@ -229,8 +229,8 @@
 	return float64(attempts) / time.Since(start).Seconds(), nil
 }
 
-// awaitUpdateReads waits for the drain duration, and then until all real gateways have read the update or updateReadTimeout
-// has passed since the push.
+// awaitUpdateReads waits for ChangeOptions.drainDuration, and then until all real gateways have read the update or
+// updateReadTimeout has passed since the push.
 func (r *fleetRun) awaitUpdateReads(ctx context.Context, pushedAt time.Time) error {
 	err := sleep(ctx, r.options.Changes.drainDuration)
 	for end := pushedAt.Add(updateReadTimeout); err == nil && time.Now().Before(end) && r.drains.readCount() < len(r.ready); {
--- a/internal/fleettest/emulated.go
+++ b/internal/fleettest/emulated.go
@@ -53,7 +53,9 @@
 	}
 	zones := zoneNames(fleet.Zones)
 	for i := range fleet.Backends {
-		name := fmt.Sprintf("s-%08x", uint32(i)*0x9e3779b1) // multiplicative hashing: unique, unsorted names
+		// Multiplicative hashing: the odd multiplier, close to 2^32 divided by the golden ratio, makes the names unique and
+		// leaves them unsorted.
+		name := fmt.Sprintf("s-%08x", uint32(i)*0x9e3779b1)
 		e.indexOf[name] = i
 		e.endpoints = append(e.endpoints, emulator.Endpoint{Name: name, Address: e.backends.Addr(i),
 			Zone: zones[i%fleet.Zones], Type: backendType, Group: i / fleet.Zones % backendGroups, Status: emulator.Serving,
--- a/internal/fleettest/simulatedrequest.go
+++ b/internal/fleettest/simulatedrequest.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	unlimitedRequests  = -1          // as arrivalSchedule.remaining
-	maxBehindSchedule  = time.Second // a gateway skips a request for which it is later than this
+	unlimitedRequests  = -1          // value of arrivalSchedule.remaining
+	maxBehindSchedule  = time.Second // a gateway that is further behind skips the request
 	maxArrivalsPerStep = 64
 )
 
