--- a/cmd/bellwood/main.go
+++ b/cmd/bellwood/main.go
@@ -27,8 +27,8 @@
 	// memory limit they run earlier regardless.
 	gcPercent = 400
 	// goMemoryNum/goMemoryDen is the share of the memory limit for memory that the Go runtime accounts for, including
-	// stacks and the runtime's own data. The rest is for what it doesn't account for: the program's code, a C library and
-	// the kernel's socket buffers.
+	// stacks and the runtime's own data. The rest is for memory that it doesn't account for: the program's code, a C
+	// library and the kernel's socket buffers.
 	goMemoryNum, goMemoryDen = 3, 4
 	// logFlushTimeout limits how long run waits at the end for the log to be written, as its reader may have stopped.
 	logFlushTimeout = 100 * time.Millisecond
--- a/cmd/fleetbench/measurements.go
+++ b/cmd/fleetbench/measurements.go
@@ -20,7 +20,7 @@
 	// maxBackendsUnsampled is the largest number of backends with which all gateways are simulated by default.
 	maxBackendsUnsampled = 1000
 	// shortPeriodBackends is the number of backends from which spread counts for a shorter period, the flag's value divided
-	// by shortPeriodDivisor. Each gateway gets more requests with so many backends, so that is enough.
+	// by shortPeriodDivisor. From this number of backends on, each gateway gets more requests, so that is enough.
 	shortPeriodBackends = 1000
 	shortPeriodDivisor  = 4
 )
--- a/internal/audit/ballot.go
+++ b/internal/audit/ballot.go
@@ -44,7 +44,7 @@
 // configValue returns the configuration's revision reduced to the digits of a total.
 func (b *ballot) configValue() int64 { return int64(b.versions.revision() % maxExactTotal) }
 
-// needsComparison reports whether this gateway has to compare the votes for a proposal with the quorum: it acts on an
+// needsComparison reports whether this gateway must compare the votes for a proposal with the quorum: it acts on an
 // older version than the proposed one or, in a window that compares the configuration, on any other revision.
 func (b *ballot) needsComparison(window, proposal int64) bool {
 	if isConfigWindow(window) {
--- a/internal/audit/calls.go
+++ b/internal/audit/calls.go
@@ -67,7 +67,7 @@
 // quotaCallFailed makes the audit back off from the counter.
 func (c *counterClient) quotaCallFailed() { c.pacer.quotaCallFailed(c.step.now) }
 
-// Names of the audit's entries at the counter, within 63 bits. All gateways have to compute the same names, whatever
+// Names of the audit's entries at the counter, within 63 bits. All gateways must compute the same names, whatever
 // version of the program they run, so the texts that are hashed must not change. Names of quotas are built differently.
 
 func proposalName(window int64) uint64 { return counterName("audit proposal %d", window) }
--- a/internal/audit/doc.go
+++ b/internal/audit/doc.go
@@ -15,7 +15,7 @@
 //   - A quorum of different voters proves that the fleet acts on a newer version. Only such a proof marks a gateway as
 //     behind. The gateway finds it by comparing the votes in a window, or by its check after its process was paused.
 //   - A gateway is behind if a quorum is ahead of it. It then goes through stages: it waits, reopens the watch, fetches
-//     the whole list, and is stale if all of that has failed. A stale gateway has to be out of service until it has
+//     the whole list, and is stale if all of that has failed. A stale gateway must be out of service until it has
 //     caught up.
 //   - A stale gateway is out of service only while it holds a slot. Slots are leased for an epoch, so that a bounded part
 //     of the fleet is out of service at once. The check after a pause of the process needs no slot.
--- a/internal/audit/event.go
+++ b/internal/audit/event.go
@@ -62,7 +62,7 @@
 // QuotaCallFailed reports that the counter rejected a call for a quota or did not answer it.
 type QuotaCallFailed struct{}
 
-// ResumedAfterPause reports that the whole process was paused, for MinPause or longer. It has to precede all other events
+// ResumedAfterPause reports that the whole process was paused, for MinPause or longer. It must precede all other events
 // that accumulated during the pause.
 type ResumedAfterPause struct{ Pause time.Duration }
 
@@ -78,7 +78,7 @@
 func (ResumedAfterPause) event() {}
 func (SnapshotFetched) event()   {}
 
-// Action is an output of Machine.Step, something that the gateway has to do: one of the types below.
+// Action is an output of Machine.Step, something that the gateway must do: one of the types below.
 type Action interface{ action() }
 
 // AddToCounter adds an amount to an entry of the counter, once. Its result is a CounterResult. A call that ends as
--- a/internal/audit/machine.go
+++ b/internal/audit/machine.go
@@ -59,10 +59,10 @@
 // Records returns the latest records, oldest first.
 func (m *Machine) Records() []Record { return m.step.recent.list() }
 
-// Step processes the events up to the time now, in order, and returns the actions to carry out, in order. It has to be
+// Step processes the events up to the time now, in order, and returns the actions to carry out, in order. It must be
 // called at least every TickInterval. The returned slice is valid until the next Step.
 //
-// now is Unix time and above 0. The clocks of all gateways have to agree to within a tenth of an epoch. A time before that
+// now is Unix time and above 0. The clocks of all gateways must agree to within a tenth of an epoch. A time before that
 // of the last Step counts as the time of the last Step.
 func (m *Machine) Step(now time.Duration, events []Event) []Action {
 	m.step.actions = m.step.actions[:0]
--- a/internal/audit/pausecheck_test.go
+++ b/internal/audit/pausecheck_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Guards against a gateway that forwards requests by an old list after its process was paused. It has to wait until
+// Guards against a gateway that forwards requests by an old list after its process was paused. It must wait until
 // discovery has answered or the check has timed out.
 func TestPausedGatewayWaitsForDiscoveryOrTimeout(t *testing.T) {
 	for name, discoveryAnswers := range map[string]bool{"discovery answers": true, "discovery is silent": false} {
--- a/internal/audit/round.go
+++ b/internal/audit/round.go
@@ -34,7 +34,7 @@
 	reportedRevision uint64      // other configuration that was last recorded, plus 1; 0: none
 }
 
-// comparison is a proposal whose votes have to be compared with the quorum, and when that is due.
+// comparison is a proposal whose votes must be compared with the quorum, and when that is due.
 type comparison struct {
 	window, proposal int64
 	dueAt            time.Duration
@@ -47,7 +47,7 @@
 // then would call the counter at the same time.
 func (r *round) start(now time.Duration) { r.firstWindow = r.schedule.windowAt(now) + 2 }
 
-// run does what is due in the current window.
+// run performs the steps that are due in the current window.
 func (r *round) run() {
 	r.advanceWindow()
 	if !r.participates() {
@@ -76,7 +76,8 @@
 	return r.versions.hasVersion() && r.window >= r.firstWindow && r.gateways >= minQuorum
 }
 
-// proposalDue reports whether this gateway is the proposer of the current window and still has to propose.
+// proposalDue reports whether this gateway is the proposer of the current window, has not proposed yet and still has
+// time to do so.
 func (r *round) proposalDue(fraction float64) bool {
 	return !r.proposed && r.proposers.proposer(r.window) == r.gatewayIndex && fraction < readStart
 }
--- a/internal/audit/settings.go
+++ b/internal/audit/settings.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Settings configures a Machine. All fields but GatewayIndex have to be the same at all gateways of a fleet.
+// Settings configures a Machine. All fields but GatewayIndex must be the same at all gateways of a fleet.
 type Settings struct {
 	Gateways       int           // gateways in the fleet, including this one; at least 1
 	GatewayIndex   int           // index of this gateway among them, from 0
@@ -18,7 +18,7 @@
 const MaxShare = 0.2
 
 const (
-	// The counter keeps an entry for at most 60 s, and an entry has to outlive its window (see entryTTLWindows).
+	// The counter keeps an entry for at most 60 s, and an entry must outlive its window (see entryTTLWindows).
 	maxWindow = 25 * time.Second
 	// Larger than any fleet. It keeps the arithmetic of the tally within its digits.
 	maxGateways = 1 << 20
--- a/internal/audit/slotlease.go
+++ b/internal/audit/slotlease.go
@@ -168,7 +168,8 @@
 		})
 }
 
-// claimValue returns what the gateway adds to a slot's entry to claim it: above 0, and different for each gateway.
+// claimValue returns the amount that the gateway adds to a slot's entry to claim it: above 0, and different for each
+// gateway.
 func (l *slotLease) claimValue() float64 { return float64(l.gatewayIndex + 1) }
 
 // addClaim claims the slot for the epoch after the given one, and reports whether the pacer allowed the call. The claim
--- a/internal/audit/staleness.go
+++ b/internal/audit/staleness.go
@@ -97,7 +97,7 @@
 
 	stage      stage
 	stageSince time.Duration // when the stage was entered
-	// target is the version that the gateway has to reach: the one named by the first verdict that found it behind, or by
+	// target is the version that the gateway must reach: the one named by the first verdict that found it behind, or by
 	// the check after a pause. 0: none. Later verdicts do not change it, even if the fleet has moved on. A gateway whose
 	// slot expired while it was recovering keeps it.
 	target int64
@@ -182,7 +182,7 @@
 // fleetVersion returns the version that a quorum was found to act on, the target; 0 if there is none.
 func (s *staleness) fleetVersion() int64 { return s.target }
 
-// needsOutOfService reports whether the gateway has to be out of service: it is stale or recovering, and holds a slot.
+// needsOutOfService reports whether the gateway must be out of service: it is stale or recovering, and holds a slot.
 func (s *staleness) needsOutOfService() bool {
 	return s.slotLease.isHeld() && (s.stage == stale || s.stage == recovering)
 }
--- a/internal/audit/staleness_test.go
+++ b/internal/audit/staleness_test.go
@@ -9,7 +9,7 @@
 )
 
 // Guards against a gateway whose agent delivers nothing and that stays in service unnoticed, leaves service late or never
-// returns. It has to be found, go through the remedies, leave service, and return once it has caught up, while no other
+// returns. It must be found, go through the remedies, leave service, and return once it has caught up, while no other
 // gateway is affected. The time limits are those of docs/AUDIT.md.
 func TestStaleGatewayLeavesServiceAndReturnsOnceCaughtUp(t *testing.T) {
 	for _, gateways := range []int{5, 30, 300} {
--- a/internal/audit/tally_test.go
+++ b/internal/audit/tally_test.go
@@ -31,7 +31,7 @@
 	}
 }
 
-// Guards against versions that are decoded wrongly: a version may have more digits than a total, so it has to be decoded as
+// Guards against versions that are decoded wrongly: a version may have more digits than a total, so it must be decoded as
 // the matching version nearest to the reader's own.
 func TestEncodedVersionIsDecodedNearReadersVersion(t *testing.T) {
 	for _, near := range []int64{0, 1, 500, maxExactTotal - 1, maxExactTotal, 123_456_789_012} {
--- a/internal/audit/versions.go
+++ b/internal/audit/versions.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// mergeInterval is how long a record has to be in force before the next version gets its own record. A version that comes
-// sooner is merged into the current record, so that fast changes do not flood the log.
+// mergeInterval is how long a record must be in force before the next version gets its own record. A version that is
+// adopted sooner is merged into the current record, so that fast changes do not flood the log.
 const mergeInterval = 500 * time.Millisecond
 
 // versionHistory holds the version and the configuration in force, and the record of requests and attempts under them.
--- a/internal/emulator/counterstore.go
+++ b/internal/emulator/counterstore.go
@@ -9,7 +9,7 @@
 	maxTTL     = time.Minute // longer TTLs are shortened to this
 	minTTL     = time.Millisecond
 	maxEntries = 1 << 18 // calls that would create further entries are rejected
-	// The burst of a limited call rate is what the rate allows in 1/burstDivisor s.
+	// The burst of a limited call rate is the number of calls that the rate allows in 1/burstDivisor s.
 	burstDivisor = 10
 	// Expired entries are removed at most once in this interval.
 	expiryInterval = time.Second
--- a/internal/fleetsim/slowstart.go
+++ b/internal/fleetsim/slowstart.go
@@ -139,9 +139,9 @@
 	return sendWindow{start, attempts, budget, budget + 2*math.Sqrt(budget) + 2}
 }
 
-// worstWindow returns the window whose attempts come closest to, or exceed most, what is allowed: OverloadMultiple times the
-// capacity at the window's start, for the window's length, plus a margin for random variation. It sorts attempts, which are
-// times since the backend's start. Without attempts it returns the empty window at the start.
+// worstWindow returns the window with the highest utilization, its attempts divided by the allowed number:
+// OverloadMultiple times the capacity at the window's start, for the window's length, plus a margin for random variation.
+// It sorts attempts, which are times since the backend's start. Without attempts it returns the empty window at the start.
 func worstWindow(attempts []time.Duration, settings *policy.Settings, capacity float64) sendWindow {
 	slices.Sort(attempts)
 	worst := newSendWindow(0, 0, settings, settings.SlowStartMinShare, capacity)
--- a/internal/fleettest/gatewayconfig_test.go
+++ b/internal/fleettest/gatewayconfig_test.go
@@ -10,7 +10,8 @@
 	"bellwood/internal/gateway"
 )
 
-// The settings of real gateways (JSON) and of simulated ones (text) must be equal, and agree with what the clients use.
+// The settings of real gateways (JSON) and of simulated ones (text) must be equal, and agree with the clients' classes and
+// plans.
 func TestRealAndSimulatedGatewaysGetTheSameSettings(t *testing.T) {
 	for _, index := range []int{0, 9} {
 		t.Run(fmt.Sprint("gateway ", index), func(t *testing.T) {
--- a/internal/fleettest/load.go
+++ b/internal/fleettest/load.go
@@ -162,7 +162,7 @@
 }
 
 // measureRequests measures until each gateway has ended its number of requests. The drains run within the measurement, so
-// the rows of the traffic from discovery and of the connections include what the drains cause.
+// the rows of the traffic from discovery and of the connections include the effects of the drains.
 func (r *fleetRun) measureRequests(ctx context.Context, senders *senders, before runMetrics) error {
 	var connections connectionSamples
 	connections.sample(r.emulated.backends)
--- a/internal/fleettest/realgateway.go
+++ b/internal/fleettest/realgateway.go
@@ -182,7 +182,7 @@
 }
 
 // run calls send for each request at its scheduled time, on a goroutine for each, until all requests have been sent, stopped
-// is closed or the context ends. At most maxClientConns requests are open; a request that has to wait delays all later ones.
+// is closed or the context ends. At most maxClientConns requests are open; a request that must wait delays all later ones.
 // run returns when all calls of send have returned.
 func (s *requestSchedule) run(ctx context.Context, send func(*emulator.Request)) {
 	next := time.Now()
--- a/internal/gateway/budget/budget.go
+++ b/internal/gateway/budget/budget.go
@@ -13,7 +13,7 @@
 	//   - 4 each for discovery and the counter, and as many for their previous addresses after a reload;
 	//   - 1 for the connection that is being accepted;
 	//   - 1 for the configuration;
-	//   - the rest for what the system opens when it loads the program.
+	//   - the rest for files that the system opens when it loads the program.
 	reservedDescriptors = 32
 
 	// ConnsPerRejected is the ratio of client connections to rejected connections that may be held open. A connection that
--- a/internal/gateway/clientreply.go
+++ b/internal/gateway/clientreply.go
@@ -154,8 +154,8 @@
 	}
 }
 
-// writeAvailable writes what the socket accepts without waiting, and starts writeRemaining for the remainder. The caller
-// holds mu.
+// writeAvailable writes as much as the socket accepts without waiting, and starts writeRemaining for the remainder. The
+// caller holds mu.
 func (conn *clientConn) writeAvailable() {
 	n, err := rawsocket.WriteAvailable(conn.socket, conn.replies.unwritten)
 	conn.replies.removeWritten(n)
--- a/internal/gateway/config.go
+++ b/internal/gateway/config.go
@@ -68,9 +68,9 @@
 	ErrNotPositive = errors.New("must be greater than 0")
 )
 
-// ReadConfig reads a Config from its JSON form. It rejects only what it cannot parse; Check validates the result. The error
-// is a *SettingError, or wraps an error of encoding/json if the text is not valid JSON or a value has the wrong type. Its
-// text is one line.
+// ReadConfig reads a Config from its JSON form. It rejects only input that it cannot parse; Check validates the result. The
+// error is a *SettingError, or wraps an error of encoding/json if the text is not valid JSON or a value has the wrong type.
+// Its text is one line.
 func ReadConfig(r io.Reader) (*Config, error) {
 	var file struct {
 		Name, Listen, Discovery, Counter, Seed string
--- a/internal/gateway/counter/client.go
+++ b/internal/gateway/counter/client.go
@@ -5,7 +5,7 @@
 // # Order
 //
 // All calls for a name use the same connection, and their results are reported in the order of the calls. Replies carry
-// no name: on each connection they come in the order in which the calls were written. A call that timed out therefore
+// no name: on each connection they arrive in the order in which the calls were written. A call that timed out therefore
 // stays in the queue of pending replies until its reply arrives or the connection is closed. Otherwise its late reply
 // would be taken for the reply to the next call, and the total of another name would decide a tenant's quota.
 //
--- a/internal/gateway/discovery/decoder.go
+++ b/internal/gateway/discovery/decoder.go
@@ -111,7 +111,7 @@
 	return list, d.consumer.lastBatch(list, fields.lastBatch)
 }
 
-// decodeField reads one field. Fields may come in any order, their names in any case; unknown fields are ignored.
+// decodeField reads one field. Fields may appear in any order, their names in any case; unknown fields are ignored.
 func (d *decoder) decodeField(fields *listFields) error {
 	key, err := d.json.Token()
 	if err != nil {
--- a/internal/gateway/discovery/receiver_test.go
+++ b/internal/gateway/discovery/receiver_test.go
@@ -128,7 +128,7 @@
 	}
 }
 
-// The fields of a list may come in any order, with unknown fields between them, and the index after the entries.
+// The fields of a list may appear in any order, with unknown fields between them, and the index after the entries.
 func TestListFieldsInAnyOrder(t *testing.T) {
 	termination := endpoint.List{Index: 4, Endpoints: discoverytest.Fleet(4, 1).Endpoints}
 	termination.Endpoints[0].Status = "DELETED"
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -133,7 +133,7 @@
 	return down.evictIdle(capacity) || capacity != noCapacity
 }
 
-// evictIdle evicts the connection that comes first by evictionRank, and reports whether it evicted one. Without
+// evictIdle evicts the connection with the lowest evictionRank, and reports whether it evicted one. Without
 // eviction, clients that send one request or none and keep their connections open would use up the clients' share of
 // descriptors, and all other clients would be rejected.
 //
--- a/internal/policy/admission.go
+++ b/internal/policy/admission.go
@@ -77,13 +77,13 @@
 }
 
 // deadlineCannotBeMet reports whether the deadline budget is half of the expected latency or less. Half,
-// because some answers are faster than expected. Requests that have to wait are checked by tooLateToWait
+// because some answers are faster than expected. Requests that must wait are checked by tooLateToWait
 // instead.
 func (e *Engine) deadlineCannotBeMet(r *request) bool {
 	return r.deadlineBudget.Seconds() <= e.expectedLatency(r)/2
 }
 
-// serve processes a tenant's waiting requests in arrival order until one has to keep waiting: for the
+// serve processes a tenant's waiting requests in arrival order until one must keep waiting: for the
 // counter's answer, for one of the tenant's admitted requests to end, or for this gateway's share of the
 // hard limit to refill.
 func (e *Engine) serve(t *tenant) {
@@ -203,9 +203,9 @@
 
 // placeOverQuota dispatches, at the lowest priority level, a request that exceeds a limit or its quota,
 // provided that its plan earns something for such requests and the hard limit's share holds the cost.
-// Otherwise the request is rejected, for what it exceeds or for the hard limit. At the lowest level a
-// first attempt goes only to a backend with a free slot (waitsTooLong); it is queued at that backend only
-// if the backend's slow-start budget is spent.
+// Otherwise the request is rejected, because of the limit or quota that it exceeds or because of the hard
+// limit. At the lowest level a first attempt goes only to a backend with a free slot (waitsTooLong); it is
+// queued at that backend only if the backend's slow-start budget is spent.
 //
 // The retry-after advice always comes from the quota, whichever limit was exceeded: it is the time until
 // the quota's bucket is expected to hold the cost (lease.TimeUntil). For a plan without a rate, the
--- a/internal/policy/attempt.go
+++ b/internal/policy/attempt.go
@@ -50,7 +50,7 @@
 	return 0, false
 }
 
-// attemptEnded handles the result of an attempt: it updates what is known about the backend, ends or
+// attemptEnded handles the result of an attempt: it updates the state of the backend, ends or
 // retries the request, and sends queued requests to the freed slot.
 func (e *Engine) attemptEnded(result AttemptResult) {
 	r := e.requests[result.ID]
--- a/internal/policy/backend.go
+++ b/internal/policy/backend.go
@@ -13,7 +13,7 @@
 // backend is the engine's state of one backend. Only the part of the engine that a comment names as the owner
 // modifies a field after newBackend.
 //
-// The fields that choose reads come first and together: in a large fleet, fetching them from memory costs
+// The fields that choose reads are first and adjacent: in a large fleet, fetching them from memory costs
 // more than the arithmetic on them.
 type backend struct {
 	registryState   // owned by endpointRegistry
--- a/internal/policy/callshare/callshare.go
+++ b/internal/policy/callshare/callshare.go
@@ -3,8 +3,8 @@
 //
 // Each gateway lets a share of its requests call the shared counter. It observes the counter only through the
 // answers to its own calls: an answer in time raises the share, a late answer or a failure lowers it. In this
-// way all gateways together converge on the load that the counter can bear, without communicating with each
-// other.
+// way all gateways together converge on the load that the counter can sustain, without communicating with
+// each other.
 package callshare
 
 import (
--- a/internal/policy/concurrency/concurrency.go
+++ b/internal/policy/concurrency/concurrency.go
@@ -102,9 +102,9 @@
 // RecordBrokenConnection records a broken or failed connection.
 func (l *Limiter) RecordBrokenConnection() { l.limit *= rejectionFactor }
 
-// Pause starts a pause if the limit is below 1 and no pause is in progress. The pause is so long that
-// the backend has an attempt in flight for about the fraction of the time that the limit states. Pause
-// is called after each result, with the latency of the backend's answers in seconds.
+// Pause starts a pause if the limit is below 1 and no pause is in progress. The length of the pause is
+// such that the backend has an attempt in flight for about the fraction of the time that the limit
+// states. Pause is called after each result, with the latency of the backend's answers in seconds.
 func (l *Limiter) Pause(now time.Duration, latency float64) {
 	l.limit = max(minLimit, l.limit)
 	if l.limit < 1 && now >= l.pausedUntil {
--- a/internal/policy/countercalls_test.go
+++ b/internal/policy/countercalls_test.go
@@ -157,7 +157,7 @@
 	return n
 }
 
-// The share of requests that go on credit depends on what the calls of their plan find: no request if the buckets are
+// The share of requests that go on credit depends on the results of the calls of their plan: no request if the buckets are
 // empty and being over the quota has a penalty, all requests if there is no penalty or the counter does not respond.
 func TestCreditFollowsResultsOfPlansCalls(t *testing.T) {
 	const freePlan = noQuotaPlan // here with a quota, but without a penalty for exceeding it
--- a/internal/policy/doc.go
+++ b/internal/policy/doc.go
@@ -33,7 +33,7 @@
 //	SendAttempt
 //	AttemptResult
 //	  attemptEnded    attempt.go
-//	  recordResult    result.go         updates what is known about the backend
+//	  recordResult    result.go         updates the state of the backend
 //	  retry           retry.go          sends the request back to dispatch
 //	  endRequest      requestend.go     cancels attempts in flight, returns what the request holds
 //
--- a/internal/policy/event.go
+++ b/internal/policy/event.go
@@ -57,8 +57,8 @@
 // ClientGone reports that the client of a request has disconnected. It ends the request.
 type ClientGone struct{ ID uint64 }
 
-// CounterResult is the result of one AddToCounter. Results for the same name come in the order of the
-// calls.
+// CounterResult is the result of one AddToCounter. Results for the same name arrive in the order of
+// the calls.
 type CounterResult struct {
 	Name   uint64
 	Status Status  // OK: added; Rejected, ConnectFailed: not added; TimedOut: perhaps added
--- a/internal/policy/hardlimit/hardlimit.go
+++ b/internal/policy/hardlimit/hardlimit.go
@@ -25,7 +25,7 @@
 	// shared pool.
 	minRequestsPerShare = 4.0
 	// borrowGrace is how long borrowed units may still be used after their window has ended, because the request
-	// may first have to queue.
+	// may be queued first.
 	borrowGrace = 100 * time.Millisecond
 	// maxWindow and minWindow bound the length of a window.
 	maxWindow = 30 * time.Second
--- a/internal/policy/lease/lease.go
+++ b/internal/policy/lease/lease.go
@@ -1,7 +1,7 @@
 // Package lease tracks the tokens that one gateway holds of one tenant's quota.
 //
 // The quota is a token bucket that all gateways share. The shared counter stores the bucket's state as the
-// sum of tokens taken from it: a gateway adds what it takes, and the answer reveals the bucket's level,
+// sum of tokens taken from it: a gateway adds the tokens it takes, and the answer reveals the bucket's level,
 // even to a gateway that has never seen the tenant. To avoid a call per request, a gateway takes a block of
 // tokens that covers the expected demand of the next seconds: the lease.
 //
@@ -186,7 +186,7 @@
 	return l.demand.ExpectedUse(tokenLifetime) >= minCostsForRenewal*cost
 }
 
-// SeemsEmpty reports whether the bucket was found empty and this gateway still has to wait for it to refill.
+// SeemsEmpty reports whether the bucket was found empty and this gateway must still wait for it to refill.
 func (l *Lease) SeemsEmpty(now time.Duration) bool { return now < l.emptyUntil }
 
 // expectedLevel is the level that the bucket should have now if no gateway took tokens since the last answer.
@@ -235,8 +235,8 @@
 	// CostCovered is true if the bucket held the cost of the calling request.
 	CostCovered bool
 	// Overflow, if above 0, must be added to the counter at once. It is the part of the bucket's level above
-	// what the bucket can hold: tokens beyond its burst have overflowed, and a gain beyond its rate means that
-	// the counter lost usage.
+	// the highest possible one: tokens beyond its burst have overflowed, and a gain beyond its rate means
+	// that the counter lost usage.
 	Overflow float64
 	// Reduced is true if the bucket did not hold the whole block.
 	Reduced bool
@@ -274,7 +274,8 @@
 }
 
 // splitOverflow splits a level into the highest that the bucket can have now and the excess, if the excess is
-// large enough to justify a correction. It also updates the estimate of what the other gateways take.
+// large enough to justify a correction. It also updates the estimate of the rate at which the other
+// gateways take tokens.
 func (l *Lease) splitOverflow(now time.Duration, held, callShare float64) (level, overflow float64) {
 	maxLevel := l.bucket.Burst
 	if l.levelKnown {
@@ -287,8 +288,8 @@
 	return held, 0
 }
 
-// updateOthersRate updates the estimate of what the other gateways take, from how far the bucket's level lies
-// below the expected one.
+// updateOthersRate updates the estimate of the rate at which the other gateways take tokens, from how far the
+// bucket's level lies below the expected one.
 func (l *Lease) updateOthersRate(now time.Duration, expected, held float64) {
 	span := now - l.levelAt
 	if span <= 0 {
@@ -305,5 +306,5 @@
 	l.emptyUntil = now + min(maxEmptyBackoff, time.Duration(seconds*float64(time.Second)))
 }
 
-// AddWithNextCall adds an amount to what the next call reports to the counter.
+// AddWithNextCall adds an amount to the usage that the next call reports to the counter.
 func (l *Lease) AddWithNextCall(amount float64) { l.unreported += amount }
--- a/internal/policy/purity_test.go
+++ b/internal/policy/purity_test.go
@@ -16,7 +16,7 @@
 )
 
 // The engine consists of internal/policy with all packages below it, and internal/subset. These tests
-// enforce what the deploy file promises: the same files make the decisions in the simulator and in the
+// enforce the guarantees of the deploy file: the same files make the decisions in the simulator and in the
 // gateway, and they decide from events alone.
 
 const (
--- a/internal/policy/quota.go
+++ b/internal/policy/quota.go
@@ -92,7 +92,7 @@
 // payCost pays for a request with leased tokens, or else with fallback tokens. If neither suffice, it calls
 // the counter for more and lets the request wait for the answer.
 //
-// Only a share of the requests may call, as many as the counter can bear. Each call also accounts for the
+// Only a share of the requests may call, as many as the counter can handle. Each call also accounts for the
 // requests that may not, and these go on credit. Unlike the paper, the engine gives credit, because with many
 // gateways the fallback tokens of one gateway are less than the cost of one request.
 //
@@ -189,7 +189,7 @@
 	}
 }
 
-// settleTokens converts the counter's total into tokens. It calls the counter again if the total has to be
+// settleTokens converts the counter's total into tokens. It calls the counter again if the total must be
 // corrected: for tokens that overflowed the bucket, and for tokens that the bucket did not hold.
 //
 // The second correction is left to the next call if that is expected soon: the tenant's demand is high
--- a/internal/policy/result.go
+++ b/internal/policy/result.go
@@ -1,18 +1,18 @@
 package policy
 
 // Results: what the result of an attempt reveals about the backend: its latency, how many attempts it can
-// bear at once, and whether it responds.
+// handle at once, and whether it responds.
 
 import (
 	"bellwood/internal/policy/concurrency"
 	"bellwood/internal/policy/outlier"
 )
 
-// minLatency is the smallest latency that is recorded, in seconds, because results come in whole steps
-// of the caller's clock.
+// minLatency is the smallest latency that is recorded, in seconds, because latencies are measured in
+// whole steps of the caller's clock.
 const minLatency = 1e-3
 
-// recordResult updates what is known about a backend from the result of an attempt.
+// recordResult updates the state of a backend from the result of an attempt.
 func (e *Engine) recordResult(a *attempt, result AttemptResult) {
 	b := a.backend
 	took := max(minLatency, result.Latency.Seconds())
--- a/internal/policy/selection.go
+++ b/internal/policy/selection.go
@@ -110,7 +110,7 @@
 // backend's capacity (capacityShare).
 //
 // A fraction randomPart of the cost, from 0 to 1, is random; a random number is drawn only if it is over 0.
-// This is for a gateway that sends to each backend so rarely that what it knows of them is outdated or due to
+// This is for a gateway that sends to each backend so rarely that its data on them is outdated or due to
 // chance. Unlike the paper, the engine randomizes the cost so that all gateways together distribute requests
 // by weight and speed, instead of all sending to the same backend.
 func (e *Engine) loadCost(b *backend, capacityShare, randomPart float64) float64 {
--- a/internal/policy/sharedcounter_test.go
+++ b/internal/policy/sharedcounter_test.go
@@ -14,7 +14,7 @@
 	calls, failed int
 }
 
-// call queues a call and returns when its result arrives and what it is.
+// call queues a call and returns the time at which its result arrives, and the result.
 func (c *simulatedCounter) call(now, timeout time.Duration, call AddToCounter) (time.Duration, CounterResult) {
 	c.freeAt = max(c.freeAt, now) + c.serviceTime
 	c.totals[call.Name] += call.Amount
--- a/internal/policy/slowstart/slowstart.go
+++ b/internal/policy/slowstart/slowstart.go
@@ -1,8 +1,9 @@
-// Package slowstart limits what one gateway sends to a backend that was started recently and is warming up.
+// Package slowstart limits the attempts of one gateway to a backend that was started recently and is warming
+// up.
 //
 // Such a backend initially has a part of its capacity, and fails if its load is a certain multiple of that
 // part for some time. All gateways together must therefore stay below that multiple, although none of them
-// knows what the others send.
+// knows how much the others send.
 //
 // A [Budget] belongs to one backend of one engine and is not safe for concurrent use. Times are on the
 // engine's clock.
--- a/internal/policy/subset.go
+++ b/internal/policy/subset.go
@@ -18,8 +18,8 @@
 	targetGatewaysPerBackend = 16.0
 	// minSubset is the minimum size of a subset, so that losing one backend loses only a small part of it.
 	minSubset = 8
-	// zoneDiverseSubset is the subset size from which shortage does not check zones: so many backends, assigned
-	// by hash, include enough outside any one zone.
+	// zoneDiverseSubset is the subset size from which shortage does not check zones: a subset of this size,
+	// assigned by hash, includes enough backends outside any one zone.
 	zoneDiverseSubset = 4 * minSubset
 	// subsetSlack is by how much a gateway's part may exceed the mean, as a share of the mean, so that few
 	// subsets change when a backend is removed.
--- a/internal/simprotocol/words.go
+++ b/internal/simprotocol/words.go
@@ -42,7 +42,7 @@
 	absent: policy.DedupAllBackends,
 }
 
-// pollsEndpoints maps the words of the setting discovery to whether the gateway has to poll the endpoint list.
+// pollsEndpoints maps the words of the setting discovery to whether the gateway must poll the endpoint list.
 var pollsEndpoints = map[string]bool{
 	"pushed":     false,
 	"on_request": true,
